--- /dev/null
+++ b/logic/golden_test.go
@@ -0,0 +1,374 @@
+package logic
+
+import (
+	"container/heap"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// This file pins every decision of the module: seeded random events of every type drive several gateways, and a hash of
+// all their actions, in their order, is compared with a constant. A refactoring leaves the hashes as they are; a change
+// of behaviour changes them, and its commit says why. The hashes were taken on amd64.
+
+// goldenHashes are the hashes by scenario, each over all of goldenSeeds.
+var goldenHashes = map[string]string{
+	"leases":                          "723373da3334cb991807f677810bc544ac12eb07d0ca67384c77fddacd21076f",
+	"hedging off":                     "9c93cc49bf5673629a6f5fd5e8abaef9fe037bf696f9acdaadaeb09242f9075d",
+	"central buckets":                 "deccead10b9798fc7cd94bba9ec3faeccbe1363de97f736bced24a250aa20b5b",
+	"central buckets without counter": "62378cff3f8db048beeb322c092306ab29307751467ccd9c66820a970d359223",
+	"counter slow and failing":        "c40aaf0cbbdd5d0ffa5fdd7fe5c46c44aecf2ff7809a71db70efed9b6bed7fac",
+	"overload":                        "3e7fab31f071a40d7c98be45727ed6cbfc266c2d466af3b77ca687b55543d7fd",
+	"slow start":                      "7291a13d6c5de04ed21c3f99b9fb1d61cef46602e3dd6924fb8a5451b3bcd9c2",
+	"long list":                       "61542607c782a2bae0e96c7a451099f42f61d035c002f2edb319c1ecc88dc6bb",
+	"asked list":                      "df645a2b5c753abb733f846f04e53e42642118d892cd2668edb947ea5a108df3",
+}
+
+const (
+	goldenSeeds    = 3
+	goldenLength   = 20 * time.Second
+	goldenGateways = 4
+	goldenServers  = 24
+)
+
+// goldenScenario is a variant of the settings and of what happens.
+type goldenScenario struct {
+	name          string
+	adjust        func(*Settings)
+	servers       int
+	counterDelay  time.Duration // mean of a call's time
+	counterFaults float64       // share of the calls that end otherwise than done
+	serverFaults  float64       // share of the attempts that do
+	changeEvery   time.Duration // mean time between two changes of the fleet list of one gateway
+	requestEvery  time.Duration // mean time between two requests of one gateway
+}
+
+func goldenScenarios() []goldenScenario {
+	base := goldenScenario{servers: goldenServers, counterDelay: 4 * ms, counterFaults: 0.02, serverFaults: 0.05,
+		changeEvery: 800 * ms, requestEvery: 9 * ms}
+	with := func(name string, change func(*goldenScenario)) goldenScenario {
+		s := base
+		s.name, s.adjust = name, func(*Settings) {}
+		change(&s)
+		return s
+	}
+	return []goldenScenario{
+		with("leases", func(*goldenScenario) {}),
+		with("hedging off", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.SecondCopies, set.MayCancel = false, false }
+		}),
+		with("central buckets", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.Gateways = 60 }
+		}),
+		with("central buckets without counter", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.Gateways, set.Counter = 60, false }
+		}),
+		with("counter slow and failing", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.Gateways = 60 }
+			s.counterDelay, s.counterFaults = 30*ms, 0.4
+		}),
+		with("overload", func(s *goldenScenario) { s.requestEvery, s.serverFaults, s.servers = 2*ms, 0.3, 6 }),
+		with("slow start", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.HandshakePrice, set.CrossZonePrice = 0.2, 0.1 }
+			s.changeEvery = 150 * ms
+		}),
+		with("long list", func(s *goldenScenario) { s.servers = 600 }),
+		with("asked list", func(s *goldenScenario) {
+			s.adjust = func(set *Settings) { set.AskForFleet, set.MayProbe = true, true }
+			s.counterFaults, s.serverFaults = 0.2, 0.2
+		}),
+	}
+}
+
+func goldenSettings() Settings {
+	return Settings{Gateways: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
+		MayCancel: true, SecondCopies: true, Counter: true, CounterTimeout: 40 * ms, ConnIdle: 5 * time.Second,
+		ColdShare: 0.2, WarmAfter: 4 * time.Second, FallMultiple: 2, FallSpan: time.Second, DrainGrace: time.Second,
+		Classes: []Class{
+			{Name: "read", Worth: 1, Aim: 200 * ms, Deadline: 900 * ms, LateShare: 0.4, Effect: Safe},
+			{Name: "book", Worth: 4, Aim: 300 * ms, Deadline: 1200 * ms, LateShare: 0, Effect: Keyed, Group: GroupZone,
+				RepeatWindow: 800 * ms},
+			{Name: "key", Worth: 2, Aim: 250 * ms, Deadline: time.Second, LateShare: 0.1, Effect: Keyed, Group: GroupAll,
+				RepeatWindow: 2 * time.Second},
+			{Name: "pay", Worth: 9, Aim: 400 * ms, Deadline: 1500 * ms, LateShare: 0.2, Effect: Unsafe}},
+		Plans: []Plan{
+			{Name: "rate", Price: 1, Rate: 40, Burst: 30, ExcessWorth: 0.2, ExcessCost: 0.5},
+			{Name: "paid", Price: 3, Rate: 25, Burst: 60, ExcessWorth: 0.5, ExcessCost: 0.1, SettledByReply: true},
+			{Name: "open", Price: 2, Open: 3, ExcessCost: 1.5},
+			{Name: "both", Price: 2, Rate: 30, Burst: 40, Open: 2, ExcessWorth: 0.1, ExcessCost: 0.8},
+			{Name: "ceiling", Price: 1, Rate: 20, Burst: 25, ExcessWorth: 0.6, ExcessCost: 0.2, CeilingRate: 30,
+				CeilingBurst: 45, CeilingSlack: 0.1},
+			{Name: "none", Price: 0.5}}}
+}
+
+// goldenEvent is an event that is due at a gateway.
+type goldenEvent struct {
+	at      time.Duration
+	number  int
+	gateway int
+	event   Event
+	then    func() // instead of the event
+}
+
+type goldenQueue []goldenEvent
+
+func (q goldenQueue) Len() int { return len(q) }
+func (q goldenQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+}
+func (q goldenQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *goldenQueue) Push(x any)   { *q = append(*q, x.(goldenEvent)) }
+func (q *goldenQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// goldenRun is one run of a scenario on a driven clock.
+type goldenRun struct {
+	goldenScenario
+	t        *testing.T
+	rng      *rand.Rand
+	sum      hash.Hash
+	now      time.Duration
+	queue    goldenQueue
+	number   int
+	gateways []*Gateway
+	totals   map[string]float64
+	servers  []Server
+	lastID   RequestID
+	seen     map[string]int // actions by kind
+	attempts map[RequestID]int
+	ended    map[string]bool // attempts that have had their end
+	final    map[RequestID]bool
+}
+
+func (run *goldenRun) push(after time.Duration, gateway int, event Event, then func()) {
+	run.number++
+	heap.Push(&run.queue, goldenEvent{run.now + after, run.number, gateway, event, then})
+}
+
+// about is a random time with a mean.
+func (run *goldenRun) about(mean time.Duration) time.Duration {
+	return time.Duration(run.rng.ExpFloat64() * float64(mean))
+}
+
+func (run *goldenRun) play() {
+	set := goldenSettings()
+	run.adjust(&set)
+	for i := range run.goldenScenario.servers {
+		run.servers = append(run.servers, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
+			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Running, Size: 1 + float64(i%3)})
+	}
+	for i := range goldenGateways {
+		set.Me = i
+		g, err := New(set, run.rng.Uint64())
+		if err != nil {
+			run.t.Fatal(err)
+		}
+		run.gateways = append(run.gateways, g)
+		run.push(0, i, FleetChanged{Whole: true, Servers: append([]Server{}, run.servers...)}, nil)
+		run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
+		run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
+	}
+	for len(run.queue) > 0 && run.queue[0].at < time.Hour+goldenLength {
+		ev := heap.Pop(&run.queue).(goldenEvent)
+		run.now = ev.at
+		if ev.then != nil {
+			ev.then()
+			continue
+		}
+		for _, a := range run.gateways[ev.gateway].Handle(run.now, ev.event, nil) {
+			run.act(ev.gateway, a)
+		}
+	}
+}
+
+// request brings a request, and the next one.
+func (run *goldenRun) request(i int, set Settings) {
+	class := set.Classes[run.rng.IntN(len(set.Classes))]
+	plan := set.Plans[run.rng.IntN(len(set.Plans))]
+	run.lastID++
+	id := run.lastID
+	q := Request{ID: id, Class: class.Name, Plan: plan.Name, Customer: fmt.Sprint(plan.Name, "-", run.rng.IntN(3)),
+		GiveUpAt: run.now + time.Duration(run.rng.Float64()*float64(class.Deadline)), Units: 1 + 3*run.rng.Float64(),
+		Spread: 1 + run.rng.IntN(2*set.Gateways), First: run.rng.IntN(set.Gateways), Again: run.rng.IntN(4) == 0}
+	switch run.rng.IntN(60) {
+	case 0:
+		q.Class = "unknown"
+	case 1:
+		q.Plan, q.Customer = "unknown", "unknown"
+	case 2:
+		q.GiveUpAt = run.now - ms
+	}
+	run.push(0, i, Arrival{q}, nil)
+	if run.rng.IntN(20) == 0 {
+		run.push(run.about(class.Aim), i, Abandoned{ID: id}, nil)
+	}
+	run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
+}
+
+// change tells a gateway of changes of the fleet list, or of a failure, and has it told again later.
+func (run *goldenRun) change(i int) {
+	ev := FleetChanged{Sharers: float64(1 + run.rng.IntN(goldenGateways))}
+	for range 1 + run.rng.IntN(3) {
+		s := &run.servers[run.rng.IntN(len(run.servers))]
+		switch run.rng.IntN(5) {
+		case 0:
+			s.State = Draining
+		case 1:
+			s.State = Gone
+		default:
+			if s.State != Running || run.rng.IntN(2) == 0 {
+				s.Started = run.now - run.about(time.Second)
+			}
+			s.State = Running
+		}
+		ev.Servers = append(ev.Servers, *s)
+	}
+	switch run.rng.IntN(10) {
+	case 0:
+		ev = FleetChanged{Whole: true}
+		for _, s := range run.servers {
+			if s.State != Gone {
+				ev.Servers = append(ev.Servers, s)
+			}
+		}
+	case 1:
+		ev = FleetChanged{Failed: true}
+	}
+	run.push(0, i, ev, nil)
+	if run.rng.IntN(8) == 0 {
+		run.push(0, i, ProbeEnded{Server: run.servers[0].ID, Outcome: Done, Took: ms}, nil)
+		run.push(0, i, PeerMessage{From: 1, Body: []byte("x")}, nil)
+	}
+	run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
+}
+
+// act hashes an action and lets its outcome come.
+func (run *goldenRun) act(i int, a Action) {
+	write := func(kind string, args ...any) {
+		run.seen[kind]++
+		fmt.Fprintln(run.sum, append([]any{i, kind}, args...)...)
+	}
+	switch a := a.(type) {
+	case Send:
+		n := run.attempts[a.ID]
+		run.attempts[a.ID]++
+		write("send", a.ID, a.Server, int64(a.StopAt))
+		run.attempt(i, a.ID, n, a.Server)
+	case Cancel:
+		write("cancel", a.ID, a.Attempt)
+		run.push(ms, i, nil, func() { run.end(i, a.ID, a.Attempt, "", Cancelled, 5*ms) })
+	case Refuse:
+		write("refuse", a.ID, int64(a.RetryAfter))
+		run.finish(a.ID)
+	case Fail:
+		write("fail", a.ID)
+		run.finish(a.ID)
+	case SetTimer:
+		write("timer", int64(a.After))
+		run.push(a.After, i, TimerFired{}, nil)
+	case Count:
+		write("count", a.Name, a.Add, int64(a.Keep))
+		run.count(i, a)
+	case Probe:
+		write("probe", a.Server)
+	case Tell:
+		write("tell", a.To, a.Body)
+	case Watch:
+		write("watch")
+	case Fetch:
+		write("fetch")
+	case CloseIdle:
+		write("close idle", a.Server)
+	case Log:
+		write("log")
+	default:
+		run.t.Fatalf("unknown action %T", a)
+	}
+}
+
+// finish notes the one final answer.
+func (run *goldenRun) finish(id RequestID) {
+	if run.final[id] {
+		run.t.Errorf("request %d has two final answers", id)
+	}
+	run.final[id] = true
+}
+
+// attempt lets an attempt end, by a server's latency and luck.
+func (run *goldenRun) attempt(i int, id RequestID, n int, server ServerID) {
+	took, outcome := 5*ms+run.about(20*ms), Done
+	if run.rng.IntN(25) == 0 {
+		took += run.about(400 * ms)
+	}
+	if run.rng.Float64() < run.serverFaults {
+		outcome = Outcome(run.rng.IntN(int(Outcomes)))
+	}
+	if outcome == Done && run.rng.IntN(30) == 0 {
+		run.push(took/2, i, StreamStarted{ID: id, Attempt: n}, nil)
+	}
+	run.push(took, i, nil, func() { run.end(i, id, n, server, outcome, took) })
+}
+
+// end tells of an attempt's end, once.
+func (run *goldenRun) end(i int, id RequestID, n int, server ServerID, outcome Outcome, took time.Duration) {
+	key := fmt.Sprint(id, "/", n)
+	if run.ended[key] {
+		return
+	}
+	run.ended[key] = true
+	ev := AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: outcome, Took: took}
+	if run.rng.IntN(2) == 0 {
+		ev.Load = Load{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
+	}
+	if outcome == Done {
+		ev.Settled = 1 + 3*run.rng.Float64()
+	}
+	if ev.Finished = run.final[id] || outcome == Done; ev.Finished {
+		run.final[id] = true
+	}
+	run.push(0, i, ev, nil)
+}
+
+// count answers a call of the counter, late or not at all where it fails. Calls of one name are answered in order.
+func (run *goldenRun) count(i int, a Count) {
+	reply := CountReply{Name: a.Name, Outcome: Done}
+	after := run.counterDelay
+	if run.rng.Float64() < run.counterFaults {
+		reply.Outcome = []Outcome{Failed, Full, TimedOut, NoConnect, Reset, Moot}[run.rng.IntN(6)]
+	}
+	if !reply.Outcome.NeverRan() {
+		run.totals[a.Name] += a.Add
+	}
+	if run.rng.IntN(2000) == 0 { // it comes back empty
+		clear(run.totals)
+	}
+	if reply.Outcome == Done {
+		reply.Total = run.totals[a.Name]
+	}
+	run.push(after, i, reply, nil)
+}
+
+func TestDecisionsAreUnchanged(t *testing.T) {
+	for _, scenario := range goldenScenarios() {
+		t.Run(scenario.name, func(t *testing.T) {
+			sum, seen := sha256.New(), map[string]int{}
+			for seed := range uint64(goldenSeeds) {
+				run := &goldenRun{goldenScenario: scenario, t: t, rng: rand.New(rand.NewPCG(seed, 22)), sum: sum,
+					now: time.Hour, totals: map[string]float64{}, attempts: map[RequestID]int{}, seen: seen,
+					ended: map[string]bool{}, final: map[RequestID]bool{}}
+				run.play()
+			}
+			t.Log("actions:", seen)
+			if got := hex.EncodeToString(sum.Sum(nil)); got != goldenHashes[scenario.name] {
+				t.Errorf("hash of all actions: %s, want %s", got, goldenHashes[scenario.name])
+			}
+		})
+	}
+}
