--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"larchwick/internal/soak"
+	"lemontack/internal/soak"
 )
 
 const (
@@ -20,7 +20,7 @@
 )
 
 func run() error {
-	binary := flag.String("ingress", "bin/hitchspring", "the ingress's program")
+	binary := flag.String("ingress", "bin/ingress", "the ingress's program")
 	seed := flag.Uint64("seed", 1, "first seed")
 	seeds := flag.Uint64("seeds", 1, "number of seeds, one after another")
 	processes := flag.Int("processes", 16, "ingresses, 10 to 40")
--- a/cmd/hitchspring/full_test.go
+++ b/cmd/ingress/full_test.go
@@ -22,7 +22,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"larchwick/internal/ingress"
+	"lemontack/internal/ingress"
 )
 
 // asIngress names the environment variable that makes the test's program the ingress, with so many descriptors.
--- a/cmd/hitchspring/incident_test.go
+++ b/cmd/ingress/incident_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"larchwick/internal/faults"
-	"larchwick/internal/ingress"
+	"lemontack/internal/faults"
+	"lemontack/internal/ingress"
 )
 
 // settingsOfIncident have a short deadline, so that clients run out of time while a backend is silent.
--- a/cmd/hitchspring/main.go
+++ b/cmd/ingress/main.go
@@ -1,4 +1,4 @@
-// Command hitchspring is the ingress: clients on one side, backends on the other, the decision module between.
+// Command ingress is the ingress: clients on one side, backends on the other, the decision module between.
 package main
 
 import (
@@ -17,8 +17,8 @@
 	"strings"
 	"syscall"
 
-	"larchwick/internal/ingress"
-	"larchwick/internal/wire"
+	"lemontack/internal/ingress"
+	"lemontack/internal/wire"
 )
 
 // levelVariable names the environment variable that sets the least level of the log: debug, info (the default), warn or error.
@@ -41,7 +41,7 @@
 func main() {
 	log := newLog(os.Getenv(levelVariable))
 	if err := run(log); err != nil {
-		fmt.Fprintln(os.Stderr, "hitchspring:", err)
+		fmt.Fprintln(os.Stderr, "ingress:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/hitchspring/soak_test.go
+++ b/cmd/ingress/soak_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"larchwick/internal/soak"
+	"lemontack/internal/soak"
 )
 
 // Ten ingresses under faults that overlap keep the rules that can be judged without a clock. cmd/faultsoak plays longer runs of
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"larchwick/internal/scale"
+	"lemontack/internal/scale"
 )
 
 const (
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"larchwick/internal/scale"
+	"lemontack/internal/scale"
 )
 
 const asProgram = "SCALERUN_TEST_MAIN"
@@ -170,18 +170,18 @@
 
 // The ingress itself stays free of the modules that the scale run is made with.
 func TestIngressStaysFree(t *testing.T) {
-	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "larchwick/cmd/hitchspring",
-		"larchwick/cmd/wirehost").CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "lemontack/cmd/ingress",
+		"lemontack/cmd/simadapter").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	deps := strings.Fields(string(out))
-	if !slices.Contains(deps, "larchwick/logic") {
+	if !slices.Contains(deps, "lemontack/policy") {
 		t.Fatalf("no list of packages: %s", out)
 	}
 	for _, d := range deps {
 		for _, module := range []string{"github.com/alecthomas/kong", "github.com/HdrHistogram/hdrhistogram-go",
-			"gonum.org/v1/gonum", "larchwick/internal/scale", "larchwick/internal/standin"} {
+			"gonum.org/v1/gonum", "lemontack/internal/scale", "lemontack/internal/standin"} {
 			if d == module || strings.HasPrefix(d, module+"/") {
 				t.Errorf("the ingress imports %s", d)
 			}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -6,17 +6,17 @@
 
 	"github.com/tidwall/redcon"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // send begins an attempt, if the guard lets it.
-func (g *Gateway) send(s logic.Send) {
+func (g *Gateway) send(s policy.Send) {
 	r, be := g.requests[s.ID], g.backends[s.Server]
 	if r == nil {
 		return
 	}
 	if be == nil { // gone and forgotten
-		be = &backend{Server: logic.Server{ID: s.Server, State: logic.Gone}}
+		be = &backend{Server: policy.Server{ID: s.Server, State: policy.Gone}}
 	}
 	a := &attempt{req: r, n: len(r.attempts), be: be, began: g.now, stop: r.GiveUpAt}
 	if s.StopAt > 0 {
@@ -28,7 +28,7 @@
 		return
 	}
 	g.observe.attemptBegins(a)
-	g.at(a.stop, func() { g.giveUp(a, logic.TimedOut) })
+	g.at(a.stop, func() { g.giveUp(a, policy.TimedOut) })
 	g.place(a)
 }
 
@@ -52,39 +52,39 @@
 }
 
 // end tells the module how an attempt ended, once; the first that is served answers the client.
-func (g *Gateway) end(a *attempt, o logic.Outcome, rep reply) {
+func (g *Gateway) end(a *attempt, o policy.Outcome, rep reply) {
 	if a.ended {
 		return
 	}
 	a.ended, a.outcome = true, o
 	r := a.req
 	if r == nil {
-		g.tell(logic.ProbeEnded{Server: a.be.ID, Outcome: o, Took: g.now - a.began, Load: rep.load})
+		g.tell(policy.ProbeEnded{Server: a.be.ID, Outcome: o, Took: g.now - a.began, Load: rep.load})
 		return
 	}
-	if o == logic.Done && rep.value == nil {
-		o = logic.Failed
+	if o == policy.Done && rep.value == nil {
+		o = policy.Failed
 		a.outcome = o
 	}
 	g.observe.attemptEnded(a, g.now-a.began)
-	if o == logic.Done && !r.final {
+	if o == policy.Done && !r.final {
 		g.noteLate(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
 		r.slot.answer(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
 	}
 	r.out--
-	g.tell(logic.AttemptEnded{ID: r.ID, Attempt: a.n, Server: a.be.ID, Outcome: o, Took: g.now - a.began,
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Server: a.be.ID, Outcome: o, Took: g.now - a.began,
 		Finished: r.final, Settled: min(rep.settled, g.mostUnits), Load: rep.load})
 	g.forget(r)
 }
 
-func (g *Gateway) probe(id logic.ServerID) {
+func (g *Gateway) probe(id policy.ServerID) {
 	be := g.backends[id]
 	if be == nil {
 		return
 	}
 	a := &attempt{be: be, began: g.now, stop: g.now + probeTimeout}
-	g.at(a.stop, func() { g.giveUp(a, logic.TimedOut) })
+	g.at(a.stop, func() { g.giveUp(a, policy.TimedOut) })
 	g.place(a)
 }
--- a/internal/ingress/backend.go
+++ b/internal/ingress/backend.go
@@ -14,12 +14,12 @@
 
 	"github.com/tidwall/redcon"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 const (
 	mostPerBackend = 48                     // connections to one backend
-	still          = logic.Failed           // the zero outcome: an attempt that nobody has given up
+	still          = policy.Failed          // the zero outcome: an attempt that nobody has given up
 	probeTimeout   = 250 * time.Millisecond // of a probe, which has no request whose time could end it
 	writeTimeout   = 5 * time.Second
 	answerTime     = 200 * time.Millisecond // for the rest of an answer that has begun: one that never ends is spoilt
@@ -34,18 +34,18 @@
 	be      *backend
 	began   time.Duration
 	stop    time.Duration
-	conn    *conn         // carries it; nil while it waits for one
-	handed  time.Duration // when it was given to conn
-	why     logic.Outcome // given up by us: TimedOut or Cancelled; else still
+	conn    *conn          // carries it; nil while it waits for one
+	handed  time.Duration  // when it was given to conn
+	why     policy.Outcome // given up by us: TimedOut or Cancelled; else still
 	ended   bool
-	outcome logic.Outcome // once it has ended
-	taken   atomic.Bool   // by the connection, to write it, or back from there
+	outcome policy.Outcome // once it has ended
+	taken   atomic.Bool    // by the connection, to write it, or back from there
 }
 
 // backend is what the gateway's goroutine keeps of a server: its entry, its connections, and the attempts
 // that wait for one. A connection carries one attempt at a time, so that giving one up hurts no other.
 type backend struct {
-	logic.Server
+	policy.Server
 	addr    string
 	endedAt atomic.Int64 // when it was told to drain, or gone, on the gateway's clock; 0: it runs
 	idle    []*conn      // the last is the warmest
@@ -58,7 +58,7 @@
 
 // noteState keeps when the backend's state changed from running to another.
 func (be *backend) noteState(now time.Duration) {
-	if be.State == logic.Running {
+	if be.State == policy.Running {
 		be.endedAt.Store(0)
 		return
 	}
@@ -104,10 +104,10 @@
 
 // reply is a backend's answer, taken apart.
 type reply struct {
-	outcome logic.Outcome
+	outcome policy.Outcome
 	value   []byte
 	settled float64 // the true units, where the answer tells them; else 0
-	load    logic.Load
+	load    policy.Load
 	keep    bool // it is of a known form and nothing stands behind it: the connection is in order
 }
 
@@ -222,13 +222,13 @@
 // the connection that brought it is not trusted any further.
 func parseReply(f []byte) reply {
 	_, r := redcon.ReadNextRESP(f)
-	out := reply{outcome: logic.Failed}
+	out := reply{outcome: policy.Failed}
 	switch r.Type {
 	case redcon.Error:
 		word, rest, _ := strings.Cut(string(r.Data), " ")
 		out.keep = word == "ERR" || word == "BUSY"
 		if word == "BUSY" {
-			out.outcome = logic.Full
+			out.outcome = policy.Full
 		}
 		if i := strings.LastIndexByte(rest, ' '); i >= 0 {
 			rest = rest[i+1:]
@@ -236,11 +236,11 @@
 		out.load = parseLoad(rest)
 	case redcon.String:
 		if string(r.Data) == "PONG" {
-			out.outcome, out.keep = logic.Done, true
+			out.outcome, out.keep = policy.Done, true
 		}
 	case redcon.Bulk:
 		if r.Data != nil {
-			out.outcome, out.keep, out.load = logic.Done, true, parseLoad(string(r.Data))
+			out.outcome, out.keep, out.load = policy.Done, true, parseLoad(string(r.Data))
 		}
 	case redcon.Array: // the value, the figures on use, the load report: the latter may be unreadable
 		if r.Count != 3 {
@@ -250,7 +250,7 @@
 		r.ForEach(func(e redcon.RESP) bool {
 			switch {
 			case i == 0 && e.Type == redcon.Bulk && e.Data != nil:
-				out.outcome, out.keep, out.value = logic.Done, true, append(make([]byte, 0, len(e.Data)), e.Data...)
+				out.outcome, out.keep, out.value = policy.Done, true, append(make([]byte, 0, len(e.Data)), e.Data...)
 			case i == 1 && e.Type == redcon.Bulk:
 				out.settled = parseLoad(string(e.Data))["cost"]
 			case i == 2 && e.Type == redcon.Bulk:
@@ -265,8 +265,8 @@
 
 // parseLoad reads a load report such as inflight=7,queue=2; nil if it is none. One spoilt figure spoils it all: the
 // module averages what it is told, and would not forget a figure that is no number.
-func parseLoad(s string) logic.Load {
-	load := logic.Load{}
+func parseLoad(s string) policy.Load {
+	load := policy.Load{}
 	for pair := range strings.SplitSeq(s, ",") {
 		k, v, _ := strings.Cut(pair, "=")
 		x, err := strconv.ParseFloat(v, 64)
@@ -298,7 +298,7 @@
 	// may take: the module counts on a send being written at about its time.
 	g.after(g.net.ConnectTimeout, func() {
 		if g.unwait(a) {
-			g.end(a, logic.NoConnect, reply{})
+			g.end(a, policy.NoConnect, reply{})
 		}
 	})
 }
@@ -330,7 +330,7 @@
 	default: // the connection has it in hand, and drops it
 	}
 	c.cur = nil
-	g.end(a, logic.Moot, reply{})
+	g.end(a, policy.Moot, reply{})
 	g.free(c)
 }
 
@@ -353,7 +353,7 @@
 // free takes a connection that has nothing to do: for the first that waits, or to the idle ones.
 func (g *Gateway) free(c *conn) {
 	be := c.be
-	if c.down || c.addr != be.addr || be.State == logic.Gone || !c.quiet() {
+	if c.down || c.addr != be.addr || be.State == policy.Gone || !c.quiet() {
 		c.nc.Close()
 		return
 	}
@@ -362,8 +362,8 @@
 		be.waiting = be.waiting[1:]
 		// Much may have changed since the attempt began to wait: a drain counts from when it is told, and a request may
 		// be over.
-		if be.State != logic.Running { // a probe's too
-			g.end(a, logic.Moot, reply{})
+		if be.State != policy.Running { // a probe's too
+			g.end(a, policy.Moot, reply{})
 			continue
 		}
 		if !g.begins(a) {
@@ -392,7 +392,7 @@
 // reset, and may not be sent again.
 func (g *Gateway) retireIdle() {
 	for _, be := range g.backends {
-		for len(be.idle) > 0 && (be.State != logic.Running || be.idle[0].addr != be.addr ||
+		for len(be.idle) > 0 && (be.State != policy.Running || be.idle[0].addr != be.addr ||
 			g.now-be.idle[0].since > g.net.Idle*2/3) {
 			g.closeIdle(be)
 		}
@@ -421,12 +421,12 @@
 
 // giveUp ends an attempt from our side. One that waits was never sent, one that is written has its outcome at
 // once. Of one in between only the connection knows: it is closed, and its last event tells.
-func (g *Gateway) giveUp(a *attempt, why logic.Outcome) {
+func (g *Gateway) giveUp(a *attempt, why policy.Outcome) {
 	switch {
 	case a.ended || a.why != still:
 	case a.conn == nil:
 		g.unwait(a)
-		g.end(a, logic.Moot, reply{})
+		g.end(a, policy.Moot, reply{})
 	default:
 		a.why = why
 		a.conn.nc.Close()
@@ -489,17 +489,17 @@
 		if len(be.waiting) > be.dialing+be.resting { // else one that was freed has taken this one's attempt
 			a = be.waiting[0]
 			be.waiting = be.waiting[1:]
-			g.end(a, logic.NoConnect, reply{})
+			g.end(a, policy.NoConnect, reply{})
 		}
 	case a == nil:
 	case ev.c.whole.Load() != a && a.why != still:
-		g.end(a, logic.Moot, reply{})
+		g.end(a, policy.Moot, reply{})
 	case ev.c.whole.Load() != a:
-		g.end(a, logic.NoConnect, reply{})
+		g.end(a, policy.NoConnect, reply{})
 	case a.why != still:
 		g.end(a, a.why, reply{})
 	default:
-		g.end(a, logic.Reset, reply{})
+		g.end(a, policy.Reset, reply{})
 	}
 	g.dial(be)
 	g.feed()
@@ -508,7 +508,7 @@
 
 // drop forgets a backend that is gone for good once nothing is out or open there: ids are ever new.
 func (g *Gateway) drop(be *backend) {
-	if be.State == logic.Gone && be.conns == 0 && len(be.waiting) == 0 && g.backends[be.ID] == be {
+	if be.State == policy.Gone && be.conns == 0 && len(be.waiting) == 0 && g.backends[be.ID] == be {
 		delete(g.backends, be.ID)
 	}
 }
--- a/internal/ingress/clock_test.go
+++ b/internal/ingress/clock_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"larchwick/internal/standin"
+	"lemontack/internal/standin"
 )
 
 // callers is a fleet's discovery clients before one discovery, on a driven clock.
--- a/internal/ingress/counter.go
+++ b/internal/ingress/counter.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 const (
@@ -43,7 +43,7 @@
 // counted is the event of a call's end.
 type counted struct {
 	call    *call
-	outcome logic.Outcome
+	outcome policy.Outcome
 	total   float64
 }
 
@@ -106,7 +106,7 @@
 	d := net.Dialer{Timeout: l.timeout}
 	nc, err := d.DialContext(ctx, "tcp", l.addr)
 	if err != nil {
-		l.post(counted{call: first, outcome: logic.NoConnect})
+		l.post(counted{call: first, outcome: policy.NoConnect})
 		return
 	}
 	pending, broken, idle := make(chan *call, counterQueue), make(chan struct{}), make(chan struct{}, 1)
@@ -174,14 +174,14 @@
 	<-broken
 	for len(pending) > 0 {
 		k := <-pending
-		o := logic.Reset
+		o := policy.Reset
 		if k.short {
-			o = logic.NoConnect
+			o = policy.NoConnect
 		}
 		l.post(counted{call: k, outcome: o})
 	}
 	for _, k := range batch { // read from the queue, never written
-		l.post(counted{call: k, outcome: logic.NoConnect})
+		l.post(counted{call: k, outcome: policy.NoConnect})
 	}
 }
 
@@ -194,13 +194,13 @@
 		if len(pending) == 0 || err != nil && len(line) == 0 {
 			return
 		}
-		ev := counted{call: <-pending, outcome: logic.Failed}
+		ev := counted{call: <-pending, outcome: policy.Failed}
 		if err == nil {
 			ev.outcome, ev.total = parseAnswer(string(line))
 			l.limit(nc, len(pending) > 0)
 		}
 		l.post(ev)
-		if ev.outcome == logic.Failed {
+		if ev.outcome == policy.Failed {
 			return
 		}
 		if len(pending) == 0 {
@@ -237,19 +237,19 @@
 }
 
 // parseAnswer reads one line of the counter; Failed stands for one that cannot be read.
-func parseAnswer(s string) (logic.Outcome, float64) {
+func parseAnswer(s string) (policy.Outcome, float64) {
 	s = strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r")
 	switch total, ok := strings.CutPrefix(s, "ok "); {
 	case s == "busy":
-		return logic.Full, 0
+		return policy.Full, 0
 	case s == "error": // no such call: nothing was added
-		return logic.Moot, 0
+		return policy.Moot, 0
 	case ok:
 		if t, err := strconv.ParseFloat(total, 64); err == nil && math.Abs(t) <= mostTotal {
-			return logic.Done, t
+			return policy.Done, t
 		}
 	}
-	return logic.Failed, 0
+	return policy.Failed, 0
 }
 
 func appendCall(b []byte, k *call) []byte {
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // await fails the test where a channel stays silent; how long it takes is not asserted.
@@ -368,7 +368,7 @@
 	for longest, kill := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
-		got := endTime([]logic.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
+		got := endTime([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
 		if got+goodbye >= kill || got < kill/2 || got < graceOpen {
 			t.Errorf("longest deadline %v: all answered after %v, SIGKILL comes after %v", longest, got, kill)
 		}
@@ -474,7 +474,7 @@
 	g.place(a)
 	g.handle(<-g.events)
 	a.req.final = true
-	g.handle(replied{a.conn, a, reply{outcome: logic.Done, value: []byte("x"), keep: true}})
+	g.handle(replied{a.conn, a, reply{outcome: policy.Done, value: []byte("x"), keep: true}})
 	g.now += 10 * time.Millisecond
 	if g.ring(); len(a.be.idle) != 0 {
 		t.Fatal("free again at once")
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 const (
@@ -100,14 +100,14 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-func (t Target) server() logic.Server {
-	s := logic.Server{ID: logic.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
+func (t Target) server() policy.Server {
+	s := policy.Server{ID: policy.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
 		Started: time.Duration(t.BootMS) * time.Millisecond}
 	switch t.State {
 	case "SERVING":
-		s.State = logic.Running
+		s.State = policy.Running
 	case stateGone:
-		s.State = logic.Gone
+		s.State = policy.Gone
 	}
 	return s
 }
@@ -130,7 +130,7 @@
 func newDiscovery(addr string, rev int64, p pace, post func(event), log *slog.Logger) *discovery {
 	return &discovery{url: listURL(addr), rev: rev, pace: p, moves: newLatest(), post: post, log: log,
 		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		known: newMembers(logic.Settings{Gateways: 1}, log), entry: func() {},
+		known: newMembers(policy.Settings{Gateways: 1}, log), entry: func() {},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxHeader},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
 		first: make(chan struct{})}
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/tidwall/redcon"
 
-	"larchwick/internal/standin"
-	"larchwick/internal/wire"
-	"larchwick/logic"
+	"lemontack/internal/standin"
+	"lemontack/internal/wire"
+	"lemontack/policy"
 )
 
 // listen opens an ephemeral port on the loopback address and hands every connection to serve.
@@ -196,12 +196,12 @@
 
 func testConfig(disc string, known Fleet) Config {
 	return Config{Listen: "127.0.0.1:0", Discovery: disc, Sockets: 256, Known: known,
-		Settings: logic.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []logic.Class{
-				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Safe},
-				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Unsafe},
-				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Keyed}},
-			Plans: []logic.Plan{{Name: "p", Price: 1}}},
+		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+			Classes: []policy.Class{
+				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
+				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
+				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
+			Plans: []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: wire.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
 
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"larchwick/internal/subset"
-	"larchwick/internal/wire"
-	"larchwick/logic"
+	"lemontack/internal/subset"
+	"lemontack/internal/wire"
+	"lemontack/policy"
 )
 
 const (
@@ -47,7 +47,7 @@
 	Memory                     int // bytes that it may use; 0: not told
 	Known                      Fleet
 	Subset                     *subset.Subset // that Known was read with; nil: Known is whole
-	Settings                   logic.Settings
+	Settings                   policy.Settings
 	Connections                wire.Connections
 }
 
@@ -65,7 +65,7 @@
 	log     *slog.Logger
 	observe *observer
 	holdUps *holdUps
-	classes map[string]logic.Class
+	classes map[string]policy.Class
 	plans   map[string]bool
 	counter *counter
 	disc    *discovery
@@ -79,20 +79,20 @@
 	start   time.Time
 	epoch   time.Duration // start on the clock that all ingresses share
 
-	mod       *logic.Gateway
+	mod       *policy.Gateway
 	now       time.Duration
 	alarms    alarms
-	requests  map[logic.RequestID]*request
+	requests  map[policy.RequestID]*request
 	keys      map[uint64]bool // ids of requests whose time is not up, ended or not
-	lastID    logic.RequestID
+	lastID    policy.RequestID
 	endBy     time.Duration // of a shutdown; 0: none
-	backends  map[logic.ServerID]*backend
+	backends  map[policy.ServerID]*backend
 	sharers   float64 // ingresses that share a backend, as last told
 	heldBytes int     // bytes of their commands
 	conns     int     // to backends
 	starved   bool    // an attempt waits because of mostConns
-	actions   []logic.Action
-	queue     []logic.Event // for the module, from actions that ended at once
+	actions   []policy.Action
+	queue     []policy.Event // for the module, from actions that ended at once
 
 	mostConns  int     // of conns
 	mostHeld   int     // of heldBytes
@@ -130,15 +130,15 @@
 	if cfg.Memory <= 0 {
 		cfg.Memory = usualMemory
 	}
-	mod, err := logic.New(cfg.Settings, cfg.Seed)
+	mod, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]logic.Class{}, plans: map[string]bool{},
+	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), ready: make(chan struct{}), start: start,
-		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[logic.RequestID]*request{},
-		keys: map[uint64]bool{}, backends: map[logic.ServerID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
+		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
+		keys: map[uint64]bool{}, backends: map[policy.ServerID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 		frames: newBudget(cfg.Memory / memoryShare), mostTries: max(cfg.Settings.MaxAttempts, 1),
 		turnedAway: busy(min(busyAdvice, cfg.Settings.MaxRetryAfter))}
@@ -241,7 +241,7 @@
 }
 
 // endTime is how long after SIGTERM the last answer is given: SIGKILL follows the longest deadline of the settings.
-func endTime(classes []logic.Class) time.Duration {
+func endTime(classes []policy.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
@@ -355,7 +355,7 @@
 }
 
 // tell queues an event for the module; flush hands it over.
-func (g *Gateway) tell(ev logic.Event) { g.queue = append(g.queue, ev) }
+func (g *Gateway) tell(ev policy.Event) { g.queue = append(g.queue, ev) }
 
 // flush lets the module handle what is queued and carries out its actions, which may queue more.
 func (g *Gateway) flush() {
@@ -369,33 +369,33 @@
 	g.queue = g.queue[:0]
 }
 
-func (g *Gateway) act(a logic.Action) {
+func (g *Gateway) act(a policy.Action) {
 	switch a := a.(type) {
-	case logic.Send:
+	case policy.Send:
 		g.send(a)
-	case logic.Cancel:
+	case policy.Cancel:
 		if r := g.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			g.giveUp(r.attempts[a.Attempt], logic.Cancelled)
+			g.giveUp(r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case logic.Refuse:
+	case policy.Refuse:
 		g.refused(a)
-	case logic.Fail:
+	case policy.Fail:
 		g.failed(a)
-	case logic.SetTimer:
-		g.after(a.After, func() { g.tell(logic.TimerFired{}) })
-	case logic.Count:
+	case policy.SetTimer:
+		g.after(a.After, func() { g.tell(policy.TimerFired{}) })
+	case policy.Count:
 		g.count(a)
-	case logic.Probe:
+	case policy.Probe:
 		g.probe(a.Server)
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		if be := g.backends[a.Server]; be != nil {
 			for len(be.idle) > 0 {
 				g.closeIdle(be)
 			}
 		}
-	case logic.Watch, logic.Fetch: // the watch is always on: the list held is the answer
+	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
 		g.tell(g.held())
-	case logic.Log:
+	case policy.Log:
 		g.log.Info(a.Text)
 	default:
 		g.log.Warn("no such action on sockets", "action", fmt.Sprintf("%T", a))
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	"larchwick/internal/telemetry"
-	"larchwick/logic"
+	"lemontack/internal/telemetry"
+	"lemontack/policy"
 )
 
 // rule numbers the rules that the program checks while it runs. A count other than 0 is a fault of the program.
@@ -78,7 +78,7 @@
 		return errNoTime
 	case a.n >= g.mostTries:
 		return errTooMany
-	case a.be.State != logic.Running:
+	case a.be.State != policy.Running:
 		return errNotRunning
 	}
 	return g.mayRepeat(a)
@@ -94,8 +94,8 @@
 		switch {
 		case !b.ended && !g.cfg.Settings.SecondCopies:
 			return errParallel
-		case class.Effect == logic.Safe:
-		case class.Effect == logic.Unsafe || !class.Group.Shares(a.be.Server, b.be.Server):
+		case class.Effect == policy.Safe:
+		case class.Effect == policy.Unsafe || !class.Group.Shares(a.be.Server, b.be.Server):
 			return errRepeat
 		case g.now+heldUpMost >= b.began+class.RepeatWindow:
 			return errWindow
@@ -127,7 +127,7 @@
 	if errors.Is(reason, errLeft) {
 		g.abandon(a.req)
 	}
-	g.end(a, logic.Moot, reply{})
+	g.end(a, policy.Moot, reply{})
 	return false
 }
 
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // The guard before attempts: what it denies, and whether that is a fault of the module.
@@ -17,9 +17,9 @@
 	cfg := testConfig("", fleetOf("127.0.0.1:1", "127.0.0.1:2"))
 	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies = 3, true
 	cfg.Settings.Classes[2].RepeatWindow = window
-	cfg.Settings.Classes[2].Group = logic.GroupAll
-	groups := append([]logic.Class{}, cfg.Settings.Classes...)
-	groups[2].Name, groups[2].Group = "cell", logic.GroupCell
+	cfg.Settings.Classes[2].Group = policy.GroupAll
+	groups := append([]policy.Class{}, cfg.Settings.Classes...)
+	groups[2].Name, groups[2].Group = "cell", policy.GroupCell
 	cfg.Settings.Classes = append(cfg.Settings.Classes, groups[2])
 	g, err := New(cfg, quiet)
 	if err != nil {
@@ -29,9 +29,9 @@
 	g.backends["s1"].Cell = 1
 	type past struct {
 		ended   bool
-		outcome logic.Outcome
+		outcome policy.Outcome
 	}
-	ended := func(o logic.Outcome) past { return past{true, o} }
+	ended := func(o policy.Outcome) past { return past{true, o} }
 	out := past{}
 	for name, c := range map[string]struct {
 		class  string
@@ -45,17 +45,17 @@
 		"over":                        {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
 		"left":                        {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
 		"no time":                     {"read", func(_ *request, a *attempt) { a.stop = g.now }, nil, 0, errNoTime, false},
-		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Server: logic.Server{State: logic.Draining}} }, nil, 0, errNotRunning, false},
+		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Server: policy.Server{State: policy.Draining}} }, nil, 0, errNotRunning, false},
 		"too many":                    {"read", func(_ *request, a *attempt) { a.n = 3 }, nil, 0, errTooMany, true},
 		"a copy":                      {"read", nil, []past{out}, 0, nil, false},
 		"unsafe, out":                 {"write", nil, []past{out}, 0, errRepeat, true},
-		"unsafe, reset":               {"write", nil, []past{ended(logic.Reset)}, 0, errRepeat, true},
-		"unsafe, never ran":           {"write", nil, []past{ended(logic.Full), ended(logic.NoConnect)}, 0, nil, false},
-		"keyed":                       {"keyed", nil, []past{ended(logic.Reset)}, time.Second, nil, false},
-		"keyed, window over":          {"keyed", nil, []past{ended(logic.Reset)}, window, errWindow, false},
-		"keyed, window nearly over":   {"keyed", nil, []past{ended(logic.Reset)}, window - heldUpMost, errWindow, false},
-		"keyed, another cell":         {"cell", nil, []past{ended(logic.Reset)}, 0, errRepeat, true},
-		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(logic.Moot)}, 0, nil, false},
+		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
+		"unsafe, never ran":           {"write", nil, []past{ended(policy.Full), ended(policy.NoConnect)}, 0, nil, false},
+		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
+		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errWindow, false},
+		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errWindow, false},
+		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
+		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.Moot)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}
@@ -94,10 +94,10 @@
 	g := idleGateway(t, "127.0.0.1:1")
 	r := &request{out: 2}
 	r.Class = "write"
-	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: logic.Reset}
+	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
 	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
 	r.attempts = []*attempt{first, second}
-	if g.begins(second) || !second.ended || second.outcome != logic.Moot {
+	if g.begins(second) || !second.ended || second.outcome != policy.Moot {
 		t.Fatal("a request that may have run is sent again")
 	}
 	if n := g.observe.violations.Value(ruleRepeat); n != 1 {
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // leftAfter is how long after a client's close an attempt of it may still begin, on a driven clock.
@@ -401,7 +401,7 @@
 		cfg.Counter = counter
 		cfg.Settings.Gateways, cfg.Settings.Counter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
 		cfg.Settings.Plans = append(cfg.Settings.Plans,
-			logic.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, ExcessCost: 1})
+			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, ExcessCost: 1})
 		addr, _ := startIngress(t, cfg)
 		nc, in := dial(t, addr)
 		io.WriteString(nc, ask(1, "c=read,t=sparse,d=50000,units=1,spread=60,first=0"))
--- a/internal/ingress/lists.go
+++ b/internal/ingress/lists.go
@@ -1,7 +1,7 @@
 package ingress
 
 import (
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // fleet takes over a list of backends, or changes of it.
@@ -10,10 +10,10 @@
 	if !f.All && len(f.Targets) == 0 { // of backends that are not held
 		return
 	}
-	ev := logic.FleetChanged{Whole: f.All, Sharers: f.Sharers}
+	ev := policy.FleetChanged{Whole: f.All, Sharers: f.Sharers}
 	if f.All {
 		for _, be := range g.backends {
-			be.State = logic.Gone
+			be.State = policy.Gone
 			be.noteState(g.now)
 		}
 	}
@@ -26,7 +26,7 @@
 		}
 		be.Server = s
 		be.noteState(g.now)
-		if s.State != logic.Gone {
+		if s.State != policy.Gone {
 			be.addr = t.Endpoint
 		}
 		ev.Servers = append(ev.Servers, s)
@@ -34,35 +34,35 @@
 	g.retireIdle()
 	g.tell(ev)
 	for _, be := range g.backends {
-		for be.State != logic.Running && len(be.waiting) > 0 { // nothing new goes there, so these go elsewhere now
+		for be.State != policy.Running && len(be.waiting) > 0 { // nothing new goes there, so these go elsewhere now
 			a := be.waiting[0]
 			be.waiting = be.waiting[1:]
-			g.end(a, logic.Moot, reply{})
+			g.end(a, policy.Moot, reply{})
 		}
 		g.drop(be)
 	}
 }
 
 // held is the list as it stands.
-func (g *Gateway) held() logic.Event {
-	ev := logic.FleetChanged{Whole: true, Sharers: g.sharers}
+func (g *Gateway) held() policy.Event {
+	ev := policy.FleetChanged{Whole: true, Sharers: g.sharers}
 	for _, be := range g.backends {
-		if be.State != logic.Gone {
+		if be.State != policy.Gone {
 			ev.Servers = append(ev.Servers, be.Server)
 		}
 	}
 	return ev
 }
 
-func (g *Gateway) count(a logic.Count) {
+func (g *Gateway) count(a policy.Count) {
 	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
 	g.counter.add(k)
 	g.after(g.cfg.Settings.CounterTimeout, func() {
 		if k.state.CompareAndSwap(callQueued, callDropped) {
-			g.counted(counted{call: k, outcome: logic.NoConnect}) // never written, and never will be
+			g.counted(counted{call: k, outcome: policy.NoConnect}) // never written, and never will be
 			return
 		}
-		g.counted(counted{call: k, outcome: logic.TimedOut})
+		g.counted(counted{call: k, outcome: policy.TimedOut})
 	})
 }
 
@@ -72,5 +72,5 @@
 		return
 	}
 	ev.call.ended = true
-	g.tell(logic.CountReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
+	g.tell(policy.CountReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
 }
--- a/internal/ingress/members.go
+++ b/internal/ingress/members.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"slices"
 
-	"larchwick/internal/subset"
-	"larchwick/logic"
+	"lemontack/internal/subset"
+	"lemontack/policy"
 )
 
 // Of a list of up to subsetMost backends an ingress keeps all. With 1,024 the busiest of 200,000 backends before 6,400
@@ -28,7 +28,7 @@
 	log      *slog.Logger
 }
 
-func newMembers(set logic.Settings, log *slog.Logger) *members {
+func newMembers(set policy.Settings, log *slog.Logger) *members {
 	kept := subset.New(subset.Config{Me: set.Me, Gateways: set.Gateways, Zone: set.Zone, CrossZonePrice: set.CrossZonePrice,
 		Most: subsetMost, Limit: subsetLimit})
 	return &members{subset: kept, zone: set.Zone, held: map[string]bool{}, log: log}
@@ -36,7 +36,7 @@
 
 // ReadKnown reads a configuration's list as a stream. The subset goes into the Config with it: it is the one that the list
 // was read with.
-func ReadKnown(objects *json.Decoder, set logic.Settings, log *slog.Logger) (Fleet, *subset.Subset, error) {
+func ReadKnown(objects *json.Decoder, set policy.Settings, log *slog.Logger) (Fleet, *subset.Subset, error) {
 	m := newMembers(set, log)
 	h, f, err := m.read(objects, func() {})
 	if h.Rev != nil {
--- a/internal/ingress/members_test.go
+++ b/internal/ingress/members_test.go
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
-	"larchwick/internal/standin"
-	"larchwick/logic"
+	"lemontack/internal/standin"
+	"lemontack/policy"
 )
 
 // atSize are the settings of one ingress of a fleet of the size that is coming.
-func atSize() logic.Settings { return logic.Settings{Me: 4711, Gateways: 6400, Zone: "z3"} }
+func atSize() policy.Settings { return policy.Settings{Me: 4711, Gateways: 6400, Zone: "z3"} }
 
 // entryAt is the i-th backend of a long list in nine zones.
 func entryAt(i int, state string) Target {
@@ -68,14 +68,14 @@
 	f := fleetOf("127.0.0.1:9")
 	f.Sharers = 30
 	g.handle(f)
-	if ev := g.held().(logic.FleetChanged); ev.Sharers != 30 {
+	if ev := g.held().(policy.FleetChanged); ev.Sharers != 30 {
 		t.Errorf("shared by %v, told 30", ev.Sharers)
 	}
 }
 
 // A short list is held whole by every ingress, and all share it.
 func TestShortListIsHeldWhole(t *testing.T) {
-	for _, set := range []logic.Settings{atSize(), {Gateways: 1}, {Me: 299, Gateways: 300, Zone: "z0"}} {
+	for _, set := range []policy.Settings{atSize(), {Gateways: 1}, {Me: 299, Gateways: 300, Zone: "z0"}} {
 		m := newMembers(set, quiet)
 		_, f, err := m.read(json.NewDecoder(longObject(subsetMost)), func() {})
 		if f = m.apply(f); err != nil || len(f.Targets) != subsetMost || f.Sharers != float64(set.Gateways) {
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"larchwick/internal/telemetry"
-	"larchwick/logic"
+	"lemontack/internal/telemetry"
+	"lemontack/policy"
 )
 
 const (
@@ -81,7 +81,7 @@
 	requests   *telemetry.Counters[requestCount]
 	faults     *telemetry.Counters[faultKind]
 	closes     *telemetry.Counters[closeReason]
-	outcomes   *telemetry.Counters[logic.Outcome]
+	outcomes   *telemetry.Counters[policy.Outcome]
 	heldUp     atomic.Int64 // hold-ups of the process
 	violations *telemetry.Counters[rule]
 	anomalies  *telemetry.Limiter
@@ -89,13 +89,13 @@
 
 func newObserver(log *slog.Logger) *observer {
 	var outcomes []string
-	for o := range logic.Outcomes {
+	for o := range policy.Outcomes {
 		outcomes = append(outcomes, o.String())
 	}
 	return &observer{log: log, tracing: log.Enabled(context.Background(), slog.LevelDebug),
 		requests: newRequestCounters(), faults: newFaultCounters(), closes: newCloseCounters(),
 		violations: newViolations(),
-		outcomes:   telemetry.NewCounters[logic.Outcome](outcomes...),
+		outcomes:   telemetry.NewCounters[policy.Outcome](outcomes...),
 		anomalies:  telemetry.NewLimiter(anomaliesPerSpan, anomalySpan)}
 }
 
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 const mostKey = 256 // bytes of an idempotency key
 
 // request is a client's command, and the gateway's books on it.
 type request struct {
-	logic.Request
+	policy.Request
 	key      uint64 // the client's id
 	slot     *slot
 	args     [][]byte // the command as it came: name, customer, id, fields, body
@@ -91,9 +91,9 @@
 		return nil, errors.New("unknown class")
 	case !g.plans[r.Plan]:
 		return nil, errors.New("unknown plan")
-	case do == (class.Effect == logic.Safe):
+	case do == (class.Effect == policy.Safe):
 		return nil, errors.New("the class does not go with the command")
-	case class.Effect == logic.Keyed && (key == "" || len(key) > mostKey):
+	case class.Effect == policy.Keyed && (key == "" || len(key) > mostKey):
 		return nil, errors.New("field k is missing or too long")
 	case !seen["d"] || !seen["first"]:
 		return nil, errors.New("field d or first is missing")
--- a/internal/ingress/parts.go
+++ b/internal/ingress/parts.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"sync"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // Parts are the sides of an ingress that talk to discovery and to the counter, without clients and backends. A scale
@@ -19,7 +19,7 @@
 type Membership struct{ kept *members }
 
 // NewMembership keeps nothing yet.
-func NewMembership(set logic.Settings, log *slog.Logger) *Membership {
+func NewMembership(set policy.Settings, log *slog.Logger) *Membership {
 	return &Membership{newMembers(set, log)}
 }
 
@@ -54,33 +54,33 @@
 type Call struct{ call *call }
 
 // Count queues a call; Late has to be asked once the counter's time-out is over.
-func (p *Parts) Count(a logic.Count) Call {
+func (p *Parts) Count(a policy.Count) Call {
 	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
 	p.counter.add(k)
 	return Call{k}
 }
 
 // Late is the module's reply for a call whose time is over, unless it has had one.
-func (c Call) Late() (logic.CountReply, bool) {
+func (c Call) Late() (policy.CountReply, bool) {
 	if c.call.state.CompareAndSwap(callQueued, callDropped) {
-		return Counted(counted{call: c.call, outcome: logic.NoConnect})
+		return Counted(counted{call: c.call, outcome: policy.NoConnect})
 	}
-	return Counted(counted{call: c.call, outcome: logic.TimedOut})
+	return Counted(counted{call: c.call, outcome: policy.TimedOut})
 }
 
 // Counted is the module's reply, if the event is the counter's; a call has one, and only the owner of Parts asks.
-func Counted(ev any) (logic.CountReply, bool) {
+func Counted(ev any) (policy.CountReply, bool) {
 	e, ok := ev.(counted)
 	if !ok || e.call.ended {
-		return logic.CountReply{}, false
+		return policy.CountReply{}, false
 	}
 	e.call.ended = true
-	return logic.CountReply{Name: e.call.name, Outcome: e.outcome, Total: e.total}, true
+	return policy.CountReply{Name: e.call.name, Outcome: e.outcome, Total: e.total}, true
 }
 
 // Changed is the list as the module's event.
-func (f Fleet) Changed() logic.FleetChanged {
-	ev := logic.FleetChanged{Whole: f.All, Sharers: f.Sharers, Servers: make([]logic.Server, len(f.Targets))}
+func (f Fleet) Changed() policy.FleetChanged {
+	ev := policy.FleetChanged{Whole: f.All, Sharers: f.Sharers, Servers: make([]policy.Server, len(f.Targets))}
 	for i, t := range f.Targets {
 		ev.Servers[i] = t.server()
 	}
--- a/internal/ingress/ready_test.go
+++ b/internal/ingress/ready_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"larchwick/internal/standin"
+	"lemontack/internal/standin"
 )
 
 // readyClock is the time within which nine in ten restarted processes are ready.
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -1,7 +1,7 @@
 package ingress
 
 import (
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // arrived takes a request in, or turns it away.
@@ -36,7 +36,7 @@
 	if r.GiveUpAt <= g.now {
 		g.observe.requests.Add(requestsExpired)
 	}
-	g.tell(logic.Arrival{Request: r.Request})
+	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.GiveUpAt+overdue, func() {
 		delete(g.keys, r.key)
 		g.cutOff(r)
@@ -44,7 +44,7 @@
 }
 
 // refused gives a refusal of the module.
-func (g *Gateway) refused(a logic.Refuse) {
+func (g *Gateway) refused(a policy.Refuse) {
 	if r := g.requests[a.ID]; r != nil && !r.final {
 		g.observe.requestEnded(r, requestsRefused)
 		g.answer(r, busy(a.RetryAfter))
@@ -52,7 +52,7 @@
 }
 
 // failed gives a failure of the module.
-func (g *Gateway) failed(a logic.Fail) {
+func (g *Gateway) failed(a policy.Fail) {
 	if r := g.requests[a.ID]; r != nil && !r.final {
 		g.observe.requestEnded(r, requestsFailed)
 		g.answer(r, []byte("-ERR failed\r\n"))
@@ -91,7 +91,7 @@
 		case a.ended:
 		case a.conn == nil:
 			g.unwait(a)
-			g.end(a, logic.Moot, reply{})
+			g.end(a, policy.Moot, reply{})
 		case a.taken.CompareAndSwap(false, true):
 			g.takeBack(a)
 		}
@@ -105,7 +105,7 @@
 	}
 	r.final = true
 	g.observe.requestEnded(r, requestsAbandoned)
-	g.tell(logic.Abandoned{ID: r.ID})
+	g.tell(policy.Abandoned{ID: r.ID})
 	g.unsend(r)
 	g.forget(r)
 }
@@ -121,7 +121,7 @@
 	if len(r.attempts) == 0 { // it never ran
 		text = g.turnedAway
 	}
-	g.tell(logic.Abandoned{ID: r.ID})
+	g.tell(policy.Abandoned{ID: r.ID})
 	g.answer(r, text)
 }
 
--- a/internal/ingress/watch_test.go
+++ b/internal/ingress/watch_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // A watch that breaks is resumed: a change told on the next one still arrives.
@@ -87,7 +87,7 @@
 			t.Errorf("%s: told %v, want %d entries", c.in, told, c.known)
 		}
 	}
-	if s := (Target{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).server(); s.State != logic.Draining {
+	if s := (Target{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).server(); s.State != policy.Draining {
 		t.Errorf("an unknown state is %v, want draining", s.State)
 	}
 }
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"larchwick/internal/ingress"
-	"larchwick/logic"
+	"lemontack/internal/ingress"
+	"lemontack/policy"
 )
 
 const (
@@ -76,7 +76,7 @@
 	return b.target(n/2*7%len(b.list), state)
 }
 
-func (b *Backends) of(id logic.ServerID) *modelled {
+func (b *Backends) of(id policy.ServerID) *modelled {
 	i, err := strconv.Atoi(string(id[2:]))
 	if err != nil || i >= len(b.list) {
 		return nil
@@ -93,10 +93,10 @@
 }
 
 // begin says how an attempt will end, and after how long. One that works holds its place until finish.
-func (b *Backends) begin(id logic.ServerID, now time.Duration, rng *rand.Rand) (time.Duration, logic.AttemptEnded) {
+func (b *Backends) begin(id policy.ServerID, now time.Duration, rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
 	m := b.of(id)
 	if m == nil || m.gone.Load() {
-		return connectLimit, logic.AttemptEnded{Outcome: logic.NoConnect}
+		return connectLimit, policy.AttemptEnded{Outcome: policy.NoConnect}
 	}
 	m.sends.Add(1)
 	w := b.warmth(m, now)
@@ -109,14 +109,14 @@
 	slots := max(1, b.slots*w)
 	if n > slots*(1+queueOfSlots) {
 		m.inFlight.Add(-1)
-		return turnedAwayAfter, logic.AttemptEnded{Outcome: logic.Full}
+		return turnedAwayAfter, policy.AttemptEnded{Outcome: policy.Full}
 	}
 	took := time.Duration(float64(b.work(rng)) * max(1, n/slots))
-	return took, logic.AttemptEnded{Outcome: logic.Done,
-		Load: logic.Load{"inflight": n, "queue": max(0, n-slots), "util": min(1, n/slots)}}
+	return took, policy.AttemptEnded{Outcome: policy.Done,
+		Load: policy.Load{"inflight": n, "queue": max(0, n-slots), "util": min(1, n/slots)}}
 }
 
-func (b *Backends) finish(id logic.ServerID) {
+func (b *Backends) finish(id policy.ServerID) {
 	if m := b.of(id); m != nil {
 		m.inFlight.Add(-1)
 	}
--- a/internal/scale/client.go
+++ b/internal/scale/client.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/tidwall/redcon"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 const (
@@ -69,7 +69,7 @@
 }
 
 // command is a request as a client writes it, with its id.
-func (c *clients) command(q logic.Request) ([]byte, string) {
+func (c *clients) command(q policy.Request) ([]byte, string) {
 	verb, id := "Q.ASK", fmt.Sprintf("%08x%08x", c.number, c.requests)
 	words := []string{q.Customer, id, fmt.Sprintf("c=%s,t=%s,d=%d,units=%v,spread=%d,first=%d", q.Class, q.Plan,
 		q.GiveUpAt.Milliseconds(), q.Units, q.Spread, q.First)}
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -18,8 +18,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"larchwick/internal/ingress"
-	"larchwick/internal/standin"
+	"lemontack/internal/ingress"
+	"lemontack/internal/standin"
 )
 
 const (
@@ -353,10 +353,10 @@
 }
 
 func build(ctx context.Context, w *watcher, dir string) (string, error) {
-	path := filepath.Join(dir, "hitchspring")
+	path := filepath.Join(dir, "ingress")
 	var said bytes.Buffer
 	c, err := startChild(ctx, w, func(ctx context.Context) *exec.Cmd {
-		cmd := exec.CommandContext(ctx, "go", "build", "-o", path, "larchwick/cmd/hitchspring")
+		cmd := exec.CommandContext(ctx, "go", "build", "-o", path, "lemontack/cmd/ingress")
 		cmd.Stdout, cmd.Stderr = &said, &said
 		return cmd
 	})
@@ -366,7 +366,7 @@
 	}
 	if err != nil {
 		line, _, _ := strings.Cut(strings.TrimSpace(said.String()), "\n")
-		return "", fmt.Errorf("building hitchspring (--binary names one that is built): %w: %s", err, line)
+		return "", fmt.Errorf("building the ingress (--binary names one that is built): %w: %s", err, line)
 	}
 	return path, nil
 }
@@ -418,7 +418,7 @@
 		return cmd
 	})
 	if err != nil {
-		return nil, fmt.Errorf("starting hitchspring: %w", err)
+		return nil, fmt.Errorf("starting the ingress: %w", err)
 	}
 	return in, nil
 }
@@ -438,7 +438,7 @@
 	for limit := time.Now().Add(readyTime); time.Now().Before(limit); {
 		select {
 		case <-in.over:
-			return fmt.Errorf("hitchspring ended: %v: %s", in.err, lastOf(in.errs.String()))
+			return fmt.Errorf("the ingress ended: %v: %s", in.err, lastOf(in.errs.String()))
 		default:
 		}
 		c := newClients(in.addr, 0)
@@ -451,7 +451,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("hitchspring is not ready after %v", readyTime)
+	return fmt.Errorf("the ingress is not ready after %v", readyTime)
 }
 
 func lastOf(text string) string {
--- a/internal/scale/driven.go
+++ b/internal/scale/driven.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"larchwick/internal/ingress"
+	"lemontack/internal/ingress"
 )
 
 const (
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"larchwick/internal/ingress"
-	"larchwick/internal/standin"
+	"lemontack/internal/ingress"
+	"lemontack/internal/standin"
 )
 
 const (
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"larchwick/internal/ingress"
-	"larchwick/logic"
+	"lemontack/internal/ingress"
+	"lemontack/policy"
 )
 
 const (
@@ -45,8 +45,8 @@
 // clock its counter is a table; live it talks to discovery and a counter as a real one does. One goroutine owns it.
 type Hollow struct {
 	me       int
-	set      logic.Settings
-	mod      *logic.Gateway
+	set      policy.Settings
+	mod      *policy.Gateway
 	rng      *rand.Rand
 	back     *Backends
 	rec      *Recorder
@@ -56,13 +56,13 @@
 	now      time.Duration
 	began    time.Time // of the event in hand
 	due      agenda
-	open     map[logic.RequestID]*request
-	last     logic.RequestID
-	queue    []logic.Event
-	actions  []logic.Action
+	open     map[policy.RequestID]*request
+	last     policy.RequestID
+	queue    []policy.Event
+	actions  []policy.Action
 	tally    Tally
-	held     map[logic.ServerID]logic.Server // kept where the module asks for the list
-	kept     *ingress.Membership             // on a driven clock; live it is the client's
+	held     map[policy.ServerID]policy.Server // kept where the module asks for the list
+	kept     *ingress.Membership               // on a driven clock; live it is the client's
 	sharers  float64
 	log      []listed
 
@@ -81,7 +81,7 @@
 }
 
 type attempt struct {
-	server logic.ServerID
+	server policy.ServerID
 	sent   time.Duration
 	holds  bool // a place at the backend
 	ended  bool
@@ -102,10 +102,10 @@
 type item struct {
 	at    time.Duration
 	what  what
-	id    logic.RequestID
+	id    policy.RequestID
 	n     int // attempt
-	end   logic.AttemptEnded
-	reply logic.CountReply
+	end   policy.AttemptEnded
+	reply policy.CountReply
 	call  ingress.Call
 }
 
@@ -134,13 +134,13 @@
 	if err != nil {
 		return nil, err
 	}
-	mod, err := logic.New(set, seed+uint64(me))
+	mod, err := policy.New(set, seed+uint64(me))
 	if err != nil {
 		return nil, err
 	}
 	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
-		tenants: s.tenantsOf(me), now: drivenStart, open: map[logic.RequestID]*request{},
-		totals: map[string]float64{}, held: map[logic.ServerID]logic.Server{},
+		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
+		totals: map[string]float64{}, held: map[policy.ServerID]policy.Server{},
 		kept: ingress.NewMembership(set, slog.New(slog.DiscardHandler))}, nil
 }
 
@@ -206,11 +206,11 @@
 		if r := h.open[it.id]; r != nil && !r.final {
 			h.tally.Unanswered++
 			r.final = true
-			h.tell(logic.Abandoned{ID: it.id})
+			h.tell(policy.Abandoned{ID: it.id})
 			h.forget(it.id, r)
 		}
 	case tick:
-		h.tell(logic.TimerFired{})
+		h.tell(policy.TimerFired{})
 	case callReply:
 		h.tell(it.reply)
 	case callLate:
@@ -227,11 +227,11 @@
 	q.ID = h.last
 	h.open[q.ID] = &request{arrived: due}
 	h.tally.Requests++
-	h.tell(logic.Arrival{Request: q})
+	h.tell(policy.Arrival{Request: q})
 	heap.Push(&h.due, &item{at: q.GiveUpAt + overdue, what: giveUp, id: q.ID})
 }
 
-func (h *Hollow) tell(ev logic.Event) { h.queue = append(h.queue, ev) }
+func (h *Hollow) tell(ev policy.Event) { h.queue = append(h.queue, ev) }
 
 // flush hands over what is queued and carries out the actions, which may queue more.
 func (h *Hollow) flush() {
@@ -248,16 +248,16 @@
 }
 
 // count adds the event to the tally and says what its time is about.
-func (h *Hollow) count(ev logic.Event) kind {
+func (h *Hollow) count(ev policy.Event) kind {
 	switch ev := ev.(type) {
-	case logic.Arrival:
+	case policy.Arrival:
 		return handleArrival
-	case logic.CountReply:
+	case policy.CountReply:
 		return handleReply
-	case logic.TimerFired:
+	case policy.TimerFired:
 		h.tally.Ticks++
 		return handleTick
-	case logic.FleetChanged:
+	case policy.FleetChanged:
 		if ev.Whole {
 			h.tally.Lists++
 			return handleList
@@ -268,22 +268,22 @@
 	return handleAnswer
 }
 
-func (h *Hollow) act(a logic.Action) {
+func (h *Hollow) act(a policy.Action) {
 	switch a := a.(type) {
-	case logic.Send:
+	case policy.Send:
 		h.send(a)
-	case logic.Cancel:
-		h.end(a.ID, a.Attempt, logic.AttemptEnded{Outcome: logic.Cancelled})
-	case logic.Refuse:
+	case policy.Cancel:
+		h.end(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
+	case policy.Refuse:
 		h.answer(a.ID, &h.tally.Refused)
-	case logic.Fail:
+	case policy.Fail:
 		h.answer(a.ID, &h.tally.Failed)
-	case logic.SetTimer:
+	case policy.SetTimer:
 		h.schedule(a.After, item{what: tick})
-	case logic.Count:
+	case policy.Count:
 		h.call(a)
-	case logic.Watch, logic.Fetch: // the watch is always on: the list held is the answer
-		ev := logic.FleetChanged{Whole: true, Sharers: h.sharers}
+	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
+		ev := policy.FleetChanged{Whole: true, Sharers: h.sharers}
 		for _, s := range h.held {
 			ev.Servers = append(ev.Servers, s)
 		}
@@ -291,7 +291,7 @@
 	}
 }
 
-func (h *Hollow) send(a logic.Send) {
+func (h *Hollow) send(a policy.Send) {
 	r := h.open[a.ID]
 	if r == nil {
 		return
@@ -301,16 +301,16 @@
 	}
 	h.tally.Sends++
 	took, end := h.back.begin(a.Server, h.now, h.rng)
-	r.attempts = append(r.attempts, attempt{server: a.Server, sent: h.now, holds: end.Outcome == logic.Done})
+	r.attempts = append(r.attempts, attempt{server: a.Server, sent: h.now, holds: end.Outcome == policy.Done})
 	r.out++
 	if a.StopAt > 0 && h.now+took > a.StopAt {
-		took, end = max(0, a.StopAt-h.now), logic.AttemptEnded{Outcome: logic.TimedOut}
+		took, end = max(0, a.StopAt-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
 	h.schedule(took, item{what: attemptEnd, id: a.ID, n: len(r.attempts) - 1, end: end})
 }
 
 // end tells the module how an attempt ended, once.
-func (h *Hollow) end(id logic.RequestID, n int, ev logic.AttemptEnded) {
+func (h *Hollow) end(id policy.RequestID, n int, ev policy.AttemptEnded) {
 	r := h.open[id]
 	if r == nil || n >= len(r.attempts) || r.attempts[n].ended {
 		return
@@ -321,7 +321,7 @@
 	if a.holds {
 		h.back.finish(a.server)
 	}
-	if ev.Outcome == logic.Done && !r.final {
+	if ev.Outcome == policy.Done && !r.final {
 		r.final = true
 		h.tally.Served++
 	}
@@ -330,7 +330,7 @@
 	h.forget(id, r)
 }
 
-func (h *Hollow) answer(id logic.RequestID, n *uint64) {
+func (h *Hollow) answer(id policy.RequestID, n *uint64) {
 	if r := h.open[id]; r != nil && !r.final {
 		*n++
 		r.final = true
@@ -338,13 +338,13 @@
 	}
 }
 
-func (h *Hollow) forget(id logic.RequestID, r *request) {
+func (h *Hollow) forget(id policy.RequestID, r *request) {
 	if r.final && r.out == 0 {
 		delete(h.open, id)
 	}
 }
 
-func (h *Hollow) call(a logic.Count) {
+func (h *Hollow) call(a policy.Count) {
 	h.tally.Calls++
 	if h.parts != nil {
 		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.Count(a)})
@@ -352,7 +352,7 @@
 	}
 	h.totals[a.Name] += a.Add
 	h.schedule(replyAfter, item{what: callReply,
-		reply: logic.CountReply{Name: a.Name, Outcome: logic.Done, Total: h.totals[a.Name]}})
+		reply: policy.CountReply{Name: a.Name, Outcome: policy.Done, Total: h.totals[a.Name]}})
 }
 
 func (h *Hollow) fleet(f ingress.Fleet) {
@@ -363,7 +363,7 @@
 			clear(h.held)
 		}
 		for _, s := range ev.Servers {
-			if h.held[s.ID] = s; s.State == logic.Gone {
+			if h.held[s.ID] = s; s.State == policy.Gone {
 				delete(h.held, s.ID)
 			}
 		}
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"larchwick/internal/standin"
+	"lemontack/internal/standin"
 )
 
 const (
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -38,7 +38,7 @@
 	Rate      float64   `help:"Requests a second of one ingress." default:"328" json:"rate"`
 	LiveRate  float64   `help:"The same where many are live at once." default:"100" json:"live_rate"`
 	Real      int       `help:"Real processes to compare with hollow ones." default:"3" json:"real"`
-	Binary    string    `help:"A built hitchspring; else the run builds one." type:"existingfile" optional:"" json:"binary"`
+	Binary    string    `help:"A built ingress; else the run builds one." type:"existingfile" optional:"" json:"binary"`
 	Quick     bool      `help:"Small sizes and short points, to try the run: about a minute." json:"quick"`
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"larchwick/internal/ingress"
-	"larchwick/internal/standin"
-	"larchwick/logic"
+	"lemontack/internal/ingress"
+	"lemontack/internal/standin"
+	"lemontack/policy"
 )
 
 // The stand-ins of a live fleet are this program again.
@@ -273,10 +273,10 @@
 	b := NewBackends(2, 1, meanWork, false)
 	b.slots, b.work = 4, func(*rand.Rand) time.Duration { return meanWork }
 	rng := rand.New(rand.NewPCG(1, 1))
-	full := func(id logic.ServerID) (n int, last time.Duration) {
+	full := func(id policy.ServerID) (n int, last time.Duration) {
 		for ; n < 1000; n++ {
 			took, end := b.begin(id, drivenStart, rng)
-			if end.Outcome == logic.Full {
+			if end.Outcome == policy.Full {
 				break
 			}
 			last = took
@@ -293,7 +293,7 @@
 		t.Errorf("a cold one holds %d, a warm one %d", cold, warm)
 	}
 	b.list[0].gone.Store(true)
-	if _, end := b.begin("s-000000", drivenStart, rng); end.Outcome != logic.NoConnect {
+	if _, end := b.begin("s-000000", drivenStart, rng); end.Outcome != policy.NoConnect {
 		t.Errorf("one that is gone: %v", end.Outcome)
 	}
 }
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 	"time"
 
-	"larchwick/internal/wire"
-	"larchwick/logic"
+	"lemontack/internal/wire"
+	"lemontack/policy"
 )
 
 const (
@@ -74,14 +74,14 @@
 	return text, nil
 }
 
-func (s Shape) parsed(me int) (logic.Settings, error) {
+func (s Shape) parsed(me int) (policy.Settings, error) {
 	text, err := s.settings(me)
 	if err != nil {
-		return logic.Settings{}, err
+		return policy.Settings{}, err
 	}
 	set, _, err := wire.ParseSettings(text)
 	if err != nil {
-		return logic.Settings{}, err
+		return policy.Settings{}, err
 	}
 	return *set, nil
 }
@@ -131,9 +131,9 @@
 }
 
 // draw is a request of one of the tenants; plans have the share of the requests that they have of the tenants.
-func draw(rng *rand.Rand, tenants []tenant, now time.Duration) logic.Request {
+func draw(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
 	t := tenants[rng.IntN(len(tenants))]
-	r := logic.Request{Class: "order", Plan: t.plan, Customer: t.id, Spread: t.spread, First: t.first,
+	r := policy.Request{Class: "order", Plan: t.plan, Customer: t.id, Spread: t.spread, First: t.first,
 		Units: float64(1 + rng.IntN(maxUnits)), GiveUpAt: now + 2*time.Second}
 	if rng.Float64() < lookupShare {
 		r.Class, r.GiveUpAt = "lookup", now+time.Second
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"larchwick/internal/faults"
-	"larchwick/internal/standin"
+	"lemontack/internal/faults"
+	"lemontack/internal/standin"
 )
 
 const (
--- a/internal/subsets/subsets.go
+++ b/internal/subsets/subsets.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strconv"
 
-	"larchwick/internal/subset"
+	"lemontack/internal/subset"
 )
 
 // Zones is the number of zones of a simulated fleet.
--- a/internal/subsets/subsets_test.go
+++ b/internal/subsets/subsets_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"larchwick/internal/subset"
+	"lemontack/internal/subset"
 )
 
 // The most that the busiest backend may carry, in mean loads, where traffic is even.
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"io"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // Host runs many instances, each with events of its own only, until input ends.
 func Host(in io.Reader, out io.Writer) error {
 	r, w := NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	gateways := map[int]*logic.Gateway{}
+	gateways := map[int]*policy.Gateway{}
 	var buf []byte
 	for {
 		batch, err := r.Read()
@@ -37,7 +37,7 @@
 }
 
 // handle plays one message; a panic of the module becomes that instance's fault.
-func handle(buf []byte, gateways map[int]*logic.Gateway, batch *Batch, m Message) (reply []byte) {
+func handle(buf []byte, gateways map[int]*policy.Gateway, batch *Batch, m Message) (reply []byte) {
 	mark := len(buf)
 	defer func() {
 		if p := recover(); p != nil {
@@ -49,7 +49,7 @@
 	case m.Name == "DESTROY":
 		delete(gateways, m.Instance)
 	case m.Settings != nil:
-		g, err := logic.New(*m.Settings, m.Seed)
+		g, err := policy.New(*m.Settings, m.Seed)
 		if err != nil {
 			return AppendFault(buf, m.Instance, err.Error())
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // facts mirrors the settings object; keys that are not here are skipped.
@@ -117,7 +117,7 @@
 func us(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
 // ParseSettings reads the settings object; keys that it does not know are skipped.
-func ParseSettings(text []byte) (*logic.Settings, Connections, error) {
+func ParseSettings(text []byte) (*policy.Settings, Connections, error) {
 	var f facts
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, Connections{}, fmt.Errorf("settings: %w", err)
@@ -125,7 +125,7 @@
 	if err := f.check(); err != nil {
 		return nil, Connections{}, err
 	}
-	s := &logic.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
+	s := &policy.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
 		MaxUnits: f.FamilyInfo.MaxUnits, Counter: f.FamilyInfo.SharedCounter,
 		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
 		MayCancel: f.Permissions.MayCancel, MayProbe: f.Permissions.Probing,
@@ -138,12 +138,12 @@
 		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
+		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
 			Deadline: us(c.DeadlineUs), LateShare: c.LateShare, Effect: effect(c.Effect), Group: group(c.Group),
 			RepeatWindow: us(c.WindowUs)})
 	}
 	for _, c := range f.Contracts {
-		s.Plans = append(s.Plans, logic.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
+		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
 			Open: c.Concurrency, ExcessWorth: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
 			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
 	}
@@ -151,22 +151,22 @@
 		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen}, nil
 }
 
-func effect(s string) logic.Effect {
+func effect(s string) policy.Effect {
 	switch s {
 	case "read_like":
-		return logic.Safe
+		return policy.Safe
 	case "idempotency_key":
-		return logic.Keyed
+		return policy.Keyed
 	}
-	return logic.Unsafe
+	return policy.Unsafe
 }
 
-func group(s string) logic.Group {
+func group(s string) policy.Group {
 	switch s {
 	case "all":
-		return logic.GroupAll
+		return policy.GroupAll
 	case "zone":
-		return logic.GroupZone
+		return policy.GroupZone
 	}
-	return logic.GroupCell
+	return policy.GroupCell
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire turns the simulator's lines into a gateway's events, and its actions into lines.
-// It parses and prints only: every decision is in package logic.
+// It parses and prints only: every decision is in package policy.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // fields are the name=value parts of a line.
@@ -23,8 +23,8 @@
 	Name     string
 	Instance int
 	Seed     uint64
-	Settings *logic.Settings // with Begin
-	Event    logic.Event     // nil where there is nothing to tell
+	Settings *policy.Settings // with Begin
+	Event    policy.Event     // nil where there is nothing to tell
 }
 
 // Batch is what one exchange brings.
@@ -129,26 +129,26 @@
 		m.Event = arrival(p)
 	case "STARTED":
 		p.need("call", "try")
-		m.Event = logic.StreamStarted{ID: p.id(), Attempt: p.int("try")}
+		m.Event = policy.StreamStarted{ID: p.id(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		p.need("call", "try", "backend", "stateCode")
-		m.Event = logic.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: logic.ServerID(p.f["backend"]),
+		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: policy.ServerID(p.f["backend"]),
 			Outcome: outcome(p.f["stateCode"]), Took: p.micros("lagUs"), Finished: p.bool("over"),
 			Settled: p.float("settled"), Load: p.load("metrics")}
 	case "DROPPED":
 		p.need("call")
-		m.Event = logic.Abandoned{ID: p.id()}
+		m.Event = policy.Abandoned{ID: p.id()}
 	case "TICK_DUE":
-		m.Event = logic.TimerFired{}
+		m.Event = policy.TimerFired{}
 	case "PROBE_DONE":
 		p.need("backend", "stateCode")
-		m.Event = logic.ProbeEnded{Server: logic.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
+		m.Event = policy.ProbeEnded{Server: policy.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
 			Took: p.micros("lagUs"), Load: p.load("metrics")}
 	case "INBOX":
-		m.Event = logic.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
+		m.Event = policy.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
 	case "COUNTER_REPLY":
 		p.need("counter", "stateCode")
-		m.Event = logic.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
+		m.Event = policy.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
 	default:
 		return m, false
 	}
@@ -160,19 +160,19 @@
 	return m, true
 }
 
-func arrival(p *parser) logic.Event {
+func arrival(p *parser) policy.Event {
 	p.need("call", "giveUpAtUs")
-	return logic.Arrival{Request: logic.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
+	return policy.Arrival{Request: policy.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
 		Customer: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
 		Spread: p.int("width"), First: p.int("setFrom"),
 		Again: p.bool("againByClient")}}
 }
 
 // fleet parses a list and the entry lines that follow it.
-func (r *Reader) fleet(p *parser) logic.Event {
+func (r *Reader) fleet(p *parser) policy.Event {
 	p.need("form")
 	form := p.f["form"]
-	ev := logic.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
+	ev := policy.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		s, err := r.next()
 		if err != nil {
@@ -186,7 +186,7 @@
 		}
 		e := parser{f: f}
 		e.need("backend")
-		ev.Servers = append(ev.Servers, logic.Server{ID: logic.ServerID(f["backend"]), Zone: f["az"],
+		ev.Servers = append(ev.Servers, policy.Server{ID: policy.ServerID(f["backend"]), Zone: f["az"],
 			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Size: e.float("scale"),
 			Started: e.micros("sinceUs")})
 		p.err = e.err
@@ -194,34 +194,34 @@
 	return ev
 }
 
-func state(s string) logic.ServerState {
+func state(s string) policy.ServerState {
 	switch s {
 	case "on":
-		return logic.Running
+		return policy.Running
 	case "off":
-		return logic.Gone
+		return policy.Gone
 	}
-	return logic.Draining
+	return policy.Draining
 }
 
-func outcome(s string) logic.Outcome {
+func outcome(s string) policy.Outcome {
 	switch s {
 	case "done":
-		return logic.Done
+		return policy.Done
 	case "busy":
-		return logic.Full
+		return policy.Full
 	case "etimedout":
-		return logic.TimedOut
+		return policy.TimedOut
 	case "econnrefused":
-		return logic.NoConnect
+		return policy.NoConnect
 	case "econnreset":
-		return logic.Reset
+		return policy.Reset
 	case "ecanceled":
-		return logic.Cancelled
+		return policy.Cancelled
 	case "skipped":
-		return logic.Moot
+		return policy.Moot
 	}
-	return logic.Failed
+	return policy.Failed
 }
 
 // parser reads fields and keeps the first error.
@@ -256,7 +256,7 @@
 	return n
 }
 
-func (p *parser) id() logic.RequestID { return logic.RequestID(p.uint("call", 32)) }
+func (p *parser) id() policy.RequestID { return policy.RequestID(p.uint("call", 32)) }
 
 func (p *parser) int(name string) int { return int(p.uint(name, 31)) }
 
@@ -281,12 +281,12 @@
 	return n
 }
 
-func (p *parser) load(name string) logic.Load {
+func (p *parser) load(name string) policy.Load {
 	v := p.f[name]
 	if v == "" || v == "-" {
 		return nil
 	}
-	load := logic.Load{}
+	load := policy.Load{}
 	for _, pair := range strings.Split(v, ",") {
 		k, x, ok := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(x, 64)
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"larchwick/logic"
+	"lemontack/policy"
 )
 
 // line builds one action's line.
@@ -33,31 +33,31 @@
 func (l *line) end() []byte { return append(l.b, '\n') }
 
 // AppendAction appends the line of one action of an instance.
-func AppendAction(b []byte, instance int, a logic.Action) []byte {
+func AppendAction(b []byte, instance int, a policy.Action) []byte {
 	switch a := a.(type) {
-	case logic.Send:
+	case policy.Send:
 		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Server))
 		if a.StopAt > 0 {
 			l.micros("stopAtUs", a.StopAt)
 		}
 		return l.end()
-	case logic.Cancel:
+	case policy.Cancel:
 		return newLine(b, "REVOKE", instance).num("call", float64(a.ID)).num("try", float64(a.Attempt)).end()
-	case logic.Refuse:
+	case policy.Refuse:
 		l := newLine(b, "BUSY", instance).num("call", float64(a.ID))
 		if a.RetryAfter > 0 {
 			l.micros("retryInUs", a.RetryAfter)
 		}
 		return l.end()
-	case logic.Fail:
+	case policy.Fail:
 		return newLine(b, "DROP_REQUEST", instance).num("call", float64(a.ID)).end()
-	case logic.SetTimer:
+	case policy.SetTimer:
 		return newLine(b, "TIMER", instance).micros("spanUs", a.After).text("ref", "t").end()
-	case logic.Probe:
+	case policy.Probe:
 		return newLine(b, "TEST", instance).text("backend", string(a.Server)).end()
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		return newLine(b, "LET_GO", instance).text("backend", string(a.Server)).end()
-	case logic.Tell:
+	case policy.Tell:
 		dest := "all"
 		if a.To >= 0 {
 			dest = strconv.Itoa(a.To)
@@ -67,14 +67,14 @@
 			msg = base64.StdEncoding.EncodeToString(a.Body)
 		}
 		return newLine(b, "NOTIFY", instance).text("dest", dest).text("msg", msg).end()
-	case logic.Count:
+	case policy.Count:
 		return newLine(b, "INCR", instance).text("counter", a.Name).num("add", a.Add).
 			micros("keepForUs", a.Keep).end()
-	case logic.Watch:
+	case policy.Watch:
 		return newLine(b, "KEEP_INFORMED", instance).text("on", "1").end()
-	case logic.Fetch:
+	case policy.Fetch:
 		return newLine(b, "QUERY_ALL", instance).end()
-	case logic.Log:
+	case policy.Log:
 		return newLine(b, "EMIT", instance).text("text", oneLine(a.Text)).end()
 	}
 	return b
--- a/logic/api.go
+++ b/policy/api.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"fmt"
@@ -123,20 +123,20 @@
 // validate says what a gateway cannot decide with.
 func (s *Settings) validate() error {
 	if s.Gateways < 1 || s.Me < 0 || s.Me >= s.Gateways {
-		return fmt.Errorf("logic: gateway %d of %d", s.Me, s.Gateways)
+		return fmt.Errorf("policy: gateway %d of %d", s.Me, s.Gateways)
 	}
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("logic: no classes")
+		return fmt.Errorf("policy: no classes")
 	}
 	for _, c := range s.Classes {
 		if c.Aim <= 0 || c.Deadline < c.Aim {
-			return fmt.Errorf("logic: class %q: aim %v, deadline %v", c.Name, c.Aim, c.Deadline)
+			return fmt.Errorf("policy: class %q: aim %v, deadline %v", c.Name, c.Aim, c.Deadline)
 		}
 	}
 	for _, p := range s.Plans {
 		figures := []float64{p.Price, p.Rate, p.Burst, float64(p.Open), p.CeilingRate, p.CeilingBurst}
 		if !(slices.Min(figures) >= 0) || math.IsInf(slices.Max(figures), 1) {
-			return fmt.Errorf("logic: plan %q: unusable figures %v", p.Name, figures)
+			return fmt.Errorf("policy: plan %q: unusable figures %v", p.Name, figures)
 		}
 	}
 	return nil
--- a/logic/cold_test.go
+++ b/policy/cold_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"larchwick/internal/subset"
+	"lemontack/internal/subset"
 )
 
 const (
--- a/logic/doc.go
+++ b/policy/doc.go
@@ -1,5 +1,5 @@
-// Package logic decides for one gateway of a metered service. Its interface (settings, events, actions) is
-// in api.go; what decides is in logic.go (admission, leases, queue, window, attempts), central.go, permits.go and servers.go.
+// Package policy decides for one gateway of a metered service. Its interface (settings, events, actions) is
+// in api.go; what decides is in gateway.go (admission, leases, queue, window, attempts), central.go, permits.go and servers.go.
 //
 // A request spends units of its customer's leased block (lease), or claims them as it comes (ask). It joins
 // the queue of its priority, class worth x plan price, and leaves when the AIMD window of attempts has room,
@@ -27,4 +27,4 @@
 // counter is silent or short of calls a request goes without a permit if that is worth more than it costs, within
 // this gateway's share of the limit. Beside a rate, permits are asked for only while the counter has calls to spare:
 // the rate's own calls hold more of what is beyond.
-package logic
+package policy
