--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -11,16 +11,16 @@
 
 // send begins an attempt, if the guard lets it.
 func (g *Gateway) send(s policy.Send) {
-	r, be := g.requests[s.ID], g.backends[s.Server]
+	r, be := g.requests[s.ID], g.backends[s.Endpoint]
 	if r == nil {
 		return
 	}
 	if be == nil { // gone and forgotten
-		be = &backend{Server: policy.Server{ID: s.Server, State: policy.Gone}}
+		be = &backend{Endpoint: policy.Endpoint{ID: s.Endpoint, State: policy.Removed}}
 	}
-	a := &attempt{req: r, n: len(r.attempts), be: be, began: g.now, stop: r.GiveUpAt}
-	if s.StopAt > 0 {
-		a.stop = min(s.StopAt, r.GiveUpAt)
+	a := &attempt{req: r, n: len(r.attempts), be: be, began: g.now, stop: r.Deadline}
+	if s.AttemptDeadline > 0 {
+		a.stop = min(s.AttemptDeadline, r.Deadline)
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
@@ -59,27 +59,27 @@
 	a.ended, a.outcome = true, o
 	r := a.req
 	if r == nil {
-		g.tell(policy.ProbeEnded{Server: a.be.ID, Outcome: o, Took: g.now - a.began, Load: rep.load})
+		g.tell(policy.HealthCheckEnded{Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began, LoadReport: rep.load})
 		return
 	}
-	if o == policy.Done && rep.value == nil {
+	if o == policy.Succeeded && rep.value == nil {
 		o = policy.Failed
 		a.outcome = o
 	}
 	g.observe.attemptEnded(a, g.now-a.began)
-	if o == policy.Done && !r.final {
+	if o == policy.Succeeded && !r.final {
 		g.noteLate(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
 		r.slot.answer(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
 	}
 	r.out--
-	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Server: a.be.ID, Outcome: o, Took: g.now - a.began,
-		Finished: r.final, Settled: min(rep.settled, g.mostUnits), Load: rep.load})
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began,
+		RequestFinished: r.final, SettledUnits: min(rep.settled, g.mostUnits), LoadReport: rep.load})
 	g.forget(r)
 }
 
-func (g *Gateway) probe(id policy.ServerID) {
+func (g *Gateway) probe(id policy.EndpointID) {
 	be := g.backends[id]
 	if be == nil {
 		return
--- a/internal/ingress/backend.go
+++ b/internal/ingress/backend.go
@@ -45,7 +45,7 @@
 // backend is what the gateway's goroutine keeps of a server: its entry, its connections, and the attempts
 // that wait for one. A connection carries one attempt at a time, so that giving one up hurts no other.
 type backend struct {
-	policy.Server
+	policy.Endpoint
 	addr    string
 	endedAt atomic.Int64 // when it was told to drain, or gone, on the gateway's clock; 0: it runs
 	idle    []*conn      // the last is the warmest
@@ -58,7 +58,7 @@
 
 // noteState keeps when the backend's state changed from running to another.
 func (be *backend) noteState(now time.Duration) {
-	if be.State == policy.Running {
+	if be.State == policy.Serving {
 		be.endedAt.Store(0)
 		return
 	}
@@ -107,7 +107,7 @@
 	outcome policy.Outcome
 	value   []byte
 	settled float64 // the true units, where the answer tells them; else 0
-	load    policy.Load
+	load    policy.LoadReport
 	keep    bool // it is of a known form and nothing stands behind it: the connection is in order
 }
 
@@ -228,7 +228,7 @@
 		word, rest, _ := strings.Cut(string(r.Data), " ")
 		out.keep = word == "ERR" || word == "BUSY"
 		if word == "BUSY" {
-			out.outcome = policy.Full
+			out.outcome = policy.Rejected
 		}
 		if i := strings.LastIndexByte(rest, ' '); i >= 0 {
 			rest = rest[i+1:]
@@ -236,11 +236,11 @@
 		out.load = parseLoad(rest)
 	case redcon.String:
 		if string(r.Data) == "PONG" {
-			out.outcome, out.keep = policy.Done, true
+			out.outcome, out.keep = policy.Succeeded, true
 		}
 	case redcon.Bulk:
 		if r.Data != nil {
-			out.outcome, out.keep, out.load = policy.Done, true, parseLoad(string(r.Data))
+			out.outcome, out.keep, out.load = policy.Succeeded, true, parseLoad(string(r.Data))
 		}
 	case redcon.Array: // the value, the figures on use, the load report: the latter may be unreadable
 		if r.Count != 3 {
@@ -250,7 +250,7 @@
 		r.ForEach(func(e redcon.RESP) bool {
 			switch {
 			case i == 0 && e.Type == redcon.Bulk && e.Data != nil:
-				out.outcome, out.keep, out.value = policy.Done, true, append(make([]byte, 0, len(e.Data)), e.Data...)
+				out.outcome, out.keep, out.value = policy.Succeeded, true, append(make([]byte, 0, len(e.Data)), e.Data...)
 			case i == 1 && e.Type == redcon.Bulk:
 				out.settled = parseLoad(string(e.Data))["cost"]
 			case i == 2 && e.Type == redcon.Bulk:
@@ -265,8 +265,8 @@
 
 // parseLoad reads a load report such as inflight=7,queue=2; nil if it is none. One spoilt figure spoils it all: the
 // module averages what it is told, and would not forget a figure that is no number.
-func parseLoad(s string) policy.Load {
-	load := policy.Load{}
+func parseLoad(s string) policy.LoadReport {
+	load := policy.LoadReport{}
 	for pair := range strings.SplitSeq(s, ",") {
 		k, v, _ := strings.Cut(pair, "=")
 		x, err := strconv.ParseFloat(v, 64)
@@ -298,7 +298,7 @@
 	// may take: the module counts on a send being written at about its time.
 	g.after(g.net.ConnectTimeout, func() {
 		if g.unwait(a) {
-			g.end(a, policy.NoConnect, reply{})
+			g.end(a, policy.ConnectFailed, reply{})
 		}
 	})
 }
@@ -330,7 +330,7 @@
 	default: // the connection has it in hand, and drops it
 	}
 	c.cur = nil
-	g.end(a, policy.Moot, reply{})
+	g.end(a, policy.NotSent, reply{})
 	g.free(c)
 }
 
@@ -353,7 +353,7 @@
 // free takes a connection that has nothing to do: for the first that waits, or to the idle ones.
 func (g *Gateway) free(c *conn) {
 	be := c.be
-	if c.down || c.addr != be.addr || be.State == policy.Gone || !c.quiet() {
+	if c.down || c.addr != be.addr || be.State == policy.Removed || !c.quiet() {
 		c.nc.Close()
 		return
 	}
@@ -362,8 +362,8 @@
 		be.waiting = be.waiting[1:]
 		// Much may have changed since the attempt began to wait: a drain counts from when it is told, and a request may
 		// be over.
-		if be.State != policy.Running { // a probe's too
-			g.end(a, policy.Moot, reply{})
+		if be.State != policy.Serving { // a probe's too
+			g.end(a, policy.NotSent, reply{})
 			continue
 		}
 		if !g.begins(a) {
@@ -392,7 +392,7 @@
 // reset, and may not be sent again.
 func (g *Gateway) retireIdle() {
 	for _, be := range g.backends {
-		for len(be.idle) > 0 && (be.State != policy.Running || be.idle[0].addr != be.addr ||
+		for len(be.idle) > 0 && (be.State != policy.Serving || be.idle[0].addr != be.addr ||
 			g.now-be.idle[0].since > g.net.Idle*2/3) {
 			g.closeIdle(be)
 		}
@@ -426,7 +426,7 @@
 	case a.ended || a.why != still:
 	case a.conn == nil:
 		g.unwait(a)
-		g.end(a, policy.Moot, reply{})
+		g.end(a, policy.NotSent, reply{})
 	default:
 		a.why = why
 		a.conn.nc.Close()
@@ -489,13 +489,13 @@
 		if len(be.waiting) > be.dialing+be.resting { // else one that was freed has taken this one's attempt
 			a = be.waiting[0]
 			be.waiting = be.waiting[1:]
-			g.end(a, policy.NoConnect, reply{})
+			g.end(a, policy.ConnectFailed, reply{})
 		}
 	case a == nil:
 	case ev.c.whole.Load() != a && a.why != still:
-		g.end(a, policy.Moot, reply{})
+		g.end(a, policy.NotSent, reply{})
 	case ev.c.whole.Load() != a:
-		g.end(a, policy.NoConnect, reply{})
+		g.end(a, policy.ConnectFailed, reply{})
 	case a.why != still:
 		g.end(a, a.why, reply{})
 	default:
@@ -508,7 +508,7 @@
 
 // drop forgets a backend that is gone for good once nothing is out or open there: ids are ever new.
 func (g *Gateway) drop(be *backend) {
-	if be.State == policy.Gone && be.conns == 0 && len(be.waiting) == 0 && g.backends[be.ID] == be {
+	if be.State == policy.Removed && be.conns == 0 && len(be.waiting) == 0 && g.backends[be.ID] == be {
 		delete(g.backends, be.ID)
 	}
 }
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -132,7 +132,7 @@
 	f := fleetOf(be.addr)
 	f.All, f.Targets[0].State = false, "DRAINING"
 	g.fleet(f)
-	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.Moot || len(g.queue) != 2 {
+	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.queue) != 2 {
 		t.Fatalf("told %v, want the list and then a moot end", g.queue)
 	}
 	g.connUp(up)
@@ -150,7 +150,7 @@
 	g.giveUp(a, policy.Cancelled)
 	up := (<-g.events).(connUp)
 	g.connUp(up)
-	if ev := g.queue[0].(policy.AttemptEnded); ev.Outcome != policy.Moot || up.c.cur != nil || len(g.queue) != 1 {
+	if ev := g.queue[0].(policy.AttemptEnded); ev.Outcome != policy.NotSent || up.c.cur != nil || len(g.queue) != 1 {
 		t.Fatalf("told %v, want one moot end", g.queue)
 	}
 }
@@ -182,7 +182,7 @@
 	g.place(a)
 	up := (<-g.events).(connUp)
 	up.c.cur = a
-	g.handle(replied{up.c, nil, reply{outcome: policy.Done, value: []byte("x"), keep: true}})
+	g.handle(replied{up.c, nil, reply{outcome: policy.Succeeded, value: []byte("x"), keep: true}})
 	if a.ended {
 		t.Fatal("served with another's answer")
 	}
@@ -193,22 +193,22 @@
 }
 
 func TestParseReply(t *testing.T) {
-	load := policy.Load{"qps": 7}
+	load := policy.LoadReport{"qps": 7}
 	for in, want := range map[string]reply{
-		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Done, value: []byte("x"), load: load, keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Done, value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Done, value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Done, value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, value: []byte("x"), load: load, keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, value: []byte("x"), keep: true},
 		"*2\r\n$1\r\nx\r\n$-1\r\n":                        {outcome: policy.Failed},
 		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                      {outcome: policy.Failed},
 		"-ERR failed\r\n":                                 {outcome: policy.Failed, keep: true},
 		"-ERR failed qps=7\r\n":                           {outcome: policy.Failed, load: load, keep: true},
-		"-BUSY qps=7\r\n":                                 {outcome: policy.Full, load: load, keep: true},
+		"-BUSY qps=7\r\n":                                 {outcome: policy.Rejected, load: load, keep: true},
 		"-BUSYBODY\r\n":                                   {outcome: policy.Failed},
 		"-SYNTAX\r\n":                                     {outcome: policy.Failed},
-		"+PONG\r\n":                                       {outcome: policy.Done, keep: true},
+		"+PONG\r\n":                                       {outcome: policy.Succeeded, keep: true},
 		"+OK\r\n":                                         {outcome: policy.Failed},
-		"$6\r\nqps=-1\r\n":                                {outcome: policy.Done, keep: true},
+		"$6\r\nqps=-1\r\n":                                {outcome: policy.Succeeded, keep: true},
 	} {
 		if got := parseReply([]byte(in)); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", in, got, want)
@@ -266,7 +266,7 @@
 	up := (<-g.events).(connUp)
 	g.handle(up)
 	g.place(second)
-	g.handle(replied{up.c, first, reply{outcome: policy.Done, keep: true}})
+	g.handle(replied{up.c, first, reply{outcome: policy.Succeeded, keep: true}})
 	g.now += restTime
 	g.ring()
 	for second.conn == nil {
@@ -318,7 +318,7 @@
 	}
 }
 
-func waitingAttempt(g *Gateway, id policy.ServerID) *attempt {
+func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
 	return &attempt{req: &request{args: [][]byte{nil, nil, nil, nil}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
 }
 
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -207,7 +207,7 @@
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
 	arrive := func(key uint64) *request {
 		r := &request{key: key, size: g.mostHeld - 1000, slot: &slot{c: c}, args: make([][]byte, 4)}
-		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
+		r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
 		g.handle(arrived{r})
 		return r
 	}
--- a/internal/ingress/counter.go
+++ b/internal/ingress/counter.go
@@ -106,7 +106,7 @@
 	d := net.Dialer{Timeout: l.timeout}
 	nc, err := d.DialContext(ctx, "tcp", l.addr)
 	if err != nil {
-		l.post(counted{call: first, outcome: policy.NoConnect})
+		l.post(counted{call: first, outcome: policy.ConnectFailed})
 		return
 	}
 	pending, broken, idle := make(chan *call, counterQueue), make(chan struct{}), make(chan struct{}, 1)
@@ -176,12 +176,12 @@
 		k := <-pending
 		o := policy.Reset
 		if k.short {
-			o = policy.NoConnect
+			o = policy.ConnectFailed
 		}
 		l.post(counted{call: k, outcome: o})
 	}
 	for _, k := range batch { // read from the queue, never written
-		l.post(counted{call: k, outcome: policy.NoConnect})
+		l.post(counted{call: k, outcome: policy.ConnectFailed})
 	}
 }
 
@@ -241,12 +241,12 @@
 	s = strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r")
 	switch total, ok := strings.CutPrefix(s, "ok "); {
 	case s == "busy":
-		return policy.Full, 0
+		return policy.Rejected, 0
 	case s == "error": // no such call: nothing was added
-		return policy.Moot, 0
+		return policy.NotSent, 0
 	case ok:
 		if t, err := strconv.ParseFloat(total, 64); err == nil && math.Abs(t) <= mostTotal {
-			return policy.Done, t
+			return policy.Succeeded, t
 		}
 	}
 	return policy.Failed, 0
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	})
-	for i, want := range []policy.Outcome{policy.Done, policy.Full, policy.Moot, policy.Reset} {
+	for i, want := range []policy.Outcome{policy.Succeeded, policy.Rejected, policy.NotSent, policy.Reset} {
 		k := &call{name: "a", add: -2.5, keep: 4 * time.Second}
 		l.calls <- k
 		ev := (<-events).(counted)
@@ -91,7 +91,7 @@
 			}
 		}
 		l.calls <- &call{name: "c"}
-		if ev := (<-events).(counted); ev.outcome != policy.Done || ev.total != 4 {
+		if ev := (<-events).(counted); ev.outcome != policy.Succeeded || ev.total != 4 {
 			t.Fatalf("%.9q: then outcome %v, total %v", spoilt, ev.outcome, ev.total)
 		}
 	}
@@ -139,7 +139,7 @@
 	events := make(chan event, 1)
 	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *call, 1), moves: newLatest(), post: func(e event) { events <- e }}
 	l.serve(context.Background(), &call{name: "a"})
-	if ev := (<-events).(counted); ev.outcome != policy.NoConnect {
+	if ev := (<-events).(counted); ev.outcome != policy.ConnectFailed {
 		t.Fatalf("outcome %v", ev.outcome)
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	k := &call{name: "a"}
 	g.counted(counted{call: k, outcome: policy.TimedOut})
-	g.counted(counted{call: k, outcome: policy.Done, total: 7})
-	if len(g.queue) != 1 || g.queue[0].(policy.CountReply).Outcome != policy.TimedOut {
+	g.counted(counted{call: k, outcome: policy.Succeeded, total: 7})
+	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
 		t.Fatalf("told: %v", g.queue)
 	}
 }
@@ -163,10 +163,10 @@
 	for name, c := range map[string]struct {
 		state int32
 		want  policy.Outcome
-	}{"unwritten": {callQueued, policy.NoConnect}, "written": {callWritten, policy.TimedOut}} {
+	}{"unwritten": {callQueued, policy.ConnectFailed}, "written": {callWritten, policy.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
 			g := idleGateway(t, "127.0.0.1:1")
-			g.count(policy.Count{Name: "a", Add: 1})
+			g.count(policy.IncrementCounter{Name: "a", Add: 1})
 			for _, l := range g.counter.links {
 				for len(l.calls) > 0 {
 					(<-l.calls).state.Store(c.state)
@@ -176,7 +176,7 @@
 			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
 				heap.Pop(&g.alarms).(alarm).ring()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(policy.CountReply); !ok || ev.Outcome != c.want {
+			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
 				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
 			}
 		})
@@ -208,7 +208,7 @@
 	l.calls <- &call{name: "a"}
 	close(answer)
 	for want := 1.0; want <= 2; want++ {
-		if ev := (<-events).(counted); ev.outcome != policy.Done || ev.total != want {
+		if ev := (<-events).(counted); ev.outcome != policy.Succeeded || ev.total != want {
 			t.Fatalf("outcome %v, total %v; want %v", ev.outcome, ev.total, want)
 		}
 	}
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -341,7 +341,7 @@
 			run(t, g)
 			c := newClient(newFront(nil, g, 1, 1<<20), nil)
 			r := &request{key: 1, slot: &slot{c: c}, args: make([][]byte, 4), size: 7}
-			r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
+			r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
 			g.handle(arrived{r})
 			if len(r.attempts) != 1 {
 				t.Fatal("no attempt waits for a connection")
@@ -382,7 +382,7 @@
 	list := fleetOf(be.addr)
 	cfg := testConfig(registry(t, list, nil), list)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 200 * time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective = 200 * time.Millisecond
 		cfg.Settings.Classes[i].Deadline = 400 * time.Millisecond
 	}
 	addr, stop := startIngress(t, cfg)
@@ -434,7 +434,7 @@
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
 	arrive := func(key uint64) *request {
 		r := &request{key: key, slot: &slot{c: c}, args: make([][]byte, 4)}
-		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
+		r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
 		g.handle(arrived{r})
 		return r
 	}
@@ -442,8 +442,8 @@
 	waits := first.attempts // for a connection
 	by := g.now + time.Second
 	g.handle(ending{by})
-	if second := arrive(2); second.final || second.GiveUpAt != by {
-		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.GiveUpAt, by)
+	if second := arrive(2); second.final || second.Deadline != by {
+		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
 	}
 	g.now = by
 	g.ring()
@@ -474,7 +474,7 @@
 	g.place(a)
 	g.handle(<-g.events)
 	a.req.final = true
-	g.handle(replied{a.conn, a, reply{outcome: policy.Done, value: []byte("x"), keep: true}})
+	g.handle(replied{a.conn, a, reply{outcome: policy.Succeeded, value: []byte("x"), keep: true}})
 	g.now += 10 * time.Millisecond
 	if g.ring(); len(a.be.idle) != 0 {
 		t.Fatal("free again at once")
@@ -597,7 +597,7 @@
 	run(t, g)
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
 	r := &request{key: 1, slot: &slot{c: c}, args: make([][]byte, 4)}
-	r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "write", "p", 1, 1, g.now+time.Minute
+	r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "write", "p", 1, 1, g.now+time.Minute
 	g.handle(arrived{r})
 	up := (<-g.events).(connUp) // told of only after the drain
 	f := fleetOf(a.addr, b.addr)
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -100,14 +100,14 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-func (t Target) server() policy.Server {
-	s := policy.Server{ID: policy.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
-		Started: time.Duration(t.BootMS) * time.Millisecond}
+func (t Target) server() policy.Endpoint {
+	s := policy.Endpoint{ID: policy.EndpointID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Capacity: t.Capacity,
+		StartedAt: time.Duration(t.BootMS) * time.Millisecond}
 	switch t.State {
 	case "SERVING":
-		s.State = policy.Running
+		s.State = policy.Serving
 	case stateGone:
-		s.State = policy.Gone
+		s.State = policy.Removed
 	}
 	return s
 }
@@ -130,7 +130,7 @@
 func newDiscovery(addr string, rev int64, p pace, post func(event), log *slog.Logger) *discovery {
 	return &discovery{url: listURL(addr), rev: rev, pace: p, moves: newLatest(), post: post, log: log,
 		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		known: newMembers(policy.Settings{Gateways: 1}, log), entry: func() {},
+		known: newMembers(policy.Settings{GatewayCount: 1}, log), entry: func() {},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxHeader},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
 		first: make(chan struct{})}
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -66,8 +66,8 @@
 		{80, true, 1, askEvery}, {300, true, 1, askEvery}} {
 		cfg := Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Sockets: 256,
 			Known: Fleet{Targets: make([]Target, c.known)},
-			Settings: policy.Settings{Gateways: c.ingresses, AskForFleet: c.asked,
-				Classes: []policy.Class{{Name: "read", Aim: time.Second, Deadline: 2 * time.Second}}}}
+			Settings: policy.Settings{GatewayCount: c.ingresses, PollEndpoints: c.asked,
+				Classes: []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}}
 		g, err := New(cfg, quiet)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -196,11 +196,11 @@
 
 func testConfig(disc string, known Fleet) Config {
 	return Config{Listen: "127.0.0.1:0", Discovery: disc, Sockets: 256, Known: known,
-		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+		Settings: policy.Settings{GatewayCount: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
-				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
-				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
-				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
+				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.Idempotent},
+				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.NonIdempotent},
+				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.IdempotencyKey}},
 			Plans: []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: wire.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -86,7 +86,7 @@
 	keys      map[uint64]bool // ids of requests whose time is not up, ended or not
 	lastID    policy.RequestID
 	endBy     time.Duration // of a shutdown; 0: none
-	backends  map[policy.ServerID]*backend
+	backends  map[policy.EndpointID]*backend
 	sharers   float64 // ingresses that share a backend, as last told
 	heldBytes int     // bytes of their commands
 	conns     int     // to backends
@@ -107,7 +107,7 @@
 	if cfg.Sockets < 128 {
 		return nil, fmt.Errorf("%d sockets are too few: 128 at least", cfg.Sockets)
 	}
-	if cfg.Settings.Counter && cfg.Counter == "" {
+	if cfg.Settings.SharedCounter && cfg.Counter == "" {
 		return nil, fmt.Errorf("the settings name a shared counter, the configuration has no address of it")
 	}
 	for _, addr := range []string{cfg.Listen, cfg.Discovery, cfg.Counter} {
@@ -124,7 +124,7 @@
 	if cfg.Connections.Idle <= 0 {
 		cfg.Connections.Idle = 15 * time.Second
 	}
-	if cfg.Settings.Counter && cfg.Settings.CounterTimeout <= 0 {
+	if cfg.Settings.SharedCounter && cfg.Settings.CounterTimeout <= 0 {
 		cfg.Settings.CounterTimeout = 100 * time.Millisecond
 	}
 	if cfg.Memory <= 0 {
@@ -138,7 +138,7 @@
 	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), ready: make(chan struct{}), start: start,
 		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
-		keys: map[uint64]bool{}, backends: map[policy.ServerID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
+		keys: map[uint64]bool{}, backends: map[policy.EndpointID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 		frames: newBudget(cfg.Memory / memoryShare), mostTries: max(cfg.Settings.MaxAttempts, 1),
 		turnedAway: busy(min(busyAdvice, cfg.Settings.MaxRetryAfter))}
@@ -151,12 +151,12 @@
 	g.listen = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
 	g.counter = newCounter(cfg.Counter, cfg.Settings.CounterTimeout, g.post)
 	g.disc = newDiscovery(cfg.Discovery, cfg.Known.Rev,
-		paceOf(cfg.Settings.AskForFleet, cfg.Settings.Gateways, len(cfg.Known.Targets) > 0), g.post, log)
+		paceOf(cfg.Settings.PollEndpoints, cfg.Settings.GatewayCount, len(cfg.Known.Targets) > 0), g.post, log)
 	g.disc.known = newMembers(cfg.Settings, log)
 	if cfg.Subset != nil {
 		g.disc.known.subset = cfg.Subset
 	}
-	g.disc.rng = rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Settings.Me)))
+	g.disc.rng = rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Settings.Index)))
 	return g, nil
 }
 
@@ -225,8 +225,8 @@
 	g.spawn(f.tidy)
 	g.addr = ln.Addr()
 	close(g.ready)
-	g.log.Info("serving", "listen", g.cfg.Listen, "ingresses", g.cfg.Settings.Gateways,
-		"backends known", known, "asks discovery", g.cfg.Settings.AskForFleet)
+	g.log.Info("serving", "listen", g.cfg.Listen, "ingresses", g.cfg.Settings.GatewayCount,
+		"backends known", known, "asks discovery", g.cfg.Settings.PollEndpoints)
 
 	<-ctx.Done()
 	g.log.Info("shutting down")
@@ -377,23 +377,23 @@
 		if r := g.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			g.giveUp(r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		g.refused(a)
 	case policy.Fail:
 		g.failed(a)
 	case policy.SetTimer:
 		g.after(a.After, func() { g.tell(policy.TimerFired{}) })
-	case policy.Count:
+	case policy.IncrementCounter:
 		g.count(a)
-	case policy.Probe:
-		g.probe(a.Server)
-	case policy.CloseIdle:
-		if be := g.backends[a.Server]; be != nil {
+	case policy.CheckHealth:
+		g.probe(a.Endpoint)
+	case policy.CloseIdleConnections:
+		if be := g.backends[a.Endpoint]; be != nil {
 			for len(be.idle) > 0 {
 				g.closeIdle(be)
 			}
 		}
-	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
 		g.tell(g.held())
 	case policy.Log:
 		g.log.Info(a.Text)
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -78,7 +78,7 @@
 		return errNoTime
 	case a.n >= g.mostTries:
 		return errTooMany
-	case a.be.State != policy.Running:
+	case a.be.State != policy.Serving:
 		return errNotRunning
 	}
 	return g.mayRepeat(a)
@@ -88,16 +88,16 @@
 func (g *Gateway) mayRepeat(a *attempt) error {
 	class := g.classes[a.req.Class]
 	for _, b := range a.req.attempts {
-		if b == a || b.ended && b.outcome.NeverRan() {
+		if b == a || b.ended && b.outcome.NotExecuted() {
 			continue
 		}
 		switch {
-		case !b.ended && !g.cfg.Settings.SecondCopies:
+		case !b.ended && !g.cfg.Settings.Hedging:
 			return errParallel
-		case class.Effect == policy.Safe:
-		case class.Effect == policy.Unsafe || !class.Group.Shares(a.be.Server, b.be.Server):
+		case class.Idempotency == policy.Idempotent:
+		case class.Idempotency == policy.NonIdempotent || !class.DeduplicationScope.Shares(a.be.Endpoint, b.be.Endpoint):
 			return errRepeat
-		case g.now+heldUpMost >= b.began+class.RepeatWindow:
+		case g.now+heldUpMost >= b.began+class.DeduplicationWindow:
 			return errWindow
 		}
 	}
@@ -127,7 +127,7 @@
 	if errors.Is(reason, errLeft) {
 		g.abandon(a.req)
 	}
-	g.end(a, policy.Moot, reply{})
+	g.end(a, policy.NotSent, reply{})
 	return false
 }
 
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -15,11 +15,11 @@
 func TestGuard(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", fleetOf("127.0.0.1:1", "127.0.0.1:2"))
-	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies = 3, true
-	cfg.Settings.Classes[2].RepeatWindow = window
-	cfg.Settings.Classes[2].Group = policy.GroupAll
+	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
+	cfg.Settings.Classes[2].DeduplicationWindow = window
+	cfg.Settings.Classes[2].DeduplicationScope = policy.ScopeAll
 	groups := append([]policy.Class{}, cfg.Settings.Classes...)
-	groups[2].Name, groups[2].Group = "cell", policy.GroupCell
+	groups[2].Name, groups[2].DeduplicationScope = "cell", policy.ScopeCell
 	cfg.Settings.Classes = append(cfg.Settings.Classes, groups[2])
 	g, err := New(cfg, quiet)
 	if err != nil {
@@ -45,17 +45,17 @@
 		"over":                        {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
 		"left":                        {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
 		"no time":                     {"read", func(_ *request, a *attempt) { a.stop = g.now }, nil, 0, errNoTime, false},
-		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Server: policy.Server{State: policy.Draining}} }, nil, 0, errNotRunning, false},
+		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Endpoint: policy.Endpoint{State: policy.Draining}} }, nil, 0, errNotRunning, false},
 		"too many":                    {"read", func(_ *request, a *attempt) { a.n = 3 }, nil, 0, errTooMany, true},
 		"a copy":                      {"read", nil, []past{out}, 0, nil, false},
 		"unsafe, out":                 {"write", nil, []past{out}, 0, errRepeat, true},
 		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
-		"unsafe, never ran":           {"write", nil, []past{ended(policy.Full), ended(policy.NoConnect)}, 0, nil, false},
+		"unsafe, never ran":           {"write", nil, []past{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
 		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
 		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errWindow, false},
 		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errWindow, false},
 		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
-		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.Moot)}, 0, nil, false},
+		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}
@@ -97,7 +97,7 @@
 	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
 	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
 	r.attempts = []*attempt{first, second}
-	if g.begins(second) || !second.ended || second.outcome != policy.Moot {
+	if g.begins(second) || !second.ended || second.outcome != policy.NotSent {
 		t.Fatal("a request that may have run is sent again")
 	}
 	if n := g.observe.violations.Value(ruleRepeat); n != 1 {
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -399,9 +399,9 @@
 		be := named(t, "a")
 		cfg := testConfig(registry(t, fleetOf(be.addr), nil), fleetOf(be.addr))
 		cfg.Counter = counter
-		cfg.Settings.Gateways, cfg.Settings.Counter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
+		cfg.Settings.GatewayCount, cfg.Settings.SharedCounter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
 		cfg.Settings.Plans = append(cfg.Settings.Plans,
-			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, ExcessCost: 1})
+			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, OverQuotaCost: 1})
 		addr, _ := startIngress(t, cfg)
 		nc, in := dial(t, addr)
 		io.WriteString(nc, ask(1, "c=read,t=sparse,d=50000,units=1,spread=60,first=0"))
--- a/internal/ingress/lists.go
+++ b/internal/ingress/lists.go
@@ -10,10 +10,10 @@
 	if !f.All && len(f.Targets) == 0 { // of backends that are not held
 		return
 	}
-	ev := policy.FleetChanged{Whole: f.All, Sharers: f.Sharers}
+	ev := policy.EndpointsChanged{Snapshot: f.All, GatewaysPerEndpoint: f.Sharers}
 	if f.All {
 		for _, be := range g.backends {
-			be.State = policy.Gone
+			be.State = policy.Removed
 			be.noteState(g.now)
 		}
 	}
@@ -24,20 +24,20 @@
 			be = &backend{}
 			g.backends[s.ID] = be
 		}
-		be.Server = s
+		be.Endpoint = s
 		be.noteState(g.now)
-		if s.State != policy.Gone {
+		if s.State != policy.Removed {
 			be.addr = t.Endpoint
 		}
-		ev.Servers = append(ev.Servers, s)
+		ev.Endpoints = append(ev.Endpoints, s)
 	}
 	g.retireIdle()
 	g.tell(ev)
 	for _, be := range g.backends {
-		for be.State != policy.Running && len(be.waiting) > 0 { // nothing new goes there, so these go elsewhere now
+		for be.State != policy.Serving && len(be.waiting) > 0 { // nothing new goes there, so these go elsewhere now
 			a := be.waiting[0]
 			be.waiting = be.waiting[1:]
-			g.end(a, policy.Moot, reply{})
+			g.end(a, policy.NotSent, reply{})
 		}
 		g.drop(be)
 	}
@@ -45,21 +45,21 @@
 
 // held is the list as it stands.
 func (g *Gateway) held() policy.Event {
-	ev := policy.FleetChanged{Whole: true, Sharers: g.sharers}
+	ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.sharers}
 	for _, be := range g.backends {
-		if be.State != policy.Gone {
-			ev.Servers = append(ev.Servers, be.Server)
+		if be.State != policy.Removed {
+			ev.Endpoints = append(ev.Endpoints, be.Endpoint)
 		}
 	}
 	return ev
 }
 
-func (g *Gateway) count(a policy.Count) {
+func (g *Gateway) count(a policy.IncrementCounter) {
 	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
 	g.counter.add(k)
 	g.after(g.cfg.Settings.CounterTimeout, func() {
 		if k.state.CompareAndSwap(callQueued, callDropped) {
-			g.counted(counted{call: k, outcome: policy.NoConnect}) // never written, and never will be
+			g.counted(counted{call: k, outcome: policy.ConnectFailed}) // never written, and never will be
 			return
 		}
 		g.counted(counted{call: k, outcome: policy.TimedOut})
@@ -72,5 +72,5 @@
 		return
 	}
 	ev.call.ended = true
-	g.tell(policy.CountReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
+	g.tell(policy.CounterReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
 }
--- a/internal/ingress/members.go
+++ b/internal/ingress/members.go
@@ -29,7 +29,7 @@
 }
 
 func newMembers(set policy.Settings, log *slog.Logger) *members {
-	kept := subset.New(subset.Config{Me: set.Me, Gateways: set.Gateways, Zone: set.Zone, CrossZonePrice: set.CrossZonePrice,
+	kept := subset.New(subset.Config{Me: set.Index, Gateways: set.GatewayCount, Zone: set.Zone, CrossZonePrice: set.CrossZonePrice,
 		Most: subsetMost, Limit: subsetLimit})
 	return &members{subset: kept, zone: set.Zone, held: map[string]bool{}, log: log}
 }
--- a/internal/ingress/members_test.go
+++ b/internal/ingress/members_test.go
@@ -13,7 +13,7 @@
 )
 
 // atSize are the settings of one ingress of a fleet of the size that is coming.
-func atSize() policy.Settings { return policy.Settings{Me: 4711, Gateways: 6400, Zone: "z3"} }
+func atSize() policy.Settings { return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"} }
 
 // entryAt is the i-th backend of a long list in nine zones.
 func entryAt(i int, state string) Target {
@@ -68,18 +68,18 @@
 	f := fleetOf("127.0.0.1:9")
 	f.Sharers = 30
 	g.handle(f)
-	if ev := g.held().(policy.FleetChanged); ev.Sharers != 30 {
-		t.Errorf("shared by %v, told 30", ev.Sharers)
+	if ev := g.held().(policy.EndpointsChanged); ev.GatewaysPerEndpoint != 30 {
+		t.Errorf("shared by %v, told 30", ev.GatewaysPerEndpoint)
 	}
 }
 
 // A short list is held whole by every ingress, and all share it.
 func TestShortListIsHeldWhole(t *testing.T) {
-	for _, set := range []policy.Settings{atSize(), {Gateways: 1}, {Me: 299, Gateways: 300, Zone: "z0"}} {
+	for _, set := range []policy.Settings{atSize(), {GatewayCount: 1}, {Index: 299, GatewayCount: 300, Zone: "z0"}} {
 		m := newMembers(set, quiet)
 		_, f, err := m.read(json.NewDecoder(longObject(subsetMost)), func() {})
-		if f = m.apply(f); err != nil || len(f.Targets) != subsetMost || f.Sharers != float64(set.Gateways) {
-			t.Errorf("%d of %d: %d held, shared by %v, %v", set.Me, set.Gateways, len(f.Targets), f.Sharers, err)
+		if f = m.apply(f); err != nil || len(f.Targets) != subsetMost || f.Sharers != float64(set.GatewayCount) {
+			t.Errorf("%d of %d: %d held, shared by %v, %v", set.Index, set.GatewayCount, len(f.Targets), f.Sharers, err)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	go at.Serve(ln)
 	t.Cleanup(func() { at.Close() })
 	cfg := testConfig(ln.Addr().String(), Fleet{})
-	cfg.Settings.Me, cfg.Settings.Gateways = 4711, 6400
+	cfg.Settings.Index, cfg.Settings.GatewayCount = 4711, 6400
 	addr, _ := startIngress(t, cfg)
 	until(t, addr, "a")
 	b := named(t, "b")
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -89,7 +89,7 @@
 
 func newObserver(log *slog.Logger) *observer {
 	var outcomes []string
-	for o := range policy.Outcomes {
+	for o := range policy.OutcomeCount {
 		outcomes = append(outcomes, o.String())
 	}
 	return &observer{log: log, tracing: log.Enabled(context.Background(), slog.LevelDebug),
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -67,7 +67,7 @@
 			d, err = strconv.ParseUint(v, 10, 31)
 			r.dFrom, r.dTo = from+2, from+len(part)
 		case "r":
-			r.Again = v == "1"
+			r.IsRetry = v == "1"
 		case "k":
 			key = v
 		case "units":
@@ -91,24 +91,24 @@
 		return nil, errors.New("unknown class")
 	case !g.plans[r.Plan]:
 		return nil, errors.New("unknown plan")
-	case do == (class.Effect == policy.Safe):
+	case do == (class.Idempotency == policy.Idempotent):
 		return nil, errors.New("the class does not go with the command")
-	case class.Effect == policy.Keyed && (key == "" || len(key) > mostKey):
+	case class.Idempotency == policy.IdempotencyKey && (key == "" || len(key) > mostKey):
 		return nil, errors.New("field k is missing or too long")
 	case !seen["d"] || !seen["first"]:
 		return nil, errors.New("field d or first is missing")
-	case spread == 0 || spread > uint64(g.cfg.Settings.Gateways) || first >= uint64(g.cfg.Settings.Gateways):
+	case spread == 0 || spread > uint64(g.cfg.Settings.GatewayCount) || first >= uint64(g.cfg.Settings.GatewayCount):
 		return nil, errors.New("there is no such set of gateways")
 	case !(r.Units > 0) || r.Units > g.mostUnits:
 		return nil, errors.New("field units is missing or out of range")
 	}
 	// The module takes a customer's plan and set from the first request that names it, so only what can be true
 	// goes on. A client that says it will wait for ever is not believed.
-	r.Spread, r.First = int(spread), int(first)
+	r.GatewaySpan, r.FirstGateway = int(spread), int(first)
 	wait := min(time.Duration(d)*time.Millisecond, 2*class.Deadline)
 	r.readAt = g.clock(at)
 	r.until = r.readAt + wait
-	r.GiveUpAt = r.until - min(answerMargin, wait/4)
+	r.Deadline = r.until - min(answerMargin, wait/4)
 	for _, a := range args { // the buffer is the connection's
 		r.args = append(r.args, append(make([]byte, 0, len(a)), a...))
 		r.size += len(a)
--- a/internal/ingress/parts.go
+++ b/internal/ingress/parts.go
@@ -30,7 +30,7 @@
 // that Counted reads.
 func NewParts(cfg Config, post func(any), log *slog.Logger) *Parts {
 	tell := func(ev event) { post(ev) }
-	pace := paceOf(cfg.Settings.AskForFleet, cfg.Settings.Gateways, len(cfg.Known.Targets) > 0)
+	pace := paceOf(cfg.Settings.PollEndpoints, cfg.Settings.GatewayCount, len(cfg.Known.Targets) > 0)
 	p := &Parts{disc: newDiscovery(cfg.Discovery, cfg.Known.Rev, pace, tell, log),
 		counter: newCounter(cfg.Counter, cfg.Settings.CounterTimeout, tell)}
 	p.disc.known = newMembers(cfg.Settings, log)
@@ -54,35 +54,35 @@
 type Call struct{ call *call }
 
 // Count queues a call; Late has to be asked once the counter's time-out is over.
-func (p *Parts) Count(a policy.Count) Call {
+func (p *Parts) Count(a policy.IncrementCounter) Call {
 	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
 	p.counter.add(k)
 	return Call{k}
 }
 
 // Late is the module's reply for a call whose time is over, unless it has had one.
-func (c Call) Late() (policy.CountReply, bool) {
+func (c Call) Late() (policy.CounterReply, bool) {
 	if c.call.state.CompareAndSwap(callQueued, callDropped) {
-		return Counted(counted{call: c.call, outcome: policy.NoConnect})
+		return Counted(counted{call: c.call, outcome: policy.ConnectFailed})
 	}
 	return Counted(counted{call: c.call, outcome: policy.TimedOut})
 }
 
 // Counted is the module's reply, if the event is the counter's; a call has one, and only the owner of Parts asks.
-func Counted(ev any) (policy.CountReply, bool) {
+func Counted(ev any) (policy.CounterReply, bool) {
 	e, ok := ev.(counted)
 	if !ok || e.call.ended {
-		return policy.CountReply{}, false
+		return policy.CounterReply{}, false
 	}
 	e.call.ended = true
-	return policy.CountReply{Name: e.call.name, Outcome: e.outcome, Total: e.total}, true
+	return policy.CounterReply{Name: e.call.name, Outcome: e.outcome, Total: e.total}, true
 }
 
 // Changed is the list as the module's event.
-func (f Fleet) Changed() policy.FleetChanged {
-	ev := policy.FleetChanged{Whole: f.All, Sharers: f.Sharers, Servers: make([]policy.Server, len(f.Targets))}
+func (f Fleet) Changed() policy.EndpointsChanged {
+	ev := policy.EndpointsChanged{Snapshot: f.All, GatewaysPerEndpoint: f.Sharers, Endpoints: make([]policy.Endpoint, len(f.Targets))}
 	for i, t := range f.Targets {
-		ev.Servers[i] = t.server()
+		ev.Endpoints[i] = t.server()
 	}
 	return ev
 }
--- a/internal/ingress/ready_test.go
+++ b/internal/ingress/ready_test.go
@@ -82,7 +82,7 @@
 	for i := range n {
 		cfg := testConfig("127.0.0.1:1", known)
 		cfg.Seed = uint64(i)
-		cfg.Settings.Me, cfg.Settings.Gateways, cfg.Settings.AskForFleet = i, n, asked
+		cfg.Settings.Index, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, asked
 		g, err := New(cfg, quiet)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ingress/reply_test.go
+++ b/internal/ingress/reply_test.go
@@ -20,7 +20,7 @@
 		{"$-1\r\n", 0},
 	} {
 		rep := parseReply([]byte("*3\r\n$2\r\nok\r\n" + c.use + "$7\r\nqueue=2\r\n"))
-		if rep.outcome != policy.Done || string(rep.value) != "ok" || rep.load["queue"] != 2 || rep.settled != c.want {
+		if rep.outcome != policy.Succeeded || string(rep.value) != "ok" || rep.load["queue"] != 2 || rep.settled != c.want {
 			t.Errorf("use %q: outcome %v, value %q, load %v, settled %v; want %v settled",
 				c.use, rep.outcome, rep.value, rep.load, rep.settled, c.want)
 		}
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -31,20 +31,20 @@
 	g.requests[r.ID], g.keys[r.key] = r, true
 	g.heldBytes += r.size
 	if g.endBy > 0 {
-		r.GiveUpAt = min(r.GiveUpAt, g.endBy)
+		r.Deadline = min(r.Deadline, g.endBy)
 	}
-	if r.GiveUpAt <= g.now {
+	if r.Deadline <= g.now {
 		g.observe.requests.Add(requestsExpired)
 	}
 	g.tell(policy.Arrival{Request: r.Request})
-	g.at(r.GiveUpAt+overdue, func() {
+	g.at(r.Deadline+overdue, func() {
 		delete(g.keys, r.key)
 		g.cutOff(r)
 	})
 }
 
 // refused gives a refusal of the module.
-func (g *Gateway) refused(a policy.Refuse) {
+func (g *Gateway) refused(a policy.Reject) {
 	if r := g.requests[a.ID]; r != nil && !r.final {
 		g.observe.requestEnded(r, requestsRefused)
 		g.answer(r, busy(a.RetryAfter))
@@ -91,7 +91,7 @@
 		case a.ended:
 		case a.conn == nil:
 			g.unwait(a)
-			g.end(a, policy.Moot, reply{})
+			g.end(a, policy.NotSent, reply{})
 		case a.taken.CompareAndSwap(false, true):
 			g.takeBack(a)
 		}
@@ -105,7 +105,7 @@
 	}
 	r.final = true
 	g.observe.requestEnded(r, requestsAbandoned)
-	g.tell(policy.Abandoned{ID: r.ID})
+	g.tell(policy.ClientDisconnected{ID: r.ID})
 	g.unsend(r)
 	g.forget(r)
 }
@@ -121,7 +121,7 @@
 	if len(r.attempts) == 0 { // it never ran
 		text = g.turnedAway
 	}
-	g.tell(policy.Abandoned{ID: r.ID})
+	g.tell(policy.ClientDisconnected{ID: r.ID})
 	g.answer(r, text)
 }
 
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -76,7 +76,7 @@
 	return b.target(n/2*7%len(b.list), state)
 }
 
-func (b *Backends) of(id policy.ServerID) *modelled {
+func (b *Backends) of(id policy.EndpointID) *modelled {
 	i, err := strconv.Atoi(string(id[2:]))
 	if err != nil || i >= len(b.list) {
 		return nil
@@ -93,10 +93,10 @@
 }
 
 // begin says how an attempt will end, and after how long. One that works holds its place until finish.
-func (b *Backends) begin(id policy.ServerID, now time.Duration, rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
+func (b *Backends) begin(id policy.EndpointID, now time.Duration, rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
 	m := b.of(id)
 	if m == nil || m.gone.Load() {
-		return connectLimit, policy.AttemptEnded{Outcome: policy.NoConnect}
+		return connectLimit, policy.AttemptEnded{Outcome: policy.ConnectFailed}
 	}
 	m.sends.Add(1)
 	w := b.warmth(m, now)
@@ -109,14 +109,14 @@
 	slots := max(1, b.slots*w)
 	if n > slots*(1+queueOfSlots) {
 		m.inFlight.Add(-1)
-		return turnedAwayAfter, policy.AttemptEnded{Outcome: policy.Full}
+		return turnedAwayAfter, policy.AttemptEnded{Outcome: policy.Rejected}
 	}
 	took := time.Duration(float64(b.work(rng)) * max(1, n/slots))
-	return took, policy.AttemptEnded{Outcome: policy.Done,
-		Load: policy.Load{"inflight": n, "queue": max(0, n-slots), "util": min(1, n/slots)}}
+	return took, policy.AttemptEnded{Outcome: policy.Succeeded,
+		LoadReport: policy.LoadReport{"inflight": n, "queue": max(0, n-slots), "util": min(1, n/slots)}}
 }
 
-func (b *Backends) finish(id policy.ServerID) {
+func (b *Backends) finish(id policy.EndpointID) {
 	if m := b.of(id); m != nil {
 		m.inFlight.Add(-1)
 	}
--- a/internal/scale/client.go
+++ b/internal/scale/client.go
@@ -72,7 +72,7 @@
 func (c *clients) command(q policy.Request) ([]byte, string) {
 	verb, id := "Q.ASK", fmt.Sprintf("%08x%08x", c.number, c.requests)
 	words := []string{q.Customer, id, fmt.Sprintf("c=%s,t=%s,d=%d,units=%v,spread=%d,first=%d", q.Class, q.Plan,
-		q.GiveUpAt.Milliseconds(), q.Units, q.Spread, q.First)}
+		q.Deadline.Milliseconds(), q.Units, q.GatewaySpan, q.FirstGateway)}
 	if q.Class == "order" {
 		verb, words = "Q.DO", append(words, "body")
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -61,8 +61,8 @@
 	queue    []policy.Event
 	actions  []policy.Action
 	tally    Tally
-	held     map[policy.ServerID]policy.Server // kept where the module asks for the list
-	kept     *ingress.Membership               // on a driven clock; live it is the client's
+	held     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
+	kept     *ingress.Membership                   // on a driven clock; live it is the client's
 	sharers  float64
 	log      []listed
 
@@ -81,7 +81,7 @@
 }
 
 type attempt struct {
-	server policy.ServerID
+	server policy.EndpointID
 	sent   time.Duration
 	holds  bool // a place at the backend
 	ended  bool
@@ -105,7 +105,7 @@
 	id    policy.RequestID
 	n     int // attempt
 	end   policy.AttemptEnded
-	reply policy.CountReply
+	reply policy.CounterReply
 	call  ingress.Call
 }
 
@@ -140,7 +140,7 @@
 	}
 	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
 		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
-		totals: map[string]float64{}, held: map[policy.ServerID]policy.Server{},
+		totals: map[string]float64{}, held: map[policy.EndpointID]policy.Endpoint{},
 		kept: ingress.NewMembership(set, slog.New(slog.DiscardHandler))}, nil
 }
 
@@ -206,7 +206,7 @@
 		if r := h.open[it.id]; r != nil && !r.final {
 			h.tally.Unanswered++
 			r.final = true
-			h.tell(policy.Abandoned{ID: it.id})
+			h.tell(policy.ClientDisconnected{ID: it.id})
 			h.forget(it.id, r)
 		}
 	case tick:
@@ -228,7 +228,7 @@
 	h.open[q.ID] = &request{arrived: due}
 	h.tally.Requests++
 	h.tell(policy.Arrival{Request: q})
-	heap.Push(&h.due, &item{at: q.GiveUpAt + overdue, what: giveUp, id: q.ID})
+	heap.Push(&h.due, &item{at: q.Deadline + overdue, what: giveUp, id: q.ID})
 }
 
 func (h *Hollow) tell(ev policy.Event) { h.queue = append(h.queue, ev) }
@@ -252,13 +252,13 @@
 	switch ev := ev.(type) {
 	case policy.Arrival:
 		return handleArrival
-	case policy.CountReply:
+	case policy.CounterReply:
 		return handleReply
 	case policy.TimerFired:
 		h.tally.Ticks++
 		return handleTick
-	case policy.FleetChanged:
-		if ev.Whole {
+	case policy.EndpointsChanged:
+		if ev.Snapshot {
 			h.tally.Lists++
 			return handleList
 		}
@@ -274,18 +274,18 @@
 		h.send(a)
 	case policy.Cancel:
 		h.end(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
-	case policy.Refuse:
+	case policy.Reject:
 		h.answer(a.ID, &h.tally.Refused)
 	case policy.Fail:
 		h.answer(a.ID, &h.tally.Failed)
 	case policy.SetTimer:
 		h.schedule(a.After, item{what: tick})
-	case policy.Count:
+	case policy.IncrementCounter:
 		h.call(a)
-	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
-		ev := policy.FleetChanged{Whole: true, Sharers: h.sharers}
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
+		ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.sharers}
 		for _, s := range h.held {
-			ev.Servers = append(ev.Servers, s)
+			ev.Endpoints = append(ev.Endpoints, s)
 		}
 		h.tell(ev)
 	}
@@ -300,11 +300,11 @@
 		h.rec.add(h.me, addedLatency, h.now-r.arrived+time.Since(h.began))
 	}
 	h.tally.Sends++
-	took, end := h.back.begin(a.Server, h.now, h.rng)
-	r.attempts = append(r.attempts, attempt{server: a.Server, sent: h.now, holds: end.Outcome == policy.Done})
+	took, end := h.back.begin(a.Endpoint, h.now, h.rng)
+	r.attempts = append(r.attempts, attempt{server: a.Endpoint, sent: h.now, holds: end.Outcome == policy.Succeeded})
 	r.out++
-	if a.StopAt > 0 && h.now+took > a.StopAt {
-		took, end = max(0, a.StopAt-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
+	if a.AttemptDeadline > 0 && h.now+took > a.AttemptDeadline {
+		took, end = max(0, a.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
 	h.schedule(took, item{what: attemptEnd, id: a.ID, n: len(r.attempts) - 1, end: end})
 }
@@ -321,11 +321,11 @@
 	if a.holds {
 		h.back.finish(a.server)
 	}
-	if ev.Outcome == policy.Done && !r.final {
+	if ev.Outcome == policy.Succeeded && !r.final {
 		r.final = true
 		h.tally.Served++
 	}
-	ev.ID, ev.Attempt, ev.Server, ev.Took, ev.Finished = id, n, a.server, h.now-a.sent, r.final
+	ev.ID, ev.Attempt, ev.Endpoint, ev.Latency, ev.RequestFinished = id, n, a.server, h.now-a.sent, r.final
 	h.tell(ev)
 	h.forget(id, r)
 }
@@ -344,7 +344,7 @@
 	}
 }
 
-func (h *Hollow) call(a policy.Count) {
+func (h *Hollow) call(a policy.IncrementCounter) {
 	h.tally.Calls++
 	if h.parts != nil {
 		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.Count(a)})
@@ -352,18 +352,18 @@
 	}
 	h.totals[a.Name] += a.Add
 	h.schedule(replyAfter, item{what: callReply,
-		reply: policy.CountReply{Name: a.Name, Outcome: policy.Done, Total: h.totals[a.Name]}})
+		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.totals[a.Name]}})
 }
 
 func (h *Hollow) fleet(f ingress.Fleet) {
 	ev := f.Changed()
 	h.sharers = f.Sharers
-	if h.set.AskForFleet {
-		if ev.Whole {
+	if h.set.PollEndpoints {
+		if ev.Snapshot {
 			clear(h.held)
 		}
-		for _, s := range ev.Servers {
-			if h.held[s.ID] = s; s.State == policy.Gone {
+		for _, s := range ev.Endpoints {
+			if h.held[s.ID] = s; s.State == policy.Removed {
 				delete(h.held, s.ID)
 			}
 		}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -177,11 +177,11 @@
 		}
 	}
 	set, err := s.parsed(3)
-	if err != nil || set.Me != 3 || set.Gateways != 7 || len(set.Plans) != len(plans) || !set.Counter || set.AskForFleet {
+	if err != nil || set.Index != 3 || set.GatewayCount != 7 || len(set.Plans) != len(plans) || !set.SharedCounter || set.PollEndpoints {
 		t.Errorf("settings %+v, %v", set, err)
 	}
 	s.Asked = true
-	if set, err = s.parsed(0); err != nil || !set.AskForFleet {
+	if set, err = s.parsed(0); err != nil || !set.PollEndpoints {
 		t.Errorf("asked: settings %+v, %v", set, err)
 	}
 }
@@ -273,10 +273,10 @@
 	b := NewBackends(2, 1, meanWork, false)
 	b.slots, b.work = 4, func(*rand.Rand) time.Duration { return meanWork }
 	rng := rand.New(rand.NewPCG(1, 1))
-	full := func(id policy.ServerID) (n int, last time.Duration) {
+	full := func(id policy.EndpointID) (n int, last time.Duration) {
 		for ; n < 1000; n++ {
 			took, end := b.begin(id, drivenStart, rng)
-			if end.Outcome == policy.Full {
+			if end.Outcome == policy.Rejected {
 				break
 			}
 			last = took
@@ -293,7 +293,7 @@
 		t.Errorf("a cold one holds %d, a warm one %d", cold, warm)
 	}
 	b.list[0].gone.Store(true)
-	if _, end := b.begin("s-000000", drivenStart, rng); end.Outcome != policy.NoConnect {
+	if _, end := b.begin("s-000000", drivenStart, rng); end.Outcome != policy.ConnectFailed {
 		t.Errorf("one that is gone: %v", end.Outcome)
 	}
 }
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -133,10 +133,10 @@
 // draw is a request of one of the tenants; plans have the share of the requests that they have of the tenants.
 func draw(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
 	t := tenants[rng.IntN(len(tenants))]
-	r := policy.Request{Class: "order", Plan: t.plan, Customer: t.id, Spread: t.spread, First: t.first,
-		Units: float64(1 + rng.IntN(maxUnits)), GiveUpAt: now + 2*time.Second}
+	r := policy.Request{Class: "order", Plan: t.plan, Customer: t.id, GatewaySpan: t.spread, FirstGateway: t.first,
+		Units: float64(1 + rng.IntN(maxUnits)), Deadline: now + 2*time.Second}
 	if rng.Float64() < lookupShare {
-		r.Class, r.GiveUpAt = "lookup", now+time.Second
+		r.Class, r.Deadline = "lookup", now+time.Second
 	}
 	return r
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -125,48 +125,48 @@
 	if err := f.check(); err != nil {
 		return nil, Connections{}, err
 	}
-	s := &policy.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
-		MaxUnits: f.FamilyInfo.MaxUnits, Counter: f.FamilyInfo.SharedCounter,
+	s := &policy.Settings{Index: f.Me, GatewayCount: f.Replicas, Zone: f.MyZone,
+		MaxUnits: f.FamilyInfo.MaxUnits, SharedCounter: f.FamilyInfo.SharedCounter,
 		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
-		MayCancel: f.Permissions.MayCancel, MayProbe: f.Permissions.Probing,
-		SecondCopies: f.Permissions.ParallelTries, AskForFleet: f.RegistryMode == "subscribe",
+		MayCancel: f.Permissions.MayCancel, MayCheckHealth: f.Permissions.Probing,
+		Hedging: f.Permissions.ParallelTries, PollEndpoints: f.RegistryMode == "subscribe",
 		CrossZonePrice: f.Prices.CrossZone, HandshakePrice: f.Prices.Handshake,
-		ConnIdle: us(f.Permissions.ConnIdleUs), ColdShare: f.Invariants.ColdFrom,
-		WarmAfter: us(f.Invariants.WarmAfterUs), FallMultiple: f.Invariants.FallMultiple,
-		FallSpan: us(f.Invariants.FallUs), DrainGrace: us(f.Invariants.DrainGraceUs)}
+		ConnectionIdleTimeout: us(f.Permissions.ConnIdleUs), SlowStartMinWeight: f.Invariants.ColdFrom,
+		SlowStartWindow: us(f.Invariants.WarmAfterUs), SlowStartBudgetMultiple: f.Invariants.FallMultiple,
+		SlowStartBudgetSpan: us(f.Invariants.FallUs), DrainGracePeriod: us(f.Invariants.DrainGraceUs)}
 	if f.Permissions.RetryAfter {
 		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
-			Deadline: us(c.DeadlineUs), LateShare: c.LateShare, Effect: effect(c.Effect), Group: group(c.Group),
-			RepeatWindow: us(c.WindowUs)})
+		s.Classes = append(s.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Value, LatencyObjective: us(c.ObjectiveUs),
+			Deadline: us(c.DeadlineUs), LateWeight: c.LateShare, Idempotency: effect(c.Effect), DeduplicationScope: group(c.Group),
+			DeduplicationWindow: us(c.WindowUs)})
 	}
 	for _, c := range f.Contracts {
 		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
-			Open: c.Concurrency, ExcessWorth: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
-			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
+			MaxConcurrency: c.Concurrency, OverQuotaWeight: c.ExcessWorth, OverQuotaCost: c.ExcessCost, CeilingRate: c.HardRate,
+			CeilingBurst: c.CapDepth, CeilingTolerance: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
 	}
 	return s, Connections{Idle: us(f.Permissions.ConnIdleUs),
 		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen}, nil
 }
 
-func effect(s string) policy.Effect {
+func effect(s string) policy.Idempotency {
 	switch s {
 	case "read_like":
-		return policy.Safe
+		return policy.Idempotent
 	case "idempotency_key":
-		return policy.Keyed
+		return policy.IdempotencyKey
 	}
-	return policy.Unsafe
+	return policy.NonIdempotent
 }
 
-func group(s string) policy.Group {
+func group(s string) policy.DeduplicationScope {
 	switch s {
 	case "all":
-		return policy.GroupAll
+		return policy.ScopeAll
 	case "zone":
-		return policy.GroupZone
+		return policy.ScopeZone
 	}
-	return policy.GroupCell
+	return policy.ScopeCell
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -132,23 +132,23 @@
 		m.Event = policy.StreamStarted{ID: p.id(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		p.need("call", "try", "backend", "stateCode")
-		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: policy.ServerID(p.f["backend"]),
-			Outcome: outcome(p.f["stateCode"]), Took: p.micros("lagUs"), Finished: p.bool("over"),
-			Settled: p.float("settled"), Load: p.load("metrics")}
+		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Endpoint: policy.EndpointID(p.f["backend"]),
+			Outcome: outcome(p.f["stateCode"]), Latency: p.micros("lagUs"), RequestFinished: p.bool("over"),
+			SettledUnits: p.float("settled"), LoadReport: p.load("metrics")}
 	case "DROPPED":
 		p.need("call")
-		m.Event = policy.Abandoned{ID: p.id()}
+		m.Event = policy.ClientDisconnected{ID: p.id()}
 	case "TICK_DUE":
 		m.Event = policy.TimerFired{}
 	case "PROBE_DONE":
 		p.need("backend", "stateCode")
-		m.Event = policy.ProbeEnded{Server: policy.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
-			Took: p.micros("lagUs"), Load: p.load("metrics")}
+		m.Event = policy.HealthCheckEnded{Endpoint: policy.EndpointID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
+			Latency: p.micros("lagUs"), LoadReport: p.load("metrics")}
 	case "INBOX":
-		m.Event = policy.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
+		m.Event = policy.GossipReceived{From: p.int("from"), Body: p.bytes("msg")}
 	case "COUNTER_REPLY":
 		p.need("counter", "stateCode")
-		m.Event = policy.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
+		m.Event = policy.CounterReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
 	default:
 		return m, false
 	}
@@ -163,16 +163,16 @@
 func arrival(p *parser) policy.Event {
 	p.need("call", "giveUpAtUs")
 	return policy.Arrival{Request: policy.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
-		Customer: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
-		Spread: p.int("width"), First: p.int("setFrom"),
-		Again: p.bool("againByClient")}}
+		Customer: p.f["holder"], Deadline: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
+		GatewaySpan: p.int("width"), FirstGateway: p.int("setFrom"),
+		IsRetry: p.bool("againByClient")}}
 }
 
 // fleet parses a list and the entry lines that follow it.
 func (r *Reader) fleet(p *parser) policy.Event {
 	p.need("form")
 	form := p.f["form"]
-	ev := policy.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
+	ev := policy.EndpointsChanged{Snapshot: form == "full" || form == "cached", Failed: form == "failed"}
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		s, err := r.next()
 		if err != nil {
@@ -186,20 +186,20 @@
 		}
 		e := parser{f: f}
 		e.need("backend")
-		ev.Servers = append(ev.Servers, policy.Server{ID: policy.ServerID(f["backend"]), Zone: f["az"],
-			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Size: e.float("scale"),
-			Started: e.micros("sinceUs")})
+		ev.Endpoints = append(ev.Endpoints, policy.Endpoint{ID: policy.EndpointID(f["backend"]), Zone: f["az"],
+			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Capacity: e.float("scale"),
+			StartedAt: e.micros("sinceUs")})
 		p.err = e.err
 	}
 	return ev
 }
 
-func state(s string) policy.ServerState {
+func state(s string) policy.EndpointState {
 	switch s {
 	case "on":
-		return policy.Running
+		return policy.Serving
 	case "off":
-		return policy.Gone
+		return policy.Removed
 	}
 	return policy.Draining
 }
@@ -207,19 +207,19 @@
 func outcome(s string) policy.Outcome {
 	switch s {
 	case "done":
-		return policy.Done
+		return policy.Succeeded
 	case "busy":
-		return policy.Full
+		return policy.Rejected
 	case "etimedout":
 		return policy.TimedOut
 	case "econnrefused":
-		return policy.NoConnect
+		return policy.ConnectFailed
 	case "econnreset":
 		return policy.Reset
 	case "ecanceled":
 		return policy.Cancelled
 	case "skipped":
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.Failed
 }
@@ -281,12 +281,12 @@
 	return n
 }
 
-func (p *parser) load(name string) policy.Load {
+func (p *parser) load(name string) policy.LoadReport {
 	v := p.f[name]
 	if v == "" || v == "-" {
 		return nil
 	}
-	load := policy.Load{}
+	load := policy.LoadReport{}
 	for _, pair := range strings.Split(v, ",") {
 		k, x, ok := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(x, 64)
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -36,14 +36,14 @@
 func AppendAction(b []byte, instance int, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Send:
-		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Server))
-		if a.StopAt > 0 {
-			l.micros("stopAtUs", a.StopAt)
+		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Endpoint))
+		if a.AttemptDeadline > 0 {
+			l.micros("stopAtUs", a.AttemptDeadline)
 		}
 		return l.end()
 	case policy.Cancel:
 		return newLine(b, "REVOKE", instance).num("call", float64(a.ID)).num("try", float64(a.Attempt)).end()
-	case policy.Refuse:
+	case policy.Reject:
 		l := newLine(b, "BUSY", instance).num("call", float64(a.ID))
 		if a.RetryAfter > 0 {
 			l.micros("retryInUs", a.RetryAfter)
@@ -53,11 +53,11 @@
 		return newLine(b, "DROP_REQUEST", instance).num("call", float64(a.ID)).end()
 	case policy.SetTimer:
 		return newLine(b, "TIMER", instance).micros("spanUs", a.After).text("ref", "t").end()
-	case policy.Probe:
-		return newLine(b, "TEST", instance).text("backend", string(a.Server)).end()
-	case policy.CloseIdle:
-		return newLine(b, "LET_GO", instance).text("backend", string(a.Server)).end()
-	case policy.Tell:
+	case policy.CheckHealth:
+		return newLine(b, "TEST", instance).text("backend", string(a.Endpoint)).end()
+	case policy.CloseIdleConnections:
+		return newLine(b, "LET_GO", instance).text("backend", string(a.Endpoint)).end()
+	case policy.Gossip:
 		dest := "all"
 		if a.To >= 0 {
 			dest = strconv.Itoa(a.To)
@@ -67,12 +67,12 @@
 			msg = base64.StdEncoding.EncodeToString(a.Body)
 		}
 		return newLine(b, "NOTIFY", instance).text("dest", dest).text("msg", msg).end()
-	case policy.Count:
+	case policy.IncrementCounter:
 		return newLine(b, "INCR", instance).text("counter", a.Name).num("add", a.Add).
 			micros("keepForUs", a.Keep).end()
-	case policy.Watch:
+	case policy.WatchEndpoints:
 		return newLine(b, "KEEP_INFORMED", instance).text("on", "1").end()
-	case policy.Fetch:
+	case policy.FetchEndpoints:
 		return newLine(b, "QUERY_ALL", instance).end()
 	case policy.Log:
 		return newLine(b, "EMIT", instance).text("text", oneLine(a.Text)).end()
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -10,34 +10,34 @@
 // server must not look worse than all the warm ones that stand idle.
 func TestColdServersShareTheWorkOfAThinFleet(t *testing.T) {
 	set := fleetSettings()
-	set.ColdShare, set.WarmAfter = 0.3, 18*time.Second
+	set.SlowStartMinWeight, set.SlowStartWindow = 0.3, 18*time.Second
 	sent := map[bool]int{}
 	for me := range 20 {
-		set.Me = me
+		set.Index = me
 		r := newRig(t, set)
-		var fleet []Server
+		var fleet []Endpoint
 		for i := range 20 {
-			fleet = append(fleet, Server{ID: ServerID(fmt.Sprintf("old%d", i)), State: Running})
+			fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprintf("old%d", i)), State: Serving})
 		}
-		r.tell(FleetChanged{Whole: true, Servers: fleet})
-		cold := map[ServerID]bool{}
+		r.tell(EndpointsChanged{Snapshot: true, Endpoints: fleet})
+		cold := map[EndpointID]bool{}
 		for step := range 300 { // 30 s
 			if step == 150 {
 				for i := range 20 {
-					id := ServerID(fmt.Sprintf("new%d", i))
+					id := EndpointID(fmt.Sprintf("new%d", i))
 					cold[id] = true
-					fleet = append(fleet, Server{ID: id, State: Running, Started: r.now})
+					fleet = append(fleet, Endpoint{ID: id, State: Serving, StartedAt: r.now})
 				}
-				r.tell(FleetChanged{Servers: fleet[20:]})
+				r.tell(EndpointsChanged{Endpoints: fleet[20:]})
 			}
 			r.now += 100 * ms
 			for _, s := range only[Send](r.tell(Arrival{Request{ID: RequestID(step + 1), Class: "read", Plan: "free",
-				Customer: "c", Units: 1, GiveUpAt: r.now + time.Second, Spread: 1}})) {
+				Customer: "c", Units: 1, Deadline: r.now + time.Second, GatewaySpan: 1}})) {
 				if step >= 150 {
-					sent[cold[s.Server]]++
+					sent[cold[s.Endpoint]]++
 				}
 				took := 20*ms + time.Duration(r.g.rng.Int64N(int64(80*ms)))
-				r.tell(AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: took, Finished: true})
+				r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: took, RequestFinished: true})
 			}
 		}
 	}
@@ -50,19 +50,19 @@
 func TestDearHandshakesKeepAGatewayWithItsServers(t *testing.T) {
 	used := func(price float64) int {
 		set := fleetSettings()
-		set.HandshakePrice, set.ConnIdle = price, 15*time.Second
-		var fleet []Server
+		set.HandshakePrice, set.ConnectionIdleTimeout = price, 15*time.Second
+		var fleet []Endpoint
 		for i := range 30 {
-			fleet = append(fleet, Server{ID: ServerID(fmt.Sprintf("s%d", i)), State: Running})
+			fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprintf("s%d", i)), State: Serving})
 		}
 		r := newRig(t, set, fleet...)
-		met := map[ServerID]bool{}
+		met := map[EndpointID]bool{}
 		for i := range 40 {
 			r.now += 200 * ms
 			for _, s := range only[Send](r.tell(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
-				Customer: "c", Units: 1, GiveUpAt: r.now + time.Second, Spread: 1}})) {
-				met[s.Server] = true
-				r.tell(AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: 50 * ms, Finished: true})
+				Customer: "c", Units: 1, Deadline: r.now + time.Second, GatewaySpan: 1}})) {
+				met[s.Endpoint] = true
+				r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms, RequestFinished: true})
 			}
 		}
 		return len(met)
@@ -76,17 +76,17 @@
 func TestLateAnswersCountWhereRequestsWait(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		load Load
+		load LoadReport
 		bad  int
 	}{
 		{"nothing told", nil, 1},
-		{"one waits", Load{"queue": 1}, 1},
-		{"none waits", Load{"queue": 0, "util": 0.9}, 0},
+		{"one waits", LoadReport{"queue": 1}, 1},
+		{"none waits", LoadReport{"queue": 0, "util": 0.9}, 0},
 	} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running})
-		r.g.judge(&attempt{s: r.g.servers["s"]}, r.g.classes["read"], Done, 400*ms, c.load)
-		if r.g.bad != c.bad {
-			t.Errorf("%s: %d counted as late, want %d", c.name, r.g.bad, c.bad)
+		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+		r.g.recordSample(&attempt{endpoint: r.g.endpoints["s"]}, r.g.classes["read"], Succeeded, 400*ms, c.load)
+		if r.g.lateSamples != c.bad {
+			t.Errorf("%s: %d counted as late, want %d", c.name, r.g.lateSamples, c.bad)
 		}
 	}
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -56,7 +56,7 @@
 
 // coldServer is a modelled server: some slots, a waiting room, and the least capacity that the settings promise.
 type coldServer struct {
-	Server
+	Endpoint
 	slots, busy int
 	waiting     []*work
 	ails        string
@@ -83,7 +83,7 @@
 	now     time.Duration
 	rigs    []*rig
 	share   []float64 // cumulative, of the traffic
-	servers map[ServerID]*coldServer
+	servers map[EndpointID]*coldServer
 	cold    []*coldServer
 	kept    map[*rig]*keptServers
 	due     map[time.Duration][]coldEvent
@@ -102,13 +102,13 @@
 
 func newColdDay(t *testing.T, c coldCell, seed uint64) *coldDay {
 	d := &coldDay{coldCell: c, t: t, set: settings(), rng: rand.New(rand.NewPCG(seed, 11)), seed: seed, now: time.Minute,
-		servers: map[ServerID]*coldServer{}, kept: map[*rig]*keptServers{}, due: map[time.Duration][]coldEvent{}, open: map[RequestID]*coldRequest{}}
+		servers: map[EndpointID]*coldServer{}, kept: map[*rig]*keptServers{}, due: map[time.Duration][]coldEvent{}, open: map[RequestID]*coldRequest{}}
 	for i := range d.set.Classes {
-		d.set.Classes[i].Aim = sweepsPerAim * coldStep
+		d.set.Classes[i].LatencyObjective = ticksPerObjective * coldStep
 	}
-	d.set.Gateways, d.set.FallMultiple = c.gateways, c.multiple
+	d.set.GatewayCount, d.set.SlowStartBudgetMultiple = c.gateways, c.multiple
 	for i := range c.servers {
-		d.add(ServerID(fmt.Sprintf("old%03d", i)), 0)
+		d.add(EndpointID(fmt.Sprintf("old%03d", i)), 0)
 	}
 	sum := 0.0
 	for i := range c.gateways {
@@ -125,7 +125,7 @@
 
 func (d *coldDay) gateway(me int) *rig {
 	set := d.set
-	set.Me = me
+	set.Index = me
 	d.seed += 1 << 20
 	g, err := New(set, d.seed+uint64(me))
 	if err != nil {
@@ -133,69 +133,69 @@
 	}
 	r := &rig{T: d.t, g: g, now: d.now}
 	if d.keeps > 0 {
-		d.kept[r] = newKeptServers(me, set.Gateways, d.keeps, d.coldCell.servers)
+		d.kept[r] = newKeptServers(me, set.GatewayCount, d.keeps, d.coldCell.servers)
 	}
-	d.tell(r, d.part(r, FleetChanged{Whole: true, Servers: d.list()}))
+	d.tell(r, d.part(r, EndpointsChanged{Snapshot: true, Endpoints: d.list()}))
 	return r
 }
 
 // keptServers reads a long list as a gateway does that keeps a subset.
 type keptServers struct {
 	*subset.Subset
-	ids map[ServerID]bool
+	ids map[EndpointID]bool
 }
 
 func newKeptServers(me, gateways, most, limit int) *keptServers {
 	c := subset.Config{Me: me, Gateways: gateways, Most: most, Limit: limit}
-	return &keptServers{subset.New(c), map[ServerID]bool{}}
+	return &keptServers{subset.New(c), map[EndpointID]bool{}}
 }
 
-func (k *keptServers) add(id ServerID) {
+func (k *keptServers) add(id EndpointID) {
 	if k.Holds(string(id), "") {
 		k.ids[id] = true
 	}
 	for k.Crowded(len(k.ids)) {
 		k.Narrow()
-		maps.DeleteFunc(k.ids, func(id ServerID, _ bool) bool { return !k.Holds(string(id), "") })
+		maps.DeleteFunc(k.ids, func(id EndpointID, _ bool) bool { return !k.Holds(string(id), "") })
 	}
 }
 
 // part is what a gateway keeps of a list or a change.
-func (d *coldDay) part(r *rig, ev FleetChanged) FleetChanged {
+func (d *coldDay) part(r *rig, ev EndpointsChanged) EndpointsChanged {
 	k := d.kept[r]
 	if k == nil {
 		return ev
 	}
-	if ev.Whole {
-		for _, s := range ev.Servers {
+	if ev.Snapshot {
+		for _, s := range ev.Endpoints {
 			k.add(s.ID)
 		}
 	}
-	ev.Servers = slices.DeleteFunc(slices.Clone(ev.Servers), func(s Server) bool { return !k.Holds(string(s.ID), "") })
-	ev.Sharers = k.Sharers(0, len(k.ids))
+	ev.Endpoints = slices.DeleteFunc(slices.Clone(ev.Endpoints), func(s Endpoint) bool { return !k.Holds(string(s.ID), "") })
+	ev.GatewaysPerEndpoint = k.Sharers(0, len(k.ids))
 	return ev
 }
 
-func (d *coldDay) add(id ServerID, started time.Duration) *coldServer {
-	s := &coldServer{Server: Server{ID: id, State: Running, Started: started}, slots: max(1, int(d.each/15))}
+func (d *coldDay) add(id EndpointID, started time.Duration) *coldServer {
+	s := &coldServer{Endpoint: Endpoint{ID: id, State: Serving, StartedAt: started}, slots: max(1, int(d.each/15))}
 	d.servers[id] = s
 	return s
 }
 
-func (d *coldDay) list() (out []Server) {
+func (d *coldDay) list() (out []Endpoint) {
 	for _, s := range d.servers {
-		out = append(out, s.Server)
+		out = append(out, s.Endpoint)
 	}
-	slices.SortFunc(out, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // warmth is the least share of its capacity that the settings promise of a server of that age.
 func (d *coldDay) warmth(s *coldServer, at time.Duration) float64 {
-	if s.Started == 0 {
+	if s.StartedAt == 0 {
 		return 1
 	}
-	return min(1, d.set.ColdShare+(1-d.set.ColdShare)*(at-s.Started).Seconds()/d.set.WarmAfter.Seconds())
+	return min(1, d.set.SlowStartMinWeight+(1-d.set.SlowStartMinWeight)*(at-s.StartedAt).Seconds()/d.set.SlowStartWindow.Seconds())
 }
 
 func (d *coldDay) tell(r *rig, ev Event) {
@@ -207,7 +207,7 @@
 		case Cancel:
 			w := d.open[act.ID].tries[act.Attempt]
 			d.end(w, Cancelled, d.now+coldStep, nil)
-		case Refuse:
+		case Reject:
 			d.open[act.ID].final = true
 		case Fail:
 			d.open[act.ID].final = true
@@ -222,29 +222,29 @@
 
 // send is an attempt's way to its server, which counts it whatever becomes of it.
 func (d *coldDay) send(r *rig, act Send) {
-	q, s := d.open[act.ID], d.servers[act.Server]
+	q, s := d.open[act.ID], d.servers[act.Endpoint]
 	w := &work{r: r, id: act.ID, attempt: len(q.tries), sent: d.now}
 	q.tries = append(q.tries, w)
 	if d.now >= time.Minute+coldBefore {
 		d.sent++
-		if s.Started > 0 {
+		if s.StartedAt > 0 {
 			d.fromNew++
 		}
 	}
-	if s.Started > 0 {
+	if s.StartedAt > 0 {
 		s.sends = append(s.sends, d.now)
 	}
 	stop := q.giveUp
-	if act.StopAt > 0 {
-		stop = min(stop, act.StopAt)
+	if act.AttemptDeadline > 0 {
+		stop = min(stop, act.AttemptDeadline)
 	}
 	d.after(stop, coldEvent{w: w})
 	switch {
 	case s.State == Draining:
-		d.end(w, Full, d.now+coldStep, nil)
+		d.end(w, Rejected, d.now+coldStep, nil)
 	case s.ails == "silent":
 	case s.ails == "full" || len(s.waiting) >= 4*s.slots:
-		d.end(w, Full, d.now+coldStep, Load{"queue": float64(len(s.waiting))})
+		d.end(w, Rejected, d.now+coldStep, LoadReport{"queue": float64(len(s.waiting))})
 	default:
 		s.waiting = append(s.waiting, w)
 		d.serve(s)
@@ -269,20 +269,20 @@
 }
 
 // end brings an attempt's end to its gateway, once.
-func (d *coldDay) end(w *work, o Outcome, at time.Duration, load Load) {
+func (d *coldDay) end(w *work, o Outcome, at time.Duration, load LoadReport) {
 	if w.over {
 		return
 	}
 	w.over = true
 	d.after(at, coldEvent{r: w.r, w: w,
-		ev: AttemptEnded{ID: w.id, Attempt: w.attempt, Outcome: o, Took: at - w.sent, Load: load}})
+		ev: AttemptEnded{ID: w.id, Attempt: w.attempt, Outcome: o, Latency: at - w.sent, LoadReport: load}})
 }
 
 func (d *coldDay) happen(e coldEvent) {
 	switch {
 	case e.s != nil && e.life == e.s.life: // its work is done
 		e.s.busy--
-		d.end(e.w, Done, d.now, Load{"queue": float64(len(e.s.waiting))})
+		d.end(e.w, Succeeded, d.now, LoadReport{"queue": float64(len(e.s.waiting))})
 		d.serve(e.s)
 	case e.s != nil:
 	case e.ev == nil: // its time is up
@@ -293,8 +293,8 @@
 		}
 		if ended, ok := e.ev.(AttemptEnded); ok {
 			q := d.open[ended.ID]
-			q.final = q.final || ended.Outcome == Done
-			ended.Finished = q.final
+			q.final = q.final || ended.Outcome == Succeeded
+			ended.RequestFinished = q.final
 			e.ev = ended
 		}
 		d.tell(e.r, e.ev)
@@ -307,40 +307,40 @@
 func (d *coldDay) start() {
 	m := d.coldCell.servers
 	n := map[string]int{"half": m / 2, "all": m, "few": m, "quarter": m, "same half": m / 2, "same all": m}[d.fresh]
-	var news []Server
+	var news []Endpoint
 	for i := range n {
-		old := d.servers[ServerID(fmt.Sprintf("old%03d", i))]
+		old := d.servers[EndpointID(fmt.Sprintf("old%03d", i))]
 		if strings.HasPrefix(d.fresh, "same") { // what it held is lost
 			for _, w := range old.waiting {
 				d.end(w, Reset, d.now+coldStep, nil)
 			}
-			old.life, old.busy, old.waiting, old.Started = old.life+1, 0, nil, d.now
+			old.life, old.busy, old.waiting, old.StartedAt = old.life+1, 0, nil, d.now
 			d.cold = append(d.cold, old)
 			continue
 		}
 		old.State = Draining
-		news = append(news, old.Server)
+		news = append(news, old.Endpoint)
 		if !(d.fresh == "few" && i%2 > 0 || d.fresh == "quarter" && i%4 > 0) {
-			d.cold = append(d.cold, d.add(ServerID(fmt.Sprintf("new%03d", i)), d.now))
+			d.cold = append(d.cold, d.add(EndpointID(fmt.Sprintf("new%03d", i)), d.now))
 		}
 	}
 	for i := range map[string]int{"one": 1, "plus": m}[d.fresh] {
-		d.cold = append(d.cold, d.add(ServerID(fmt.Sprintf("new%03d", i)), d.now))
+		d.cold = append(d.cold, d.add(EndpointID(fmt.Sprintf("new%03d", i)), d.now))
 	}
 	for _, s := range d.servers {
-		if s.Started == 0 && s.State == Running {
+		if s.StartedAt == 0 && s.State == Serving {
 			s.ails = d.lean
 		}
 	}
 	for _, s := range d.cold {
-		news = append(news, s.Server)
+		news = append(news, s.Endpoint)
 	}
 	for _, r := range d.rigs {
 		at := d.now + coldStep + time.Duration(d.rng.Int64N(int64(100*ms)))
 		if d.late {
 			at = d.now + time.Second + time.Duration(d.rng.Int64N(int64(4*time.Second)))
 		}
-		d.after(at, coldEvent{r: r, ev: d.part(r, FleetChanged{Servers: news})})
+		d.after(at, coldEvent{r: r, ev: d.part(r, EndpointsChanged{Endpoints: news})})
 	}
 }
 
@@ -382,7 +382,7 @@
 			d.open[d.asked] = q
 			class := []string{"read", "read", "read", "book", "pay"}[d.rng.IntN(5)]
 			d.tell(d.rigs[i], Arrival{Request{ID: d.asked, Class: class, Plan: "free", Customer: "c", Units: 1,
-				GiveUpAt: q.giveUp, Spread: d.gateways}})
+				Deadline: q.giveUp, GatewaySpan: d.gateways}})
 		}
 		for _, r := range d.rigs {
 			d.tell(r, TimerFired{})
@@ -392,7 +392,7 @@
 
 // fall is the span of sends to a cold server that is furthest over (or least under) what the settings allow.
 type fall struct {
-	server    ServerID
+	server    EndpointID
 	age       time.Duration // at the span's start
 	sends     int
 	allows, n float64 // the budget, and N
@@ -405,11 +405,11 @@
 	for _, s := range d.cold {
 		down := false
 		for i, from := range s.sends {
-			to, _ := slices.BinarySearch(s.sends, from+d.set.FallSpan)
-			n := d.set.FallMultiple * d.each * d.warmth(s, from) * d.set.FallSpan.Seconds()
+			to, _ := slices.BinarySearch(s.sends, from+d.set.SlowStartBudgetSpan)
+			n := d.set.SlowStartBudgetMultiple * d.each * d.warmth(s, from) * d.set.SlowStartBudgetSpan.Seconds()
 			allows := n + 2*math.Sqrt(n) + 2
 			if x := float64(to-i) - allows; x > over {
-				over, worst = x, fall{s.ID, from - s.Started, to - i, allows, n}
+				over, worst = x, fall{s.ID, from - s.StartedAt, to - i, allows, n}
 			}
 			down = down || float64(to-i) > allows
 		}
--- a/policy/fleetday_test.go
+++ b/policy/fleetday_test.go
@@ -89,7 +89,7 @@
 // holds says whether a try would be inside the quota.
 func (s *exactStore) holds(p Plan, units float64, now time.Duration) bool {
 	s.fill(p, now)
-	return (p.Rate <= 0 || s.level >= units) && (p.Open <= 0 || s.open < p.Open)
+	return (p.Rate <= 0 || s.level >= units) && (p.MaxConcurrency <= 0 || s.open < p.MaxConcurrency)
 }
 
 // begin counts a first attempt and says whether the try is inside.
@@ -168,7 +168,7 @@
 	events    fleetEvents
 	seq       int
 	set       Settings
-	servers   []Server
+	servers   []Endpoint
 	gateway   []*fleetGateway
 	customers []*fleetCustomer
 	totals    map[string]float64
@@ -217,16 +217,16 @@
 		d.rates, d.bursts = []float64{1, 5.5, 17}, []float64{8, 4.5, 2.1}
 	}
 	d.set = settings()
-	d.set.Gateways, d.set.MaxUnits, d.set.Counter = c.gateways, unitsAtOnce, !c.counter.absent
-	d.set.CounterTimeout, d.set.MaxRetryAfter, d.set.WarmAfter = 80*ms, 2*time.Second, 0
-	d.set.Classes = []Class{{Name: "read", Worth: 1, Aim: 600 * ms, Deadline: 2500 * ms, LateShare: 0.2, Effect: Safe}}
+	d.set.GatewayCount, d.set.MaxUnits, d.set.SharedCounter = c.gateways, unitsAtOnce, !c.counter.absent
+	d.set.CounterTimeout, d.set.MaxRetryAfter, d.set.SlowStartWindow = 80*ms, 2*time.Second, 0
+	d.set.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms, LateWeight: 0.2, Idempotency: Idempotent}}
 	d.set.Plans = nil
 	prices := []float64{0.9, 1.3, 1.6}
 	for i, rate := range d.rates {
 		p := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate, Burst: max(rate*d.bursts[i], 2*unitsAtOnce),
-			ExcessCost: c.cost, SettledByReply: true}
+			OverQuotaCost: c.cost, SettledByReply: true}
 		if c.limits != limitRate {
-			p.Open = max(2, int(math.Ceil(2*rate*fleetWork.Seconds()/fleetMeanUnits)))
+			p.MaxConcurrency = max(2, int(math.Ceil(2*rate*fleetWork.Seconds()/fleetMeanUnits)))
 		}
 		if c.limits == limitOpen {
 			p.Rate, p.Burst = 0, 0
@@ -234,7 +234,7 @@
 		d.set.Plans = append(d.set.Plans, p)
 	}
 	for i := range max(20, c.gateways*2/3) {
-		d.servers = append(d.servers, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+		d.servers = append(d.servers, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
 	d.now = time.Hour
 	for i := range c.gateways {
@@ -266,14 +266,14 @@
 // start begins a life of a gateway.
 func (d *fleetDay) start(i int) {
 	set := d.set
-	set.Me = i
+	set.Index = i
 	g, err := New(set, d.rng.Uint64())
 	if err != nil {
 		d.Fatal(err)
 	}
 	d.gateway[i].life++
 	d.gateway[i].g = g
-	d.tell(i, FleetChanged{Whole: true, Servers: d.servers})
+	d.tell(i, EndpointsChanged{Snapshot: true, Endpoints: d.servers})
 }
 
 // drawCustomers draws customers until they ask for what the gateways get.
@@ -363,7 +363,7 @@
 // askLate decides by the true state of stateLate ago, what was sent since counted in.
 func (d *fleetDay) askLate(c *fleetCustomer, units float64, work time.Duration, guessedLess float64) {
 	seen := c.late.seen(c.plan, d.now)
-	if c.plan.Rate > 0 && seen.level < units || c.plan.Open > 0 && seen.open >= c.plan.Open {
+	if c.plan.Rate > 0 && seen.level < units || c.plan.MaxConcurrency > 0 && seen.open >= c.plan.MaxConcurrency {
 		return
 	}
 	inside := c.late.begin(c.plan, units, d.now)
@@ -378,7 +378,7 @@
 	if inside {
 		b.inside += p.Price * units
 	} else {
-		b.excess += p.Price * units * p.ExcessCost
+		b.excess += p.Price * units * p.OverQuotaCost
 	}
 }
 
@@ -389,7 +389,7 @@
 	d.ours.tries++
 	c := try.customer
 	d.tell(try.gateway, Arrival{Request{ID: id, Class: "read", Plan: c.plan.Name, Customer: c.id, Units: try.units,
-		GiveUpAt: d.now + 2500*ms, Spread: c.spread, First: c.first, Again: try.tries > 0}})
+		Deadline: d.now + 2500*ms, GatewaySpan: c.spread, FirstGateway: c.first, IsRetry: try.tries > 0}})
 }
 
 // tell gives a gateway an event and carries out what it wants done.
@@ -411,9 +411,9 @@
 			d.send(act, later)
 		case Cancel:
 			d.open[act.ID].attempts[act.Attempt].end(Cancelled)
-		case Refuse:
+		case Reject:
 			d.refused(act)
-		case Count:
+		case IncrementCounter:
 			d.count(act, later)
 		}
 	}
@@ -439,22 +439,22 @@
 			return
 		}
 		attempt.ended = true
-		finished, guessedLess := o == Done && !try.answered, 0.0
+		finished, guessedLess := o == Succeeded && !try.answered, 0.0
 		if finished && try.attempts[0].inside && c.plan.Rate > 0 {
 			guessedLess = try.settled - try.units
 		}
 		try.answered = try.answered || finished
 		c.ours.end(d.now, guessedLess)
 		later(ms, func() Event {
-			return AttemptEnded{ID: act.ID, Attempt: number, Server: act.Server, Outcome: o, Took: work + ms,
-				Finished: finished, Settled: try.settled, Load: Load{"queue": 0}}
+			return AttemptEnded{ID: act.ID, Attempt: number, Endpoint: act.Endpoint, Outcome: o, Latency: work + ms,
+				RequestFinished: finished, SettledUnits: try.settled, LoadReport: LoadReport{"queue": 0}}
 		})
 	}
-	d.at(d.now+work, func() { attempt.end(Done) })
+	d.at(d.now+work, func() { attempt.end(Succeeded) })
 }
 
 // refused lets half of the clients come again, most of them to the same gateway.
-func (d *fleetDay) refused(act Refuse) {
+func (d *fleetDay) refused(act Reject) {
 	try := d.open[act.ID]
 	delete(d.open, act.ID)
 	c := try.customer
@@ -481,10 +481,10 @@
 }
 
 // count is the counter: one line of calls, served in order.
-func (d *fleetDay) count(act Count, later func(time.Duration, func() Event)) {
+func (d *fleetDay) count(act IncrementCounter, later func(time.Duration, func() Event)) {
 	d.ours.calls++
 	fail := func(after time.Duration, o Outcome) {
-		later(after, func() Event { return CountReply{Name: act.Name, Outcome: o} })
+		later(after, func() Event { return CounterReply{Name: act.Name, Outcome: o} })
 	}
 	since := d.now - time.Hour
 	if k := d.counter; k.silentFor > 0 && since >= k.silentFrom && since < k.silentFrom+k.silentFor {
@@ -497,7 +497,7 @@
 	part := &d.line[partOf(act.Name)]
 	each := time.Duration(counterParts * float64(time.Second) / (d.counter.callsPerRequest * d.rps * float64(d.gateways)))
 	if *part > d.now+160*ms {
-		fail(2*ms, Full)
+		fail(2*ms, Rejected)
 		return
 	}
 	*part = max(*part, d.now) + each
@@ -509,7 +509,7 @@
 		d.totals[act.Name] += act.Add
 		total := d.totals[act.Name]
 		if !late {
-			later(d.counter.delay, func() Event { return CountReply{Name: act.Name, Outcome: Done, Total: total} })
+			later(d.counter.delay, func() Event { return CounterReply{Name: act.Name, Outcome: Succeeded, Total: total} })
 		}
 	})
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -9,17 +9,17 @@
 const ms = time.Millisecond
 
 func settings() Settings {
-	return Settings{Me: 0, Gateways: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
-		MayCancel: true, SecondCopies: true, Counter: true, CounterTimeout: 50 * ms,
-		ColdShare: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 4, FallSpan: 3 * time.Second,
+	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+		MayCancel: true, Hedging: true, SharedCounter: true, CounterTimeout: 50 * ms,
+		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second, SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
 		Classes: []Class{
-			{Name: "read", Worth: 1, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Safe},
-			{Name: "book", Worth: 5, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Keyed, RepeatWindow: 4 * time.Second},
-			{Name: "pay", Worth: 5, Aim: 500 * ms, Deadline: 2 * time.Second},
+			{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: Idempotent},
+			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: IdempotencyKey, DeduplicationWindow: 4 * time.Second},
+			{Name: "pay", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second},
 		},
 		Plans: []Plan{{Name: "free", Price: 1}, {Name: "dear", Price: 2},
-			{Name: "small", Price: 1, Rate: 2, Burst: 8, ExcessCost: 0.5},
-			{Name: "capped", Price: 1, Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4}},
+			{Name: "small", Price: 1, Rate: 2, Burst: 8, OverQuotaCost: 0.5},
+			{Name: "capped", Price: 1, Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, CeilingTolerance: 4}},
 	}
 }
 
@@ -29,14 +29,14 @@
 	now time.Duration
 }
 
-func newRig(t *testing.T, set Settings, servers ...Server) *rig {
+func newRig(t *testing.T, set Settings, servers ...Endpoint) *rig {
 	t.Helper()
 	g, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{T: t, g: g, now: time.Minute}
-	r.tell(FleetChanged{Whole: true, Servers: servers})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: servers})
 	return r
 }
 
@@ -44,7 +44,7 @@
 
 func (r *rig) arrive(id RequestID, class, plan string) []Action {
 	return r.tell(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
-		GiveUpAt: r.now + 2*time.Second, Spread: 2}})
+		Deadline: r.now + 2*time.Second, GatewaySpan: 2}})
 }
 
 // pass lets time go by in sweeps.
@@ -66,19 +66,19 @@
 }
 
 func TestSendsAtOnceWhileTheWindowHasRoom(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	if got := only[Send](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Server != "s" {
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	if got := only[Send](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
 
 func TestFreedSlotTakesTheHighestWorth(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
 	r.arrive(3, "read", "free")
 	r.arrive(4, "read", "dear")
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Done, Took: 20 * ms, Finished: true}))
+	got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("sends %v, want request 4 first", got)
 	}
@@ -86,18 +86,18 @@
 
 func TestHeldWithLessTimeThanASweepIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, settings()) // no servers: nothing can leave
-	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + ms}})
-	if len(only[Refuse](got)) != 1 {
+	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + ms}})
+	if len(only[Reject](got)) != 1 {
 		t.Fatalf("actions %v, want a refusal", got)
 	}
 }
 
 func TestRefusedRequestsGiveNoUnitsBack(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
 		sent += len(only[Send](r.arrive(id, "read", "small")))
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if sent < 4 || sent > 8 {
 		t.Fatalf("sent %d of 59, the whole burst is 8", sent)
@@ -106,18 +106,18 @@
 
 // A server that restarts keeps what is still out to it, and survives that work's end.
 func TestRestartedServerKeepsItsOutstandingAttempts(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
-	before := len(r.g.servers["s"].out)
-	r.tell(FleetChanged{Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
-	if now := len(r.g.servers["s"].out); now != before || before == 0 {
+	before := len(r.g.endpoints["s"].inFlight)
+	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
+	if now := len(r.g.endpoints["s"].inFlight); now != before || before == 0 {
 		t.Fatalf("%d attempts out before the restart, %d after", before, now)
 	}
-	r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Reset})
-	r.tell(AttemptEnded{ID: 2, Server: "s", Outcome: Reset})
+	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
+	r.tell(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
 	r.pass(time.Second)
-	for _, a := range r.g.servers["s"].out {
+	for _, a := range r.g.endpoints["s"].inFlight {
 		if a == nil || a.ended {
 			t.Fatalf("out to the server: %v", a)
 		}
@@ -126,12 +126,12 @@
 
 // After a long silence of the counter its customers are not refused for what others took in the meantime.
 func TestCounterSilenceLeavesNoDebt(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	c := r.silence()
 	r.pass(20 * time.Second)
-	r.g.lease(c)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding + c.total + 30})
-	if room := r.g.room(c) + c.block; room < 1 {
+	r.g.renewLease(c)
+	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd + c.lastTotal + 30})
+	if room := r.g.availableTokens(c) + c.lease; room < 1 {
 		t.Fatalf("room %v after a silence in which others kept to their share", room)
 	}
 }
@@ -142,9 +142,9 @@
 	for {
 		id++
 		r.arrive(id, "read", "small")
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
-		if c := r.g.customers["c"]; c.calling {
-			r.tell(CountReply{Name: c.name(), Outcome: TimedOut})
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
+		if c := r.g.customers["c"]; c.callInFlight {
+			r.tell(CounterReply{Name: c.bucketName(), Outcome: TimedOut})
 			return c
 		}
 	}
@@ -155,18 +155,18 @@
 func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		set := settings()
-		set.Gateways = n
-		set.Plans = append(set.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, ExcessCost: 1})
+		set.GatewayCount = n
+		set.Plans = append(set.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, OverQuotaCost: 1})
 		totals, sent := map[string]float64{}, 0
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
-			set.Me = i % n
-			r := newRig(t, set, Server{ID: "s", State: Running})
+			set.Index = i % n
+			r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
-				GiveUpAt: r.now + time.Second, Spread: n}})
+				Deadline: r.now + time.Second, GatewaySpan: n}})
 			for k := 0; k < len(acts); k++ {
-				if c, ok := acts[k].(Count); ok {
+				if c, ok := acts[k].(IncrementCounter); ok {
 					totals[c.Name] += c.Add
-					acts = append(acts, r.tell(CountReply{Name: c.Name, Outcome: Done, Total: totals[c.Name]})...)
+					acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 				}
 			}
 			sent += len(only[Send](acts))
@@ -179,15 +179,15 @@
 
 // A counter that comes back empty tells nothing new, and gives no second burst.
 func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	c := r.g.customer(&request{Request: Request{Customer: "c", Spread: 2}, plan: r.g.plans["small"]})
-	c.block, c.owed, c.level = 0, 0, 0
-	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: 1000})
-	c.nextCall, c.level, c.block = 0, 0, 0
-	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding})
-	if room := r.g.room(c); room > 1 {
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	c := r.g.customerFor(&request{Request: Request{Customer: "c", GatewaySpan: 2}, plan: r.g.plans["small"]})
+	c.lease, c.unreported, c.estimatedTokens = 0, 0, 0
+	r.g.callForLease(c, 0)
+	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: 1000})
+	c.nextCallAt, c.estimatedTokens, c.lease = 0, 0, 0
+	r.g.callForLease(c, 0)
+	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd})
+	if room := r.g.availableTokens(c); room > 1 {
 		t.Fatalf("room %v after the counter lost its numbers", room)
 	}
 }
@@ -197,44 +197,44 @@
 func TestSpoiltTotalIsMadeGood(t *testing.T) {
 	set := settings()
 	totals := 0.0
-	r := newRig(t, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	id, spoilt := RequestID(0), true
 	for range 200 {
 		r.now += 50 * ms
 		id++
 		for acts := r.arrive(id, "read", "capped"); len(acts) > 0; {
 			var next []Action
-			for _, call := range only[Count](acts) {
+			for _, call := range only[IncrementCounter](acts) {
 				totals += call.Add
-				reply := CountReply{Name: call.Name, Outcome: Done, Total: totals}
+				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals}
 				if spoilt = !spoilt; spoilt {
 					reply.Outcome, reply.Total = Failed, 0
 				}
 				next = append(next, r.tell(reply)...)
 			}
 			for _, s := range only[Send](acts) {
-				next = append(next, r.tell(AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: ms, Finished: true})...)
+				next = append(next, r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
 			}
 			acts = next
 		}
 		c := r.g.customers["c"]
-		if c.silent || c.others > 1e-6 || math.Abs(c.total-totals) > 1e-6 {
-			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.silent, c.others, c.total, totals)
+		if c.counterSilent || c.remoteUsageRate > 1e-6 || math.Abs(c.lastTotal-totals) > 1e-6 {
+			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.counterSilent, c.remoteUsageRate, c.lastTotal, totals)
 		}
 	}
 }
 
 // Servers come under ever new ids: one that is gone is forgotten once nothing is out there.
 func TestGoneServerIsForgotten(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
-	r.tell(FleetChanged{Servers: []Server{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
-	if len(r.g.servers) != 2 {
+	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Removed}, {ID: "u", State: Serving}}})
+	if len(r.g.endpoints) != 2 {
 		t.Fatal("forgotten while an attempt is out")
 	}
-	r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Done, Took: ms, Finished: true})
-	r.tell(FleetChanged{Servers: []Server{{ID: "v", State: Running}}})
-	if r.g.servers["s"] != nil || len(r.g.fleet) != 2 {
-		t.Fatalf("servers %v, fleet %v", r.g.servers, r.g.fleet)
+	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: ms, RequestFinished: true})
+	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "v", State: Serving}}})
+	if r.g.endpoints["s"] != nil || len(r.g.serving) != 2 {
+		t.Fatalf("servers %v, fleet %v", r.g.endpoints, r.g.serving)
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -59,16 +59,16 @@
 	return []goldenScenario{
 		with("leases", func(*goldenScenario) {}),
 		with("hedging off", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.SecondCopies, set.MayCancel = false, false }
+			s.adjust = func(set *Settings) { set.Hedging, set.MayCancel = false, false }
 		}),
 		with("central buckets", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.Gateways = 60 }
+			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
 		}),
 		with("central buckets without counter", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.Gateways, set.Counter = 60, false }
+			s.adjust = func(set *Settings) { set.GatewayCount, set.SharedCounter = 60, false }
 		}),
 		with("counter slow and failing", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.Gateways = 60 }
+			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
 			s.counterDelay, s.counterFaults = 30*ms, 0.4
 		}),
 		with("overload", func(s *goldenScenario) { s.requestEvery, s.serverFaults, s.servers = 2*ms, 0.3, 6 }),
@@ -78,30 +78,30 @@
 		}),
 		with("long list", func(s *goldenScenario) { s.servers = 600 }),
 		with("asked list", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.AskForFleet, set.MayProbe = true, true }
+			s.adjust = func(set *Settings) { set.PollEndpoints, set.MayCheckHealth = true, true }
 			s.counterFaults, s.serverFaults = 0.2, 0.2
 		}),
 	}
 }
 
 func goldenSettings() Settings {
-	return Settings{Gateways: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
-		MayCancel: true, SecondCopies: true, Counter: true, CounterTimeout: 40 * ms, ConnIdle: 5 * time.Second,
-		ColdShare: 0.2, WarmAfter: 4 * time.Second, FallMultiple: 2, FallSpan: time.Second, DrainGrace: time.Second,
+	return Settings{GatewayCount: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
+		MayCancel: true, Hedging: true, SharedCounter: true, CounterTimeout: 40 * ms, ConnectionIdleTimeout: 5 * time.Second,
+		SlowStartMinWeight: 0.2, SlowStartWindow: 4 * time.Second, SlowStartBudgetMultiple: 2, SlowStartBudgetSpan: time.Second, DrainGracePeriod: time.Second,
 		Classes: []Class{
-			{Name: "read", Worth: 1, Aim: 200 * ms, Deadline: 900 * ms, LateShare: 0.4, Effect: Safe},
-			{Name: "book", Worth: 4, Aim: 300 * ms, Deadline: 1200 * ms, LateShare: 0, Effect: Keyed, Group: GroupZone,
-				RepeatWindow: 800 * ms},
-			{Name: "key", Worth: 2, Aim: 250 * ms, Deadline: time.Second, LateShare: 0.1, Effect: Keyed, Group: GroupAll,
-				RepeatWindow: 2 * time.Second},
-			{Name: "pay", Worth: 9, Aim: 400 * ms, Deadline: 1500 * ms, LateShare: 0.2, Effect: Unsafe}},
+			{Name: "read", PriorityWeight: 1, LatencyObjective: 200 * ms, Deadline: 900 * ms, LateWeight: 0.4, Idempotency: Idempotent},
+			{Name: "book", PriorityWeight: 4, LatencyObjective: 300 * ms, Deadline: 1200 * ms, LateWeight: 0, Idempotency: IdempotencyKey, DeduplicationScope: ScopeZone,
+				DeduplicationWindow: 800 * ms},
+			{Name: "key", PriorityWeight: 2, LatencyObjective: 250 * ms, Deadline: time.Second, LateWeight: 0.1, Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll,
+				DeduplicationWindow: 2 * time.Second},
+			{Name: "pay", PriorityWeight: 9, LatencyObjective: 400 * ms, Deadline: 1500 * ms, LateWeight: 0.2, Idempotency: NonIdempotent}},
 		Plans: []Plan{
-			{Name: "rate", Price: 1, Rate: 40, Burst: 30, ExcessWorth: 0.2, ExcessCost: 0.5},
-			{Name: "paid", Price: 3, Rate: 25, Burst: 60, ExcessWorth: 0.5, ExcessCost: 0.1, SettledByReply: true},
-			{Name: "open", Price: 2, Open: 3, ExcessCost: 1.5},
-			{Name: "both", Price: 2, Rate: 30, Burst: 40, Open: 2, ExcessWorth: 0.1, ExcessCost: 0.8},
-			{Name: "ceiling", Price: 1, Rate: 20, Burst: 25, ExcessWorth: 0.6, ExcessCost: 0.2, CeilingRate: 30,
-				CeilingBurst: 45, CeilingSlack: 0.1},
+			{Name: "rate", Price: 1, Rate: 40, Burst: 30, OverQuotaWeight: 0.2, OverQuotaCost: 0.5},
+			{Name: "paid", Price: 3, Rate: 25, Burst: 60, OverQuotaWeight: 0.5, OverQuotaCost: 0.1, SettledByReply: true},
+			{Name: "open", Price: 2, MaxConcurrency: 3, OverQuotaCost: 1.5},
+			{Name: "both", Price: 2, Rate: 30, Burst: 40, MaxConcurrency: 2, OverQuotaWeight: 0.1, OverQuotaCost: 0.8},
+			{Name: "ceiling", Price: 1, Rate: 20, Burst: 25, OverQuotaWeight: 0.6, OverQuotaCost: 0.2, CeilingRate: 30,
+				CeilingBurst: 45, CeilingTolerance: 0.1},
 			{Name: "none", Price: 0.5}}}
 }
 
@@ -139,7 +139,7 @@
 	number   int
 	gateways []*Gateway
 	totals   map[string]float64
-	servers  []Server
+	servers  []Endpoint
 	lastID   RequestID
 	seen     map[string]int // actions by kind
 	attempts map[RequestID]int
@@ -161,17 +161,17 @@
 	set := goldenSettings()
 	run.adjust(&set)
 	for i := range run.goldenScenario.servers {
-		run.servers = append(run.servers, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
-			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Running, Size: 1 + float64(i%3)})
+		run.servers = append(run.servers, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
+			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Serving, Capacity: 1 + float64(i%3)})
 	}
 	for i := range goldenGateways {
-		set.Me = i
+		set.Index = i
 		g, err := New(set, run.rng.Uint64())
 		if err != nil {
 			run.t.Fatal(err)
 		}
 		run.gateways = append(run.gateways, g)
-		run.push(0, i, FleetChanged{Whole: true, Servers: append([]Server{}, run.servers...)}, nil)
+		run.push(0, i, EndpointsChanged{Snapshot: true, Endpoints: append([]Endpoint{}, run.servers...)}, nil)
 		run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
 		run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
 	}
@@ -195,56 +195,56 @@
 	run.lastID++
 	id := run.lastID
 	q := Request{ID: id, Class: class.Name, Plan: plan.Name, Customer: fmt.Sprint(plan.Name, "-", run.rng.IntN(3)),
-		GiveUpAt: run.now + time.Duration(run.rng.Float64()*float64(class.Deadline)), Units: 1 + 3*run.rng.Float64(),
-		Spread: 1 + run.rng.IntN(2*set.Gateways), First: run.rng.IntN(set.Gateways), Again: run.rng.IntN(4) == 0}
+		Deadline: run.now + time.Duration(run.rng.Float64()*float64(class.Deadline)), Units: 1 + 3*run.rng.Float64(),
+		GatewaySpan: 1 + run.rng.IntN(2*set.GatewayCount), FirstGateway: run.rng.IntN(set.GatewayCount), IsRetry: run.rng.IntN(4) == 0}
 	switch run.rng.IntN(60) {
 	case 0:
 		q.Class = "unknown"
 	case 1:
 		q.Plan, q.Customer = "unknown", "unknown"
 	case 2:
-		q.GiveUpAt = run.now - ms
+		q.Deadline = run.now - ms
 	}
 	run.push(0, i, Arrival{q}, nil)
 	if run.rng.IntN(20) == 0 {
-		run.push(run.about(class.Aim), i, Abandoned{ID: id}, nil)
+		run.push(run.about(class.LatencyObjective), i, ClientDisconnected{ID: id}, nil)
 	}
 	run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
 }
 
 // change tells a gateway of changes of the fleet list, or of a failure, and has it told again later.
 func (run *goldenRun) change(i int) {
-	ev := FleetChanged{Sharers: float64(1 + run.rng.IntN(goldenGateways))}
+	ev := EndpointsChanged{GatewaysPerEndpoint: float64(1 + run.rng.IntN(goldenGateways))}
 	for range 1 + run.rng.IntN(3) {
 		s := &run.servers[run.rng.IntN(len(run.servers))]
 		switch run.rng.IntN(5) {
 		case 0:
 			s.State = Draining
 		case 1:
-			s.State = Gone
+			s.State = Removed
 		default:
-			if s.State != Running || run.rng.IntN(2) == 0 {
-				s.Started = run.now - run.about(time.Second)
+			if s.State != Serving || run.rng.IntN(2) == 0 {
+				s.StartedAt = run.now - run.about(time.Second)
 			}
-			s.State = Running
+			s.State = Serving
 		}
-		ev.Servers = append(ev.Servers, *s)
+		ev.Endpoints = append(ev.Endpoints, *s)
 	}
 	switch run.rng.IntN(10) {
 	case 0:
-		ev = FleetChanged{Whole: true}
+		ev = EndpointsChanged{Snapshot: true}
 		for _, s := range run.servers {
-			if s.State != Gone {
-				ev.Servers = append(ev.Servers, s)
+			if s.State != Removed {
+				ev.Endpoints = append(ev.Endpoints, s)
 			}
 		}
 	case 1:
-		ev = FleetChanged{Failed: true}
+		ev = EndpointsChanged{Failed: true}
 	}
 	run.push(0, i, ev, nil)
 	if run.rng.IntN(8) == 0 {
-		run.push(0, i, ProbeEnded{Server: run.servers[0].ID, Outcome: Done, Took: ms}, nil)
-		run.push(0, i, PeerMessage{From: 1, Body: []byte("x")}, nil)
+		run.push(0, i, HealthCheckEnded{Endpoint: run.servers[0].ID, Outcome: Succeeded, Latency: ms}, nil)
+		run.push(0, i, GossipReceived{From: 1, Body: []byte("x")}, nil)
 	}
 	run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
 }
@@ -259,12 +259,12 @@
 	case Send:
 		n := run.attempts[a.ID]
 		run.attempts[a.ID]++
-		write("send", a.ID, a.Server, int64(a.StopAt))
-		run.attempt(i, a.ID, n, a.Server)
+		write("send", a.ID, a.Endpoint, int64(a.AttemptDeadline))
+		run.attempt(i, a.ID, n, a.Endpoint)
 	case Cancel:
 		write("cancel", a.ID, a.Attempt)
 		run.push(ms, i, nil, func() { run.end(i, a.ID, a.Attempt, "", Cancelled, 5*ms) })
-	case Refuse:
+	case Reject:
 		write("refuse", a.ID, int64(a.RetryAfter))
 		run.finish(a.ID)
 	case Fail:
@@ -273,19 +273,19 @@
 	case SetTimer:
 		write("timer", int64(a.After))
 		run.push(a.After, i, TimerFired{}, nil)
-	case Count:
+	case IncrementCounter:
 		write("count", a.Name, a.Add, int64(a.Keep))
 		run.count(i, a)
-	case Probe:
-		write("probe", a.Server)
-	case Tell:
+	case CheckHealth:
+		write("probe", a.Endpoint)
+	case Gossip:
 		write("tell", a.To, a.Body)
-	case Watch:
+	case WatchEndpoints:
 		write("watch")
-	case Fetch:
+	case FetchEndpoints:
 		write("fetch")
-	case CloseIdle:
-		write("close idle", a.Server)
+	case CloseIdleConnections:
+		write("close idle", a.Endpoint)
 	case Log:
 		write("log")
 	default:
@@ -302,54 +302,54 @@
 }
 
 // attempt lets an attempt end, by a server's latency and luck.
-func (run *goldenRun) attempt(i int, id RequestID, n int, server ServerID) {
-	took, outcome := 5*ms+run.about(20*ms), Done
+func (run *goldenRun) attempt(i int, id RequestID, n int, server EndpointID) {
+	took, outcome := 5*ms+run.about(20*ms), Succeeded
 	if run.rng.IntN(25) == 0 {
 		took += run.about(400 * ms)
 	}
 	if run.rng.Float64() < run.serverFaults {
-		outcome = Outcome(run.rng.IntN(int(Outcomes)))
+		outcome = Outcome(run.rng.IntN(int(OutcomeCount)))
 	}
-	if outcome == Done && run.rng.IntN(30) == 0 {
+	if outcome == Succeeded && run.rng.IntN(30) == 0 {
 		run.push(took/2, i, StreamStarted{ID: id, Attempt: n}, nil)
 	}
 	run.push(took, i, nil, func() { run.end(i, id, n, server, outcome, took) })
 }
 
 // end tells of an attempt's end, once.
-func (run *goldenRun) end(i int, id RequestID, n int, server ServerID, outcome Outcome, took time.Duration) {
+func (run *goldenRun) end(i int, id RequestID, n int, server EndpointID, outcome Outcome, took time.Duration) {
 	key := fmt.Sprint(id, "/", n)
 	if run.ended[key] {
 		return
 	}
 	run.ended[key] = true
-	ev := AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: outcome, Took: took}
+	ev := AttemptEnded{ID: id, Attempt: n, Endpoint: server, Outcome: outcome, Latency: took}
 	if run.rng.IntN(2) == 0 {
-		ev.Load = Load{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
+		ev.LoadReport = LoadReport{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
 	}
-	if outcome == Done {
-		ev.Settled = 1 + 3*run.rng.Float64()
+	if outcome == Succeeded {
+		ev.SettledUnits = 1 + 3*run.rng.Float64()
 	}
-	if ev.Finished = run.final[id] || outcome == Done; ev.Finished {
+	if ev.RequestFinished = run.final[id] || outcome == Succeeded; ev.RequestFinished {
 		run.final[id] = true
 	}
 	run.push(0, i, ev, nil)
 }
 
 // count answers a call of the counter, late or not at all where it fails. Calls of one name are answered in order.
-func (run *goldenRun) count(i int, a Count) {
-	reply := CountReply{Name: a.Name, Outcome: Done}
+func (run *goldenRun) count(i int, a IncrementCounter) {
+	reply := CounterReply{Name: a.Name, Outcome: Succeeded}
 	after := run.counterDelay
 	if run.rng.Float64() < run.counterFaults {
-		reply.Outcome = []Outcome{Failed, Full, TimedOut, NoConnect, Reset, Moot}[run.rng.IntN(6)]
+		reply.Outcome = []Outcome{Failed, Rejected, TimedOut, ConnectFailed, Reset, NotSent}[run.rng.IntN(6)]
 	}
-	if !reply.Outcome.NeverRan() {
+	if !reply.Outcome.NotExecuted() {
 		run.totals[a.Name] += a.Add
 	}
 	if run.rng.IntN(2000) == 0 { // it comes back empty
 		clear(run.totals)
 	}
-	if reply.Outcome == Done {
+	if reply.Outcome == Succeeded {
 		reply.Total = run.totals[a.Name]
 	}
 	run.push(after, i, reply, nil)
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -8,18 +8,18 @@
 // Wherever a request waits when its client leaves, nothing of it is sent from then on, whatever comes later:
 // answers of the counter, ends of attempts, room in the window or at the cap, servers.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
-	fleet := []Server{{ID: "s", State: Running}, {ID: "u", State: Running}}
+	fleet := []Endpoint{{ID: "s", State: Serving}, {ID: "u", State: Serving}}
 	ended := func(o Outcome) AttemptEnded {
-		return AttemptEnded{ID: 1, Server: "s", Outcome: o, Took: 20 * ms}
+		return AttemptEnded{ID: 1, Endpoint: "s", Outcome: o, Latency: 20 * ms}
 	}
 	of := func(r *rig, id RequestID, plan string, spread int) []Action {
 		return r.tell(Arrival{Request{ID: id, Class: "read", Plan: plan, Customer: "c", Units: 1,
-			GiveUpAt: r.now + 2*time.Second, Spread: spread}})
+			Deadline: r.now + 2*time.Second, GatewaySpan: spread}})
 	}
-	counted := func(o Outcome, total float64) func(r *rig, calls []Count) []Action {
-		return func(r *rig, calls []Count) (acts []Action) {
+	counted := func(o Outcome, total float64) func(r *rig, calls []IncrementCounter) []Action {
+		return func(r *rig, calls []IncrementCounter) (acts []Action) {
 			for _, c := range calls {
-				acts = append(acts, r.tell(CountReply{Name: c.Name, Outcome: o, Total: total})...)
+				acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: o, Total: total})...)
 			}
 			return acts
 		}
@@ -28,55 +28,57 @@
 		plan    string
 		refused bool // where its client stays
 		spread  int
-		ready   func(r *rig)                         // before the request comes
-		waits   func(r *rig)                         // after, up to where it waits
-		later   func(r *rig, calls []Count) []Action // after its client has left
+		ready   func(r *rig)                                    // before the request comes
+		waits   func(r *rig)                                    // after, up to where it waits
+		later   func(r *rig, calls []IncrementCounter) []Action // after its client has left
 	}{
-		"for the counter, which grants":  {"thin", false, 60, nil, nil, counted(Done, 1)},
-		"for the counter, which refuses": {"thin", true, 60, nil, nil, counted(Done, 1000)},
+		"for the counter, which grants":  {"thin", false, 60, nil, nil, counted(Succeeded, 1)},
+		"for the counter, which refuses": {"thin", true, 60, nil, nil, counted(Succeeded, 1000)},
 		"for the counter, which is gone": {"thin", false, 60, nil, nil, counted(TimedOut, 0)},
-		"for the counter, turned away":   {"thin", false, 60, nil, nil, counted(Full, 0)},
-		"for the counter, with others' adds": {"thin", false, 60, func(r *rig) { r.g.askShare = 0.6 }, nil,
-			counted(Done, 1)},
-		"for the counter, beyond": {"excess", false, 60, nil, nil, counted(Done, 1000)},
-		"for a ceiling's window":  {"lid", false, 60, nil, nil, counted(Done, 1)},
+		"for the counter, turned away":   {"thin", false, 60, nil, nil, counted(Rejected, 0)},
+		"for the counter, with others' adds": {"thin", false, 60, func(r *rig) { r.g.counterCallShare = 0.6 }, nil,
+			counted(Succeeded, 1)},
+		"for the counter, beyond": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
+		"for a ceiling's window":  {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
 		"in the queue":            {"free", false, 2, func(r *rig) { r.g.window = 0 }, nil, nil},
-		"for a server": {"free", false, 2, func(r *rig) { r.tell(FleetChanged{Whole: true}) }, nil,
-			func(r *rig, _ []Count) []Action { return r.tell(FleetChanged{Whole: true, Servers: fleet}) }},
+		"for a server": {"free", false, 2, func(r *rig) { r.tell(EndpointsChanged{Snapshot: true}) }, nil,
+			func(r *rig, _ []IncrementCounter) []Action {
+				return r.tell(EndpointsChanged{Snapshot: true, Endpoints: fleet})
+			}},
 		"at the cap": {"open", false, 1, func(r *rig) { of(r, 9, "open", 1) }, nil,
-			func(r *rig, _ []Count) []Action {
-				return r.tell(AttemptEnded{ID: 9, Server: "s", Outcome: Done, Took: 20 * ms, Finished: true})
+			func(r *rig, _ []IncrementCounter) []Action {
+				return r.tell(AttemptEnded{ID: 9, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 			}},
 		"for an answer, before a copy": {"free", false, 2,
-			func(r *rig) { r.g.classes["read"].mean = 0.02 }, nil, nil},
+			func(r *rig) { r.g.classes["read"].meanLatency = 0.02 }, nil, nil},
 		"for an answer that is a refusal": {"free", false, 2, nil, nil,
-			func(r *rig, _ []Count) []Action { return r.tell(ended(Full)) }},
+			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(Rejected)) }},
 		"for a connection that never comes": {"free", false, 2, nil, nil,
-			func(r *rig, _ []Count) []Action { return r.tell(ended(NoConnect)) }},
+			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(ConnectFailed)) }},
 		"for a further attempt": {"free", false, 2, nil, func(r *rig) {
 			r.g.window = 0 // it shrinks meanwhile
-			r.tell(ended(Full))
+			r.tell(ended(Rejected))
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play := func(leaves, mayCancel bool) (acts []Action) {
 				set := fleetSettings()
 				set.MayCancel = mayCancel
-				set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Open: 1, ExcessCost: 1},
-					Plan{Name: "excess", Price: 1, Rate: 0.8, Burst: 8, ExcessWorth: 1, ExcessCost: 0.1},
+				set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, MaxConcurrency: 1, OverQuotaCost: 1},
+					Plan{Name: "excess", Price: 1, Rate: 0.8, Burst: 8, OverQuotaWeight: 1, OverQuotaCost: 0.1},
 					Plan{Name: "lid", Price: 1, Rate: 0.8, Burst: 8, CeilingRate: 2, CeilingBurst: 16})
 				r := newRig(t, set, fleet...)
-				r.g.window, r.g.retries = 10, 10
+				r.g.window, r.g.retryBudget = 10, 10
 				if c.ready != nil {
 					c.ready(r)
 				}
-				calls := only[Count](of(r, 1, c.plan, c.spread))
+				calls := only[IncrementCounter](of(r, 1, c.plan, c.spread))
 				if c.waits != nil {
 					c.waits(r)
 				}
 				r.now += ms
 				if leaves {
-					acts = r.tell(Abandoned{ID: 1})
+					acts = r.tell(ClientDisconnected{ID: 1})
 				}
 				r.g.window = max(r.g.window, 10)
 				r.now += ms
@@ -94,7 +96,7 @@
 							if a.ID == 1 {
 								sends++
 							}
-						case Refuse, Fail:
+						case Reject, Fail:
 							answers++
 						}
 					}
@@ -118,14 +120,14 @@
 	}
 	now := time.Second
 	for id := RequestID(1); id <= 50; id++ {
-		out := g.Handle(now, Arrival{Request: Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1, Spread: 1,
-			GiveUpAt: now}}, nil)
+		out := g.Handle(now, Arrival{Request: Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1, GatewaySpan: 1,
+			Deadline: now}}, nil)
 		refused := 0
 		for _, a := range out {
 			switch a := a.(type) {
-			case Refuse:
+			case Reject:
 				refused++
-			case Send, Count:
+			case Send, IncrementCounter:
 				t.Fatalf("request %d: %+v", id, a)
 			}
 		}
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -13,17 +13,17 @@
 	silent bool // the counter answers nothing
 }
 
-func newCrowd(t *testing.T, n int, set Settings, servers ...Server) *crowd {
+func newCrowd(t *testing.T, n int, set Settings, servers ...Endpoint) *crowd {
 	t.Helper()
 	c := &crowd{totals: map[string]float64{}}
 	for i := range n {
-		set.Me, set.Gateways = i, n
+		set.Index, set.GatewayCount = i, n
 		g, err := New(set, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &rig{T: t, g: g, now: time.Minute}
-		r.tell(FleetChanged{Whole: true, Servers: servers})
+		r.tell(EndpointsChanged{Snapshot: true, Endpoints: servers})
 		c.rigs = append(c.rigs, r)
 	}
 	return c
@@ -33,11 +33,11 @@
 func (c *crowd) tell(r *rig, ev Event) []Send {
 	acts := r.tell(ev)
 	sends := only[Send](acts)
-	for _, call := range only[Count](acts) {
-		reply := CountReply{Name: call.Name, Outcome: TimedOut}
+	for _, call := range only[IncrementCounter](acts) {
+		reply := CounterReply{Name: call.Name, Outcome: TimedOut}
 		if !c.silent {
 			c.totals[call.Name] += call.Add
-			reply.Outcome, reply.Total = Done, c.totals[call.Name]
+			reply.Outcome, reply.Total = Succeeded, c.totals[call.Name]
 		}
 		sends = append(sends, c.tell(r, reply)...)
 	}
@@ -47,7 +47,7 @@
 // arrive brings one request to a gateway.
 func (c *crowd) arrive(r *rig, id int, class, plan string) []Send {
 	return c.tell(r, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Customer: "c", Units: 1,
-		GiveUpAt: r.now + 2*time.Second, Spread: len(c.rigs)}})
+		Deadline: r.now + 2*time.Second, GatewaySpan: len(c.rigs)}})
 }
 
 // What all gateways send on for a customer within a window is its burst, and with the counter silent its fair
@@ -55,14 +55,14 @@
 func TestFirstSightsOfAllGatewaysSumToTheBurst(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
 		for _, silent := range []bool{false, true} {
-			c := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 			c.silent = silent
 			sent := 0
 			for i := range 2 * max(n, 20) { // everyone twice at one moment, the few more often
 				r := c.rigs[i%n]
 				for _, s := range c.arrive(r, i, "read", "small") {
 					sent++
-					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Done, Took: ms, Finished: true})
+					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 				}
 			}
 			most := 2 * 8 // the burst is 8; the random phases of the fair shares add some chance
@@ -80,12 +80,12 @@
 func TestCeilingHoldsInTheSum(t *testing.T) {
 	for _, n := range []int{1, 3, 20} { // a ceiling's customer comes through no more gateways than half its burst
 		for _, silent := range []bool{false, true} {
-			c := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 			c.silent = silent
 			sent, id := 0, 0
 			for step := range 300 { // 3 s, all restarted in the middle
 				if step == 150 {
-					fresh := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+					fresh := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 					fresh.silent, fresh.totals = silent, c.totals
 					for i, r := range fresh.rigs {
 						r.now = c.rigs[i].now
@@ -98,7 +98,7 @@
 					id++
 					for _, s := range c.arrive(r, id, "read", "capped") {
 						sent++
-						c.tell(r, AttemptEnded{ID: s.ID, Outcome: Done, Took: ms, Finished: true})
+						c.tell(r, AttemptEnded{ID: s.ID, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 					}
 				}
 				for _, r := range c.rigs {
@@ -121,7 +121,7 @@
 		c := newCrowd(t, n, settings())
 		sent, id := 0, 0
 		for _, r := range c.rigs {
-			c.tell(r, FleetChanged{Whole: true, Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
+			c.tell(r, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
 		}
 		for range 30 { // 3 s
 			for _, r := range c.rigs {
@@ -133,7 +133,7 @@
 				}
 				for _, s := range sends {
 					sent++
-					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Full})
+					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Rejected})
 				}
 			}
 		}
@@ -147,15 +147,15 @@
 // Where gateways outnumber the attempts that a customer may have out and going over costs, they take turns.
 func TestOpenCapHoldsInTheSum(t *testing.T) {
 	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, Open: 3, ExcessCost: 0.6})
+	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
-		c := newCrowd(t, n, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+		c := newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		for moment := range 20 {
 			out := 0
 			for _, r := range c.rigs {
 				r.now = time.Minute + time.Duration(moment)*37*ms
 				r.g.window = 100
-				out += max(0, r.g.share(&customer{plan: r.g.plans["open"], spread: n, place: r.g.set.Me}))
+				out += max(0, r.g.concurrencyShare(&customer{plan: r.g.plans["open"], gatewaySpan: n, gatewayIndex: r.g.settings.Index}))
 			}
 			if out != 3 {
 				t.Fatalf("%d gateways may have %d out in all, the cap is 3", n, out)
@@ -175,21 +175,21 @@
 // the counter's late answer sends nothing.
 func TestWaitingForTheCounterLosesNoRequest(t *testing.T) {
 	set := settings()
-	set.Gateways = 100
+	set.GatewayCount = 100
 	for _, left := range []time.Duration{2 * ms, 15 * ms, 700 * ms} {
-		r := newRig(t, set, Server{ID: "s", State: Running})
+		r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 		acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1,
-			GiveUpAt: r.now + left, Spread: 100}})
-		calls := only[Count](acts)
+			Deadline: r.now + left, GatewaySpan: 100}})
+		calls := only[IncrementCounter](acts)
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("calls %v, want one for the request's unit", calls)
 		}
 		acts = append(acts, r.pass(left-left%(10*ms))...)
-		if len(only[Refuse](acts)) != 1 {
+		if len(only[Reject](acts)) != 1 {
 			t.Fatalf("%v left: actions %v, want one refusal", left, acts)
 		}
-		late := r.tell(CountReply{Name: calls[0].Name, Outcome: Done, Total: 1})
-		if len(only[Send](late)) > 0 || len(only[Refuse](late)) > 0 {
+		late := r.tell(CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})
+		if len(only[Send](late)) > 0 || len(only[Reject](late)) > 0 {
 			t.Fatalf("%v left: the late answer gave %v", left, late)
 		}
 	}
@@ -199,22 +199,22 @@
 // what it sends then has pauses in between.
 func TestSmallWindowPauses(t *testing.T) {
 	set := settings()
-	set.Gateways = 300
-	var fleet []Server
+	set.GatewayCount = 300
+	var fleet []Endpoint
 	for i := range 60 {
-		fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+		fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
 	r := newRig(t, set, fleet...)
 	for i := range 12 {
-		r.g.judge(&attempt{s: r.g.fleet[i]}, r.g.classes["read"], TimedOut, 0, nil)
+		r.g.recordSample(&attempt{endpoint: r.g.serving[i]}, r.g.classes["read"], TimedOut, 0, nil)
 		r.pass(time.Second)
 	}
 	if r.g.window >= 1 {
 		t.Fatalf("window %v after untimely answers only", r.g.window)
 	}
-	r.g.lag, r.g.window = 0.1, 0.5
+	r.g.meanLatency, r.g.window = 0.1, 0.5
 	first := only[Send](r.arrive(1, "read", "free"))
-	r.tell(AttemptEnded{ID: 1, Outcome: Done, Took: 100 * ms, Finished: true})
+	r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 100 * ms, RequestFinished: true})
 	second := only[Send](r.arrive(2, "read", "free"))
 	if len(first) != 1 || len(second) != 0 {
 		t.Fatalf("sent %v, then %v at once", first, second)
@@ -227,19 +227,19 @@
 // Odd customers and fleets: sane decisions, no panic.
 func TestOddSpreadsAndFleetsStillDecide(t *testing.T) {
 	set := settings()
-	set.Gateways = 100
-	for _, q := range []Request{{Spread: 0}, {Spread: 5000}, {Spread: 3, First: 70}, {Spread: 3, First: 4000}, {Spread: 2, First: -7}} {
+	set.GatewayCount = 100
+	for _, q := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
 		r := newRig(t, set)
-		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.GiveUpAt = 1, "read", "small", "c", 1, r.now+time.Second
-		calls := only[Count](r.tell(Arrival{q}))
+		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.Deadline = 1, "read", "small", "c", 1, r.now+time.Second
+		calls := only[IncrementCounter](r.tell(Arrival{q}))
 		for _, c := range calls {
-			r.tell(CountReply{Name: c.Name, Outcome: Done, Total: c.Add})
+			r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Add})
 		}
-		var more []Server
+		var more []Endpoint
 		for i := range 100 {
-			more = append(more, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+			more = append(more, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 		}
-		acts := r.tell(FleetChanged{Servers: more})
+		acts := r.tell(EndpointsChanged{Endpoints: more})
 		if got := only[Send](append(acts, r.pass(20*ms)...)); len(got) != 1 {
 			t.Errorf("request %+v: sent %v, want it sent once there are servers", q, got)
 		}
--- a/policy/permits.go
+++ b/policy/permits.go
@@ -2,98 +2,100 @@
 
 import "time"
 
-const spareShare = 0.99 // share that asks, from which on the counter has calls to spare
+const spareCallShare = 0.99 // share that asks, from which on the counter has calls to spare
 
-// shared says whether the limit is held by permits: where it has an attempt for each gateway it is split.
-func (g *Gateway) shared(c *customer) bool { return g.set.Counter && c.spread > c.plan.Open }
+// usesSemaphore says whether the limit is held by permits: where it has an attempt for each gateway it is split.
+func (g *Gateway) usesSemaphore(c *customer) bool {
+	return g.settings.SharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
+}
 
-// askPermit lets a request that is inside its rate in, if its customer has an attempt to spare.
-func (g *Gateway) askPermit(r *request) {
-	c := r.cust
+// acquirePermit lets a request that is inside its rate in, if its customer has an attempt to spare.
+func (g *Gateway) acquirePermit(r *request) {
+	c := r.customer
 	switch {
-	case g.now < c.permits.fullUntil:
-		g.refuse(r, c.permits.fullUntil-g.now)
-	case g.shared(c) && g.asksPermit(r):
-		learn(&c.plan.permits.asked, true, evidenceWeight)
-		g.callPermits(c, counterCall{name: g.permitName(c), r: r, claim: 1})
+	case g.now < c.permits.exhaustedUntil:
+		g.reject(r, c.permits.exhaustedUntil-g.now)
+	case g.usesSemaphore(c) && g.shouldAskPermit(r):
+		updateShare(&c.plan.permitGrants.askedShare, true, grantGain)
+		g.callSemaphore(c, counterCall{name: g.semaphoreName(c), request: r, claim: 1})
 	default:
-		learn(&c.plan.permits.asked, false, evidenceWeight)
-		g.withoutPermit(r)
+		updateShare(&c.plan.permitGrants.askedShare, false, grantGain)
+		g.decideWithoutPermit(r)
 	}
 }
 
-// asksPermit says whether the counter is asked. Where calls are short they go to the requests for which a
+// shouldAskPermit says whether the counter is asked. Where calls are short they go to the requests for which a
 // wrong guess would cost most; beside a rate, that rate's own calls go first.
-func (g *Gateway) asksPermit(r *request) bool {
-	chance := r.cust.permitChance(r, false)
-	wrong := min(chance, (1-chance)*max(0, r.plan.ExcessCost-r.plan.ExcessWorth))
-	stake := r.Units * r.plan.Price * r.class.Worth * wrong
-	g.meanStake += evidenceWeight * (stake - g.meanStake)
-	if r.plan.Rate > 0 || g.askShare >= spareShare {
-		return g.askShare >= spareShare
+func (g *Gateway) shouldAskPermit(r *request) bool {
+	chance := r.customer.permitProbability(r, false)
+	wrong := min(chance, (1-chance)*max(0, r.plan.OverQuotaCost-r.plan.OverQuotaWeight))
+	stake := r.Units * r.plan.Price * r.class.PriorityWeight * wrong
+	g.meanPermitStake += grantGain * (stake - g.meanPermitStake)
+	if r.plan.Rate > 0 || g.counterCallShare >= spareCallShare {
+		return g.counterCallShare >= spareCallShare
 	}
-	return g.rng.Float64()*g.meanStake <= g.askShare*stake
+	return g.rng.Float64()*g.meanPermitStake <= g.counterCallShare*stake
 }
 
-// withoutPermit decides by what is known of the plan and by this gateway's share (mayGo). Beside a rate,
+// decideWithoutPermit decides by what is known of the plan and by this gateway's share (mayGo). Beside a rate,
 // which holds most, by that share alone.
-func (g *Gateway) withoutPermit(r *request) {
-	if r.plan.Rate <= 0 && g.shared(r.cust) && !worthGuessing(r, r.cust.permitChance(r, true)) {
-		g.refuse(r, g.meanTime())
+func (g *Gateway) decideWithoutPermit(r *request) {
+	if r.plan.Rate <= 0 && g.usesSemaphore(r.customer) && !worthAdmittingUnasked(r, r.customer.permitProbability(r, true)) {
+		g.reject(r, g.meanAnswerTime())
 		return
 	}
-	g.admitted(r)
+	g.enqueueAdmitted(r)
 }
 
-// permitAnswered takes the answer to a call on a permit name; a counter that came back empty is put right.
-func (g *Gateway) permitAnswered(c *customer, call counterCall, ev CountReply) {
-	present := call.name == g.permitName(c)
-	if ev.Outcome.NeverRan() {
+// handlePermitReply takes the answer to a call on a permit name; a counter that came back empty is put right.
+func (g *Gateway) handlePermitReply(c *customer, call counterCall, ev CounterReply) {
+	present := call.name == g.semaphoreName(c)
+	if ev.Outcome.NotExecuted() {
 		if present {
-			c.permits.held -= int(call.claim + call.owed)
-			c.permits.owed += int(call.owed)
+			c.permits.held -= int(call.claim + call.unreported)
+			c.permits.unreported += int(call.unreported)
 		}
 		call.claim = 0
 	}
 	missing := float64(c.permits.held) - ev.Total
-	if ev.Outcome == Done && present && missing > 0 && !c.out(call.name) {
-		g.callFor(c, counterCall{name: call.name, owed: missing}, g.permitSpan())
+	if ev.Outcome == Succeeded && present && missing > 0 && !c.hasCallInFlight(call.name) {
+		g.call(c, counterCall{name: call.name, unreported: missing}, g.permitWindow())
 	}
-	r := call.r
+	r := call.request
 	if r == nil {
 		return
 	}
 	r.permits, r.permitName = int(call.claim), call.name
-	granted := ev.Total <= float64(r.plan.Open)
+	granted := ev.Total <= float64(r.plan.MaxConcurrency)
 	switch {
-	case r.final:
-	case ev.Outcome != Done:
-		g.withoutPermit(r)
+	case r.finished:
+	case ev.Outcome != Succeeded:
+		g.decideWithoutPermit(r)
 	case granted:
-		g.admitted(r)
+		g.enqueueAdmitted(r)
 	default:
-		c.permits.fullUntil = g.now + g.meanTime()/time.Duration(r.plan.Open)
-		g.refuse(r, g.meanTime())
+		c.permits.exhaustedUntil = g.now + g.meanAnswerTime()/time.Duration(r.plan.MaxConcurrency)
+		g.reject(r, g.meanAnswerTime())
 	}
-	if ev.Outcome == Done {
-		c.learnPermit(r, granted)
+	if ev.Outcome == Succeeded {
+		c.recordPermit(r, granted)
 	}
 	g.releasePermits(r)
 }
 
 // releasePermits takes off what a request holds beyond its attempts; one that may still be sent keeps one.
 func (g *Gateway) releasePermits(r *request) {
-	keep := r.outs
-	if !r.final {
+	keep := r.attemptsInFlight
+	if !r.finished {
 		keep = max(keep, 1)
 	}
 	if r.permits > keep {
-		g.setPermits(r, keep)
+		g.adjustPermits(r, keep)
 	}
 }
 
-// setPermits tells the counter how many a request holds now: fewer, or more for a further attempt.
-func (g *Gateway) setPermits(r *request, n int) {
-	g.callPermits(r.cust, counterCall{name: r.permitName, owed: float64(n - r.permits)})
+// adjustPermits tells the counter how many a request holds now: fewer, or more for a further attempt.
+func (g *Gateway) adjustPermits(r *request, n int) {
+	g.callSemaphore(r.customer, counterCall{name: r.permitName, unreported: float64(n - r.permits)})
 	r.permits = n
 }
--- a/policy/permits_test.go
+++ b/policy/permits_test.go
@@ -9,8 +9,8 @@
 func permitFleet(t *testing.T, n int) *crowd {
 	t.Helper()
 	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Open: 2, ExcessCost: 2})
-	return newCrowd(t, n, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, MaxConcurrency: 2, OverQuotaCost: 2})
+	return newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 }
 
 // The fleet holds a limit on attempts out, and an attempt that ends makes room at any other gateway.
@@ -24,7 +24,7 @@
 		t.Fatalf("%d out, the limit is 2", len(sent))
 	}
 	first := c.rigs[sent[0].ID-1]
-	c.tell(first, AttemptEnded{ID: sent[0].ID, Server: sent[0].Server, Outcome: Done, Took: ms, Finished: true})
+	c.tell(first, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	other := c.rigs[50]
 	other.now += time.Second
 	if got := c.arrive(other, 1000, "read", "open"); len(got) != 1 {
@@ -56,7 +56,7 @@
 		c.arrive(r, i+1, "read", "open") // and never ends
 	}
 	r := c.rigs[50]
-	r.now += r.g.permitSpan()
+	r.now += r.g.permitWindow()
 	if got := c.arrive(r, 1000, "read", "open"); len(got) != 1 {
 		t.Errorf("%d sent a window after the crash, want one", len(got))
 	}
@@ -65,11 +65,11 @@
 // A call for a permit that timed out may have been counted: what is refused then is taken off.
 func TestPermitOfALostCallIsTakenOff(t *testing.T) {
 	r := permitFleet(t, 100).rigs[0]
-	r.g.plans["open"].permits.granted = [2]float64{0.1, 0.1} // too few are granted for a guess
-	calls := only[Count](r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "open", Customer: "c", Units: 1,
-		GiveUpAt: r.now + 2*time.Second, Spread: 100}}))
-	acts := r.tell(CountReply{Name: calls[0].Name, Outcome: TimedOut})
-	if back := only[Count](acts); len(only[Refuse](acts)) != 1 || len(back) != 1 || back[0].Add != -1 {
+	r.g.plans["open"].permitGrants.granted = [2]float64{0.1, 0.1} // too few are granted for a guess
+	calls := only[IncrementCounter](r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "open", Customer: "c", Units: 1,
+		Deadline: r.now + 2*time.Second, GatewaySpan: 100}}))
+	acts := r.tell(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
+	if back := only[IncrementCounter](acts); len(only[Reject](acts)) != 1 || len(back) != 1 || back[0].Add != -1 {
 		t.Errorf("actions %v, want a refusal and the permit taken off", acts)
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -16,32 +16,32 @@
 		"in the queue": func(r *rig) {
 			r.g.window = 0
 			r.arrive(1, "read", "small")
-			r.tell(Abandoned{ID: 1})
+			r.tell(ClientDisconnected{ID: 1})
 		},
 		"for a connection": func(r *rig) {
 			r.arrive(1, "read", "small")
-			r.tell(Abandoned{ID: 1})
-			r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Moot, Finished: true})
+			r.tell(ClientDisconnected{ID: 1})
+			r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: NotSent, RequestFinished: true})
 		},
 		"for the counter": func(r *rig) {
 			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1,
-				GiveUpAt: r.now + 2*time.Second, Spread: 100}})
-			r.tell(Abandoned{ID: 1})
-			r.g.customers["c"].block = 0
-			r.tell(CountReply{Name: only[Count](acts)[0].Name, Outcome: Done, Total: 1})
+				Deadline: r.now + 2*time.Second, GatewaySpan: 100}})
+			r.tell(ClientDisconnected{ID: 1})
+			r.g.customers["c"].lease = 0
+			r.tell(CounterReply{Name: only[IncrementCounter](acts)[0].Name, Outcome: Succeeded, Total: 1})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := settings()
-			set.Gateways, set.MayCancel = 100, false
-			r := newRig(t, set, Server{ID: "s", State: Running})
+			set.GatewayCount, set.MayCancel = 100, false
+			r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 			want := 4.0
 			if name == "for the counter" {
 				want = 1 // the unit that was granted; the share of the store is less than one
 			}
 			wait(r)
-			if c := r.g.customers["c"]; c.block+c.bucket.reserved != want || c.open != 0 || r.g.busy != 0 {
-				t.Fatalf("block and reservation %v of %v, %d attempts and %d places taken", c.block+c.bucket.reserved, want, c.open, r.g.busy)
+			if c := r.g.customers["c"]; c.lease+c.bucket.reserved != want || c.attemptsInFlight != 0 || r.g.inFlight != 0 {
+				t.Fatalf("block and reservation %v of %v, %d attempts and %d places taken", c.lease+c.bucket.reserved, want, c.attemptsInFlight, r.g.inFlight)
 			}
 			r.g.window = 10
 			if got := only[Send](r.pass(time.Second)); len(got) > 0 {
@@ -56,13 +56,13 @@
 func TestUnitsThatComeBackFillTheBlockOnly(t *testing.T) {
 	for _, spread := range []int{2, 4, 100} {
 		set := settings()
-		set.Gateways = 100
-		r := newRig(t, set, Server{ID: "s", State: Running})
+		set.GatewayCount = 100
+		r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 		r.g.window = 0 // nothing leaves
 		arrive := func(id RequestID) {
-			for _, call := range only[Count](r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c",
-				Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: spread}})) {
-				r.tell(CountReply{Name: call.Name, Outcome: Done, Total: max(0, call.Add)})
+			for _, call := range only[IncrementCounter](r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c",
+				Units: 1, Deadline: r.now + 2*time.Second, GatewaySpan: spread}})) {
+				r.tell(CounterReply{Name: call.Name, Outcome: Succeeded, Total: max(0, call.Add)})
 			}
 		}
 		for id := range RequestID(60) {
@@ -71,10 +71,10 @@
 		}
 		r.pass(3 * time.Second)
 		c := r.g.customers["c"]
-		if most := max(8/float64(spread), 1); c.block+c.bucket.reserved > most+1e-9 || c.block+c.bucket.reserved < most/2 || len(r.g.live) > 0 {
-			t.Errorf("%d gateways: block %v after all have expired, the share is %v", spread, c.block, most)
+		if most := max(8/float64(spread), 1); c.lease+c.bucket.reserved > most+1e-9 || c.lease+c.bucket.reserved < most/2 || len(r.g.activeRequests) > 0 {
+			t.Errorf("%d gateways: block %v after all have expired, the share is %v", spread, c.lease, most)
 		}
-		if all := c.block + r.g.room(c); !c.central && all > 8+1e-9 {
+		if all := c.lease + r.g.availableTokens(c); !c.central && all > 8+1e-9 {
 			t.Errorf("%d gateways: block and store hold %v, the burst is 8", spread, all)
 		}
 	}
@@ -82,26 +82,26 @@
 
 // Units that a request has taken before the block was filled again go back to the store, which the counter is told.
 func TestUnitsBeyondTheBlockGoBackToTheStore(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.g.window = 0
 	r.arrive(1, "read", "small")
 	c := r.g.customers["c"]
-	c.block = 4 // filled meanwhile
-	owed, level := c.owed, c.level
-	r.tell(Abandoned{ID: 1})
-	if c.block != 4 || c.owed != owed-1 || c.level != level+1 {
-		t.Fatalf("block %v, owed %v of %v, level %v of %v", c.block, c.owed, owed, c.level, level)
+	c.lease = 4 // filled meanwhile
+	owed, level := c.unreported, c.estimatedTokens
+	r.tell(ClientDisconnected{ID: 1})
+	if c.lease != 4 || c.unreported != owed-1 || c.estimatedTokens != level+1 {
+		t.Fatalf("block %v, owed %v of %v, level %v of %v", c.lease, c.unreported, owed, c.estimatedTokens, level)
 	}
 }
 
 // An attempt that never left goes elsewhere though the budget of further attempts is spent: it is no further load.
 func TestMootAttemptNeedsNoBudget(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	first := only[Send](r.arrive(1, "pay", "free"))[0]
-	r.g.retries = 0
-	r.tell(FleetChanged{Servers: []Server{{ID: first.Server}}}) // drains
-	acts := r.tell(AttemptEnded{ID: 1, Server: first.Server, Outcome: Moot})
-	if got := only[Send](acts); len(got) != 1 || got[0].Server == first.Server {
+	r.g.retryBudget = 0
+	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: first.Endpoint}}}) // drains
+	acts := r.tell(AttemptEnded{ID: 1, Endpoint: first.Endpoint, Outcome: NotSent})
+	if got := only[Send](acts); len(got) != 1 || got[0].Endpoint == first.Endpoint {
 		t.Fatalf("sends %v, want one to the other server", got)
 	}
 }
@@ -137,7 +137,7 @@
 		b.inside += p.Price * units
 		return
 	}
-	b.cost += p.Price * units * max(0, p.ExcessCost-p.ExcessWorth)
+	b.cost += p.Price * units * max(0, p.OverQuotaCost-p.OverQuotaWeight)
 }
 
 const (
@@ -201,12 +201,12 @@
 func quotaDay(t *testing.T, n int, seed uint64) (ours, late bill) {
 	set := settings()
 	set.MaxUnits = 2
-	set.Plans = []Plan{{Name: "low", Price: 1, Rate: 3, Burst: 12, ExcessCost: 1.2},
-		{Name: "mid", Price: 1.3, Rate: 10, Burst: 40, ExcessWorth: 0.3},
-		{Name: "top", Price: 1.6, Rate: 40, Burst: 70, ExcessCost: 1.2}}
-	servers := make([]Server, 40)
+	set.Plans = []Plan{{Name: "low", Price: 1, Rate: 3, Burst: 12, OverQuotaCost: 1.2},
+		{Name: "mid", Price: 1.3, Rate: 10, Burst: 40, OverQuotaWeight: 0.3},
+		{Name: "top", Price: 1.6, Rate: 40, Burst: 70, OverQuotaCost: 1.2}}
+	servers := make([]Endpoint, 40)
 	for i := range servers {
-		servers[i] = Server{ID: ServerID(fmt.Sprint("s", i)), State: Running}
+		servers[i] = Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving}
 	}
 	c := newCrowd(t, n, set, servers...)
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -226,13 +226,13 @@
 					ours.add(stores[a.id].take(2, r.now), a.plan, 2)
 					delete(open, act.ID)
 				}
-				under = append(under, reply{r.now + 30*ms, r, AttemptEnded{ID: act.ID, Server: act.Server, Outcome: Done,
-					Took: 30 * ms, Finished: true}})
-			case Refuse:
+				under = append(under, reply{r.now + 30*ms, r, AttemptEnded{ID: act.ID, Endpoint: act.Endpoint, Outcome: Succeeded,
+					Latency: 30 * ms, RequestFinished: true}})
+			case Reject:
 				delete(open, act.ID)
-			case Count:
+			case IncrementCounter:
 				c.totals[act.Name] += act.Add // adds in the order of the calls
-				under = append(under, reply{r.now + 10*ms, r, CountReply{Name: act.Name, Outcome: Done,
+				under = append(under, reply{r.now + 10*ms, r, CounterReply{Name: act.Name, Outcome: Succeeded,
 					Total: c.totals[act.Name]}})
 			}
 		}
@@ -265,7 +265,7 @@
 				r := c.rigs[(a.first+rng.IntN(a.spread))%n]
 				open[id] = a
 				do(r, r.tell(Arrival{Request{ID: id, Class: "read", Plan: a.plan.Name, Customer: a.id, Units: 2,
-					GiveUpAt: now + 2*time.Second, Spread: a.spread, First: a.first}}))
+					Deadline: now + 2*time.Second, GatewaySpan: a.spread, FirstGateway: a.first}}))
 			}
 		}
 		for _, r := range c.rigs {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,10 +8,10 @@
 
 // Rule 1: each request taken has exactly one final answer before its client gives up.
 func TestEveryRequestHasOneFinalAnswer(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	final := map[RequestID]int{}
 	count := func(acts []Action) {
-		for _, a := range only[Refuse](acts) {
+		for _, a := range only[Reject](acts) {
 			final[a.ID]++
 		}
 		for _, a := range only[Fail](acts) {
@@ -24,14 +24,14 @@
 	count(r.pass(1990 * ms))
 	for id := RequestID(1); id <= 40; id++ {
 		q := r.g.requests[id]
-		if q == nil || q.final {
+		if q == nil || q.finished {
 			continue
 		}
-		if q.held {
+		if q.queued {
 			t.Fatalf("request %d is still held at its deadline", id)
 		}
 		for _, a := range q.attempts {
-			count(r.tell(AttemptEnded{ID: id, Attempt: a.n, Server: "s", Outcome: TimedOut}))
+			count(r.tell(AttemptEnded{ID: id, Attempt: a.number, Endpoint: "s", Outcome: TimedOut}))
 		}
 	}
 	for id := RequestID(1); id <= 40; id++ {
@@ -44,20 +44,20 @@
 // Rule 2: unsafe work that may have run is neither sent again nor refused.
 func TestUnsafeWorkThatMayHaveRunIsFailed(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		s := only[Send](r.arrive(1, "pay", "free"))[0].Server
-		got := r.tell(AttemptEnded{ID: 1, Server: s, Outcome: o})
-		if len(only[Send](got)) > 0 || len(only[Refuse](got)) > 0 || len(only[Fail](got)) != 1 {
+		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
+		got := r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: o})
+		if len(only[Send](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
 			t.Errorf("outcome %v: actions %v, want one failure", o, got)
 		}
 	}
 }
 
 func TestWorkThatNeverRanIsSentAgain(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-	s := only[Send](r.arrive(1, "pay", "free"))[0].Server
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Server: s, Outcome: NoConnect}))
-	if len(got) != 1 || got[0].Server == s {
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
+	got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: ConnectFailed}))
+	if len(got) != 1 || got[0].Endpoint == s {
 		t.Fatalf("sends %v, want one to the other server", got)
 	}
 }
@@ -65,41 +65,41 @@
 // Rule 2: keyed work that may have run goes again only to the cell that drops its repeats, and only in its time.
 func TestKeyedWorkStaysInItsCellAndTime(t *testing.T) {
 	set := settings()
-	set.Classes[1].Deadline, set.Classes[1].RepeatWindow = 60*time.Second, time.Second
+	set.Classes[1].Deadline, set.Classes[1].DeduplicationWindow = 60*time.Second, time.Second
 	for wait, want := range map[time.Duration]int{100 * ms: 1, 1200 * ms: 0} {
-		r := newRig(t, set, Server{ID: "s", State: Running, Cell: 1}, Server{ID: "u", State: Running, Cell: 1},
-			Server{ID: "v", State: Running, Cell: 2}, Server{ID: "w", State: Running, Cell: 2})
-		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-		s := only[Send](r.tell(Arrival{q}))[0].Server
+		r := newRig(t, set, Endpoint{ID: "s", State: Serving, Cell: 1}, Endpoint{ID: "u", State: Serving, Cell: 1},
+			Endpoint{ID: "v", State: Serving, Cell: 2}, Endpoint{ID: "w", State: Serving, Cell: 2})
+		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
+		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
 		r.now += wait
-		got := r.tell(AttemptEnded{ID: 1, Server: s, Outcome: Reset})
+		got := r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset})
 		sends := only[Send](got)
-		if len(sends) != want || len(only[Refuse](got)) > 0 {
+		if len(sends) != want || len(only[Reject](got)) > 0 {
 			t.Fatalf("after %v: actions %v, want %d sends and no refusal", wait, got, want)
 		}
-		if want == 1 && r.g.servers[sends[0].Server].Cell != r.g.servers[s].Cell {
-			t.Fatalf("sent to %v after %v: another cell", sends[0].Server, s)
+		if want == 1 && r.g.endpoints[sends[0].Endpoint].Cell != r.g.endpoints[s].Cell {
+			t.Fatalf("sent to %v after %v: another cell", sends[0].Endpoint, s)
 		}
 	}
 }
 
 // Rule 3: nothing new goes to a server that drains or is gone.
 func TestNothingGoesToADrainingServer(t *testing.T) {
-	for _, state := range []ServerState{Draining, Gone, ServerState(9)} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		r.tell(FleetChanged{Servers: []Server{{ID: "s", State: state}}})
+	for _, state := range []EndpointState{Draining, Removed, EndpointState(9)} {
+		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: state}}})
 		for id := RequestID(1); id < 20; id++ {
 			for _, a := range only[Send](r.arrive(id, "read", "free")) {
-				if a.Server == "s" {
+				if a.Endpoint == "s" {
 					t.Fatalf("state %v: sent to it", state)
 				}
 			}
-			r.tell(AttemptEnded{ID: id, Server: "u", Outcome: Done, Took: 5 * ms, Finished: true})
+			r.tell(AttemptEnded{ID: id, Endpoint: "u", Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true})
 		}
 	}
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-	r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "u", State: Running}}})
-	if len(r.g.fleet) != 1 {
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
+	if len(r.g.serving) != 1 {
 		t.Fatal("a server that is not in a whole list is gone")
 	}
 }
@@ -108,22 +108,22 @@
 // all servers are cold.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	r := newRig(t, settings())
-	r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
 	r.g.window = 100
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each refused by the server at once
 		id := RequestID(i + 1)
 		r.arrive(id, "read", "free")
-		for _, s := range r.g.fleet {
-			for len(s.out) > 0 {
+		for _, s := range r.g.serving {
+			for len(s.inFlight) > 0 {
 				sent++
-				q := r.g.live[len(r.g.live)-1]
-				for _, l := range r.g.live {
-					if len(l.attempts) > 0 && l.attempts[len(l.attempts)-1] == s.out[0] {
+				q := r.g.activeRequests[len(r.g.activeRequests)-1]
+				for _, l := range r.g.activeRequests {
+					if len(l.attempts) > 0 && l.attempts[len(l.attempts)-1] == s.inFlight[0] {
 						q = l
 					}
 				}
-				r.tell(AttemptEnded{ID: q.ID, Attempt: s.out[0].n, Server: "s", Outcome: Full})
+				r.tell(AttemptEnded{ID: q.ID, Attempt: s.inFlight[0].number, Endpoint: "s", Outcome: Rejected})
 			}
 		}
 		r.pass(10 * ms)
@@ -136,7 +136,7 @@
 
 // Rule 5: a gateway stays within its part of the ceiling, and starts with none of it.
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
 	r.g.window = 1000
 	sent := 0
@@ -152,8 +152,8 @@
 
 func TestOpenCapIsSharedAndWaits(t *testing.T) {
 	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, Open: 4, ExcessCost: 1})
-	r := newRig(t, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4, OverQuotaCost: 1})
+	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.window = 100
 	sends := 0
 	for id := RequestID(1); id <= 5; id++ {
@@ -162,7 +162,7 @@
 	if sends != 2 {
 		t.Fatalf("%d out, this gateway's part is 2", sends)
 	}
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Outcome: Done, Took: 5 * ms, Finished: true}))
+	got := only[Send](r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true}))
 	if len(got) != 1 {
 		t.Fatalf("sends %v, a waiting request takes the slot", got)
 	}
@@ -170,7 +170,7 @@
 
 // A stall leaves no dead backlog: what has expired goes before a freed slot is given.
 func TestAStalledGatewaySweepsBeforeItReleases(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	for id := RequestID(1); id <= 10; id++ {
 		r.arrive(id, "read", "free")
 	}
@@ -182,10 +182,10 @@
 
 func TestUnusableSettingsGiveAnError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"gateways": func(s *Settings) { s.Gateways = 0 },
-		"number":   func(s *Settings) { s.Me = 2 },
+		"gateways": func(s *Settings) { s.GatewayCount = 0 },
+		"number":   func(s *Settings) { s.Index = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
-		"aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
+		"aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"rate":     func(s *Settings) { s.Plans[0].Rate = -1 },
 	} {
 		set := settings()
@@ -199,15 +199,15 @@
 // Settings with little in them must still decide, and never panic.
 func TestPoorSettingsStillDecide(t *testing.T) {
 	set := settings()
-	set.Counter, set.SecondCopies, set.MayCancel, set.WarmAfter = false, false, false, 0
+	set.SharedCounter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
-	r := newRig(t, set, Server{ID: "s", State: Running})
+	r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 	sends := 0
 	for id := RequestID(1); id <= 20; id++ {
-		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})...)
+		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
 		acts = append(acts, r.pass(200*ms)...)
 		sends += len(only[Send](acts))
-		if len(only[Count](acts)) > 0 {
+		if len(only[IncrementCounter](acts)) > 0 {
 			t.Fatal("called a counter that is not there")
 		}
 	}
@@ -218,8 +218,8 @@
 
 func TestAnInstanceActsAlikeAloneAndBesideOthers(t *testing.T) {
 	play := func(beside bool) string {
-		a := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		b := newRig(t, settings(), Server{ID: "s", State: Running})
+		a := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		b := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 		log := ""
 		for id := RequestID(1); id <= 200; id++ {
 			if beside {
@@ -236,15 +236,15 @@
 
 // The next block is asked for at half spent, off the path; one call is out at a time.
 func TestNextBlockIsAskedForAtHalfSpent(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	var calls []Count
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	var calls []IncrementCounter
 	for id := RequestID(1); id <= 3; id++ {
 		acts := r.arrive(id, "read", "small")
 		if len(only[Send](acts)) != 1 {
 			t.Fatalf("request %d did not go at once", id)
 		}
-		calls = append(calls, only[Count](acts)...)
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
+		calls = append(calls, only[IncrementCounter](acts)...)
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if len(calls) != 1 || calls[0].Add < 4 {
 		t.Fatalf("calls %v, want one that adds the first block and the next", calls)
@@ -253,22 +253,22 @@
 
 // One sick server must not narrow the window for all.
 func TestOneSickServerDoesNotNarrowTheWindow(t *testing.T) {
-	var fleet []Server
+	var fleet []Endpoint
 	for i := range 12 {
-		fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+		fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
 	r := newRig(t, settings(), fleet...)
 	before := r.g.window
 	c := r.g.classes["read"]
 	for range 50 {
-		r.g.judge(&attempt{s: r.g.fleet[0]}, c, TimedOut, 0, nil)
+		r.g.recordSample(&attempt{endpoint: r.g.serving[0]}, c, TimedOut, 0, nil)
 	}
 	r.pass(100 * ms)
 	if r.g.window < before {
 		t.Fatal("narrowed by one server")
 	}
 	for i := range 50 {
-		r.g.judge(&attempt{s: r.g.fleet[i%12]}, c, TimedOut, 0, nil)
+		r.g.recordSample(&attempt{endpoint: r.g.serving[i%12]}, c, TimedOut, 0, nil)
 	}
 	r.pass(2 * time.Second)
 	if r.g.window >= before {
@@ -278,12 +278,12 @@
 
 // Long calls of one class are not a full back end: while another class is answered in time the window stays.
 func TestOneClassesLongCallsDoNotNarrowTheWindow(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	before := r.g.window
 	for i := range 40 {
-		s := r.g.fleet[i%2]
-		r.g.judge(&attempt{s: s}, r.g.classes["book"], Done, 400*ms, nil)
-		r.g.judge(&attempt{s: s}, r.g.classes["read"], Done, 20*ms, nil)
+		s := r.g.serving[i%2]
+		r.g.recordSample(&attempt{endpoint: s}, r.g.classes["book"], Succeeded, 400*ms, nil)
+		r.g.recordSample(&attempt{endpoint: s}, r.g.classes["read"], Succeeded, 20*ms, nil)
 	}
 	r.pass(2 * time.Second)
 	if r.g.window < before {
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -19,16 +19,16 @@
 	return c.Source.Uint64()
 }
 
-func longFleet(n int) (out []Server) {
+func longFleet(n int) (out []Endpoint) {
 	for i := range n {
-		out = append(out, Server{ID: ServerID(fmt.Sprintf("s%06d", i)), State: Running, Cell: i / 4})
+		out = append(out, Endpoint{ID: EndpointID(fmt.Sprintf("s%06d", i)), State: Serving, Cell: i / 4})
 	}
 	return out
 }
 
 // What a choice costs does not grow with the fleet, and today's fleets are looked at whole.
 func TestServersThatAChoiceLooksAt(t *testing.T) {
-	for _, n := range []int{1, 8, 200, mostLooked, mostLooked + 1, 1000, 1024, 4096, 20_000} {
+	for _, n := range []int{1, 8, 200, maxCandidates, maxCandidates + 1, 1000, 1024, 4096, 20_000} {
 		r := newRig(t, settings(), longFleet(n)...)
 		src := &counted{Source: rand.NewPCG(1, 2)}
 		r.g.rng = rand.New(src)
@@ -38,10 +38,10 @@
 			if len(sends) != 1 {
 				t.Fatalf("%d servers: sends %v", n, sends)
 			}
-			if looked := src.draws; looked > mostLooked+1 || n <= mostLooked && looked != n {
-				t.Fatalf("%d servers: %d looked at, want %d at most", n, looked, mostLooked)
+			if looked := src.draws; looked > maxCandidates+1 || n <= maxCandidates && looked != n {
+				t.Fatalf("%d servers: %d looked at, want %d at most", n, looked, maxCandidates)
 			}
-			r.tell(AttemptEnded{ID: id + 1, Server: sends[0].Server, Outcome: Done, Took: 20 * ms, Finished: true})
+			r.tell(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		}
 	}
 }
@@ -50,12 +50,12 @@
 func TestLongFleetIsUsedEvenly(t *testing.T) {
 	const servers, each = 1000, 60
 	r := newRig(t, settings(), longFleet(servers)...)
-	sent := map[ServerID]int{}
+	sent := map[EndpointID]int{}
 	for id := range RequestID(servers * each) {
 		r.now += ms
-		s := only[Send](r.arrive(id+1, "read", "free"))[0].Server
+		s := only[Send](r.arrive(id+1, "read", "free"))[0].Endpoint
 		sent[s]++
-		r.tell(AttemptEnded{ID: id + 1, Server: s, Outcome: Done, Took: 20 * ms, Finished: true})
+		r.tell(AttemptEnded{ID: id + 1, Endpoint: s, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		if id%10 == 0 {
 			r.tell(TimerFired{})
 		}
@@ -76,10 +76,10 @@
 	for seed := range uint64(20) {
 		r := newRig(t, set, longFleet(4000)...)
 		r.g.rng = rand.New(rand.NewPCG(seed, 5))
-		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-		s := only[Send](r.tell(Arrival{q}))[0].Server
-		got := only[Send](r.tell(AttemptEnded{ID: 1, Server: s, Outcome: Reset}))
-		if len(got) != 1 || r.g.servers[got[0].Server].Cell != r.g.servers[s].Cell || got[0].Server == s {
+		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
+		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
+		got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset}))
+		if len(got) != 1 || r.g.endpoints[got[0].Endpoint].Cell != r.g.endpoints[s].Cell || got[0].Endpoint == s {
 			t.Fatalf("after %s: sends %v", s, got)
 		}
 	}
@@ -88,14 +88,14 @@
 // A gateway's part of what all may do counts the gateways that share its servers, not all that there are.
 func TestPartOfASharedSubset(t *testing.T) {
 	set := settings()
-	set.Gateways = 6400
+	set.GatewayCount = 6400
 	r := newRig(t, set)
-	r.tell(FleetChanged{Whole: true, Servers: longFleet(900), Sharers: 30})
-	if got, want := r.g.part(), startPerHost*900/30; got != want || r.g.window != want {
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(900), GatewaysPerEndpoint: 30})
+	if got, want := r.g.initialWindow(), initialAttemptsPerEndpoint*900/30; got != want || r.g.window != want {
 		t.Errorf("part %v, window %v; want %v", got, r.g.window, want)
 	}
-	r.tell(FleetChanged{Whole: true, Servers: longFleet(200)})
-	if got, want := r.g.part(), 1.0; got != want {
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(200)})
+	if got, want := r.g.initialWindow(), 1.0; got != want {
 		t.Errorf("part %v of a whole list, want %v", got, want)
 	}
 }
