--- a/policy/central.go
+++ b/policy/central.go
@@ -3,6 +3,7 @@
 import "time"
 
 const (
+	minCallShare           = 0.05 // share of requests that ask the counter at least, to find one that is back
 	callShareFactorOnLoss  = 0.7  // a call that waits too long is work for nothing
 	callShareFactorOnDelay = 0.9  // the counter's line grows: long before calls are lost
 	callShareIncrease      = 0.01 // gentle: all gateways find the counter free at the same time
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,5 +1,5 @@
-// Package policy decides for one gateway of a metered service. Its interface (settings, events, actions) is
-// in api.go; what decides is in gateway.go (admission, leases, queue, window, attempts), central.go, permits.go and servers.go.
+// Package policy decides for one gateway of a metered service. Its interface is in settings.go, events.go and
+// actions.go; what decides is in the files named after their subject.
 //
 // A request spends units of its customer's leased block (lease), or claims them as it comes (ask). It joins
 // the queue of its priority, class worth x plan price, and leaves when the AIMD window of attempts has room,
--- /dev/null
+++ b/policy/model/outcome.go
@@ -0,0 +1,36 @@
+package model
+
+// Outcome tells how an attempt, a health check or a call of the shared counter ended.
+type Outcome uint8
+
+// Outcomes; a reader takes anything it does not know for Failed, which may have been executed.
+const (
+	Failed        Outcome = iota // answered with an error
+	Succeeded                    // served
+	Rejected                     // turned away before it was looked at: not executed
+	TimedOut                     // no answer in time
+	ConnectFailed                // no connection: not executed
+	Reset                        // the connection broke
+	Cancelled                    // called off by the gateway
+	NotSent                      // given up before its first byte was written: not executed
+)
+
+// OutcomeCount is the number of outcomes.
+const OutcomeCount = NotSent + 1
+
+// outcomeNames are the names of outcomes in logs.
+var outcomeNames = [OutcomeCount]string{"failed", "succeeded", "rejected", "timed_out", "connect_failed", "reset",
+	"cancelled", "not_sent"}
+
+// NotExecuted reports whether the outcome proves that the attempt was not executed.
+func (outcome Outcome) NotExecuted() bool {
+	return outcome == Rejected || outcome == ConnectFailed || outcome == NotSent
+}
+
+// String returns the outcome's name in logs.
+func (outcome Outcome) String() string {
+	if outcome >= OutcomeCount {
+		return "unknown"
+	}
+	return outcomeNames[outcome]
+}
--- /dev/null
+++ b/policy/types.go
@@ -0,0 +1,61 @@
+package policy
+
+import "lemontack/policy/model"
+
+// The plain data of the interface, which the module's parts share.
+type (
+	// RequestID identifies one request at one gateway; it is never reused.
+	RequestID = model.RequestID
+	// Idempotency says whether a request of a class may be executed more than once.
+	Idempotency = model.Idempotency
+	// DeduplicationScope says which endpoints share the idempotency keys that they have seen.
+	DeduplicationScope = model.DeduplicationScope
+	// Class is a kind of request.
+	Class = model.Class
+	// Plan sets the quotas of each of its customers, over all gateways together.
+	Plan = model.Plan
+	// EndpointID identifies an endpoint.
+	EndpointID = model.EndpointID
+	// Endpoint is one backend of the endpoint list.
+	Endpoint = model.Endpoint
+	// EndpointState is the state of an endpoint in the endpoint list.
+	EndpointState = model.EndpointState
+	// LoadReport is what an endpoint last said of itself.
+	LoadReport = model.LoadReport
+	// Outcome tells how an attempt, a health check or a call of the shared counter ended.
+	Outcome = model.Outcome
+)
+
+// Kinds of idempotency.
+const (
+	NonIdempotent  = model.NonIdempotent
+	Idempotent     = model.Idempotent
+	IdempotencyKey = model.IdempotencyKey
+)
+
+// Deduplication scopes.
+const (
+	ScopeCell = model.ScopeCell
+	ScopeZone = model.ScopeZone
+	ScopeAll  = model.ScopeAll
+)
+
+// Endpoint states.
+const (
+	Draining = model.Draining
+	Serving  = model.Serving
+	Removed  = model.Removed
+)
+
+// Outcomes.
+const (
+	Failed        = model.Failed
+	Succeeded     = model.Succeeded
+	Rejected      = model.Rejected
+	TimedOut      = model.TimedOut
+	ConnectFailed = model.ConnectFailed
+	Reset         = model.Reset
+	Cancelled     = model.Cancelled
+	NotSent       = model.NotSent
+	OutcomeCount  = model.OutcomeCount
+)
