--- a/internal/ingress/answers.go
+++ b/internal/ingress/answers.go
@@ -3,6 +3,9 @@
 import (
 	"net"
 	"time"
+
+	"lemontack/internal/resp"
+	"lemontack/internal/sockets"
 )
 
 const (
@@ -92,7 +95,7 @@
 		}
 		c.mu.Unlock()
 		if len(buf) > 0 {
-			_, err := writeWhole(c.nc, buf, time.Now().Add(writeStall))
+			_, err := sockets.WriteAll(c.nc, buf, time.Now().Add(writeStall))
 			c.mu.Lock()
 			c.unsent -= len(buf)
 			c.pending -= ready
@@ -103,7 +106,7 @@
 				return
 			}
 		}
-		if cap(buf) > smallBuffer {
+		if cap(buf) > resp.InitialBufferSize {
 			buf = nil
 		}
 		if last { // the end is told first, so that no answer is lost to a reset
--- a/internal/ingress/backend.go
+++ b/internal/ingress/backend.go
@@ -14,6 +14,8 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/resp"
+	"lemontack/internal/sockets"
 	"lemontack/policy"
 )
 
@@ -71,7 +73,7 @@
 	addr    string
 	nc      net.Conn // set before connUp is posted
 	raw     syscall.RawConn
-	frames  *budget
+	frames  *resp.MemoryBudget
 	work    chan job
 	check   func(a *attempt, told time.Duration) // before an attempt's first byte
 	dead    chan struct{}
@@ -141,17 +143,17 @@
 // read posts answers until the connection ends or is of no further use: bytes behind an answer may be a second copy of
 // it, which must never be taken for the answer to the next command.
 func (c *conn) read(post func(event)) {
-	in := inbox{budget: c.frames}
-	defer in.close()
+	in := resp.FrameBuffer{Budget: c.frames}
+	defer in.Close()
 	limited := false
 	for {
-		f, err := in.next()
+		f, err := in.Next()
 		switch {
 		case err != nil:
 			return
 		case f != nil:
 			rep := parseReply(f)
-			rep.keep = rep.keep && !in.partial()
+			rep.keep = rep.keep && !in.Partial()
 			c.writing.Lock()
 			to := c.whole.Load()
 			c.writing.Unlock()
@@ -160,15 +162,15 @@
 				return
 			}
 			continue
-		case in.partial() && !limited:
+		case in.Partial() && !limited:
 			c.nc.SetReadDeadline(time.Now().Add(answerTime))
 			limited = true
-		case limited && !in.partial():
+		case limited && !in.Partial():
 			c.nc.SetReadDeadline(time.Time{})
 			limited = false
 		}
-		if err := in.fill(c.nc.Read); isTransient(err) {
-			time.Sleep(transientPause)
+		if err := in.Fill(c.nc.Read); sockets.IsTransient(err) {
+			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
 			return
 		}
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -6,6 +6,9 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"lemontack/internal/resp"
+	"lemontack/internal/sockets"
 )
 
 const (
@@ -24,17 +27,17 @@
 type client struct {
 	f              *front
 	nc             net.Conn
-	in             inbox         // the reader's, as all up to blind are
-	paused         int32         // faults that were followed by a pause
-	left           bool          // the client has gone
-	limited        bool          // the rest of a command has a limit
-	first          bool          // nothing has been read yet
-	refusing       bool          // it is closing for faults: requests are turned away
-	flood          int           // bytes read since the last rest, once nothing is taken any more
-	opened, readAt time.Time     // when it was accepted, or may have come; when what is in the inbox may have come
-	behind         bool          // it may have waited to be accepted since opened
-	duplicate      atomic.Uint64 // the last id that was taken already
-	blind          bool          // what is read may have waited for long, and it is not known whether the client is still there
+	in             resp.FrameBuffer // the reader's, as all up to blind are
+	paused         int32            // faults that were followed by a pause
+	left           bool             // the client has gone
+	limited        bool             // the rest of a command has a limit
+	first          bool             // nothing has been read yet
+	refusing       bool             // it is closing for faults: requests are turned away
+	flood          int              // bytes read since the last rest, once nothing is taken any more
+	opened, readAt time.Time        // when it was accepted, or may have come; when what is in the inbox may have come
+	behind         bool             // it may have waited to be accepted since opened
+	duplicate      atomic.Uint64    // the last id that was taken already
+	blind          bool             // what is read may have waited for long, and it is not known whether the client is still there
 	wake           chan struct{}
 	written        chan struct{} // closed when nothing is written any more
 	faults         atomic.Int32  // pieces of nonsense that came
@@ -68,7 +71,7 @@
 		first: true}
 	c.opened = c.used
 	if f != nil {
-		c.in.budget = f.frames
+		c.in.Budget = f.frames
 	}
 	return c
 }
@@ -132,8 +135,8 @@
 	buf := make([]byte, discardBuffer)
 	for {
 		n, err := c.nc.Read(buf)
-		if isTransient(err) {
-			time.Sleep(transientPause)
+		if sockets.IsTransient(err) {
+			time.Sleep(sockets.TransientErrorPause)
 			continue
 		}
 		if err != nil { // gone, or the writer's limit has passed
@@ -182,7 +185,7 @@
 	}
 	c.kicked = false
 	c.nc.SetReadDeadline(c.limitAt)
-	if c.closing && len(c.waiting) == 0 && (!c.in.partial() || c.why == closeForRoom) {
+	if c.closing && len(c.waiting) == 0 && (!c.in.Partial() || c.why == closeForRoom) {
 		c.end()
 		return true, true
 	}
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"lemontack/internal/resp"
 )
 
 // The command, customer, id, key and body go on as they came; d becomes what is left of it.
@@ -39,7 +41,7 @@
 	be := serving(t, "value")
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	long := strings.Repeat("x", maxValue+1)
+	long := strings.Repeat("x", resp.MaxValueLength+1)
 	for name, c := range map[string]struct {
 		in     string
 		closed bool
@@ -355,7 +357,7 @@
 	hello, answer := command("HELLO"), "-ERR unknown command\r\n"
 	go io.WriteString(nc, strings.Repeat(hello, 10_000))
 	rest, err := io.ReadAll(in)
-	n, most := strings.Count(string(rest), answer), mostFaults+(maxFrame+maxLine+smallBuffer)/len(hello)
+	n, most := strings.Count(string(rest), answer), mostFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
 	if n < mostFaults || n > most || len(rest) != n*len(answer) {
 		t.Fatalf("%d errors in %d bytes, %v; want %d to %d and the end", n, len(rest), err, mostFaults, most)
 	}
@@ -378,20 +380,20 @@
 
 // The memory of commands that are coming in is bounded over all connections.
 func TestBudget(t *testing.T) {
-	b := newBudget(smallBuffer + 10)
-	fill := func(in *inbox) error {
-		return in.fill(func(p []byte) (int, error) { return len(p), nil })
+	b := resp.NewMemoryBudget(resp.InitialBufferSize + 10)
+	fill := func(in *resp.FrameBuffer) error {
+		return in.Fill(func(p []byte) (int, error) { return len(p), nil })
 	}
-	one, two := inbox{budget: b}, inbox{budget: b}
+	one, two := resp.FrameBuffer{Budget: b}, resp.FrameBuffer{Budget: b}
 	for _, step := range []struct {
-		in   *inbox
+		in   *resp.FrameBuffer
 		want error
-	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, errMemory}} {
+	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, resp.ErrNoMemory}} {
 		if err := fill(step.in); err != step.want {
 			t.Fatalf("%v, want %v", err, step.want)
 		}
 	}
-	one.close()
+	one.Close()
 	if err := fill(&two); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ingress/clock_test.go
+++ b/internal/ingress/clock_test.go
@@ -185,7 +185,7 @@
 		at.HushWatches() // the old address tells nothing more
 		rev, since := at.Change(target(0, "DRAINING")), time.Now()
 		for _, d := range fleet.all {
-			d.moves.set("127.0.0.1:2")
+			d.moves.Set("127.0.0.1:2")
 		}
 		time.Sleep(3 * moveClock)
 		if last, missing := fleet.latest(rev, since); missing > 0 || last > moveClock {
--- a/internal/ingress/counter.go
+++ b/internal/ingress/counter.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"lemontack/internal/mailbox"
 	"lemontack/policy"
 )
 
@@ -57,14 +58,14 @@
 	addr    string
 	timeout time.Duration
 	calls   chan *call
-	moves   latest
+	moves   mailbox.Latest[string]
 	post    func(event)
 }
 
 func newCounter(addr string, timeout time.Duration, post func(event)) *counter {
 	c := &counter{}
 	for i := range c.links {
-		c.links[i] = &link{addr: addr, timeout: timeout, calls: make(chan *call, counterQueue), moves: newLatest(),
+		c.links[i] = &link{addr: addr, timeout: timeout, calls: make(chan *call, counterQueue), moves: mailbox.NewLatest[string](),
 			post: post}
 	}
 	return c
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/mailbox"
 	"lemontack/policy"
 )
 
@@ -18,7 +19,7 @@
 func startLink(t *testing.T, serve func(nc net.Conn, lines *bufio.Reader)) (*link, <-chan event) {
 	events := make(chan event, 64)
 	addr := listen(t, func(nc net.Conn) { serve(nc, bufio.NewReader(nc)) })
-	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *call, 16), moves: newLatest(), post: func(e event) { events <- e }}
+	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *call, 16), moves: mailbox.NewLatest[string](), post: func(e event) { events <- e }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -137,7 +138,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	events := make(chan event, 1)
-	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *call, 1), moves: newLatest(), post: func(e event) { events <- e }}
+	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *call, 1), moves: mailbox.NewLatest[string](), post: func(e event) { events <- e }}
 	l.serve(context.Background(), &call{name: "a"})
 	if ev := (<-events).(counted); ev.outcome != policy.ConnectFailed {
 		t.Fatalf("outcome %v", ev.outcome)
@@ -201,7 +202,7 @@
 	})
 	l.calls <- &call{name: "a"}
 	<-asked
-	l.moves.set(next)
+	l.moves.Set(next)
 	for len(l.moves) > 0 { // fetched
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -16,6 +16,7 @@
 	"sync"
 	"time"
 
+	"lemontack/internal/mailbox"
 	"lemontack/policy"
 )
 
@@ -117,7 +118,7 @@
 	url    string
 	rev    int64
 	client *http.Client
-	moves  latest
+	moves  mailbox.Latest[string]
 	post   func(event)
 	pace   pace
 	rng    *rand.Rand // of the goroutine that asks, as the next two are
@@ -128,7 +129,7 @@
 }
 
 func newDiscovery(addr string, rev int64, p pace, post func(event), log *slog.Logger) *discovery {
-	return &discovery{url: listURL(addr), rev: rev, pace: p, moves: newLatest(), post: post, log: log,
+	return &discovery{url: listURL(addr), rev: rev, pace: p, moves: mailbox.NewLatest[string](), post: post, log: log,
 		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		known: newMembers(policy.Settings{GatewayCount: 1}, log), entry: func() {},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxHeader},
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"lemontack/internal/resp"
 )
 
 const (
@@ -25,8 +27,8 @@
 type front struct {
 	ln         net.Listener
 	gw         *Gateway
-	slots      chan struct{} // one for each connection that may be open
-	frames     *budget       // memory of commands that are coming in
+	slots      chan struct{}      // one for each connection that may be open
+	frames     *resp.MemoryBudget // memory of commands that are coming in
 	unsent     atomic.Int64
 	mostUnsent int64 // bytes of answers that clients have not read, all together
 	mu         sync.Mutex
@@ -41,7 +43,7 @@
 }
 
 func newFront(ln net.Listener, gw *Gateway, most, memory int) *front {
-	f := &front{ln: ln, gw: gw, observe: newObserver(slog.New(slog.DiscardHandler)), unreadMost: time.Duration(math.MaxInt64), slots: make(chan struct{}, most), frames: newBudget(memory),
+	f := &front{ln: ln, gw: gw, observe: newObserver(slog.New(slog.DiscardHandler)), unreadMost: time.Duration(math.MaxInt64), slots: make(chan struct{}, most), frames: resp.NewMemoryBudget(memory),
 		mostUnsent: int64(memory), clients: map[*client]bool{}, accepted: make(chan struct{})}
 	if gw != nil {
 		f.observe, f.holdUps = gw.observe, gw.holdUps
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -15,6 +15,7 @@
 	"sync"
 	"time"
 
+	"lemontack/internal/resp"
 	"lemontack/internal/subset"
 	"lemontack/internal/wire"
 	"lemontack/policy"
@@ -94,12 +95,12 @@
 	actions   []policy.Action
 	queue     []policy.Event // for the module, from actions that ended at once
 
-	mostConns  int     // of conns
-	mostHeld   int     // of heldBytes
-	mostUnits  float64 // of one request
-	mostTries  int     // attempts of one request
-	turnedAway []byte  // the answer to what is not taken
-	frames     *budget // memory of answers that are coming in
+	mostConns  int                // of conns
+	mostHeld   int                // of heldBytes
+	mostUnits  float64            // of one request
+	mostTries  int                // attempts of one request
+	turnedAway []byte             // the answer to what is not taken
+	frames     *resp.MemoryBudget // memory of answers that are coming in
 }
 
 // New checks the configuration and returns an ingress that does not run yet.
@@ -140,7 +141,7 @@
 		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
 		keys: map[uint64]bool{}, backends: map[policy.EndpointID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
-		frames: newBudget(cfg.Memory / memoryShare), mostTries: max(cfg.Settings.MaxAttempts, 1),
+		frames: resp.NewMemoryBudget(cfg.Memory / memoryShare), mostTries: max(cfg.Settings.MaxAttempts, 1),
 		turnedAway: busy(min(busyAdvice, cfg.Settings.MaxRetryAfter))}
 	for _, c := range cfg.Settings.Classes {
 		g.classes[c.Name] = c
@@ -169,28 +170,9 @@
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may come at any time, and
 // the last of several counts. Clients, backends and the module's books are left as they are.
 func (g *Gateway) Move(discovery, counter string) {
-	g.disc.moves.set(discovery)
+	g.disc.moves.Set(discovery)
 	for _, l := range g.counter.links {
-		l.moves.set(counter)
-	}
-}
-
-// latest is a place for one address; one that is put there takes the place of one that was not fetched.
-type latest chan string
-
-func newLatest() latest { return make(latest, 1) }
-
-func (l latest) set(addr string) {
-	for {
-		select {
-		case l <- addr:
-			return
-		default:
-		}
-		select {
-		case <-l:
-		default:
-		}
+		l.moves.Set(counter)
 	}
 }
 
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"lemontack/internal/resp"
 	"lemontack/policy"
 )
 
@@ -90,7 +91,7 @@
 	for i := range 30 {
 		many.WriteString(ask(10+i, readFields))
 	}
-	long := command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", writeFields, strings.Repeat("x", maxValue))
+	long := command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", writeFields, strings.Repeat("x", resp.MaxValueLength))
 	for name, c := range map[string]struct {
 		first, then string
 		half        bool
@@ -127,7 +128,7 @@
 			} else {
 				far.Close()
 			}
-			if len(c.then) <= maxFrame+maxLine { // else the end stays behind what the system can take
+			if len(c.then) <= resp.MaxFrameLength+resp.MaxLineLength { // else the end stays behind what the system can take
 				awaitEnd(t, near)
 			}
 			close(reads)
--- a/internal/ingress/reader.go
+++ b/internal/ingress/reader.go
@@ -9,6 +9,9 @@
 	"time"
 
 	"github.com/tidwall/redcon"
+
+	"lemontack/internal/resp"
+	"lemontack/internal/sockets"
 )
 
 // requestWordEnd is where the first word of a request has ended in its command, at the latest.
@@ -21,9 +24,9 @@
 
 // read takes commands until the connection ends; it says whether the writer ends it, and what still comes is to be read.
 func (c *client) read() (linger bool) {
-	defer c.in.close()
+	defer c.in.Close()
 	for {
-		f, err := c.in.next()
+		f, err := c.in.Next()
 		if f != nil {
 			if !c.take(f) {
 				return false
@@ -50,11 +53,11 @@
 // faultOf says whether an error of reading is the client's fault, and which.
 func faultOf(err error) (faultKind, bool) {
 	switch {
-	case errors.Is(err, errFraming):
+	case errors.Is(err, resp.ErrMalformed):
 		return faultFraming, true
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, resp.ErrTooLong):
 		return faultTooLong, true
-	case errors.Is(err, errMemory):
+	case errors.Is(err, resp.ErrNoMemory):
 		return faultMemory, true
 	case errors.Is(err, errUnfinished):
 		return faultUnfinished, true
@@ -68,7 +71,7 @@
 	if c.refusing && c.endIdle() {
 		return errEnded
 	}
-	if c.in.partial() && !c.limited {
+	if c.in.Partial() && !c.limited {
 		from := time.Now()
 		if !c.hasSpoken() {
 			from = c.opened
@@ -76,8 +79,8 @@
 		c.limit(from.Add(firstCommand))
 		c.limited = true
 	}
-	before := c.in.have - c.in.start
-	err := c.in.fill(c.nc.Read)
+	before := len(c.in.Buffered())
+	err := c.in.Fill(c.nc.Read)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		switch asked, ended := c.mayEnd(); {
 		case ended:
@@ -88,15 +91,15 @@
 			return errUnfinished
 		}
 	}
-	if isTransient(err) {
-		time.Sleep(transientPause)
+	if sockets.IsTransient(err) {
+		time.Sleep(sockets.TransientErrorPause)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if c.refusing {
-		c.rest(c.in.have - before)
+		c.rest(len(c.in.Buffered()) - before)
 	}
 	return c.came()
 }
@@ -172,19 +175,19 @@
 func (c *client) pause(n int32) (here bool) {
 	c.paused = n
 	until := time.Now().Add(time.Duration(n) * faultPause)
-	for c.in.room() {
+	for c.in.HasRoom() {
 		if c.requestWaits() {
 			c.blind = true
 			return c.look()
 		}
 		c.limit(until)
-		err := c.in.fill(c.nc.Read)
+		err := c.in.Fill(c.nc.Read)
 		c.limit(time.Time{})
 		if errors.Is(err, os.ErrDeadlineExceeded) { // or the writer asks: the next read answers
 			return true
 		}
-		if isTransient(err) {
-			time.Sleep(transientPause)
+		if sockets.IsTransient(err) {
+			time.Sleep(sockets.TransientErrorPause)
 			continue
 		}
 		if err != nil {
@@ -208,8 +211,8 @@
 // requestWaits says whether a well-formed request has been read and not taken. One whose id was taken already does not count:
 // its client would get round the pauses with it.
 func (c *client) requestWaits() bool {
-	for b := c.in.buf[c.in.start:c.in.have]; ; {
-		n, err := frame(b, 0)
+	for b := c.in.Buffered(); ; {
+		n, err := resp.FrameLength(b)
 		if n == 0 || err != nil {
 			return false
 		}
@@ -245,13 +248,13 @@
 	}
 	raw, err := sc.SyscallConn()
 	for err == nil {
-		err = c.in.fill(func(b []byte) (int, error) { return readNow(raw, b) })
+		err = c.in.Fill(func(b []byte) (int, error) { return readNow(raw, b) })
 	}
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
 		c.blind = false
 		return true
-	case isTransient(err), errors.Is(err, errTooLong), errors.Is(err, errMemory), errors.Is(err, os.ErrDeadlineExceeded):
+	case sockets.IsTransient(err), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrNoMemory), errors.Is(err, os.ErrDeadlineExceeded):
 		return true // the next read will tell
 	}
 	return false
--- a/internal/ingress/transient_test.go
+++ b/internal/ingress/transient_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"lemontack/internal/sockets"
 )
 
 // scarce is a connection whose reads and writes fail in turn for want of memory, and whose writes fall short.
@@ -51,7 +53,7 @@
 	near, _ := accepted(t)
 	always := &failing{near}
 	began := time.Now()
-	if n, err := writeWhole(always, []byte("x"), began.Add(20*time.Millisecond)); n != 0 || !isTransient(err) {
+	if n, err := sockets.WriteAll(always, []byte("x"), began.Add(20*time.Millisecond)); n != 0 || !sockets.IsTransient(err) {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	if time.Since(began) < 20*time.Millisecond {
