--- a/internal/ingress/answers.go
+++ b/internal/ingress/answers.go
@@ -17,11 +17,11 @@
 type slot struct {
 	c     *client
 	reply []byte // nil until answered
-	req   *request
+	req   *clientRequest
 }
 
 // open keeps a place for an answer; nil when the connection takes no more.
-func (c *client) open(r *request) *slot {
+func (c *client) open(r *clientRequest) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -71,7 +71,7 @@
 		g.noteLate(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
-		r.slot.answer(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
+		r.respond(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
 	}
 	r.out--
 	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began,
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -319,7 +319,7 @@
 }
 
 func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
-	return &attempt{req: &request{args: [][]byte{nil, nil, nil, nil}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
+	return &attempt{req: &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
 }
 
 // A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
@@ -362,7 +362,7 @@
 	c := newClient(f, near)
 	f.slots <- struct{}{}
 	f.wg.Add(1)
-	first, second := c.open(&request{}), c.open(nil)
+	first, second := c.open(&clientRequest{}), c.open(nil)
 	second.answer([]byte("+PONG\r\n"))
 	far.Close()
 	c.serve()
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -62,8 +62,8 @@
 
 // The events of a client.
 type (
-	arrived   struct{ r *request }
-	abandoned struct{ reqs []*request }
+	arrived   struct{ r *clientRequest }
+	abandoned struct{ reqs []*clientRequest }
 )
 
 func newClient(f *front, nc net.Conn) *client {
@@ -105,7 +105,7 @@
 }
 
 // leave marks the connection as over and returns the requests that nobody waits for any more.
-func (c *client) leave() (left []*request) {
+func (c *client) leave() (left []*clientRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gone.Store(true)
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -207,18 +207,15 @@
 func TestMostHeld(t *testing.T) {
 	g := idleGateway(t, newBackend(t, nil).addr)
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	arrive := func(key uint64) *request {
-		r := &request{key: key, size: g.mostHeld - 1000, slot: &slot{c: c}, args: make([][]byte, 4)}
-		r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
-		g.handle(arrived{r})
-		return r
-	}
-	first, second := arrive(1), arrive(2)
-	if first.final || string(second.slot.reply) != "-BUSY\r\n" {
-		t.Fatalf("first final: %v; second answered %q", first.final, second.slot.reply)
-	}
-	g.handle(abandoned{[]*request{first}})
-	if third := arrive(3); third.final {
+	first := newClientRequest(g, c, 1, g.mostHeld-1000)
+	second := newClientRequest(g, c, 2, g.mostHeld-1000)
+	taken := takeIn(g, first)
+	if taken == nil || taken.final || takeIn(g, second) != nil || string(second.slot.reply) != "-BUSY\r\n" {
+		t.Fatalf("first taken: %v; second answered %q", taken, second.slot.reply)
+	}
+	g.handle(abandoned{[]*clientRequest{first}})
+	third := newClientRequest(g, c, 3, g.mostHeld-1000)
+	if taken := takeIn(g, third); taken == nil || taken.final {
 		t.Fatalf("third answered %q after the first had ended", third.slot.reply)
 	}
 }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -300,7 +300,7 @@
 	c := newClient(f, near)
 	done := serveClient(f, c)
 	io.WriteString(far, b.String())
-	var taken []*request
+	var taken []*clientRequest
 	for range mostPipelined {
 		taken = append(taken, (<-g.events).(arrived).r)
 	}
@@ -324,7 +324,7 @@
 // A request that is over is not sent when its connection comes up, also where attempts may not be called off.
 func TestOverRequestIsNotSent(t *testing.T) {
 	for name, over := range map[string]func(g *Gateway, r *request){
-		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*request{r}}) },
+		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*clientRequest{r.clientRequest}}) },
 		"out of time":  func(g *Gateway, r *request) { g.cutOff(r) },
 		"other answer": func(_ *Gateway, r *request) { r.final = true },
 	} {
@@ -340,10 +340,8 @@
 			}
 			run(t, g)
 			c := newClient(newFront(nil, g, 1, 1<<20), nil)
-			r := &request{key: 1, slot: &slot{c: c}, args: make([][]byte, 4), size: 7}
-			r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
-			g.handle(arrived{r})
-			if len(r.attempts) != 1 {
+			r := takeIn(g, newClientRequest(g, c, 1, 7))
+			if r == nil || len(r.attempts) != 1 {
 				t.Fatal("no attempt waits for a connection")
 			}
 			a := r.attempts[0]
@@ -432,22 +430,18 @@
 func TestArrivalsInAShutdown(t *testing.T) {
 	g := idleGateway(t, newBackend(t, nil).addr)
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	arrive := func(key uint64) *request {
-		r := &request{key: key, slot: &slot{c: c}, args: make([][]byte, 4)}
-		r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
-		g.handle(arrived{r})
-		return r
-	}
-	first := arrive(1)
+	first := takeIn(g, newClientRequest(g, c, 1, 0))
 	waits := first.attempts // for a connection
 	by := g.now + time.Second
 	g.handle(ending{by})
-	if second := arrive(2); second.final || second.Deadline != by {
+	second := newClientRequest(g, c, 2, 0)
+	if taken := takeIn(g, second); taken == nil || taken.final || second.Deadline != by {
 		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
 	}
 	g.now = by
 	g.ring()
-	if third := arrive(3); !first.final || !third.final || string(third.slot.reply) != "-BUSY\r\n" {
+	third := newClientRequest(g, c, 3, 0)
+	if taken := takeIn(g, third); !first.final || taken != nil || string(third.slot.reply) != "-BUSY\r\n" {
 		t.Fatalf("first answered: %v; third %q", first.final, third.slot.reply)
 	}
 	if len(waits) != 1 || !waits[0].ended {
@@ -596,9 +590,9 @@
 	}
 	run(t, g)
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	r := &request{key: 1, slot: &slot{c: c}, args: make([][]byte, 4)}
-	r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "write", "p", 1, 1, g.now+time.Minute
-	g.handle(arrived{r})
+	sent := newClientRequest(g, c, 1, 0)
+	sent.Class = "write"
+	r := takeIn(g, sent)
 	up := (<-g.events).(connUp) // told of only after the drain
 	f := fleetOf(a.addr, b.addr)
 	f.Targets[0].State = "DRAINING"
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -284,3 +284,16 @@
 }
 
 var quiet = slog.New(slog.DiscardHandler)
+
+// newClientRequest returns a request as a client's connection would bring it.
+func newClientRequest(g *Gateway, c *client, key uint64, size int) *clientRequest {
+	r := &clientRequest{key: key, size: size, slot: &slot{c: c}, args: make([][]byte, 4)}
+	r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
+	return r
+}
+
+// takeIn brings a request to the gateway; it returns nil where the gateway turned it away.
+func takeIn(g *Gateway, r *clientRequest) *request {
+	g.handle(arrived{r})
+	return g.requests[r.ID]
+}
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -312,8 +312,10 @@
 	case arrived:
 		g.arrived(ev.r)
 	case abandoned:
-		for _, r := range ev.reqs {
-			g.abandon(r)
+		for _, left := range ev.reqs {
+			if r := g.requests[left.ID]; r != nil { // else it is over, or was never taken
+				g.abandon(r)
+			}
 		}
 	case connUp:
 		g.connUp(ev)
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -35,7 +35,7 @@
 }
 
 // violated counts a broken rule and writes what is known of the request.
-func (o *observer) violated(which rule, r *request, now time.Duration, cause string) {
+func (o *observer) violated(which rule, r *clientRequest, now time.Duration, cause string) {
 	o.violations.Add(which)
 	if ok, _ := o.anomalies.Allow(time.Now()); !ok {
 		return
@@ -44,7 +44,7 @@
 }
 
 // describe is what is known of a request, for the log.
-func (r *request) describe(now time.Duration) slog.Value {
+func (r *clientRequest) describe(now time.Duration) slog.Value {
 	return slog.GroupValue(slog.String("id", r.id()), slog.String("client", r.remote()), slog.String("class", r.Class),
 		slog.String("customer", r.Customer), slog.Duration("age", now-r.readAt), slog.Duration("time", r.until-r.readAt))
 }
@@ -122,7 +122,7 @@
 		return true
 	}
 	if which, fault := isFault(reason); fault {
-		g.observe.violated(which, a.req, g.now, reason.Error())
+		g.observe.violated(which, a.req.clientRequest, g.now, reason.Error())
 	}
 	if errors.Is(reason, errLeft) {
 		g.abandon(a.req)
@@ -139,13 +139,13 @@
 		return
 	}
 	now := g.clock(time.Now())
-	if left := time.Duration(r.slot.c.goneAt.Load()); left != 0 && now-left > leftMost {
-		g.observe.violated(ruleClientLeft, r, now, "it left "+(now-left).String()+" before")
+	if left := r.leftAt(); left != 0 && now-left > leftMost {
+		g.observe.violated(ruleClientLeft, r.clientRequest, now, "it left "+(now-left).String()+" before")
 	}
 	if ended := time.Duration(a.be.endedAt.Load()); ended != 0 && now-ended > drainMost {
-		g.observe.violated(ruleDrain, r, now, "it was told "+(now-ended).String()+" before")
+		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-ended).String()+" before")
 	}
 	if told > max(r.until-now, 0)+heldUpMost {
-		g.observe.violated(ruleDeadline, r, now, "told "+told.String())
+		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+told.String())
 	}
 }
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -58,7 +58,7 @@
 		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &request{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}
+			r := &request{clientRequest: &clientRequest{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}}
 			r.Class = c.class
 			for i, b := range c.before {
 				r.attempts = append(r.attempts, &attempt{req: r, n: i, be: g.backends["s0"], began: g.now - c.ago, ended: b.ended,
@@ -80,7 +80,7 @@
 // Copies are out one at a time where the settings say so.
 func TestGuardOfCopies(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{}
+	r := &request{clientRequest: &clientRequest{}}
 	r.Class = "read"
 	first, second := &attempt{req: r, be: g.backends["s0"]}, &attempt{req: r, n: 0, be: g.backends["s0"], stop: g.now + time.Minute}
 	r.attempts = []*attempt{first, second}
@@ -92,7 +92,7 @@
 // What the guard denies as a fault of the module is counted, and the attempt ends unsent.
 func TestViolationsAreCounted(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{out: 2}
+	r := &request{clientRequest: &clientRequest{}, out: 2}
 	r.Class = "write"
 	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
 	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -166,7 +166,7 @@
 	writes := make(chan struct{})
 	c := newClient(f, &gated{TCPConn: near, writes: writes})
 	first := c.open(nil)
-	c.open(&request{})
+	c.open(&clientRequest{})
 	first.answer([]byte("+PONG\r\n"))
 	done := serveClient(f, c)
 	for pending := true; pending; time.Sleep(time.Millisecond) { // until the writer holds the answer
@@ -309,7 +309,7 @@
 				c1.faults.Store(c.faults)
 				c1.paused = c.faults
 				if c.owed {
-					c1.open(&request{})
+					c1.open(&clientRequest{})
 				}
 				began := time.Now()
 				done := serveClient(f, c1)
@@ -342,7 +342,7 @@
 			be := g.backends["s0"]
 			c := &conn{be: be, addr: be.addr, nc: near, work: make(chan job, 1), dead: make(chan struct{}),
 				check: func(*attempt, time.Duration) {}}
-			r := &request{args: make([][]byte, 4), out: 1}
+			r := &request{clientRequest: &clientRequest{args: make([][]byte, 4)}, out: 1}
 			a := &attempt{req: r, be: be, stop: g.now + time.Hour}
 			r.attempts = []*attempt{a}
 			g.write(c, a)
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -123,7 +123,7 @@
 
 // connectionClosed counts and traces the end of a client's connection. Requests without an answer were abandoned by their
 // client, unless the ingress broke the connection off; for one that does not read its answers nothing more can be done.
-func (o *observer) connectionClosed(c *client, unanswered []*request) {
+func (o *observer) connectionClosed(c *client, unanswered []*clientRequest) {
 	c.mu.Lock()
 	why, cut := c.why, c.cut
 	c.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // turnedAway counts and traces a request that the network code refuses.
-func (o *observer) turnedAway(r *request, why string) {
+func (o *observer) turnedAway(r *clientRequest, why string) {
 	o.requests.Add(requestsTurnedAway)
 	if o.tracing {
 		o.log.Debug("request turned away", "id", r.id(), "client", r.remote(), "reason", why)
@@ -200,17 +200,6 @@
 	o.log.Warn(text, attrs...)
 }
 
-// remote is the address of the request's client; "" once nothing is owed to it.
-func (r *request) remote() string {
-	if r.slot == nil {
-		return ""
-	}
-	return r.slot.c.remote()
-}
-
-// id is the request's id as the client wrote it.
-func (r *request) id() string { return fmt.Sprintf("%016x", r.key) }
-
 // String tells of an attempt for the log.
 func (a *attempt) String() string {
 	state := "out"
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -12,27 +12,57 @@
 
 const mostKey = 256 // bytes of an idempotency key
 
-// request is a client's command, and the gateway's books on it.
-type request struct {
+// clientRequest is a client's command, taken apart, with the place of its answer on the client's connection.
+type clientRequest struct {
 	policy.Request
-	key      uint64 // the client's id
-	slot     *slot
-	args     [][]byte // the command as it came: name, customer, id, fields, body
-	size     int      // of the args
-	dFrom    int      // where the value of d stands in the fields
-	dTo      int
-	attempts []*attempt
-	out      int
-	readAt   time.Duration // when its last byte had been read
-	until    time.Duration // when its client gives up
-	final    bool
+	key    uint64 // the client's id
+	slot   *slot
+	args   [][]byte      // the command as it came: name, customer, id, fields, body
+	size   int           // of the args, in bytes
+	dFrom  int           // where the value of d, the client's time-out in ms, begins in the fields
+	dTo    int           // where it ends
+	readAt time.Duration // when its last byte had been read
+	until  time.Duration // when its client gives up
 }
 
-// left says whether the client has gone; the word of it may still be on its way to the gateway.
-func (r *request) left() bool { return r.slot != nil && r.slot.c.gone.Load() }
+// respond gives the client the one final answer.
+func (r *clientRequest) respond(answer []byte) { r.slot.answer(answer) }
+
+// left reports whether the client has gone. The event that says so may still be on its way to the gateway.
+func (r *clientRequest) left() bool { return r.slot != nil && r.slot.c.gone.Load() }
+
+// leftAt is when the client has gone, on the gateway's clock; 0: it has not.
+func (r *clientRequest) leftAt() time.Duration {
+	if r.slot == nil {
+		return 0
+	}
+	return time.Duration(r.slot.c.goneAt.Load())
+}
+
+// respondDuplicate answers a request whose id is that of an open one, which counts as a fault of the connection.
+func (r *clientRequest) respondDuplicate() {
+	c := r.slot.c
+	c.duplicate.Store(r.key)
+	c.observe().fault(c, faultDuplicate, "the id "+r.id()+" is taken", c.faults.Add(1))
+	r.respond([]byte("-ERR a request of this id is being served\r\n"))
+}
+
+// release lets go of what is needed only until the request is over.
+func (r *clientRequest) release() { r.args, r.slot = nil, nil }
+
+// remote is the address of the request's client; "" once nothing is owed to it.
+func (r *clientRequest) remote() string {
+	if r.slot == nil {
+		return ""
+	}
+	return r.slot.c.remote()
+}
+
+// id is the request's id as the client wrote it.
+func (r *clientRequest) id() string { return fmt.Sprintf("%016x", r.key) }
 
 // parse checks a request; it goes on only if a backend would take it.
-func (g *Gateway) parse(args [][]byte, at time.Time) (*request, error) {
+func (g *Gateway) parse(args [][]byte, at time.Time) (*clientRequest, error) {
 	do := string(args[0]) == "Q.DO"
 	if len(args) < 4 || len(args) > 5 {
 		return nil, fmt.Errorf("%s wants a customer, an id, fields and at most a body", args[0])
@@ -41,7 +71,7 @@
 	if err != nil || customer >= 1<<33 {
 		return nil, errors.New("the customer is not 16 hex digits below 2^33")
 	}
-	r := &request{}
+	r := &clientRequest{}
 	if r.key, err = hex16(args[2]); err != nil {
 		return nil, errors.New("the id is not 16 hex digits")
 	}
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -4,31 +4,35 @@
 	"lemontack/policy"
 )
 
+// request is a client's request that was taken, with its attempts.
+type request struct {
+	*clientRequest
+	attempts []*attempt
+	out      int  // attempts that have not ended
+	final    bool // it has had its final answer, or its client has left
+}
+
 // arrived takes a request in, or turns it away.
-func (g *Gateway) arrived(r *request) {
+func (g *Gateway) arrived(r *clientRequest) {
 	if r.left() {
-		r.final = true
 		return
 	}
 	// Many clients with large bodies must not fill the memory: beyond the bounds nothing is taken. Nor is at the end of
 	// a shutdown, while clients go on sending on what is still open.
 	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.size > g.mostHeld || g.endBy > 0 && g.now >= g.endBy {
-		r.final = true
 		g.observe.turnedAway(r, "no room, or shutting down")
-		r.slot.answer(g.turnedAway)
+		r.respond(g.turnedAway)
 		return
 	}
 	if g.keys[r.key] { // the one who asked first has its answer, and nobody else
-		r.final = true
 		g.observe.requests.Add(requestsDuplicate)
-		r.slot.c.duplicate.Store(r.key)
-		g.observe.fault(r.slot.c, faultDuplicate, "the id "+r.id()+" is taken", r.slot.c.faults.Add(1))
-		r.slot.answer([]byte("-ERR a request of this id is being served\r\n"))
+		r.respondDuplicate()
 		return
 	}
 	g.lastID++
 	r.ID = g.lastID
-	g.requests[r.ID], g.keys[r.key] = r, true
+	taken := &request{clientRequest: r}
+	g.requests[r.ID], g.keys[r.key] = taken, true
 	g.heldBytes += r.size
 	if g.endBy > 0 {
 		r.Deadline = min(r.Deadline, g.endBy)
@@ -39,7 +43,7 @@
 	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.Deadline+overdue, func() {
 		delete(g.keys, r.key)
-		g.cutOff(r)
+		g.cutOff(taken)
 	})
 }
 
@@ -63,7 +67,7 @@
 func (g *Gateway) noteLate(r *request) {
 	due := max(r.until, g.epoch+g.holdUps.last()) // nothing is answered while the process does not run
 	if g.now > due+lateMost {
-		g.observe.violated(ruleInTime, r, g.now, "answered late")
+		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
 	}
 	if g.now > r.until && r.until > r.readAt { // else it was late as it came
 		g.observe.requests.Add(requestsLate)
@@ -78,7 +82,7 @@
 	}
 	g.noteLate(r)
 	r.final = true
-	r.slot.answer(b)
+	r.respond(b)
 	g.unsend(r)
 	g.forget(r)
 }
@@ -129,6 +133,7 @@
 	if r.final && r.out == 0 && g.requests[r.ID] == r {
 		g.heldBytes -= r.size
 		delete(g.requests, r.ID)
-		r.args, r.slot, r.attempts = nil, nil, nil // its timer may hold it for seconds more
+		r.release() // its timer may hold it for seconds more
+		r.attempts = nil
 	}
 }
