--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -19,27 +19,27 @@
 	Refuse             // what is open is reset, and so is what comes
 )
 
-const copyBuffer = 32 << 10
+const copyBufferBytes = 32 << 10
 
 // Proxy forwards the connections that come to its address to a target. It is safe for concurrent use.
 type Proxy struct {
-	ln     net.Listener
-	target string
-
-	mu      sync.Mutex
-	mode    Mode
-	changed chan struct{} // closed when mode changes
-	delay   time.Duration // before each piece that is forwarded
-	piece   int           // bytes forwarded at once; 0: any number
-	links   map[*link]struct{}
-	closed  bool
-	all     sync.WaitGroup
+	listener net.Listener
+	target   string
+
+	mu          sync.Mutex
+	mode        Mode
+	changed     chan struct{} // closed when mode changes
+	delay       time.Duration // before each piece that is forwarded
+	chunkBytes  int           // bytes forwarded at once; 0: any number
+	connections map[*proxiedConnection]struct{}
+	closed      bool
+	tasks       sync.WaitGroup
 }
 
-// link is one connection through the proxy.
-type link struct {
-	near, far net.Conn
-	silenced  bool // it was open while the proxy was silent, and is of no use any more
+// proxiedConnection is one connection through the proxy.
+type proxiedConnection struct {
+	client, upstream net.Conn
+	silenced         bool // it was open while the proxy was silent, and is of no use any more
 }
 
 // NewProxy listens on an address of the loopback interface of its own and forwards to target.
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("proxy for %s: %w", target, err)
 	}
-	p := &Proxy{ln: ln, target: target, changed: make(chan struct{}), links: map[*link]struct{}{}}
-	p.all.Go(p.accept)
+	p := &Proxy{listener: ln, target: target, changed: make(chan struct{}), connections: map[*proxiedConnection]struct{}{}}
+	p.tasks.Go(p.accept)
 	return p, nil
 }
 
 // Addr is where the proxy listens.
-func (p *Proxy) Addr() string { return p.ln.Addr().String() }
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // SetMode changes how connections are treated. Those that were open while the proxy was silent are reset when it passes again.
 func (p *Proxy) SetMode(m Mode) {
@@ -66,7 +66,7 @@
 	p.mode = m
 	close(p.changed)
 	p.changed = make(chan struct{})
-	for l := range p.links {
+	for l := range p.connections {
 		if m == Silent {
 			l.silenced = true
 		}
@@ -76,21 +76,21 @@
 	}
 }
 
-// SetPace makes each piece of at most so many bytes wait before it is forwarded; 0 bytes: pieces as they come.
-func (p *Proxy) SetPace(delay time.Duration, piece int) {
+// SetThrottle makes each piece of at most so many bytes wait before it is forwarded; 0 bytes: pieces as they come.
+func (p *Proxy) SetThrottle(delay time.Duration, piece int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay, p.piece = delay, piece
+	p.delay, p.chunkBytes = delay, piece
 }
 
-// Cut resets the connections that are open and returns how many there were.
-func (p *Proxy) Cut() int {
+// ResetConnections resets the connections that are open and returns how many there were.
+func (p *Proxy) ResetConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.connections {
 		l.reset()
 	}
-	return len(p.links)
+	return len(p.connections)
 }
 
 // Close resets what is open, takes nothing more and returns once nothing is carried.
@@ -98,14 +98,14 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.ln.Close()
+	p.listener.Close()
 	p.SetMode(Refuse)
-	p.Cut()
-	p.all.Wait()
+	p.ResetConnections()
+	p.tasks.Wait()
 }
 
-func (l *link) reset() {
-	for _, nc := range []net.Conn{l.near, l.far} {
+func (l *proxiedConnection) reset() {
+	for _, nc := range []net.Conn{l.client, l.upstream} {
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 			tcp.Close()
@@ -115,7 +115,7 @@
 
 func (p *Proxy) accept() {
 	for {
-		nc, err := p.ln.Accept()
+		nc, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -123,20 +123,20 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		p.all.Go(func() { p.carry(nc) })
+		p.tasks.Go(func() { p.serveConnection(nc) })
 	}
 }
 
-// carry forwards one connection until either side ends.
-func (p *Proxy) carry(near net.Conn) {
-	l := &link{near: near}
+// serveConnection forwards one connection until either side ends.
+func (p *Proxy) serveConnection(near net.Conn) {
+	l := &proxiedConnection{client: near}
 	if !p.add(l) {
 		return
 	}
 	defer p.remove(l)
 	far, err := net.Dial("tcp", p.target)
 	p.mu.Lock()
-	l.far = far
+	l.upstream = far
 	over := err != nil || p.closed || p.mode == Refuse
 	p.mu.Unlock()
 	if over {
@@ -149,7 +149,7 @@
 	both.Wait()
 }
 
-func (p *Proxy) add(l *link) bool {
+func (p *Proxy) add(l *proxiedConnection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == Refuse {
@@ -157,15 +157,15 @@
 		return false
 	}
 	l.silenced = p.mode == Silent
-	p.links[l] = struct{}{}
+	p.connections[l] = struct{}{}
 	return true
 }
 
-func (p *Proxy) remove(l *link) {
+func (p *Proxy) remove(l *proxiedConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, l)
-	for _, nc := range []net.Conn{l.near, l.far} {
+	delete(p.connections, l)
+	for _, nc := range []net.Conn{l.client, l.upstream} {
 		if nc != nil {
 			nc.Close()
 		}
@@ -173,12 +173,12 @@
 }
 
 // forward copies one direction. The end of the sending passes through; an error ends both directions.
-func (p *Proxy) forward(l *link, from, to net.Conn) {
-	buf := make([]byte, copyBuffer)
+func (p *Proxy) forward(l *proxiedConnection, from, to net.Conn) {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		for b := buf[:n]; len(b) > 0; {
-			k := p.await(len(b))
+			k := p.waitToForward(len(b))
 			if _, err := to.Write(b[:k]); err != nil {
 				l.reset()
 				return
@@ -197,10 +197,10 @@
 	}
 }
 
-// await returns how much of n bytes is forwarded now, after the delay and any silence.
-func (p *Proxy) await(n int) int {
+// waitToForward returns how much of n bytes is forwarded now, after the delay and any silence.
+func (p *Proxy) waitToForward(n int) int {
 	p.mu.Lock()
-	delay, piece := p.delay, p.piece
+	delay, piece := p.delay, p.chunkBytes
 	for p.mode == Silent && !p.closed {
 		changed := p.changed
 		p.mu.Unlock()
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -64,7 +64,7 @@
 func TestProxyForwardsAndPaces(t *testing.T) {
 	p, nc := proxied(t)
 	wantEcho(t, nc)
-	p.SetPace(time.Millisecond, 1)
+	p.SetThrottle(time.Millisecond, 1)
 	wantEcho(t, nc)
 	nc.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(nc); len(rest) > 0 || err != nil {
@@ -91,7 +91,7 @@
 func TestProxyCutsAndRefuses(t *testing.T) {
 	p, nc := proxied(t)
 	wantEcho(t, nc)
-	if n := p.Cut(); n != 1 {
+	if n := p.ResetConnections(); n != 1 {
 		t.Fatalf("%d connections cut", n)
 	}
 	wantBroken(t, nc)
--- a/internal/ingress/clock_test.go
+++ b/internal/ingress/clock_test.go
@@ -108,7 +108,7 @@
 		"start": func(c *callers) (int64, time.Time) { return c.at.Change(target(0, "DRAINING")), time.Now() },
 		"watches fall silent": func(c *callers) (int64, time.Time) {
 			time.Sleep(20*time.Second + lineEvery/2)
-			c.at.HushWatches()
+			c.at.SilenceWatches()
 			return c.at.Change(target(0, "DRAINING")), time.Now()
 		},
 		"watches end": func(c *callers) (int64, time.Time) {
@@ -145,7 +145,7 @@
 	}{
 		{"300 asking", 300, true, toldClock, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"300 asking, calls fail in the line", 300, true, toldClock,
-			standin.DiscoveryConfig{CallsPerSecond: 120, Patience: time.Second}},
+			standin.DiscoveryConfig{CallsPerSecond: 120, QueueTimeout: time.Second}},
 		{"9 asking", 9, true, toldClock, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"4 asking", 4, true, toldClock, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"told", 1, false, time.Second, standin.DiscoveryConfig{}},
@@ -182,7 +182,7 @@
 		fleet := newCallers(300, true, 7, at)
 		defer fleet.close()
 		time.Sleep(20 * time.Second)
-		at.HushWatches() // the old address tells nothing more
+		at.SilenceWatches() // the old address tells nothing more
 		rev, since := at.Change(target(0, "DRAINING")), time.Now()
 		for _, d := range fleet.all {
 			d.moves.set("127.0.0.1:2")
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -120,7 +120,7 @@
 	go b.Serve(&countedListener{ln, &f.conns})
 	t.Cleanup(func() {
 		b.Close()
-		if n := b.Stats().Odd; n > 0 {
+		if n := b.Stats().Malformed; n > 0 {
 			t.Errorf("%d commands in odd forms", n)
 		}
 	})
@@ -152,7 +152,7 @@
 
 // registry is discovery's agent: a list, and a watch that tells what is sent to changes, as versions of its own count.
 func registry(t *testing.T, list Fleet, changes <-chan Fleet) string {
-	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{Rev: list.Rev - 1}), loopback(t), make(chan struct{})
+	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Rev - 1}), loopback(t), make(chan struct{})
 	d.SetList(standinTargets(list))
 	go d.Serve(ln)
 	go func() {
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -216,7 +216,7 @@
 	}
 	for _, b := range f.backends {
 		s := b.Stats()
-		m.attempts, m.conns = append(m.attempts, uint64(s.Attempts)), m.conns+float64(s.Conns)
+		m.attempts, m.conns = append(m.attempts, uint64(s.Attempts)), m.conns+float64(s.Connections)
 	}
 	if m.processor, err = f.processor(); err != nil {
 		return m, err
@@ -377,8 +377,8 @@
 		if err != nil {
 			return fmt.Errorf("backends: %w", err)
 		}
-		b := standin.NewBackend(standin.BackendConfig{Slots: backendSlots, Reports: true, Seed: uint64(i),
-			Work: func(*rand.Rand) time.Duration { return compareWork }})
+		b := standin.NewBackend(standin.BackendConfig{Slots: backendSlots, LoadReports: true, Seed: uint64(i),
+			ServiceTime: func(*rand.Rand) time.Duration { return compareWork }})
 		go b.Serve(ln) // until stop
 		if i == liveBackends {
 			f.direct, f.spare = ln.Addr().String(), b
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -27,7 +27,7 @@
 func startStandins(ctx context.Context, w *watcher, s Shape) (*standins, error) {
 	var cfg standin.DiscoveryConfig
 	if s.Asked {
-		cfg.CallsPerSecond, cfg.Patience = askedPerSec, askedPatience
+		cfg.CallsPerSecond, cfg.QueueTimeout = askedPerSec, askedPatience
 	}
 	d, err := startRole(ctx, w, theDiscovery, order{Discovery: cfg})
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -440,7 +440,7 @@
 // Clients get the answers made for their requests, and count those that were not.
 func TestClients(t *testing.T) {
 	for _, spoilt := range []bool{false, true} {
-		cfg := standin.BackendConfig{Reports: true}
+		cfg := standin.BackendConfig{LoadReports: true}
 		if spoilt {
 			cfg.Value = func([]string) string { return "another's" }
 		}
@@ -459,7 +459,7 @@
 		if cl.requests == 0 || good+bad != cl.requests || spoilt && good > 0 || !spoilt && bad > 0 {
 			t.Errorf("spoilt %v: %d requests, %d served, %d wrong", spoilt, cl.requests, good, bad)
 		}
-		if odd := b.Stats().Odd; odd > 0 {
+		if odd := b.Stats().Malformed; odd > 0 {
 			t.Errorf("%d commands in a form that no client sends", odd)
 		}
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -53,7 +53,7 @@
 		{"counter down", r.counterFault(standin.Down)},
 		{"discovery silent", r.discoveryFault(standin.Silent)},
 		{"discovery down", r.discoveryFault(standin.Down)},
-		{"watches hushed", r.watchFault(func(a *agent) { a.HushWatches() })},
+		{"watches hushed", r.watchFault(func(a *agent) { a.SilenceWatches() })},
 		{"watches broken", r.watchFault(func(a *agent) { a.BreakWatches() })},
 		{"ingress held up", r.holdUp},
 		{"ingress held up", r.holdUp},
@@ -84,13 +84,13 @@
 }
 
 func (r *run) cutBackend(_ context.Context, rng *rand.Rand, _ time.Duration) {
-	r.world.proxies[rng.IntN(sideCount)][rng.IntN(backendCount)].Cut()
+	r.world.proxies[rng.IntN(sideCount)][rng.IntN(backendCount)].ResetConnections()
 }
 
 func (r *run) slowBackend(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
 	delay, piece := time.Duration(rng.IntN(30))*time.Millisecond, 20+rng.IntN(200)
 	r.throughProxy(ctx, rng.IntN(sideCount), rng.IntN(backendCount), lasts,
-		func(p *faults.Proxy) { p.SetPace(delay, piece) }, func(p *faults.Proxy) { p.SetPace(0, 0) })
+		func(p *faults.Proxy) { p.SetThrottle(delay, piece) }, func(p *faults.Proxy) { p.SetThrottle(0, 0) })
 }
 
 // cutSide cuts one side off from a part of the backends.
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -17,110 +17,110 @@
 )
 
 const (
-	longestHeader = 64                    // bytes of a RESP header line
-	longestValue  = 64 << 10              // bytes, the protocol's
-	mostArgs      = 8                     // of a command; no client sends more
-	customers     = 1 << 33               // customers are numbers below it
-	meanSamples   = 256                   // draws of Work from which its mean is taken
-	warmStep      = 20 * time.Millisecond // the speed of a cold backend is taken as constant for so long
-	endOfWork     = 1e-9                  // seconds: rounding
+	maxHeaderBytes         = 64                    // bytes of a RESP header line
+	maxBulkBytes           = 64 << 10              // bytes, the protocol's
+	maxCommandWords        = 8                     // of a command; no client sends more
+	customerLimit          = 1 << 33               // customers are numbers below it
+	meanServiceTimeSamples = 256                   // draws of Work from which its mean is taken
+	warmUpStep             = 20 * time.Millisecond // the speed of a cold backend is taken as constant for so long
+	workEpsilon            = 1e-9                  // seconds: rounding
 )
 
-var errSyntax = errors.New("a form that no client sends")
+var errMalformed = errors.New("a form that no client sends")
 
 // BackendConfig says what a Backend can do.
 type BackendConfig struct {
-	Cores int                                // attempts in work share them evenly; 0: any number
-	Slots int                                // attempts in work at once; 0: any number
-	Queue int                                // attempts that wait for a slot; further ones are turned away
-	Work  func(rng *rand.Rand) time.Duration // what an attempt takes on a core of its own; nil: nothing
+	Cores       int                                // attempts in work share them evenly; 0: any number
+	Slots       int                                // attempts in work at once; 0: any number
+	MaxQueued   int                                // attempts that wait for a slot; further ones are turned away
+	ServiceTime func(rng *rand.Rand) time.Duration // what an attempt takes on a core of its own; nil: nothing
 
 	ColdShare float64       // a cold backend works at this share of its speed at first
 	WarmAfter time.Duration // and at the full one from this time after Started; 0: never cold
-	Started   time.Time     // zero: long ago
+	StartedAt time.Time     // zero: long ago
 
 	// A cold backend falls when it gets more than N + FallSlack*(root of N + 1) attempts of mean work within FallSpan,
 	// N being FallMultiple x what it can do in that time now.
-	FallMultiple float64 // 0: never
-	FallSpan     time.Duration
-	FallSlack    float64
+	OverloadMultiple float64 // 0: never
+	OverloadWindow   time.Duration
+	OverloadSlack    float64
 
-	Reports bool                          // answers hold a load report
-	Value   func(command []string) string // what an attempt is served with; nil: the request's id
-	Seed    uint64
+	LoadReports bool                          // answers hold a load report
+	Value       func(command []string) string // what an attempt is served with; nil: the request's id
+	Seed        uint64
 }
 
 // BackendStats is what a Backend saw so far.
 type BackendStats struct {
-	Conns          int // accepted
-	Attempts       int // that came whole, in good form
-	Served         int // of them, those whose work was done
-	TurnedAway     int
-	LateAfterDrain int // attempts whose first byte came after Drain
-	Odd            int // commands in a form that no client sends
-	MostInFlight   int // attempts in work or waiting at one moment
-	Fell           bool
+	Connections       int // accepted
+	Attempts          int // that came whole, in good form
+	Served            int // of them, those whose work was done
+	Rejected          int
+	ArrivedAfterDrain int // attempts whose first byte came after Drain
+	Malformed         int // commands in a form that no client sends
+	MaxInFlight       int // attempts in work or waiting at one moment
+	Crashed           bool
 }
 
 // Backend plays one backend: attempts share its cores, further ones wait for a slot.
 type Backend struct {
-	cfg   BackendConfig
-	conns conns
-	mean  float64 // seconds of work
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	working jobs
-	waiting []*job
-	done    float64   // seconds of work that one attempt would have got done since the start, sharing as they did
-	at      time.Time // when that was so
-	speed   float64   // from then on, in seconds of work per second
-	timer   *time.Timer
-	drained time.Time   // zero: not yet
-	recent  []time.Time // attempts of the last FallSpan
-	ended   bool        // it has fallen or is closed
-	stats   BackendStats
+	cfg             BackendConfig
+	connections     connectionSet
+	meanServiceTime float64 // seconds of work
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	working        jobs
+	queued         []*backendAttempt
+	virtualTime    float64   // seconds of work that one attempt would have got done since the start, sharing as they did
+	updatedAt      time.Time // when that was so
+	speed          float64   // from then on, in seconds of work per second
+	timer          *time.Timer
+	drainedAt      time.Time   // zero: not yet
+	recentArrivals []time.Time // attempts of the last FallSpan
+	stopped        bool        // it has fallen or is closed
+	stats          BackendStats
 }
 
-// job is one attempt.
-type job struct {
-	value string
-	work  float64 // seconds
-	ends  float64 // of Backend.done
-	reply reply
-	conn  *replies
+// backendAttempt is one attempt.
+type backendAttempt struct {
+	value       string
+	serviceTime float64 // seconds
+	finishAt    float64 // of Backend.done
+	reply       pendingReply
+	conn        *replyWriter
 }
 
 // NewBackend returns a backend that nobody has called yet.
 func NewBackend(cfg BackendConfig) *Backend {
-	b := &Backend{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), at: time.Now()}
-	if cfg.Work != nil {
+	b := &Backend{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), updatedAt: time.Now()}
+	if cfg.ServiceTime != nil {
 		rng := rand.New(rand.NewPCG(cfg.Seed, 1))
-		for range meanSamples {
-			b.mean += cfg.Work(rng).Seconds() / meanSamples
+		for range meanServiceTimeSamples {
+			b.meanServiceTime += cfg.ServiceTime(rng).Seconds() / meanServiceTimeSamples
 		}
 	}
 	return b
 }
 
 // Serve takes connections on a listener until Close, or until the backend falls.
-func (b *Backend) Serve(ln net.Listener) error { return b.conns.serve(ln, b.handle) }
+func (b *Backend) Serve(ln net.Listener) error { return b.connections.serve(ln, b.serveConnection) }
 
 // Close ends the backend as a crash does: open connections are reset, new ones refused.
 func (b *Backend) Close() {
-	b.conns.end()
+	b.connections.close()
 	b.mu.Lock()
-	b.forget()
+	b.abandonAll()
 	b.mu.Unlock()
-	b.conns.all.Wait()
+	b.connections.handlers.Wait()
 }
 
 // Drain makes it turn away new attempts and finish those it has.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.drained.IsZero() {
-		b.drained = time.Now()
+	if b.drainedAt.IsZero() {
+		b.drainedAt = time.Now()
 	}
 }
 
@@ -131,22 +131,22 @@
 	return b.stats
 }
 
-// handle serves one connection. Its end gives up the attempts on it: those that wait leave, those in work go on.
-func (b *Backend) handle(nc net.Conn) {
+// serveConnection serves one connection. Its end gives up the attempts on it: those that wait leave, those in work go on.
+func (b *Backend) serveConnection(nc net.Conn) {
 	b.mu.Lock()
-	b.stats.Conns++
+	b.stats.Connections++
 	b.mu.Unlock()
-	out := newReplies(nc, nil, func(int) {})
+	out := newReplyWriter(nc, nil, func(int) {})
 	defer out.stop()
-	defer b.giveUp(out)
+	defer b.cancelQueued(out)
 	for in := bufio.NewReader(nc); ; {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
 		began := time.Now()
 		command, err := readCommand(in)
-		if errors.Is(err, errSyntax) {
-			b.refuse(out)
+		if errors.Is(err, errMalformed) {
+			b.rejectMalformed(out)
 			return
 		}
 		if err != nil {
@@ -154,47 +154,47 @@
 		}
 		switch command[0] {
 		case "CLIENT", "SELECT":
-			out.next(answered("+OK\r\n"))
+			out.enqueue(completedReply("+OK\r\n"))
 			continue
 		case "Q.ASK", "Q.DO":
 		default:
-			out.next(answered("-ERR unknown command\r\n"))
+			out.enqueue(completedReply("-ERR unknown command\r\n"))
 			continue
 		}
-		if checkRequest(command) != nil {
-			b.refuse(out)
+		if validateRequest(command) != nil {
+			b.rejectMalformed(out)
 			return
 		}
-		r := b.take(command, began, out)
+		r := b.admit(command, began, out)
 		if r == nil { // it has fallen
 			return
 		}
-		out.next(r)
+		out.enqueue(r)
 	}
 }
 
-// refuse answers a command in a form that no client sends, after those before it.
-func (b *Backend) refuse(out *replies) {
+// rejectMalformed answers a command in a form that no client sends, after those before it.
+func (b *Backend) rejectMalformed(out *replyWriter) {
 	b.mu.Lock()
-	b.stats.Odd++
+	b.stats.Malformed++
 	b.mu.Unlock()
-	out.next(answered("-SYNTAX\r\n"))
-	out.next(nil)
-	<-out.ended
+	out.enqueue(completedReply("-SYNTAX\r\n"))
+	out.enqueue(nil)
+	<-out.stopped
 }
 
 // readCommand reads an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
-	n, err := readHeader(in, '*', mostArgs)
+	n, err := readHeader(in, '*', maxCommandWords)
 	if err != nil {
 		return nil, err
 	}
 	if n == 0 {
-		return nil, fmt.Errorf("empty command: %w", errSyntax)
+		return nil, fmt.Errorf("empty command: %w", errMalformed)
 	}
 	command := make([]string, n)
 	for i := range command {
-		size, err := readHeader(in, '$', longestValue)
+		size, err := readHeader(in, '$', maxBulkBytes)
 		if err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 		}
 		text, ok := strings.CutSuffix(string(b), "\r\n")
 		if !ok {
-			return nil, fmt.Errorf("end of a bulk string: %w", errSyntax)
+			return nil, fmt.Errorf("end of a bulk string: %w", errMalformed)
 		}
 		command[i] = text
 	}
@@ -214,7 +214,7 @@
 // readHeader reads the length that an array or a bulk string begins with.
 func readHeader(in *bufio.Reader, kind byte, most int) (int, error) {
 	var b []byte
-	for len(b) < longestHeader {
+	for len(b) < maxHeaderBytes {
 		c, err := in.ReadByte()
 		if err != nil {
 			return 0, fmt.Errorf("header: %w", err)
@@ -225,93 +225,93 @@
 	}
 	text, ok := strings.CutSuffix(string(b), "\r\n")
 	if !ok || text == "" || text[0] != kind {
-		return 0, fmt.Errorf("header %q: %w", b, errSyntax)
+		return 0, fmt.Errorf("header %q: %w", b, errMalformed)
 	}
 	n, err := strconv.ParseUint(text[1:], 10, 31)
 	if err != nil || n > uint64(most) {
-		return 0, fmt.Errorf("length %q: %w", b, errSyntax)
+		return 0, fmt.Errorf("length %q: %w", b, errMalformed)
 	}
 	return int(n), nil
 }
 
-// checkRequest says what is wrong with a request that came as such a command.
-func checkRequest(command []string) error {
+// validateRequest says what is wrong with a request that came as such a command.
+func validateRequest(command []string) error {
 	if want := map[string]int{"Q.ASK": 4, "Q.DO": 5}[command[0]]; len(command) != want {
-		return fmt.Errorf("%s of %d words: %w", command[0], len(command), errSyntax)
+		return fmt.Errorf("%s of %d words: %w", command[0], len(command), errMalformed)
 	}
 	customer, err := strconv.ParseUint(command[1], 16, 64)
-	if err != nil || len(command[1]) != 16 || customer >= customers {
-		return fmt.Errorf("customer %q: %w", command[1], errSyntax)
+	if err != nil || len(command[1]) != 16 || customer >= customerLimit {
+		return fmt.Errorf("customer %q: %w", command[1], errMalformed)
 	}
 	if _, err := strconv.ParseUint(command[2], 16, 64); err != nil || len(command[2]) != 16 {
-		return fmt.Errorf("id %q: %w", command[2], errSyntax)
+		return fmt.Errorf("id %q: %w", command[2], errMalformed)
 	}
 	fields := map[string]string{}
 	for _, f := range strings.Split(command[3], ",") {
 		name, value, ok := strings.Cut(f, "=")
 		if _, twice := fields[name]; !ok || value == "" || twice {
-			return fmt.Errorf("field %q: %w", f, errSyntax)
+			return fmt.Errorf("field %q: %w", f, errMalformed)
 		}
 		fields[name] = value
 	}
 	for _, name := range []string{"c", "t", "d", "units", "spread", "first"} {
 		if fields[name] == "" {
-			return fmt.Errorf("no %s: %w", name, errSyntax)
+			return fmt.Errorf("no %s: %w", name, errMalformed)
 		}
 	}
 	for _, name := range []string{"d", "spread", "first"} {
 		if _, err := strconv.ParseUint(fields[name], 10, 31); err != nil {
-			return fmt.Errorf("%s=%s: %w", name, fields[name], errSyntax)
+			return fmt.Errorf("%s=%s: %w", name, fields[name], errMalformed)
 		}
 	}
 	return nil
 }
 
-// take begins an attempt, queues it or turns it away, and returns the place of its answer; nil if the backend is no more
+// admit begins an attempt, queues it or turns it away, and returns the place of its answer; nil if the backend is no more
 // or falls.
-func (b *Backend) take(command []string, began time.Time, out *replies) reply {
+func (b *Backend) admit(command []string, began time.Time, out *replyWriter) pendingReply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.advance(now)
-	if b.ended {
+	if b.stopped {
 		return nil
 	}
 	b.stats.Attempts++
-	late := !b.drained.IsZero() && began.After(b.drained)
+	late := !b.drainedAt.IsZero() && began.After(b.drainedAt)
 	if late {
-		b.stats.LateAfterDrain++
+		b.stats.ArrivedAfterDrain++
 	}
-	if b.falls(now) {
-		b.stats.Fell = true
-		b.forget()
-		b.conns.end()
+	if b.recordArrival(now) {
+		b.stats.Crashed = true
+		b.abandonAll()
+		b.connections.close()
 		return nil
 	}
-	j := &job{value: command[2], reply: make(reply, 1), conn: out}
+	j := &backendAttempt{value: command[2], reply: make(pendingReply, 1), conn: out}
 	if b.cfg.Value != nil {
 		j.value = b.cfg.Value(command)
 	}
-	if b.cfg.Work != nil {
-		j.work = b.cfg.Work(b.rng).Seconds()
+	if b.cfg.ServiceTime != nil {
+		j.serviceTime = b.cfg.ServiceTime(b.rng).Seconds()
 	}
 	full := b.cfg.Slots > 0 && len(b.working) >= b.cfg.Slots
 	switch {
-	case late || full && len(b.waiting) >= b.cfg.Queue:
-		b.stats.TurnedAway++
+	case late || full && len(b.queued) >= b.cfg.MaxQueued:
+		b.stats.Rejected++
 		j.reply <- []byte("-BUSY\r\n")
 	case full:
-		b.waiting = append(b.waiting, j)
+		b.queued = append(b.queued, j)
 	default:
 		b.start(j)
 	}
-	b.stats.MostInFlight = max(b.stats.MostInFlight, len(b.working)+len(b.waiting))
+	b.stats.MaxInFlight = max(b.stats.MaxInFlight, len(b.working)+len(b.queued))
 	b.advance(now)
 	return j.reply
 }
 
-func (b *Backend) start(j *job) {
-	j.ends = b.done + j.work
+func (b *Backend) start(j *backendAttempt) {
+	j.finishAt = b.virtualTime + j.serviceTime
 	heap.Push(&b.working, j)
 }
 
@@ -321,39 +321,39 @@
 	for {
 		left := math.Inf(1)
 		if len(b.working) > 0 {
-			left = b.working[0].ends - b.done
+			left = b.working[0].finishAt - b.virtualTime
 		}
-		elapsed := now.Sub(b.at).Seconds()
-		if left > endOfWork && left > elapsed*b.speed+endOfWork {
-			b.done += elapsed * b.speed
+		elapsed := now.Sub(b.updatedAt).Seconds()
+		if left > workEpsilon && left > elapsed*b.speed+workEpsilon {
+			b.virtualTime += elapsed * b.speed
 			break
 		}
-		if left > endOfWork {
-			b.done = b.working[0].ends
-			b.at = b.at.Add(min(now.Sub(b.at), seconds(left/b.speed)))
+		if left > workEpsilon {
+			b.virtualTime = b.working[0].finishAt
+			b.updatedAt = b.updatedAt.Add(min(now.Sub(b.updatedAt), seconds(left/b.speed)))
 		}
-		b.finish(heap.Pop(&b.working).(*job))
-		if len(b.waiting) > 0 {
-			b.start(b.waiting[0])
-			b.waiting = b.waiting[1:]
+		b.complete(heap.Pop(&b.working).(*backendAttempt))
+		if len(b.queued) > 0 {
+			b.start(b.queued[0])
+			b.queued = b.queued[1:]
 		}
-		b.speed = b.speedAt(b.at)
+		b.speed = b.speedAt(b.updatedAt)
 	}
-	b.at = now
+	b.updatedAt = now
 	b.speed = b.speedAt(now)
-	b.wake(now)
+	b.resetTimer(now)
 }
 
-// wake sets the timer for the next end of work. The lock is held.
-func (b *Backend) wake(now time.Time) {
+// resetTimer sets the timer for the next end of work. The lock is held.
+func (b *Backend) resetTimer(now time.Time) {
 	if b.timer != nil {
 		b.timer.Stop()
 	}
 	if len(b.working) == 0 {
 		return
 	}
-	next := warmStep
-	if left := (b.working[0].ends - b.done) / b.speed; b.warmth(now) >= 1 || left < warmStep.Seconds() {
+	next := warmUpStep
+	if left := (b.working[0].finishAt - b.virtualTime) / b.speed; b.warmUpSpeed(now) >= 1 || left < warmUpStep.Seconds() {
 		next = seconds(left) + 1
 	}
 	b.timer = time.AfterFunc(next, func() {
@@ -365,68 +365,68 @@
 
 // speedAt is the speed of each attempt in work.
 func (b *Backend) speedAt(now time.Time) float64 {
-	speed := b.warmth(now)
+	speed := b.warmUpSpeed(now)
 	if n := len(b.working); b.cfg.Cores > 0 && n > b.cfg.Cores {
 		speed *= float64(b.cfg.Cores) / float64(n)
 	}
 	return speed
 }
 
-// warmth is the share of its speed that the backend has; it rises evenly from ColdShare.
-func (b *Backend) warmth(now time.Time) float64 {
-	age := now.Sub(b.cfg.Started)
-	if b.cfg.WarmAfter == 0 || b.cfg.Started.IsZero() || age >= b.cfg.WarmAfter {
+// warmUpSpeed is the share of its speed that the backend has; it rises evenly from ColdShare.
+func (b *Backend) warmUpSpeed(now time.Time) float64 {
+	age := now.Sub(b.cfg.StartedAt)
+	if b.cfg.WarmAfter == 0 || b.cfg.StartedAt.IsZero() || age >= b.cfg.WarmAfter {
 		return 1
 	}
 	risen := max(0, age.Seconds()/b.cfg.WarmAfter.Seconds())
 	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*risen
 }
 
-// falls counts an attempt and says whether it was one too many for a cold backend.
-func (b *Backend) falls(now time.Time) bool {
-	warmth := b.warmth(now)
-	if b.cfg.FallMultiple == 0 || warmth >= 1 || b.cfg.Cores == 0 || b.mean == 0 {
+// recordArrival counts an attempt and says whether it was one too many for a cold backend.
+func (b *Backend) recordArrival(now time.Time) bool {
+	warmth := b.warmUpSpeed(now)
+	if b.cfg.OverloadMultiple == 0 || warmth >= 1 || b.cfg.Cores == 0 || b.meanServiceTime == 0 {
 		return false
 	}
-	b.recent = append(b.recent, now)
-	for now.Sub(b.recent[0]) >= b.cfg.FallSpan {
-		b.recent = b.recent[1:]
+	b.recentArrivals = append(b.recentArrivals, now)
+	for now.Sub(b.recentArrivals[0]) >= b.cfg.OverloadWindow {
+		b.recentArrivals = b.recentArrivals[1:]
 	}
-	n := b.cfg.FallMultiple * warmth * float64(b.cfg.Cores) / b.mean * b.cfg.FallSpan.Seconds()
-	return float64(len(b.recent)) > n+b.cfg.FallSlack*(math.Sqrt(n)+1)
+	n := b.cfg.OverloadMultiple * warmth * float64(b.cfg.Cores) / b.meanServiceTime * b.cfg.OverloadWindow.Seconds()
+	return float64(len(b.recentArrivals)) > n+b.cfg.OverloadSlack*(math.Sqrt(n)+1)
 }
 
-// finish answers an attempt whose work is done. The lock is held.
-func (b *Backend) finish(j *job) {
+// complete answers an attempt whose work is done. The lock is held.
+func (b *Backend) complete(j *backendAttempt) {
 	b.stats.Served++
 	report := "$-1\r\n"
-	if b.cfg.Reports {
-		report = bulk(fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", len(b.working), len(b.waiting), b.load()))
+	if b.cfg.LoadReports {
+		report = bulk(fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", len(b.working), len(b.queued), b.utilization()))
 	}
 	j.reply <- []byte("*3\r\n" + bulk(j.value) + "$-1\r\n" + report)
 }
 
-// load is the share of the cores that is in use.
-func (b *Backend) load() float64 {
+// utilization is the share of the cores that is in use.
+func (b *Backend) utilization() float64 {
 	if b.cfg.Cores == 0 {
 		return 0
 	}
 	return min(1, float64(len(b.working))/float64(b.cfg.Cores))
 }
 
-// giveUp takes attempts out of the queue whose connection has ended.
-func (b *Backend) giveUp(out *replies) {
+// cancelQueued takes attempts out of the queue whose connection has ended.
+func (b *Backend) cancelQueued(out *replyWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = slices.DeleteFunc(b.waiting, func(j *job) bool { return j.conn == out })
+	b.queued = slices.DeleteFunc(b.queued, func(j *backendAttempt) bool { return j.conn == out })
 }
 
-// forget drops all work, for good. The lock is held.
-func (b *Backend) forget() {
-	for _, j := range slices.Concat(b.working, b.waiting) {
+// abandonAll drops all work, for good. The lock is held.
+func (b *Backend) abandonAll() {
+	for _, j := range slices.Concat(b.working, b.queued) {
 		close(j.reply)
 	}
-	b.working, b.waiting, b.ended = nil, nil, true
+	b.working, b.queued, b.stopped = nil, nil, true
 	if b.timer != nil {
 		b.timer.Stop()
 	}
@@ -437,12 +437,12 @@
 func bulk(s string) string { return "$" + strconv.Itoa(len(s)) + "\r\n" + s + "\r\n" }
 
 // jobs is a heap of the attempts in work by their end.
-type jobs []*job
+type jobs []*backendAttempt
 
 func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(i, j int) bool { return h[i].ends < h[j].ends }
+func (h jobs) Less(i, j int) bool { return h[i].finishAt < h[j].finishAt }
 func (h jobs) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *jobs) Push(j any)        { *h = append(*h, j.(*job)) }
+func (h *jobs) Push(j any)        { *h = append(*h, j.(*backendAttempt)) }
 func (h *jobs) Pop() any {
 	old := *h
 	j := old[len(old)-1]
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -108,7 +108,7 @@
 			if _, err := nc.Write(nil); odd != (err != nil) {
 				t.Errorf("%q: closed %v, want %v", c.in, err, odd)
 			}
-			if s := b.Stats(); (s.Odd == 1) != odd || s.Served != strings.Count(c.want, "*3") || s.Conns != 1 {
+			if s := b.Stats(); (s.Malformed == 1) != odd || s.Served != strings.Count(c.want, "*3") || s.Connections != 1 {
 				t.Errorf("%q: %+v", c.in, s)
 			}
 		})
@@ -142,24 +142,24 @@
 		"no bound":     {BackendConfig{}, []string{"0 value 1s", "1 value 1s", "2 value 1s"}, 3},
 		"shared core":  {BackendConfig{Cores: 1}, []string{"0 value 3s", "1 value 3s", "2 value 3s"}, 3},
 		"enough cores": {BackendConfig{Cores: 3}, []string{"0 value 1s", "1 value 1s", "2 value 1s"}, 3},
-		"one waits": {BackendConfig{Cores: 2, Slots: 2, Queue: 1},
+		"one waits": {BackendConfig{Cores: 2, Slots: 2, MaxQueued: 1},
 			[]string{"0 value 1s", "1 value 1s", "2 value 2s"}, 3},
-		"no place": {BackendConfig{Cores: 1, Slots: 1, Queue: 1},
+		"no place": {BackendConfig{Cores: 1, Slots: 1, MaxQueued: 1},
 			[]string{"0 value 1s", "1 value 2s", "2 -BUSY 0s"}, 2},
 		"no queue": {BackendConfig{Cores: 2, Slots: 1},
 			[]string{"0 value 1s", "1 -BUSY 0s", "2 -BUSY 0s"}, 1},
-		"more slots than cores": {BackendConfig{Cores: 1, Slots: 2, Queue: 9},
+		"more slots than cores": {BackendConfig{Cores: 1, Slots: 2, MaxQueued: 9},
 			[]string{"0 value 2s", "1 value 2s", "2 value 3s"}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c.cfg.Work = takes(time.Second)
+				c.cfg.ServiceTime = takes(time.Second)
 				b, ln := startBackend(t, c.cfg)
 				if got := ends(t, ln, 3); !slices.Equal(got, c.want) {
 					t.Errorf("%q, want %q", got, c.want)
 				}
 				away := strings.Count(strings.Join(c.want, " "), "BUSY")
-				want := BackendStats{Conns: 3, Attempts: 3, Served: 3 - away, TurnedAway: away, MostInFlight: c.most}
+				want := BackendStats{Connections: 3, Attempts: 3, Served: 3 - away, Rejected: away, MaxInFlight: c.most}
 				if s := b.Stats(); s != want {
 					t.Errorf("%+v, want %+v", s, want)
 				}
@@ -171,7 +171,7 @@
 // One that comes later is slowed, and slows the others, only for the time that they share.
 func TestSharedCore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, ln := startBackend(t, BackendConfig{Work: takes(time.Second), Cores: 1})
+		_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1})
 		began := time.Now()
 		first := attempt(t, ln, 1)
 		time.Sleep(500 * time.Millisecond)
@@ -192,9 +192,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		works := []time.Duration{0, time.Second, 0} // the first draws are for the mean
 		draws := 0
-		_, ln := startBackend(t, BackendConfig{Reports: true, Slots: 2, Cores: 2, Work: func(*rand.Rand) time.Duration {
+		_, ln := startBackend(t, BackendConfig{LoadReports: true, Slots: 2, Cores: 2, ServiceTime: func(*rand.Rand) time.Duration {
 			draws++
-			return works[max(0, draws-meanSamples)]
+			return works[max(0, draws-meanServiceTimeSamples)]
 		}})
 		nc := newCaller(t, ln)
 		if _, err := io.WriteString(nc, lookup(1)+lookup(2)); err != nil {
@@ -218,7 +218,7 @@
 // An attempt that waits leaves with its connection; one in work goes on.
 func TestGivenUpAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, ln := startBackend(t, BackendConfig{Work: takes(time.Second), Cores: 1, Slots: 1, Queue: 9})
+		b, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
 		first, second, third := attempt(t, ln, 1), attempt(t, ln, 2), attempt(t, ln, 3)
 		synctest.Wait()
 		first.Close()
@@ -245,8 +245,8 @@
 		{time.Hour, time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			_, ln := startBackend(t, BackendConfig{Work: takes(time.Second), Cores: 4, ColdShare: 0.25,
-				WarmAfter: 10 * time.Second, Started: time.Now()})
+			_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 4, ColdShare: 0.25,
+				WarmAfter: 10 * time.Second, StartedAt: time.Now()})
 			time.Sleep(c.age)
 			began := time.Now()
 			served(attempt(t, ln, 1))
@@ -259,10 +259,10 @@
 
 // A cold backend falls at the first attempt beyond what it bears then: it resets what is open and refuses what comes.
 func TestColdFall(t *testing.T) {
-	cold := BackendConfig{Work: takes(100 * time.Millisecond), Cores: 2, ColdShare: 0.5, WarmAfter: 1e6 * time.Hour,
-		FallMultiple: 1.6, FallSpan: time.Second} // 16 in a second
+	cold := BackendConfig{ServiceTime: takes(100 * time.Millisecond), Cores: 2, ColdShare: 0.5, WarmAfter: 1e6 * time.Hour,
+		OverloadMultiple: 1.6, OverloadWindow: time.Second} // 16 in a second
 	slack, warm, spaced := cold, cold, cold
-	slack.FallSlack = 2 // 16 + 2 x 4 + 2
+	slack.OverloadSlack = 2 // 16 + 2 x 4 + 2
 	warm.WarmAfter = time.Nanosecond
 	for name, c := range map[string]struct {
 		cfg   BackendConfig
@@ -276,7 +276,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c.cfg.Started = time.Now()
+				c.cfg.StartedAt = time.Now()
 				time.Sleep(time.Millisecond)
 				b, ln := startBackend(t, c.cfg)
 				nc := newCaller(t, ln)
@@ -286,10 +286,10 @@
 					}
 					synctest.Wait()
 					s := b.Stats()
-					if s.Attempts != n || s.Fell != (n == c.bears+1 && c.bears > 0) {
+					if s.Attempts != n || s.Crashed != (n == c.bears+1 && c.bears > 0) {
 						t.Fatalf("after %d: %+v", n, s)
 					}
-					if s.Fell {
+					if s.Crashed {
 						break
 					}
 					time.Sleep(c.pause)
@@ -311,7 +311,7 @@
 // A draining backend finishes what it has and turns away the rest; an attempt counts by its first byte.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, ln := startBackend(t, BackendConfig{Work: takes(time.Second), Cores: 1, Slots: 1, Queue: 9})
+		b, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
 		working, waiting := attempt(t, ln, 1), attempt(t, ln, 2)
 		begun := newCaller(t, ln)
 		begin, end := lookup(3)[:9], lookup(3)[9:]
@@ -329,7 +329,7 @@
 				t.Errorf("attempt %d: %s", i+1, got)
 			}
 		}
-		if s := b.Stats(); s.LateAfterDrain != 1 || s.Attempts != 4 || s.Served != 3 || s.TurnedAway != 1 {
+		if s := b.Stats(); s.ArrivedAfterDrain != 1 || s.Attempts != 4 || s.Served != 3 || s.Rejected != 1 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -339,7 +339,7 @@
 func TestWorkFollowsTheSeed(t *testing.T) {
 	draw := func(seed uint64) (got []string) {
 		synctest.Test(t, func(t *testing.T) {
-			_, ln := startBackend(t, BackendConfig{Seed: seed, Work: func(rng *rand.Rand) time.Duration {
+			_, ln := startBackend(t, BackendConfig{Seed: seed, ServiceTime: func(rng *rand.Rand) time.Duration {
 				return time.Duration(rng.ExpFloat64() * float64(time.Second))
 			}})
 			got = ends(t, ln, 4)
@@ -353,7 +353,7 @@
 }
 
 func TestBackendOnLoopback(t *testing.T) {
-	b, ln := NewBackend(BackendConfig{Cores: 2, Slots: 4, Queue: 1 << 10, Work: takes(100 * time.Microsecond)}), listen(t)
+	b, ln := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10, ServiceTime: takes(100 * time.Microsecond)}), listen(t)
 	done := make(chan error, 1)
 	go func() { done <- b.Serve(ln) }()
 	const conns, requests = 4, 50
@@ -366,7 +366,7 @@
 			t.Error(err)
 		}
 	}
-	if s := b.Stats(); s.Served != conns*requests || s.Conns != conns || s.TurnedAway != 0 || s.MostInFlight > conns {
+	if s := b.Stats(); s.Served != conns*requests || s.Connections != conns || s.Rejected != 0 || s.MaxInFlight > conns {
 		t.Errorf("%+v", s)
 	}
 	b.Close()
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -92,7 +92,7 @@
 				t.Errorf("%q: %q, want %q", c.call, got, c.want)
 			}
 			synctest.Wait()
-			want := CounterStats{Conns: 1, BytesIn: int64(len(c.call) + 2), BytesOut: int64(len(c.want) + 2)}
+			want := CounterStats{Connections: 1, BytesIn: int64(len(c.call) + 2), BytesOut: int64(len(c.want) + 2)}
 			if strings.HasPrefix(c.want, "ok") {
 				want.Names, want.Calls = 1, 1
 			}
@@ -142,11 +142,11 @@
 func TestExpiredNamesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(CounterConfig{})
-		for i := range 10 * fewNames {
+		for i := range 10 * minSweepSize {
 			counter.add(fmt.Sprint(i), 1, time.Millisecond)
 			time.Sleep(time.Millisecond)
 		}
-		if n := len(counter.names); n > fewNames {
+		if n := len(counter.names); n > minSweepSize {
 			t.Fatalf("%d names held", n)
 		}
 	})
@@ -155,7 +155,7 @@
 // Answers of one connection come in the order of its calls, also where a later call's part is free and it is no call.
 func TestCounterAnswersInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Parts: 2})
+		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
 		slow, other := namesOfTwoParts()
 		nc := newCaller(t, ln)
 		began := time.Now()
@@ -195,7 +195,7 @@
 		want  time.Duration
 	}{{[]string{first, first, first, first}, 4 * time.Second}, {[]string{first, second, first, second}, 2 * time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
-			counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Parts: 2})
+			counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
 			began, callers := time.Now(), []*caller{}
 			for _, n := range c.names {
 				nc := newCaller(t, ln)
@@ -209,7 +209,7 @@
 				t.Errorf("%v: %v, want %v", c.names, took, c.want)
 			}
 			names := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
-			if s := counter.Stats(); s.LongestWait != c.want || s.Calls != 4 || s.Names != names {
+			if s := counter.Stats(); s.MaxWait != c.want || s.Calls != 4 || s.Names != names {
 				t.Errorf("%v: %+v", c.names, s)
 			}
 		})
@@ -218,7 +218,7 @@
 
 func TestCounterBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1, MostWaiting: 2})
+		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1, MaxQueued: 2})
 		nc := newCaller(t, ln)
 		call := "tally a 1 9000"
 		nc.say(t, call, call, call, call, call)
@@ -227,7 +227,7 @@
 				t.Fatalf("answer %d: %q, want %q", i, got, want)
 			}
 		}
-		if s := counter.Stats(); s.Calls != 5 || s.Busy != 2 || s.MostWaiting != 2 || counter.Total("a") != 3 {
+		if s := counter.Stats(); s.Calls != 5 || s.Rejected != 2 || s.MaxQueued != 2 || counter.Total("a") != 3 {
 			t.Fatalf("%+v, total %v", s, counter.Total("a"))
 		}
 	})
@@ -274,7 +274,7 @@
 
 func TestCounterConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counter, ln := startCounter(t, CounterConfig{MostConns: 2, CallsPerSecond: 0.05})
+		counter, ln := startCounter(t, CounterConfig{MaxConnectionsPerClient: 2, CallsPerSecond: 0.05})
 		first, second := newCaller(t, ln), newCaller(t, ln)
 		synctest.Wait()
 		third := newCaller(t, ln)
@@ -296,14 +296,14 @@
 		if got := <-second.lines; got != "ok 1" {
 			t.Fatalf("the one that waits: %q", got)
 		}
-		if got := counter.Stats().Conns; got != 4 {
+		if got := counter.Stats().Connections; got != 4 {
 			t.Fatalf("%d connections", got)
 		}
 	})
 }
 
 func TestCounterOnLoopback(t *testing.T) {
-	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Parts: 4}), listen(t)
+	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), listen(t)
 	served := make(chan error, 1)
 	go func() { served <- counter.Serve(ln) }()
 	const callers, calls = 8, 200
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	registryPath = "/registry/instances"
-	lineEvery    = 2 * time.Second // the protocol's
-	deleted      = "DELETED"
+	registryPath             = "/registry/instances"
+	defaultHeartbeatInterval = 2 * time.Second // the protocol's
+	stateDeleted             = "DELETED"
 )
 
 // Target is one backend of the list, or an entry of a change.
@@ -34,13 +34,13 @@
 
 // DiscoveryConfig says how a Discovery serves.
 type DiscoveryConfig struct {
-	CallsPerSecond float64       // calls served, one after another, in the order they came; 0: no bound
-	Patience       time.Duration // a call that has waited in the line for so long is answered 503; 0: never
-	DropsLeft      bool          // calls whose caller has gone leave the line unserved; else they cost their turn
-	LineEvery      time.Duration // empty line of an open watch; 0: 2 s
-	Indent         bool          // lists and changes stand on several lines
-	Keep           int           // changes remembered for since; a caller further behind gets all; 0: every one
-	Rev            int64         // the version before the first list
+	CallsPerSecond    float64       // calls served, one after another, in the order they came; 0: no bound
+	QueueTimeout      time.Duration // a call that has waited in the line for so long is answered 503; 0: never
+	DropCancelled     bool          // calls whose caller has gone leave the line unserved; else they cost their turn
+	HeartbeatInterval time.Duration // empty line of an open watch; 0: 2 s
+	Indent            bool          // lists and changes stand on several lines
+	MaxChanges        int           // changes remembered for since; a caller further behind gets all; 0: every one
+	InitialRevision   int64         // the version before the first list
 }
 
 // DiscoveryStats is what a Discovery saw so far.
@@ -50,8 +50,8 @@
 	Watches     int           // watches opened
 	OpenWatches int           // of them, those whose caller is still there, silent or not
 	Failed      int           // calls and watches that ended in 503 or were cut
-	LongestLine time.Duration // from a call to the end of its turn
-	MostWaiting int           // calls in the line at one moment
+	MaxWait     time.Duration // from a call to the end of its turn
+	MaxQueued   int           // calls in the line at one moment
 	Objects     int           // lists and changes written
 	Bytes       int64         // of bodies written
 }
@@ -59,36 +59,36 @@
 // Discovery plays the service, or the agent, that tells ingresses of backends.
 type Discovery struct {
 	cfg    DiscoveryConfig
-	line   *line
+	queue  *serviceQueue
 	server *http.Server
 
-	mu      sync.Mutex
-	state   State
-	closed  bool
-	rev     int64
-	targets []Target
-	changes []change      // oldest first; all after version floor
-	floor   int64         // the oldest version that can be told what has changed since
-	whole   []byte        // the list of this version as it is written; nil: not yet made
-	news    chan struct{} // closed at the next change
-	calls   signals       // of calls that wait
-	watches signals       // of open watches
-	stats   DiscoveryStats
+	mu             sync.Mutex
+	state          State
+	closed         bool
+	revision       int64
+	targets        []Target
+	changes        []listChange  // oldest first; all after version floor
+	oldestRevision int64         // the oldest version that can be told what has changed since
+	encodedList    []byte        // the list of this version as it is written; nil: not yet made
+	updated        chan struct{} // closed at the next change
+	callSignals    stopSignals   // of calls that wait
+	watchSignals   stopSignals   // of open watches
+	stats          DiscoveryStats
 }
 
-// change is what one version brought.
-type change struct {
-	rev     int64
-	targets []Target
+// listChange is what one version brought.
+type listChange struct {
+	revision int64
+	targets  []Target
 }
 
-// signals end calls: cut closes their connections, hush leaves them open and silent.
-type signals struct{ cut, hush chan struct{} }
+// stopSignals end calls: cut closes their connections, hush leaves them open and silent.
+type stopSignals struct{ disconnect, silence chan struct{} }
 
-func newSignals() signals { return signals{make(chan struct{}), make(chan struct{})} }
+func newStopSignals() stopSignals { return stopSignals{make(chan struct{}), make(chan struct{})} }
 
-// list is an object of discovery.
-type list struct {
+// endpointList is an object of discovery.
+type endpointList struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
@@ -96,11 +96,11 @@
 
 // NewDiscovery returns a service with an empty list.
 func NewDiscovery(cfg DiscoveryConfig) *Discovery {
-	if cfg.LineEvery == 0 {
-		cfg.LineEvery = lineEvery
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = defaultHeartbeatInterval
 	}
-	d := &Discovery{cfg: cfg, line: newLine(cfg.CallsPerSecond, 0), news: make(chan struct{}), targets: []Target{},
-		rev: cfg.Rev, floor: cfg.Rev, calls: newSignals(), watches: newSignals()}
+	d := &Discovery{cfg: cfg, queue: newServiceQueue(cfg.CallsPerSecond, 0), updated: make(chan struct{}), targets: []Target{},
+		revision: cfg.InitialRevision, oldestRevision: cfg.InitialRevision, callSignals: newStopSignals(), watchSignals: newStopSignals()}
 	d.server = &http.Server{Handler: d, ErrorLog: log.New(io.Discard, "", 0)}
 	return d
 }
@@ -126,42 +126,42 @@
 func (d *Discovery) SetList(targets []Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
+	d.revision++
 	d.targets = append([]Target{}, targets...)
-	d.changes, d.floor = nil, d.rev
-	d.changed()
+	d.changes, d.oldestRevision = nil, d.revision
+	d.publish()
 }
 
 // Change adds or replaces entries, or removes those that are DELETED, as one new version.
 func (d *Discovery) Change(targets ...Target) (rev int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
+	d.revision++
 	for _, t := range targets {
 		i := slices.IndexFunc(d.targets, func(old Target) bool { return old.UID == t.UID })
 		switch {
-		case t.State == deleted && i >= 0:
+		case t.State == stateDeleted && i >= 0:
 			d.targets = slices.Delete(d.targets, i, i+1)
-		case t.State == deleted:
+		case t.State == stateDeleted:
 		case i >= 0:
 			d.targets[i] = t
 		default:
 			d.targets = append(d.targets, t)
 		}
 	}
-	d.changes = append(d.changes, change{d.rev, slices.Clone(targets)})
-	if over := len(d.changes) - d.cfg.Keep; d.cfg.Keep > 0 && over > 0 {
-		d.floor = d.changes[over-1].rev
+	d.changes = append(d.changes, listChange{d.revision, slices.Clone(targets)})
+	if over := len(d.changes) - d.cfg.MaxChanges; d.cfg.MaxChanges > 0 && over > 0 {
+		d.oldestRevision = d.changes[over-1].revision
 		d.changes = slices.Delete(d.changes, 0, over)
 	}
-	d.changed()
-	return d.rev
+	d.publish()
+	return d.revision
 }
 
-func (d *Discovery) changed() {
-	d.whole = nil
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Discovery) publish() {
+	d.encodedList = nil
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
 // SetState changes how calls are met. Silence stays with what was open or came during it, also after the return, until
@@ -174,21 +174,21 @@
 	}
 	switch d.state {
 	case Silent:
-		d.calls.hush, d.watches.hush = make(chan struct{}), make(chan struct{})
+		d.callSignals.silence, d.watchSignals.silence = make(chan struct{}), make(chan struct{})
 	case Down:
-		d.calls.cut, d.watches.cut = make(chan struct{}), make(chan struct{})
+		d.callSignals.disconnect, d.watchSignals.disconnect = make(chan struct{}), make(chan struct{})
 	}
 	d.state = s
 	switch s {
 	case Silent:
-		close(d.calls.hush)
-		close(d.watches.hush)
+		close(d.callSignals.silence)
+		close(d.watchSignals.silence)
 	case Down:
-		close(d.calls.cut)
-		close(d.watches.cut)
+		close(d.callSignals.disconnect)
+		close(d.watchSignals.disconnect)
 	}
 	if s != Up {
-		d.line.drop()
+		d.queue.clear()
 	}
 }
 
@@ -197,28 +197,28 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != Down {
-		close(d.watches.cut)
-		d.watches.cut = make(chan struct{})
+		close(d.watchSignals.disconnect)
+		d.watchSignals.disconnect = make(chan struct{})
 	}
 }
 
-// HushWatches lets the watches that are open now fall silent for good, while new ones work.
-func (d *Discovery) HushWatches() {
+// SilenceWatches lets the watches that are open now fall silent for good, while new ones work.
+func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != Silent {
-		close(d.watches.hush)
-		d.watches.hush = make(chan struct{})
+		close(d.watchSignals.silence)
+		d.watchSignals.silence = make(chan struct{})
 	}
 }
 
 // Stats returns the figures so far.
 func (d *Discovery) Stats() DiscoveryStats {
-	saw := d.line.saw()
+	saw := d.queue.snapshotStats()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.stats
-	s.LongestLine, s.MostWaiting = saw.longest, saw.most
+	s.MaxWait, s.MaxQueued = saw.maxWait, saw.maxWaiting
 	return s
 }
 
@@ -238,7 +238,7 @@
 		http.Error(w, "since is a version", http.StatusBadRequest)
 		return
 	}
-	if !d.waitTurn(w, r.Context()) {
+	if !d.waitInQueue(w, r.Context()) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -246,89 +246,89 @@
 		d.watch(w, r.Context(), since)
 		return
 	}
-	body, ends := d.wholeList()
-	if d.stopped(r.Context(), ends) {
+	body, ends := d.snapshot()
+	if d.interrupted(r.Context(), ends) {
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	d.write(w, body, true)
 }
 
-// waitTurn takes a call through the line; where it says no, the call has ended.
-func (d *Discovery) waitTurn(w http.ResponseWriter, ctx context.Context) bool {
+// waitInQueue takes a call through the line; where it says no, the call has ended.
+func (d *Discovery) waitInQueue(w http.ResponseWriter, ctx context.Context) bool {
 	d.mu.Lock()
 	d.stats.Calls++
-	ends, state := d.calls, d.state
+	ends, state := d.callSignals, d.state
 	served := make(chan struct{})
-	t := &turn{serve: func() { close(served) }}
+	t := &queuedCall{serve: func() { close(served) }}
 	if state == Up { // under the lock: a change of state empties the line
-		d.line.join(t)
+		d.queue.enqueue(t)
 	}
 	d.mu.Unlock()
 
 	var late <-chan time.Time
-	if d.cfg.Patience > 0 {
-		timer := time.NewTimer(d.cfg.Patience)
+	if d.cfg.QueueTimeout > 0 {
+		timer := time.NewTimer(d.cfg.QueueTimeout)
 		defer timer.Stop()
 		late = timer.C
 	}
 	var left <-chan struct{}
-	if d.cfg.DropsLeft {
+	if d.cfg.DropCancelled {
 		left = ctx.Done()
 	}
 	for {
 		select {
-		case <-ends.cut:
-			d.abort()
-		case <-ends.hush:
-			d.silence(ctx, ends.cut)
+		case <-ends.disconnect:
+			d.disconnect()
+		case <-ends.silence:
+			d.holdSilent(ctx, ends.disconnect)
 			return false
 		case <-served:
 			return ctx.Err() == nil
 		case <-left:
-			d.line.leave(t)
+			d.queue.remove(t)
 			return false
 		case <-late:
 			late = nil
-			if !d.line.leave(t) { // its turn has begun, or the line is no more
+			if !d.queue.remove(t) { // its turn has begun, or the line is no more
 				continue
 			}
-			d.count(func(s *DiscoveryStats) { s.Failed++ })
+			d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
 			http.Error(w, "too many calls", http.StatusServiceUnavailable)
 			return false
 		}
 	}
 }
 
-// abort ends a call by closing its connection.
-func (d *Discovery) abort() {
-	d.count(func(s *DiscoveryStats) { s.Failed++ })
+// disconnect ends a call by closing its connection.
+func (d *Discovery) disconnect() {
+	d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
 	panic(http.ErrAbortHandler)
 }
 
-// stopped says whether a call has been cut or hushed, after all that this means for it.
-func (d *Discovery) stopped(ctx context.Context, ends signals) bool {
+// interrupted says whether a call has been cut or hushed, after all that this means for it.
+func (d *Discovery) interrupted(ctx context.Context, ends stopSignals) bool {
 	select {
-	case <-ends.cut:
-		d.abort()
-	case <-ends.hush:
-		d.silence(ctx, ends.cut)
+	case <-ends.disconnect:
+		d.disconnect()
+	case <-ends.silence:
+		d.holdSilent(ctx, ends.disconnect)
 		return true
 	default:
 	}
 	return false
 }
 
-// silence holds a call open until its caller goes or it is cut.
-func (d *Discovery) silence(ctx context.Context, cut <-chan struct{}) {
+// holdSilent holds a call open until its caller goes or it is cut.
+func (d *Discovery) holdSilent(ctx context.Context, cut <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-cut:
-		d.abort()
+		d.disconnect()
 	}
 }
 
-func (d *Discovery) count(add func(*DiscoveryStats)) {
+func (d *Discovery) updateStats(add func(*DiscoveryStats)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	add(&d.stats)
@@ -337,29 +337,29 @@
 // watch tells what changes until its caller goes or it is ended.
 func (d *Discovery) watch(w http.ResponseWriter, ctx context.Context, rev int64) {
 	d.mu.Lock()
-	ends := d.watches
+	ends := d.watchSignals
 	d.stats.Watches++
 	d.stats.OpenWatches++
 	d.mu.Unlock()
-	defer d.count(func(s *DiscoveryStats) { s.OpenWatches-- })
+	defer d.updateStats(func(s *DiscoveryStats) { s.OpenWatches-- })
 
-	quiet := time.NewTimer(d.cfg.LineEvery)
+	quiet := time.NewTimer(d.cfg.HeartbeatInterval)
 	defer quiet.Stop()
 	for first := true; ; first = false {
-		body, at, news := d.since(rev, first)
+		body, at, news := d.changesSince(rev, first)
 		rev = at
-		if d.stopped(ctx, ends) { // looked at after the list: what changes in a silence is not told
+		if d.interrupted(ctx, ends) { // looked at after the list: what changes in a silence is not told
 			return
 		}
 		if !d.write(w, body, len(body) > 1) {
 			return
 		}
-		quiet.Reset(d.cfg.LineEvery)
+		quiet.Reset(d.cfg.HeartbeatInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-ends.cut:
-		case <-ends.hush:
+		case <-ends.disconnect:
+		case <-ends.silence:
 		case <-news:
 		case <-quiet.C:
 		}
@@ -372,7 +372,7 @@
 	if err == nil {
 		err = http.NewResponseController(w).Flush()
 	}
-	d.count(func(s *DiscoveryStats) {
+	d.updateStats(func(s *DiscoveryStats) {
 		s.Bytes += int64(n)
 		if object && err == nil {
 			s.Objects++
@@ -381,37 +381,37 @@
 	return err == nil
 }
 
-// wholeList is the answer to a plain call, and what may end that.
-func (d *Discovery) wholeList() ([]byte, signals) {
+// snapshot is the answer to a plain call, and what may end that.
+func (d *Discovery) snapshot() ([]byte, stopSignals) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stats.Lists++
-	return d.all(), d.calls
+	return d.encodedSnapshot(), d.callSignals
 }
 
-// all is the whole list as it is written. The lock is held.
-func (d *Discovery) all() []byte {
-	if d.whole == nil {
-		d.whole = d.encode(list{d.rev, true, d.targets})
+// encodedSnapshot is the whole list as it is written. The lock is held.
+func (d *Discovery) encodedSnapshot() []byte {
+	if d.encodedList == nil {
+		d.encodedList = d.encode(endpointList{d.revision, true, d.targets})
 	}
-	return d.whole
+	return d.encodedList
 }
 
-// since is what changed after a version, one entry for each backend, or the whole list where that is not known any
+// changesSince is what changed after a version, one entry for each backend, or the whole list where that is not known any
 // more; or an empty line, if there is nothing and it is not the first. news is closed when there is more.
-func (d *Discovery) since(rev int64, first bool) (body []byte, at int64, news <-chan struct{}) {
+func (d *Discovery) changesSince(rev int64, first bool) (body []byte, at int64, news <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case rev == d.rev && !first:
-		return []byte("\n"), rev, d.news
-	case rev < d.floor || rev > d.rev:
-		return d.all(), d.rev, d.news
+	case rev == d.revision && !first:
+		return []byte("\n"), rev, d.updated
+	case rev < d.oldestRevision || rev > d.revision:
+		return d.encodedSnapshot(), d.revision, d.updated
 	}
-	changed := list{Rev: d.rev, Targets: []Target{}}
+	changed := endpointList{Rev: d.revision, Targets: []Target{}}
 	seen := map[string]bool{}
 	for _, c := range slices.Backward(d.changes) {
-		if c.rev <= rev {
+		if c.revision <= rev {
 			break
 		}
 		for _, t := range slices.Backward(c.targets) {
@@ -422,10 +422,10 @@
 		}
 	}
 	slices.Reverse(changed.Targets)
-	return d.encode(changed), d.rev, d.news
+	return d.encode(changed), d.revision, d.updated
 }
 
-func (d *Discovery) encode(l list) []byte {
+func (d *Discovery) encode(l endpointList) []byte {
 	var body []byte
 	var err error
 	if d.cfg.Indent {
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -71,7 +71,7 @@
 // told says what an object tells: its version, whether it is the whole list, and the entries.
 func told(t *testing.T, object string) string {
 	t.Helper()
-	var l list
+	var l endpointList
 	if err := json.Unmarshal([]byte(object), &l); err != nil {
 		t.Fatalf("%q: %v", object, err)
 	}
@@ -109,7 +109,7 @@
 		{2, 2, "4 false a:DELETED c:SERVING"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRegistry(t, DiscoveryConfig{Keep: c.keep})
+			r := newRegistry(t, DiscoveryConfig{MaxChanges: c.keep})
 			r.Change(Target{UID: "a", State: "DRAINING"})
 			r.Change(Target{UID: "a", State: "DELETED"})
 			if rev := r.Change(Target{UID: "c", State: "SERVING"}); rev != 4 {
@@ -152,7 +152,7 @@
 // Versions go on from the one that is given.
 func TestFirstVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{Rev: 40})
+		r := newRegistry(t, DiscoveryConfig{InitialRevision: 40})
 		lines := r.watch(t, 40)
 		if got := told(t, <-lines); got != "41 true a:SERVING b:SERVING" {
 			t.Fatalf("list %s", got)
@@ -255,10 +255,10 @@
 			[]ended{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {2, "200 OK", 3 * s}}, 2},
 		"left ones cost": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{long, short, short, long},
 			[]ended{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 4 * s}}, 3},
-		"left ones leave": {DiscoveryConfig{CallsPerSecond: 1, DropsLeft: true},
+		"left ones leave": {DiscoveryConfig{CallsPerSecond: 1, DropCancelled: true},
 			[]time.Duration{long, short, short, long},
 			[]ended{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 2 * s}}, 3},
-		"patience": {DiscoveryConfig{CallsPerSecond: 1, Patience: 2500 * time.Millisecond},
+		"patience": {DiscoveryConfig{CallsPerSecond: 1, QueueTimeout: 2500 * time.Millisecond},
 			[]time.Duration{long, long, long, long}, // the third one's turn has begun
 			[]ended{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {3, "503 Service Unavailable", 2500 * time.Millisecond},
 				{2, "200 OK", 3 * s}}, 3},
@@ -269,7 +269,7 @@
 				if got := r.callAll(t, c.call...); !slices.Equal(got, c.want) {
 					t.Errorf("%v, want %v", got, c.want)
 				}
-				if s := r.Stats(); s.MostWaiting != c.most || s.Calls != len(c.call) {
+				if s := r.Stats(); s.MaxQueued != c.most || s.Calls != len(c.call) {
 					t.Errorf("%+v", s)
 				}
 			})
@@ -360,7 +360,7 @@
 	for name, c := range map[string]struct {
 		end  func(*Discovery)
 		open int
-	}{"broken": {(*Discovery).BreakWatches, 1}, "hushed": {(*Discovery).HushWatches, 2}} {
+	}{"broken": {(*Discovery).BreakWatches, 1}, "hushed": {(*Discovery).SilenceWatches, 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRegistry(t, DiscoveryConfig{})
--- a/internal/standin/line.go
+++ b/internal/standin/line.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// line is a service of fixed capacity: it serves one call after another, in the order they came.
-type line struct {
-	every time.Duration // what one call takes; 0: all are served as they come
-	bound int           // calls that may wait; 0: any number
+// serviceQueue is a service of fixed capacity: it serves one call after another, in the order they came.
+type serviceQueue struct {
+	serviceTime time.Duration // what one call takes; 0: all are served as they come
+	maxWaiting  int           // calls that may wait; 0: any number
 
 	mu      sync.Mutex
-	waiting []*turn
-	serving *turn // nil with busy: its call was dropped
+	waiting []*queuedCall
+	serving *queuedCall // nil with busy: its call was dropped
 	busy    bool
-	free    time.Time // when the service is free again; kept so that late timers cost no capacity
-	stats   lineStats
+	freeAt  time.Time // when the service is free again; kept so that late timers cost no capacity
+	stats   queueStats
 }
 
-// lineStats is what a line saw.
-type lineStats struct {
-	most    int           // calls that waited at one moment
-	longest time.Duration // from a call's arrival to the end of its turn
+// queueStats is what a line saw.
+type queueStats struct {
+	maxWaiting int           // calls that waited at one moment
+	maxWait    time.Duration // from a call's arrival to the end of its turn
 }
 
-// turn is one call's place in a line.
-type turn struct {
-	serve func() // at the end of its turn; short, since the line stands still meanwhile
-	came  time.Time
+// queuedCall is one call's place in a line.
+type queuedCall struct {
+	serve     func() // at the end of its turn; short, since the line stands still meanwhile
+	arrivedAt time.Time
 }
 
-func newLine(perSecond float64, bound int) *line {
-	l := &line{bound: bound}
+func newServiceQueue(perSecond float64, bound int) *serviceQueue {
+	l := &serviceQueue{maxWaiting: bound}
 	if perSecond > 0 {
-		l.every = time.Duration(float64(time.Second) / perSecond)
+		l.serviceTime = time.Duration(float64(time.Second) / perSecond)
 	}
 	return l
 }
 
-// join puts a call at the end of the line; it says no where too many wait.
-func (l *line) join(t *turn) bool {
+// enqueue puts a call at the end of the line; it says no where too many wait.
+func (l *serviceQueue) enqueue(t *queuedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.came = time.Now()
+	t.arrivedAt = time.Now()
 	switch {
-	case l.every == 0:
+	case l.serviceTime == 0:
 		t.serve()
 		return true
 	case !l.busy:
-		l.begin(t, t.came)
+		l.startService(t, t.arrivedAt)
 		return true
-	case l.bound > 0 && len(l.waiting) >= l.bound:
+	case l.maxWaiting > 0 && len(l.waiting) >= l.maxWaiting:
 		return false
 	}
 	l.waiting = append(l.waiting, t)
-	l.stats.most = max(l.stats.most, len(l.waiting))
+	l.stats.maxWaiting = max(l.stats.maxWaiting, len(l.waiting))
 	return true
 }
 
-// begin serves t, or a later one that finds the service overdue. The lock is held.
-func (l *line) begin(t *turn, now time.Time) {
-	if l.free.Before(now) {
-		l.free = now
+// startService serves t, or a later one that finds the service overdue. The lock is held.
+func (l *serviceQueue) startService(t *queuedCall, now time.Time) {
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(l.every)
+	l.freeAt = l.freeAt.Add(l.serviceTime)
 	l.serving, l.busy = t, true
-	time.AfterFunc(l.free.Sub(now), l.end)
+	time.AfterFunc(l.freeAt.Sub(now), l.finishService)
 }
 
-// end ends the turn at hand, and all that should have ended by now.
-func (l *line) end() {
+// finishService ends the turn at hand, and all that should have ended by now.
+func (l *serviceQueue) finishService() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for now := time.Now(); ; l.free = l.free.Add(l.every) {
-		if l.free.After(now) {
-			time.AfterFunc(l.free.Sub(now), l.end)
+	for now := time.Now(); ; l.freeAt = l.freeAt.Add(l.serviceTime) {
+		if l.freeAt.After(now) {
+			time.AfterFunc(l.freeAt.Sub(now), l.finishService)
 			return
 		}
 		if t := l.serving; t != nil {
-			l.stats.longest = max(l.stats.longest, now.Sub(t.came))
+			l.stats.maxWait = max(l.stats.maxWait, now.Sub(t.arrivedAt))
 			t.serve()
 		}
 		if l.serving, l.busy = nil, len(l.waiting) > 0; !l.busy {
@@ -90,8 +90,8 @@
 	}
 }
 
-// leave takes back a call whose turn has not begun.
-func (l *line) leave(t *turn) bool {
+// remove takes back a call whose turn has not begun.
+func (l *serviceQueue) remove(t *queuedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i := slices.Index(l.waiting, t)
@@ -102,15 +102,15 @@
 	return true
 }
 
-// drop forgets all calls unserved.
-func (l *line) drop() {
+// clear forgets all calls unserved.
+func (l *serviceQueue) clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waiting, l.serving = nil, nil
 }
 
-// saw returns the figures so far.
-func (l *line) saw() lineStats {
+// snapshotStats returns the figures so far.
+func (l *serviceQueue) snapshotStats() queueStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stats
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -73,24 +73,24 @@
 func (pipeAddr) Network() string { return "pipe" }
 func (pipeAddr) String() string  { return "pipe" }
 
-// conns is the listeners and open connections of a stand-in.
-type conns struct {
+// connectionSet is the listeners and open connections of a stand-in.
+type connectionSet struct {
 	mu        sync.Mutex
 	listeners map[net.Listener]struct{}
 	open      map[net.Conn]struct{}
-	ended     bool
-	all       sync.WaitGroup
+	closed    bool
+	handlers  sync.WaitGroup
 }
 
 // serve hands each connection to handle until the listener ends; that is no error after close.
-func (c *conns) serve(ln net.Listener, handle func(net.Conn)) error {
-	if !c.listen(ln) {
+func (c *connectionSet) serve(ln net.Listener, handle func(net.Conn)) error {
+	if !c.addListener(ln) {
 		return ln.Close()
 	}
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
-			if c.over() && errors.Is(err, net.ErrClosed) {
+			if c.isClosed() && errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return fmt.Errorf("accept: %w", err)
@@ -106,43 +106,43 @@
 	}
 }
 
-func (c *conns) listen(ln net.Listener) bool {
+func (c *connectionSet) addListener(ln net.Listener) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.listeners == nil {
 		c.listeners, c.open = map[net.Listener]struct{}{}, map[net.Conn]struct{}{}
 	}
 	c.listeners[ln] = struct{}{}
-	return !c.ended
+	return !c.closed
 }
 
-func (c *conns) add(nc net.Conn) bool {
+func (c *connectionSet) add(nc net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return false
 	}
 	c.open[nc] = struct{}{}
-	c.all.Add(1)
+	c.handlers.Add(1)
 	return true
 }
 
-func (c *conns) remove(nc net.Conn) {
+func (c *connectionSet) remove(nc net.Conn) {
 	nc.Close()
 	c.mu.Lock()
 	delete(c.open, nc)
 	c.mu.Unlock()
-	c.all.Done()
+	c.handlers.Done()
 }
 
-func (c *conns) over() bool {
+func (c *connectionSet) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.closed
 }
 
-// cut resets what is open.
-func (c *conns) cut() {
+// resetAll resets what is open.
+func (c *connectionSet) resetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.open {
@@ -150,15 +150,15 @@
 	}
 }
 
-// end refuses what comes from now on and resets what is open.
-func (c *conns) end() {
+// close refuses what comes from now on and resets what is open.
+func (c *connectionSet) close() {
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	for ln := range c.listeners {
 		ln.Close()
 	}
 	c.mu.Unlock()
-	c.cut()
+	c.resetAll()
 }
 
 // reset closes a connection as the end of a process does.
@@ -169,64 +169,64 @@
 	nc.Close()
 }
 
-// reply is the place of one answer; it holds one. A closed one ends its connection.
-type reply chan []byte
+// pendingReply is the place of one answer; it holds one. A closed one ends its connection.
+type pendingReply chan []byte
 
-func answered(text string) reply {
-	r := make(reply, 1)
+func completedReply(text string) pendingReply {
+	r := make(pendingReply, 1)
 	r <- []byte(text)
 	return r
 }
 
-// replies writes the answers of one connection in the order of its calls.
-type replies struct {
-	nc    net.Conn
-	queue chan reply
-	out   atomic.Int32    // calls without an answer
-	hush  <-chan struct{} // closed: nothing is written any more; nil: never
-	done  chan struct{}   // closed: nobody waits for answers
-	ended chan struct{}   // closed: no answer will be written
-	wrote func(bytes int)
+// replyWriter writes the answers of one connection in the order of its calls.
+type replyWriter struct {
+	conn       net.Conn
+	queue      chan pendingReply
+	unanswered atomic.Int32    // calls without an answer
+	silenced   <-chan struct{} // closed: nothing is written any more; nil: never
+	stopping   chan struct{}   // closed: nobody waits for answers
+	stopped    chan struct{}   // closed: no answer will be written
+	onWrite    func(bytes int)
 }
 
-const mostBehind = 512 // calls of one connection without an answer; it is not read further then
+const maxUnansweredCalls = 512 // calls of one connection without an answer; it is not read further then
 
-func newReplies(nc net.Conn, hush <-chan struct{}, wrote func(int)) *replies {
-	r := &replies{nc: nc, queue: make(chan reply, mostBehind), hush: hush, done: make(chan struct{}),
-		ended: make(chan struct{}), wrote: wrote}
+func newReplyWriter(nc net.Conn, hush <-chan struct{}, wrote func(int)) *replyWriter {
+	r := &replyWriter{conn: nc, queue: make(chan pendingReply, maxUnansweredCalls), silenced: hush, stopping: make(chan struct{}),
+		stopped: make(chan struct{}), onWrite: wrote}
 	go r.run()
 	return r
 }
 
-// next gives a call its place behind the ones before it; nil ends the answers there.
-func (r *replies) next(p reply) {
-	r.out.Add(1)
+// enqueue gives a call its place behind the ones before it; nil ends the answers there.
+func (r *replyWriter) enqueue(p pendingReply) {
+	r.unanswered.Add(1)
 	select {
 	case r.queue <- p:
-	case <-r.hush:
-	case <-r.ended:
+	case <-r.silenced:
+	case <-r.stopped:
 	}
 }
 
 // stop ends the writing and waits for its end.
-func (r *replies) stop() {
-	close(r.done)
-	r.nc.Close()
-	<-r.ended
+func (r *replyWriter) stop() {
+	close(r.stopping)
+	r.conn.Close()
+	<-r.stopped
 }
 
-func (r *replies) silent() bool {
+func (r *replyWriter) isSilenced() bool {
 	select {
-	case <-r.hush:
+	case <-r.silenced:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *replies) run() {
-	defer close(r.ended)
-	for !r.silent() {
+func (r *replyWriter) run() {
+	defer close(r.stopped)
+	for !r.isSilenced() {
 		var text []byte
 		select {
 		case p := <-r.queue:
@@ -236,25 +236,25 @@
 			ok := true
 			select {
 			case text, ok = <-p:
-			case <-r.hush:
-			case <-r.done:
+			case <-r.silenced:
+			case <-r.stopping:
 				return
 			}
 			if !ok {
-				r.nc.Close()
+				r.conn.Close()
 				return
 			}
-		case <-r.hush:
-		case <-r.done:
+		case <-r.silenced:
+		case <-r.stopping:
 			return
 		}
-		if r.silent() {
+		if r.isSilenced() {
 			return
 		}
-		n, err := r.nc.Write(text)
-		r.out.Add(-1)
-		if r.wrote(n); err != nil {
-			r.nc.Close()
+		n, err := r.conn.Write(text)
+		r.unanswered.Add(-1)
+		if r.onWrite(n); err != nil {
+			r.conn.Close()
 			return
 		}
 	}
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	listName = "KNOWN-RED.txt"
-	mostRed  = 3        // tests that may be listed
-	maxLine  = 64 << 20 // bytes of one record
+	listFile         = "KNOWN-RED.txt"
+	maxKnownFailures = 3        // tests that may be listed
+	maxRecordBytes   = 64 << 20 // bytes of one record
 )
 
-// event is one record of "go test -json".
-type event struct {
+// testEvent is one record of "go test -json".
+type testEvent struct {
 	Action     string
 	Package    string
 	ImportPath string
@@ -28,13 +28,13 @@
 	Output     string
 }
 
-// red is a line of the list: a test that fails for a known cause.
-type red struct{ test, cause, issue string }
+// knownFailure is a line of the list: a test that fails for a known cause.
+type knownFailure struct{ test, cause, issue string }
 
 // parseList reads lines of the form "test, cause, issue"; the cause may hold commas. Empty lines and those that begin with #
 // are passed over.
-func parseList(text string) ([]red, error) {
-	var list []red
+func parseList(text string) ([]knownFailure, error) {
+	var list []knownFailure
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -42,51 +42,51 @@
 		}
 		parts := strings.Split(line, ", ")
 		if len(parts) < 3 {
-			return nil, fmt.Errorf("%s: %q is not of the form test, cause, issue", listName, line)
+			return nil, fmt.Errorf("%s: %q is not of the form test, cause, issue", listFile, line)
 		}
 		last := len(parts) - 1
-		list = append(list, red{parts[0], strings.Join(parts[1:last], ", "), parts[last]})
+		list = append(list, knownFailure{parts[0], strings.Join(parts[1:last], ", "), parts[last]})
 	}
-	if len(list) > mostRed {
-		return nil, fmt.Errorf("%s: %d tests, %d at most", listName, len(list), mostRed)
+	if len(list) > maxKnownFailures {
+		return nil, fmt.Errorf("%s: %d tests, %d at most", listFile, len(list), maxKnownFailures)
 	}
 	return list, nil
 }
 
-// result is what the records say of all tests.
-type result struct {
-	failed   []string // top-level tests
-	packages map[string]bool
-	explains map[string]bool   // packages with a failed test: their own failure needs no other cause
-	passed   bool              // some test passed
-	broken   []string          // what failed without a test: a build, a panic, a data race outside of a test
-	held     map[string]string // output of tests that have not ended, by package and test
+// testResults is what the records say of all tests.
+type testResults struct {
+	failedTests            []string // top-level tests
+	failedPackages         map[string]bool
+	packagesWithFailedTest map[string]bool   // packages with a failed test: their own failure needs no other cause
+	anyPassed              bool              // some test passed
+	otherFailures          []string          // what failed without a test: a build, a panic, a data race outside of a test
+	pendingOutput          map[string]string // output of tests that have not ended, by package and test
 }
 
-// read takes the records in. It copies the text of packages, and of tests that fail, to out.
-func read(in io.Reader, out io.Writer) (result, error) {
-	r := result{packages: map[string]bool{}, explains: map[string]bool{}, held: map[string]string{}}
+// readResults takes the records in. It copies the text of packages, and of tests that fail, to out.
+func readResults(in io.Reader, out io.Writer) (testResults, error) {
+	r := testResults{failedPackages: map[string]bool{}, packagesWithFailedTest: map[string]bool{}, pendingOutput: map[string]string{}}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxRecordBytes)
 	for lines.Scan() {
-		var e event
+		var e testEvent
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil { // of the go command itself
 			fmt.Fprintln(out, lines.Text())
-			r.broken = append(r.broken, lines.Text())
+			r.otherFailures = append(r.otherFailures, lines.Text())
 			continue
 		}
-		r.take(e, out)
+		r.record(e, out)
 	}
-	for p := range r.packages {
-		if !r.explains[p] {
-			r.broken = append(r.broken, p)
+	for p := range r.failedPackages {
+		if !r.packagesWithFailedTest[p] {
+			r.otherFailures = append(r.otherFailures, p)
 		}
 	}
-	slices.Sort(r.broken)
+	slices.Sort(r.otherFailures)
 	return r, lines.Err()
 }
 
-func (r *result) take(e event, out io.Writer) {
+func (r *testResults) record(e testEvent, out io.Writer) {
 	switch e.Action {
 	case "output", "build-output":
 		if isQuiet(e) {
@@ -95,34 +95,34 @@
 		if e.Test == "" {
 			io.WriteString(out, e.Output)
 		} else {
-			r.held[e.Package+" "+e.Test] += e.Output
+			r.pendingOutput[e.Package+" "+e.Test] += e.Output
 		}
 		if isCrash(e.Output) {
-			r.broken = append(r.broken, e.Package+": "+strings.TrimSpace(e.Output))
+			r.otherFailures = append(r.otherFailures, e.Package+": "+strings.TrimSpace(e.Output))
 		}
 	case "build-fail":
-		r.broken = append(r.broken, e.ImportPath)
+		r.otherFailures = append(r.otherFailures, e.ImportPath)
 	case "pass", "skip":
-		delete(r.held, e.Package+" "+e.Test)
-		r.passed = r.passed || e.Test != "" && e.Action == "pass"
+		delete(r.pendingOutput, e.Package+" "+e.Test)
+		r.anyPassed = r.anyPassed || e.Test != "" && e.Action == "pass"
 	case "fail":
-		r.tell(e, out)
+		r.flushOutput(e, out)
 		switch {
 		case e.Test == "":
-			r.packages[e.Package] = true
+			r.failedPackages[e.Package] = true
 		case !strings.Contains(e.Test, "/"):
-			r.failed = append(r.failed, e.Test)
-			r.explains[e.Package] = true
+			r.failedTests = append(r.failedTests, e.Test)
+			r.packagesWithFailedTest[e.Package] = true
 		}
 	}
 }
 
-// tell writes the output of a test that failed, or of the tests that had not ended when their package did.
-func (r *result) tell(e event, out io.Writer) {
-	for key, text := range r.held {
+// flushOutput writes the output of a test that failed, or of the tests that had not ended when their package did.
+func (r *testResults) flushOutput(e testEvent, out io.Writer) {
+	for key, text := range r.pendingOutput {
 		if key == e.Package+" "+e.Test || e.Test == "" && strings.HasPrefix(key, e.Package+" ") {
 			io.WriteString(out, text)
-			delete(r.held, key)
+			delete(r.pendingOutput, key)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 }
 
 // isQuiet says whether a line tells only that a test runs or passes.
-func isQuiet(e event) bool {
+func isQuiet(e testEvent) bool {
 	text := strings.TrimSpace(e.Output)
 	for _, prefix := range []string{"=== RUN", "=== PAUSE", "=== CONT", "=== NAME", "--- PASS"} {
 		if strings.HasPrefix(text, prefix) {
@@ -149,31 +149,31 @@
 }
 
 // judge says what of a result is not in the list. The tests that are listed and failed, or passed, are told on out.
-func judge(r result, list []red, out io.Writer) error {
+func judge(r testResults, list []knownFailure, out io.Writer) error {
 	var errs []error
-	for _, what := range r.broken {
+	for _, what := range r.otherFailures {
 		errs = append(errs, fmt.Errorf("failed outside of a test: %s", what))
 	}
-	for _, test := range r.failed {
-		if i := slices.IndexFunc(list, func(k red) bool { return k.test == test }); i < 0 {
+	for _, test := range r.failedTests {
+		if i := slices.IndexFunc(list, func(k knownFailure) bool { return k.test == test }); i < 0 {
 			errs = append(errs, fmt.Errorf("failed: %s", test))
 		}
 	}
 	for _, k := range list {
 		state := "passes now: take it off the list"
-		if slices.Contains(r.failed, k.test) {
+		if slices.Contains(r.failedTests, k.test) {
 			state = "known to fail"
 		}
 		fmt.Fprintf(out, "%s: %s, %s, %s\n", state, k.test, k.cause, k.issue)
 	}
-	if !r.passed {
+	if !r.anyPassed {
 		errs = append(errs, errors.New("no test passed"))
 	}
 	return errors.Join(errs...)
 }
 
 func run() error {
-	text, err := os.ReadFile(listName)
+	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := read(os.Stdin, os.Stdout)
+	r, err := readResults(os.Stdin, os.Stdout)
 	if err != nil {
 		return err
 	}
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -40,8 +40,8 @@
 		t.Run(name, func(t *testing.T) {
 			list, err := parseList(c.list)
 			if err == nil {
-				var r result
-				if r, err = read(strings.NewReader(c.records), io.Discard); err != nil {
+				var r testResults
+				if r, err = readResults(strings.NewReader(c.records), io.Discard); err != nil {
 					t.Fatal(err)
 				}
 				err = judge(r, list, io.Discard)
@@ -66,7 +66,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
-			if _, err := read(strings.NewReader(c.records), &out); err != nil || out.String() != c.want {
+			if _, err := readResults(strings.NewReader(c.records), &out); err != nil || out.String() != c.want {
 				t.Fatalf("%q, %v; want %q", out.String(), err, c.want)
 			}
 		})
@@ -81,7 +81,7 @@
 	for records, want := range map[string]string{passes + fails: "known to fail: TestB, it is slow, really, issue 7",
 		passes: "passes now: take it off the list: TestB"} {
 		var out strings.Builder
-		r, err := read(strings.NewReader(records), io.Discard)
+		r, err := readResults(strings.NewReader(records), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
