--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -39,7 +39,7 @@
 func words(w ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(w))
 	for _, a := range w {
-		s += bulk(a)
+		s += BulkString(a)
 	}
 	return s
 }
@@ -245,8 +245,8 @@
 		{time.Hour, time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 4, ColdShare: 0.25,
-				WarmAfter: 10 * time.Second, StartedAt: time.Now()})
+			_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 4,
+				WarmUp: WarmUp{MinSpeed: 0.25, Window: 10 * time.Second}, StartedAt: time.Now()})
 			time.Sleep(c.age)
 			began := time.Now()
 			served(attempt(t, ln, 1))
@@ -259,11 +259,12 @@
 
 // A cold backend falls at the first attempt beyond what it bears then: it resets what is open and refuses what comes.
 func TestColdFall(t *testing.T) {
-	cold := BackendConfig{ServiceTime: takes(100 * time.Millisecond), Cores: 2, ColdShare: 0.5, WarmAfter: 1e6 * time.Hour,
-		OverloadMultiple: 1.6, OverloadWindow: time.Second} // 16 in a second
+	cold := BackendConfig{ServiceTime: takes(100 * time.Millisecond), Cores: 2,
+		WarmUp:   WarmUp{MinSpeed: 0.5, Window: 1e6 * time.Hour},
+		Overload: Overload{Multiple: 1.6, Window: time.Second}} // 16 in a second
 	slack, warm, spaced := cold, cold, cold
-	slack.OverloadSlack = 2 // 16 + 2 x 4 + 2
-	warm.WarmAfter = time.Nanosecond
+	slack.Overload.Slack = 2 // 16 + 2 x 4 + 2
+	warm.WarmUp.Window = time.Nanosecond
 	for name, c := range map[string]struct {
 		cfg   BackendConfig
 		pause time.Duration
@@ -391,7 +392,7 @@
 		if _, err := io.WriteString(nc, lookup(n)); err != nil {
 			return err
 		}
-		want := "*3\r\n" + bulk(id(n)) + "$-1\r\n$-1\r\n"
+		want := "*3\r\n" + BulkString(id(n)) + "$-1\r\n$-1\r\n"
 		got := make([]byte, len(want))
 		if _, err := io.ReadFull(in, got); err != nil || string(got) != want {
 			return fmt.Errorf("request %d: %q, %v", n, got, err)
