--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -4,10 +4,8 @@
 	"bufio"
 	"errors"
 	"hash/fnv"
-	"math"
 	"net"
 	"os"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -15,65 +13,59 @@
 
 const (
 	defaultIdleTimeout = 10 * time.Second // the protocol's
-	maxLifetimeMillis  = 60_000           // of a name, in milliseconds
-	maxNameBytes       = 64               // bytes
-	maxCallBytes       = 256              // bytes of a line; a longer one ends its connection
-	maxIncrement       = 1e9
-	minSweepSize       = 1024 // so many may have expired unnoticed
+	maxCallBytes       = 256              // of a line; a longer one ends its connection
 )
 
 // CounterConfig says how a Counter serves.
 type CounterConfig struct {
-	CallsPerSecond          float64       // of all parts together; 0: no bound
-	Shards                  int           // each has its share of the rate and a line of its own; a name is of one part; 0: one
-	MaxQueued               int           // calls that may wait in the line of one part, further ones are busy; 0: any number
-	MaxConnectionsPerClient int           // connections of one client address, further ones are reset; 0: any number
+	CallsPerSecond          float64       // of all shards together; 0: no bound
+	Shards                  int           // each has its share of the rate and a queue; a name is of one shard; 0: one
+	MaxQueued               int           // calls that may wait for one shard, further ones are rejected; 0: any number
+	MaxConnectionsPerClient int           // of one client address, further ones are reset; 0: any number
 	IdleTimeout             time.Duration // a connection without a call for so long is closed; 0: 10 s
 }
 
-// CounterStats is what a Counter saw so far.
+// CounterStats is what a Counter has seen so far.
 type CounterStats struct {
-	Calls       int           // tally calls in good form
-	Rejected    int           // of them, those turned away
-	Names       int           // alive now
-	BytesIn     int64         // read, in whole lines
+	Calls       int           // in good form, pings aside
+	Rejected    int           // of them, those that were answered busy
+	Names       int           // that have not expired
+	BytesIn     int64         // read, in complete lines
 	BytesOut    int64         // written
-	Connections int           // connections accepted
-	MaxWait     time.Duration // from a call to the end of its turn
-	MaxQueued   int           // calls in the line of one part at one moment
+	Connections int           // accepted
+	MaxWait     time.Duration // from a call to the end of its service
+	MaxQueued   int           // calls that waited for one shard at one moment
 }
 
 // Counter plays the shared counter.
 type Counter struct {
-	cfg         CounterConfig
+	config      CounterConfig
 	shards      []*serviceQueue
 	connections connectionSet
 
-	mu                  sync.Mutex
+	mu                  sync.Mutex // guards what follows
 	state               State
 	silenced            chan struct{} // closed while Silent
-	names               map[string]*counterEntry
-	sweepAt             int // names, before the expired ones are looked for
-	connectionsByClient map[string]int
+	table               *CounterTable
+	connectionsByClient map[string]int // by address, without its port
 	stats               CounterStats
 }
 
-// counterEntry is a name's total until it expires.
-type counterEntry struct {
-	total     float64
-	expiresAt time.Time
-}
-
 // NewCounter returns a counter without names.
-func NewCounter(cfg CounterConfig) *Counter {
-	if cfg.IdleTimeout == 0 {
-		cfg.IdleTimeout = defaultIdleTimeout
+func NewCounter(config CounterConfig) *Counter {
+	if config.IdleTimeout == 0 {
+		config.IdleTimeout = defaultIdleTimeout
+	}
+	config.Shards = max(config.Shards, 1)
+	c := &Counter{
+		config:              config,
+		silenced:            make(chan struct{}),
+		table:               NewCounterTable(),
+		connectionsByClient: map[string]int{},
 	}
-	cfg.Shards = max(cfg.Shards, 1)
-	c := &Counter{cfg: cfg, silenced: make(chan struct{}), names: map[string]*counterEntry{}, sweepAt: minSweepSize,
-		connectionsByClient: map[string]int{}}
-	for range cfg.Shards {
-		c.shards = append(c.shards, newServiceQueue(cfg.CallsPerSecond/float64(cfg.Shards), cfg.MaxQueued))
+	for range config.Shards {
+		rate := config.CallsPerSecond / float64(config.Shards)
+		c.shards = append(c.shards, newServiceQueue(rate, config.MaxQueued))
 	}
 	return c
 }
@@ -81,188 +73,164 @@
 // Serve answers calls on a listener until Close.
 func (c *Counter) Serve(ln net.Listener) error { return c.connections.serve(ln, c.serveConnection) }
 
-// Close ends all connections, and Serve.
+// Close ends Serve and all connections, and waits for their goroutines.
 func (c *Counter) Close() {
 	c.connections.close()
 	c.connections.handlers.Wait()
 }
 
-// SetState changes how calls are met. A silence stays with the connections that were open or came during it, and what
-// waited in line then is never added.
-func (c *Counter) SetState(s State) {
-	c.mu.Lock()
-	if s != c.state {
-		if c.state == Silent {
-			c.silenced = make(chan struct{})
-		}
-		if s == Silent {
-			close(c.silenced)
-		}
-		c.state = s
-	}
-	c.mu.Unlock()
-	if s == Up {
+// SetState changes how calls are met. A silence stays with the connections that were open or came during it, and calls
+// that were queued then are never added.
+func (c *Counter) SetState(state State) {
+	c.changeState(state)
+	if state == Up {
 		return
 	}
-	for _, l := range c.shards {
-		l.clear()
+	for _, shard := range c.shards {
+		shard.clear()
 	}
-	if s == Down {
+	if state == Down {
 		c.connections.resetAll()
 	}
 }
 
-// Total is what a name holds now; 0 where there is no such name.
-func (c *Counter) Total(name string) float64 {
+func (c *Counter) changeState(state State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.names[name]; n != nil && time.Now().Before(n.expiresAt) {
-		return n.total
+	if state == c.state {
+		return
+	}
+	if c.state == Silent {
+		c.silenced = make(chan struct{})
+	}
+	if state == Silent {
+		close(c.silenced)
 	}
-	return 0
+	c.state = state
+}
+
+// Total returns what a name holds now; 0 where there is no such name.
+func (c *Counter) Total(name string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.table.Total(time.Now(), name)
 }
 
 // Stats returns the figures so far.
 func (c *Counter) Stats() CounterStats {
 	c.mu.Lock()
-	c.sweep(time.Now())
-	s := c.stats
-	s.Names = len(c.names)
+	stats := c.stats
+	stats.Names = c.table.Len(time.Now())
 	c.mu.Unlock()
-	for _, l := range c.shards {
-		saw := l.snapshotStats()
-		s.MaxWait, s.MaxQueued = max(s.MaxWait, saw.maxWait), max(s.MaxQueued, saw.maxWaiting)
+	for _, shard := range c.shards {
+		queue := shard.snapshotStats()
+		stats.MaxWait = max(stats.MaxWait, queue.maxWait)
+		stats.MaxQueued = max(stats.MaxQueued, queue.maxWaiting)
 	}
-	return s
+	return stats
 }
 
-// serveConnection serves one connection.
-func (c *Counter) serveConnection(nc net.Conn) {
-	host := nc.RemoteAddr().String()
-	if h, _, err := net.SplitHostPort(host); err == nil {
-		host = h
-	}
-	hush, ok := c.admitConnection(host)
-	defer c.releaseConnection(host)
+// serveConnection reads the calls of one connection until its end.
+func (c *Counter) serveConnection(conn net.Conn) {
+	client := clientAddress(conn)
+	silenced, ok := c.admitConnection(client)
+	defer c.releaseConnection(client)
 	if !ok {
-		reset(nc)
+		reset(conn)
 		return
 	}
-	out := newReplyWriter(nc, hush, func(n int) { c.updateStats(func(s *CounterStats) { s.BytesOut += int64(n) }) })
-	defer out.stop()
-	for in := bufio.NewReaderSize(nc, maxCallBytes); ; {
-		if nc.SetReadDeadline(time.Now().Add(c.cfg.IdleTimeout)) != nil {
+	replies := newReplyWriter(conn, silenced, func(n int) {
+		c.updateStats(func(s *CounterStats) { s.BytesOut += int64(n) })
+	})
+	defer replies.stop()
+	in := bufio.NewReaderSize(conn, maxCallBytes)
+	for {
+		if conn.SetReadDeadline(time.Now().Add(c.config.IdleTimeout)) != nil {
 			return
 		}
-		text, err := in.ReadSlice('\n')
-		switch {
-		case err == nil:
-		case errors.Is(err, os.ErrDeadlineExceeded) && (out.isSilenced() || len(text) == 0 && out.unanswered.Load() > 0):
-			continue
-		default:
+		line, err := in.ReadSlice('\n')
+		if err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) && staysWhenIdle(replies, line) {
+				continue
+			}
 			return
 		}
-		if !out.isSilenced() {
-			out.enqueue(c.handleCall(string(text)))
+		if !replies.isSilenced() {
+			replies.enqueue(c.handleLine(string(line)))
 		}
 	}
 }
 
-// admitConnection counts a connection in, and says whether it may stay and what silences it.
-func (c *Counter) admitConnection(host string) (hush <-chan struct{}, ok bool) {
+// staysWhenIdle reports whether a connection outlives its idle timeout: one that is silenced does, and one that waits
+// for an answer and has not begun a line.
+func staysWhenIdle(replies *replyWriter, begun []byte) bool {
+	return replies.isSilenced() || len(begun) == 0 && replies.unanswered.Load() > 0
+}
+
+func clientAddress(conn net.Conn) string {
+	addr := conn.RemoteAddr().String()
+	if host, _, err := net.SplitHostPort(addr); err == nil {
+		return host
+	}
+	return addr
+}
+
+// admitConnection counts a connection in, and returns whether it may stay and what silences it.
+func (c *Counter) admitConnection(client string) (silenced <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Connections++
-	c.connectionsByClient[host]++
-	return c.silenced, c.state != Down && (c.cfg.MaxConnectionsPerClient == 0 || c.connectionsByClient[host] <= c.cfg.MaxConnectionsPerClient)
+	c.connectionsByClient[client]++
+	limit := c.config.MaxConnectionsPerClient
+	withinLimit := limit == 0 || c.connectionsByClient[client] <= limit
+	return c.silenced, c.state != Down && withinLimit
 }
 
-func (c *Counter) releaseConnection(host string) {
+func (c *Counter) releaseConnection(client string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.connectionsByClient[host]--; c.connectionsByClient[host] == 0 {
-		delete(c.connectionsByClient, host)
+	c.connectionsByClient[client]--
+	if c.connectionsByClient[client] == 0 {
+		delete(c.connectionsByClient, client)
 	}
 }
 
-func (c *Counter) updateStats(add func(*CounterStats)) {
+func (c *Counter) updateStats(update func(*CounterStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	add(&c.stats)
+	update(&c.stats)
 }
 
-// handleCall takes a line in and returns the place of its answer.
-func (c *Counter) handleCall(text string) pendingReply {
-	c.updateStats(func(s *CounterStats) { s.BytesIn += int64(len(text)) })
-	text, whole := strings.CutSuffix(text, "\r\n")
-	if whole && text == "ping" {
-		return completedReply("pong\r\n")
+// handleLine takes in a line and returns the place of its answer.
+func (c *Counter) handleLine(line string) pendingReply {
+	c.updateStats(func(s *CounterStats) { s.BytesIn += int64(len(line)) })
+	text, complete := strings.CutSuffix(line, "\r\n")
+	if complete && text == "ping" {
+		return completedReply(counterReplyPong)
 	}
-	name, add, life, ok := parseTally(text)
-	if !whole || !ok {
-		return completedReply("error\r\n")
+	call, err := parseCounterCall(text)
+	if !complete || err != nil {
+		return completedReply(counterReplyError)
 	}
-	r := make(pendingReply, 1)
-	t := &queuedCall{serve: func() { r <- []byte("ok " + formatTotal(c.add(name, add, life)) + "\r\n") }}
-	h := fnv.New32a()
-	h.Write([]byte(name))
+	reply := make(pendingReply, 1)
+	queued := &queuedCall{serve: func() { reply <- []byte("ok " + formatTotal(c.add(call)) + "\r\n") }}
 	c.updateStats(func(s *CounterStats) { s.Calls++ })
-	if !c.shards[h.Sum32()%uint32(len(c.shards))].enqueue(t) {
+	if !c.shardOf(call.name).enqueue(queued) {
 		c.updateStats(func(s *CounterStats) { s.Rejected++ })
-		return completedReply("busy\r\n")
+		return completedReply(counterReplyBusy)
 	}
-	return r
+	return reply
 }
 
-// parseTally reads a call; it is strict, since what is no such call adds nothing.
-func parseTally(text string) (name string, add float64, life time.Duration, ok bool) {
-	f := strings.Split(text, " ")
-	if len(f) != 4 || f[0] != "tally" || f[1] == "" || len(f[1]) > maxNameBytes {
-		return "", 0, 0, false
-	}
-	if strings.Trim(f[2], "+-.0123456789") != "" { // no exponent, no infinity, not hexadecimal
-		return "", 0, 0, false
-	}
-	add, err := strconv.ParseFloat(f[2], 64)
-	ms, badLife := strconv.ParseInt(f[3], 10, 64)
-	if err != nil || badLife != nil || math.Abs(add) > maxIncrement || ms < 1 {
-		return "", 0, 0, false
-	}
-	return f[1], add, time.Duration(min(ms, maxLifetimeMillis)) * time.Millisecond, true
+func (c *Counter) shardOf(name string) *serviceQueue {
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return c.shards[hash.Sum32()%uint32(len(c.shards))]
 }
 
-// add adds to a name, which lives from its first call on, and returns the total.
-func (c *Counter) add(name string, add float64, life time.Duration) float64 {
+// add adds to a name and returns its total.
+func (c *Counter) add(call counterCall) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := time.Now()
-	n := c.names[name]
-	if n == nil || !now.Before(n.expiresAt) {
-		if len(c.names) >= c.sweepAt {
-			c.sweep(now)
-		}
-		n = &counterEntry{expiresAt: now.Add(life)}
-		c.names[name] = n
-	}
-	n.total += add
-	return n.total
-}
-
-// sweep forgets the names that have expired. The lock is held.
-func (c *Counter) sweep(now time.Time) {
-	for name, n := range c.names {
-		if !now.Before(n.expiresAt) {
-			delete(c.names, name)
-		}
-	}
-	c.sweepAt = max(minSweepSize, 2*len(c.names))
-}
-
-// formatTotal writes a total to the seven digits that callers may count on.
-func formatTotal(total float64) string {
-	rounded, err := strconv.ParseFloat(strconv.FormatFloat(total, 'e', 6, 64), 64)
-	if err != nil {
-		rounded = total
-	}
-	return strconv.FormatFloat(rounded, 'f', -1, 64)
+	return c.table.Add(time.Now(), call.name, call.delta, call.lifetime)
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -143,10 +143,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(CounterConfig{})
 		for i := range 10 * minSweepSize {
-			counter.add(fmt.Sprint(i), 1, time.Millisecond)
+			counter.add(counterCall{fmt.Sprint(i), 1, time.Millisecond})
 			time.Sleep(time.Millisecond)
 		}
-		if n := len(counter.names); n > minSweepSize {
+		if n := len(counter.table.entries); n > minSweepSize {
 			t.Fatalf("%d names held", n)
 		}
 	})
