--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -75,7 +75,7 @@
 	if err := json.Unmarshal([]byte(object), &l); err != nil {
 		t.Fatalf("%q: %v", object, err)
 	}
-	s := fmt.Sprint(l.Rev, l.All)
+	s := fmt.Sprint(l.Revision, l.Snapshot)
 	for _, e := range l.Targets {
 		s += " " + e.UID + ":" + e.State
 	}
