--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	if err := wire.Host(os.Stdin, os.Stdout); err != nil {
+	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- /dev/null
+++ b/internal/wire/events.go
@@ -0,0 +1,210 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+
+	"lemontack/policy"
+)
+
+// errTruncatedList says that input ends inside an endpoint list.
+var errTruncatedList = errors.New("members: the list is cut off")
+
+// readMessage decodes one message; known is false for names that this program does not have. An endpoint list goes on
+// over the lines that follow.
+func (r *Reader) readMessage(name string, fields lineFields) (message Message, known bool, err error) {
+	p := &fieldParser{fields: fields}
+	switch name {
+	case "BEGIN":
+		message.Begin = decodeBegin(p)
+	case "DESTROY":
+		message.Destroyed = true
+	default:
+		message.Event, known = r.decodeEvent(name, p)
+		if !known {
+			return Message{}, false, nil
+		}
+	}
+	p.require("i")
+	message.Instance = p.int("i")
+	return message, true, p.parseError(r.line, name)
+}
+
+func decodeBegin(p *fieldParser) *Begin {
+	begin := &Begin{Seed: p.uint("nonce64", 64)}
+	p.require("facts")
+	if p.err != nil {
+		return nil
+	}
+	settings, _, err := ParseSettings([]byte(p.text("facts")))
+	if err != nil {
+		p.fail("facts", err)
+	}
+	begin.Settings = settings
+	return begin
+}
+
+func (r *Reader) decodeEvent(name string, p *fieldParser) (event policy.Event, known bool) {
+	switch name {
+	case "MEMBERSHIP":
+		return r.decodeEndpointsChanged(p), true
+	case "ARRIVAL":
+		return decodeArrival(p), true
+	case "STARTED":
+		return decodeStreamStarted(p), true
+	case "ATTEMPT_END":
+		return decodeAttemptEnded(p), true
+	case "DROPPED":
+		return decodeClientDisconnected(p), true
+	case "TICK_DUE":
+		return policy.TimerFired{}, true
+	case "PROBE_DONE":
+		return decodeHealthCheckEnded(p), true
+	case "INBOX":
+		return decodeGossipReceived(p), true
+	case "COUNTER_REPLY":
+		return decodeCounterReply(p), true
+	}
+	return nil, false
+}
+
+func decodeArrival(p *fieldParser) policy.Event {
+	p.require("call", "giveUpAtUs")
+	return policy.Arrival{Request: policy.Request{
+		ID:           p.requestID(),
+		Class:        p.text("qos"),
+		Plan:         p.text("terms"),
+		Customer:     p.text("holder"),
+		Deadline:     p.microseconds("giveUpAtUs"),
+		Units:        p.float("sizeUnits"),
+		GatewaySpan:  p.int("width"),
+		FirstGateway: p.int("setFrom"),
+		IsRetry:      p.bool("againByClient"),
+	}}
+}
+
+func decodeStreamStarted(p *fieldParser) policy.Event {
+	p.require("call", "try")
+	return policy.StreamStarted{
+		ID:      p.requestID(),
+		Attempt: p.int("try"),
+	}
+}
+
+func decodeAttemptEnded(p *fieldParser) policy.Event {
+	p.require("call", "try", "backend", "stateCode")
+	return policy.AttemptEnded{
+		ID:              p.requestID(),
+		Attempt:         p.int("try"),
+		Endpoint:        p.endpointID(),
+		Outcome:         outcome(p.text("stateCode")),
+		Latency:         p.microseconds("lagUs"),
+		RequestFinished: p.bool("over"),
+		SettledUnits:    p.float("settled"),
+		LoadReport:      p.loadReport("metrics"),
+	}
+}
+
+func decodeClientDisconnected(p *fieldParser) policy.Event {
+	p.require("call")
+	return policy.ClientDisconnected{ID: p.requestID()}
+}
+
+func decodeHealthCheckEnded(p *fieldParser) policy.Event {
+	p.require("backend", "stateCode")
+	return policy.HealthCheckEnded{
+		Endpoint:   p.endpointID(),
+		Outcome:    outcome(p.text("stateCode")),
+		Latency:    p.microseconds("lagUs"),
+		LoadReport: p.loadReport("metrics"),
+	}
+}
+
+func decodeGossipReceived(p *fieldParser) policy.Event {
+	return policy.GossipReceived{
+		From: p.int("from"),
+		Body: p.base64("msg"),
+	}
+}
+
+func decodeCounterReply(p *fieldParser) policy.Event {
+	p.require("counter", "stateCode")
+	return policy.CounterReply{
+		Name:    p.text("counter"),
+		Outcome: outcome(p.text("stateCode")),
+		Total:   p.float("total"),
+	}
+}
+
+// decodeEndpointsChanged decodes a list and the lines of its entries, which follow.
+func (r *Reader) decodeEndpointsChanged(p *fieldParser) policy.Event {
+	p.require("form")
+	form := p.text("form")
+	event := policy.EndpointsChanged{
+		Snapshot: form == "full" || form == "cached",
+		Failed:   form == "failed",
+	}
+	for n := p.int("members"); n > 0 && p.err == nil; n-- {
+		event.Endpoints = append(event.Endpoints, r.readEndpoint(p))
+	}
+	return event
+}
+
+// readEndpoint reads the line of one entry of a list. Its faults go to the parser of the list.
+func (r *Reader) readEndpoint(list *fieldParser) policy.Endpoint {
+	text, err := r.nextLine()
+	if err != nil {
+		list.fail("", errTruncatedList)
+		return policy.Endpoint{}
+	}
+	name, fields := splitLine(text)
+	if name != "M" {
+		list.fail("", fmt.Errorf("members: %q where an entry is wanted", name))
+		return policy.Endpoint{}
+	}
+	p := &fieldParser{fields: fields}
+	p.require("backend")
+	endpoint := policy.Endpoint{
+		ID:        p.endpointID(),
+		Zone:      p.text("az"),
+		Kind:      p.text("flavor"),
+		Cell:      p.int("block"),
+		State:     endpointState(p.text("lifecycle")),
+		Capacity:  p.float("scale"),
+		StartedAt: p.microseconds("sinceUs"),
+	}
+	if p.err != nil {
+		list.fail(p.field, p.err)
+	}
+	return endpoint
+}
+
+func endpointState(text string) policy.EndpointState {
+	switch text {
+	case "on":
+		return policy.Serving
+	case "off":
+		return policy.Removed
+	}
+	return policy.Draining
+}
+
+func outcome(text string) policy.Outcome {
+	switch text {
+	case "done":
+		return policy.Succeeded
+	case "busy":
+		return policy.Rejected
+	case "etimedout":
+		return policy.TimedOut
+	case "econnrefused":
+		return policy.ConnectFailed
+	case "econnreset":
+		return policy.Reset
+	case "ecanceled":
+		return policy.Cancelled
+	case "skipped":
+		return policy.NotSent
+	}
+	return policy.Failed
+}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,20 +8,29 @@
 	"lemontack/policy"
 )
 
-// facts mirrors the settings object; keys that are not here are skipped.
-type facts struct {
-	Me           int         `json:"me"`
-	Replicas     int         `json:"replicasOfMe"`
-	MyZone       string      `json:"myZone"`
-	RegistryMode string      `json:"registryMode"`
-	Classes      []classFact `json:"classes"`
-	Contracts    []planFact  `json:"contracts"`
-	FamilyInfo   struct {
+// Connections are the settings that matter only to a program with real connections to backends.
+type Connections struct {
+	Idle           time.Duration // a backend closes a connection that has been idle for so long
+	ConnectTimeout time.Duration // a connection that is not established by then has failed
+	MaxOpen        int           // requests in progress at once; further ones are rejected without a decision
+}
+
+// settingsObject mirrors the settings object; keys that are not here are skipped. Times are in microseconds.
+type settingsObject struct {
+	Me           int              `json:"me"`
+	Replicas     int              `json:"replicasOfMe"`
+	MyZone       string           `json:"myZone"`
+	RegistryMode string           `json:"registryMode"`
+	Classes      []classObject    `json:"classes"`
+	Contracts    []contractObject `json:"contracts"`
+
+	FamilyInfo struct {
 		CostAfter        bool    `json:"costAfter"`
 		CounterTimeoutUs float64 `json:"counterTimeoutUs"`
 		MaxUnits         float64 `json:"maxUnits"`
 		SharedCounter    bool    `json:"sharedCounter"`
 	} `json:"familyInfo"`
+
 	Permissions struct {
 		ConnIdleUs       float64 `json:"connIdleUs"`
 		ConnectTimeoutUs float64 `json:"connectTimeoutUs"`
@@ -33,10 +42,12 @@
 		ParallelTries    bool    `json:"parallelTries"`
 		RetryAfter       bool    `json:"retryAfter"`
 	} `json:"permissions"`
+
 	Prices struct {
 		CrossZone float64 `json:"crossZone"`
 		Handshake float64 `json:"handshake"`
 	} `json:"prices"`
+
 	Invariants struct {
 		ColdFrom     float64 `json:"coldFrom"`
 		WarmAfterUs  float64 `json:"warmAfterUs"`
@@ -46,7 +57,8 @@
 	} `json:"invariants"`
 }
 
-type classFact struct {
+// classObject is a class of requests.
+type classObject struct {
 	Name        string  `json:"name"`
 	Value       float64 `json:"value"`
 	ObjectiveUs float64 `json:"objectiveUs"`
@@ -57,7 +69,8 @@
 	WindowUs    float64 `json:"windowUs"`
 }
 
-type planFact struct {
+// contractObject is a customer's plan.
+type contractObject struct {
 	Name        string  `json:"name"`
 	Price       float64 `json:"price"`
 	Refill      float64 `json:"refill"`
@@ -70,89 +83,95 @@
 	Tolerance   float64 `json:"tolerance"`
 }
 
-// Connections are the settings that matter only to a program with real connections to servers.
-type Connections struct {
-	Idle           time.Duration // a server closes a connection that has been idle for so long
-	ConnectTimeout time.Duration // one that is not up by then has failed
-	MaxOpen        int           // requests open at once; further ones are turned away unseen
-}
-
-// mostUs is the longest time that settings may name: decades.
-const mostUs = 1e15
-
-// check says what cannot be meant, so that a start ends with it and not later in some odd behaviour.
-func (f *facts) check() error {
-	type figure struct {
-		name string
-		v    float64
-		most float64
-	}
-	figures := []figure{{"familyInfo.counterTimeoutUs", f.FamilyInfo.CounterTimeoutUs, mostUs},
-		{"familyInfo.maxUnits", f.FamilyInfo.MaxUnits, mostUs}, {"permissions.connIdleUs", f.Permissions.ConnIdleUs, mostUs},
-		{"permissions.connectTimeoutUs", f.Permissions.ConnectTimeoutUs, mostUs},
-		{"permissions.maxRetryAfterUs", f.Permissions.MaxRetryAfterUs, mostUs},
-		{"permissions.maxAttempts", float64(f.Permissions.MaxAttempts), mostUs},
-		{"permissions.maxOpen", float64(f.Permissions.MaxOpen), mostUs}, {"invariants.coldFrom", f.Invariants.ColdFrom, 1},
-		{"invariants.warmAfterUs", f.Invariants.WarmAfterUs, mostUs}, {"invariants.fallUs", f.Invariants.FallUs, mostUs},
-		{"invariants.fallMultiple", f.Invariants.FallMultiple, mostUs},
-		{"invariants.drainGraceUs", f.Invariants.DrainGraceUs, mostUs}}
-	seen := map[string]bool{}
-	for _, c := range f.Classes {
-		if c.Name == "" || seen[c.Name] {
-			return fmt.Errorf("settings: class %q has no name of its own", c.Name)
-		}
-		seen[c.Name] = true
-		figures = append(figures, figure{c.Name + ".value", c.Value, mostUs}, figure{c.Name + ".lateShare", c.LateShare, 1},
-			figure{c.Name + ".objectiveUs", c.ObjectiveUs, mostUs}, figure{c.Name + ".deadlineUs", c.DeadlineUs, mostUs},
-			figure{c.Name + ".windowUs", c.WindowUs, mostUs})
+// ParseSettings reads the settings object; keys that it does not know are skipped. Its error wraps a *RangeError or a
+// *ClassNameError where the object's form is right and its values are not.
+func ParseSettings(text []byte) (*policy.Settings, Connections, error) {
+	var object settingsObject
+	if err := json.Unmarshal(text, &object); err != nil {
+		return nil, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	for _, x := range figures {
-		if !(x.v >= 0 && x.v <= x.most) {
-			return fmt.Errorf("settings: %s is %v, want 0 to %v", x.name, x.v, x.most)
-		}
+	if err := object.validate(); err != nil {
+		return nil, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	return nil
+	return object.settings(), object.connections(), nil
 }
 
-func us(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
+func (o *settingsObject) connections() Connections {
+	return Connections{
+		Idle:           microseconds(o.Permissions.ConnIdleUs),
+		ConnectTimeout: microseconds(o.Permissions.ConnectTimeoutUs),
+		MaxOpen:        o.Permissions.MaxOpen,
+	}
+}
 
-// ParseSettings reads the settings object; keys that it does not know are skipped.
-func ParseSettings(text []byte) (*policy.Settings, Connections, error) {
-	var f facts
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, Connections{}, fmt.Errorf("settings: %w", err)
+func (o *settingsObject) settings() *policy.Settings {
+	settings := &policy.Settings{
+		Index:                   o.Me,
+		GatewayCount:            o.Replicas,
+		Zone:                    o.MyZone,
+		PollEndpoints:           o.RegistryMode == "subscribe",
+		MaxUnits:                o.FamilyInfo.MaxUnits,
+		SharedCounter:           o.FamilyInfo.SharedCounter,
+		CounterTimeout:          microseconds(o.FamilyInfo.CounterTimeoutUs),
+		MaxAttempts:             o.Permissions.MaxAttempts,
+		MayCancel:               o.Permissions.MayCancel,
+		MayCheckHealth:          o.Permissions.Probing,
+		Hedging:                 o.Permissions.ParallelTries,
+		ConnectionIdleTimeout:   microseconds(o.Permissions.ConnIdleUs),
+		CrossZonePrice:          o.Prices.CrossZone,
+		HandshakePrice:          o.Prices.Handshake,
+		SlowStartMinWeight:      o.Invariants.ColdFrom,
+		SlowStartWindow:         microseconds(o.Invariants.WarmAfterUs),
+		SlowStartBudgetMultiple: o.Invariants.FallMultiple,
+		SlowStartBudgetSpan:     microseconds(o.Invariants.FallUs),
+		DrainGracePeriod:        microseconds(o.Invariants.DrainGraceUs),
 	}
-	if err := f.check(); err != nil {
-		return nil, Connections{}, err
+	if o.Permissions.RetryAfter {
+		settings.MaxRetryAfter = microseconds(o.Permissions.MaxRetryAfterUs)
 	}
-	s := &policy.Settings{Index: f.Me, GatewayCount: f.Replicas, Zone: f.MyZone,
-		MaxUnits: f.FamilyInfo.MaxUnits, SharedCounter: f.FamilyInfo.SharedCounter,
-		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
-		MayCancel: f.Permissions.MayCancel, MayCheckHealth: f.Permissions.Probing,
-		Hedging: f.Permissions.ParallelTries, PollEndpoints: f.RegistryMode == "subscribe",
-		CrossZonePrice: f.Prices.CrossZone, HandshakePrice: f.Prices.Handshake,
-		ConnectionIdleTimeout: us(f.Permissions.ConnIdleUs), SlowStartMinWeight: f.Invariants.ColdFrom,
-		SlowStartWindow: us(f.Invariants.WarmAfterUs), SlowStartBudgetMultiple: f.Invariants.FallMultiple,
-		SlowStartBudgetSpan: us(f.Invariants.FallUs), DrainGracePeriod: us(f.Invariants.DrainGraceUs)}
-	if f.Permissions.RetryAfter {
-		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
+	for _, class := range o.Classes {
+		settings.Classes = append(settings.Classes, class.class())
 	}
-	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Value, LatencyObjective: us(c.ObjectiveUs),
-			Deadline: us(c.DeadlineUs), LateWeight: c.LateShare, Idempotency: effect(c.Effect), DeduplicationScope: group(c.Group),
-			DeduplicationWindow: us(c.WindowUs)})
+	for _, contract := range o.Contracts {
+		settings.Plans = append(settings.Plans, contract.plan(o.FamilyInfo.CostAfter))
 	}
-	for _, c := range f.Contracts {
-		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
-			MaxConcurrency: c.Concurrency, OverQuotaWeight: c.ExcessWorth, OverQuotaCost: c.ExcessCost, CeilingRate: c.HardRate,
-			CeilingBurst: c.CapDepth, CeilingTolerance: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
+	return settings
+}
+
+func (o classObject) class() policy.Class {
+	return policy.Class{
+		Name:                o.Name,
+		PriorityWeight:      o.Value,
+		LatencyObjective:    microseconds(o.ObjectiveUs),
+		Deadline:            microseconds(o.DeadlineUs),
+		LateWeight:          o.LateShare,
+		Idempotency:         idempotency(o.Effect),
+		DeduplicationScope:  deduplicationScope(o.Group),
+		DeduplicationWindow: microseconds(o.WindowUs),
+	}
+}
+
+func (o contractObject) plan(settledByReply bool) policy.Plan {
+	return policy.Plan{
+		Name:             o.Name,
+		Price:            o.Price,
+		Rate:             o.Refill,
+		Burst:            o.Burst,
+		MaxConcurrency:   o.Concurrency,
+		OverQuotaWeight:  o.ExcessWorth,
+		OverQuotaCost:    o.ExcessCost,
+		CeilingRate:      o.HardRate,
+		CeilingBurst:     o.CapDepth,
+		CeilingTolerance: o.Tolerance,
+		SettledByReply:   settledByReply,
 	}
-	return s, Connections{Idle: us(f.Permissions.ConnIdleUs),
-		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen}, nil
 }
 
-func effect(s string) policy.Idempotency {
-	switch s {
+// microseconds drops fractions of a microsecond.
+func microseconds(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
+
+func idempotency(effect string) policy.Idempotency {
+	switch effect {
 	case "read_like":
 		return policy.Idempotent
 	case "idempotency_key":
@@ -161,8 +180,8 @@
 	return policy.NonIdempotent
 }
 
-func group(s string) policy.DeduplicationScope {
-	switch s {
+func deduplicationScope(group string) policy.DeduplicationScope {
+	switch group {
 	case "all":
 		return policy.ScopeAll
 	case "zone":
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -1,12 +1,13 @@
 package wire
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-// Settings that cannot be meant are named in one line; what is legal, however unlike others, is taken.
-func TestCheckOfSettings(t *testing.T) {
+// What is legal, however unlike others, is taken.
+func TestSettingsThatCannotBeMeantAreNamedInOneLine(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`: "",
 		`{"classes":[{"name":"x","objectiveUs":1,"deadlineUs":9e14,"effect":"new","lateShare":1}],"familyInfo":{"maxUnits":0.5}}`: "",
@@ -29,3 +30,16 @@
 		}
 	}
 }
+
+func TestErrorsOfSettingsAreTyped(t *testing.T) {
+	_, _, err := ParseSettings([]byte(`{"invariants":{"coldFrom":21}}`))
+	var outOfRange *RangeError
+	if !errors.As(err, &outOfRange) || *outOfRange != (RangeError{"invariants.coldFrom", 21, 1}) {
+		t.Errorf("a number out of its range: %#v", err)
+	}
+	_, _, err = ParseSettings([]byte(`{"classes":[{"name":"x"},{"name":"x"}]}`))
+	var className *ClassNameError
+	if !errors.As(err, &className) || className.Name != "x" {
+		t.Errorf("two classes of one name: %#v", err)
+	}
+}
