--- a/internal/telemetry/limiter.go
+++ b/internal/telemetry/limiter.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Limiter lets through a number of log records in each period, so that a fault that hits every request cannot fill the log. It
-// is safe for concurrent use.
+// Limiter limits the number of log records in each period, so that a fault that hits every request cannot fill the log.
+// It is safe for concurrent use.
 type Limiter struct {
 	limit  int
 	period time.Duration
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards what follows
 	periodStart time.Time
-	used        int
-	suppressed  int
+	allowed     int // records in this period
+	suppressed  int // records in this period
 }
 
-// NewLimiter lets most records through in each period.
-func NewLimiter(most int, period time.Duration) *Limiter {
-	return &Limiter{limit: most, period: period}
+// NewLimiter returns a Limiter that allows limit records in each period. A period starts with the first record after the
+// end of the last one.
+func NewLimiter(limit int, period time.Duration) *Limiter {
+	return &Limiter{limit: limit, period: period}
 }
 
-// Allow says whether a record may be written now. With the first one of a period it returns how many were suppressed before.
+// Allow reports whether a record may be written now. With the first one of a period it returns how many were suppressed
+// in the period before.
 func (l *Limiter) Allow(now time.Time) (ok bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.periodStart) >= l.period {
 		suppressed = l.suppressed
-		l.periodStart, l.used, l.suppressed = now, 0, 0
+		l.periodStart, l.allowed, l.suppressed = now, 0, 0
 	}
-	if l.used >= l.limit {
+	if l.allowed >= l.limit {
 		l.suppressed++
 		return false, 0
 	}
-	l.used++
+	l.allowed++
 	return true, suppressed
 }
