--- /dev/null
+++ b/internal/tools/knownred/list.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+)
+
+const (
+	listFile         = "KNOWN-RED.txt"
+	maxKnownFailures = 3 // so that the list stays an exception
+)
+
+// knownFailure is a line of the list: a test that fails for a known cause.
+type knownFailure struct{ test, cause, issue string }
+
+// parseList reads lines of the form "test, cause, issue"; the cause may hold commas. Empty lines and those that begin
+// with # are skipped.
+func parseList(text string) ([]knownFailure, error) {
+	var list []knownFailure
+	for line := range strings.Lines(text) {
+		line = strings.TrimSpace(line)
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		failure, err := parseKnownFailure(line)
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, failure)
+	}
+	if len(list) > maxKnownFailures {
+		return nil, fmt.Errorf("%s: %d tests, %d at most", listFile, len(list), maxKnownFailures)
+	}
+	return list, nil
+}
+
+func parseKnownFailure(line string) (knownFailure, error) {
+	parts := strings.Split(line, ", ")
+	if len(parts) < 3 {
+		return knownFailure{}, fmt.Errorf("%s: %q is not of the form test, cause, issue", listFile, line)
+	}
+	last := len(parts) - 1
+	return knownFailure{
+		test:  parts[0],
+		cause: strings.Join(parts[1:last], ", "),
+		issue: parts[last],
+	}, nil
+}
--- /dev/null
+++ b/internal/tools/knownred/results.go
@@ -0,0 +1,142 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+)
+
+// maxRecordBytes is the longest record that is read: a test may print much in one line.
+const maxRecordBytes = 64 << 20
+
+// testEvent is one record of "go test -json".
+type testEvent struct {
+	Action     string
+	Package    string
+	ImportPath string
+	Test       string
+	Output     string
+}
+
+// testKey names a test, or a package where test is empty.
+type testKey struct{ pkg, test string }
+
+func (e testEvent) key() testKey { return testKey{e.Package, e.Test} }
+
+// packageSet is a set of packages by their import paths.
+type packageSet map[string]bool
+
+// testResults is what the records say of all tests.
+type testResults struct {
+	failedTests            []string // top-level tests
+	failedPackages         packageSet
+	packagesWithFailedTest packageSet         // their own failure needs no other cause
+	anyPassed              bool               // some test passed
+	otherFailures          []string           // of no test: a build, a panic, a data race
+	pendingOutput          map[testKey]string // of tests that have not ended
+}
+
+// readResults reads the records. It copies the text of packages, and of tests that fail, to out.
+func readResults(in io.Reader, out io.Writer) (testResults, error) {
+	results := testResults{
+		failedPackages:         packageSet{},
+		packagesWithFailedTest: packageSet{},
+		pendingOutput:          map[testKey]string{},
+	}
+	lines := bufio.NewScanner(in)
+	lines.Buffer(nil, maxRecordBytes)
+	for lines.Scan() {
+		var event testEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil { // text of the go command itself
+			fmt.Fprintln(out, lines.Text())
+			results.otherFailures = append(results.otherFailures, lines.Text())
+			continue
+		}
+		results.record(event, out)
+	}
+	for pkg := range results.failedPackages {
+		if !results.packagesWithFailedTest[pkg] {
+			results.otherFailures = append(results.otherFailures, pkg)
+		}
+	}
+	slices.Sort(results.otherFailures)
+	return results, lines.Err()
+}
+
+func (r *testResults) record(event testEvent, out io.Writer) {
+	switch event.Action {
+	case "output", "build-output":
+		r.recordOutput(event, out)
+	case "build-fail":
+		r.otherFailures = append(r.otherFailures, event.ImportPath)
+	case "pass", "skip":
+		delete(r.pendingOutput, event.key())
+		if event.Test != "" && event.Action == "pass" {
+			r.anyPassed = true
+		}
+	case "fail":
+		r.flushOutput(event, out)
+		r.recordFailure(event)
+	}
+}
+
+func (r *testResults) recordOutput(event testEvent, out io.Writer) {
+	if isProgress(event) {
+		return
+	}
+	if event.Test == "" {
+		io.WriteString(out, event.Output)
+	} else {
+		r.pendingOutput[event.key()] += event.Output
+	}
+	if isCrash(event.Output) {
+		r.otherFailures = append(r.otherFailures, event.Package+": "+strings.TrimSpace(event.Output))
+	}
+}
+
+// recordFailure leaves subtests out: their test fails with them.
+func (r *testResults) recordFailure(event testEvent) {
+	if event.Test == "" {
+		r.failedPackages[event.Package] = true
+		return
+	}
+	if !strings.Contains(event.Test, "/") {
+		r.failedTests = append(r.failedTests, event.Test)
+		r.packagesWithFailedTest[event.Package] = true
+	}
+}
+
+// flushOutput writes the output of a test that failed, or of the tests that had not ended when their package did.
+func (r *testResults) flushOutput(event testEvent, out io.Writer) {
+	for key, text := range r.pendingOutput {
+		packageEnded := event.Test == "" && key.pkg == event.Package
+		if key == event.key() || packageEnded {
+			io.WriteString(out, text)
+			delete(r.pendingOutput, key)
+		}
+	}
+}
+
+// isCrash reports whether a line tells of more than a failed test: no list excuses that.
+func isCrash(text string) bool {
+	for _, prefix := range []string{"panic: ", "fatal error: ", "WARNING: DATA RACE"} {
+		if strings.HasPrefix(text, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+// isProgress reports whether a line tells only that a test runs or passes.
+func isProgress(event testEvent) bool {
+	text := strings.TrimSpace(event.Output)
+	for _, prefix := range []string{"=== RUN", "=== PAUSE", "=== CONT", "=== NAME", "--- PASS"} {
+		if strings.HasPrefix(text, prefix) {
+			return true
+		}
+	}
+	return event.Test != "" && text == "PASS"
+}
