--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// echo is a service that gives back what it gets.
-func echo(t *testing.T) string {
+// startEchoServer is a service that gives back what it gets.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,9 +31,9 @@
 	return ln.Addr().String()
 }
 
-func proxied(t *testing.T) (*Proxy, net.Conn) {
+func startProxy(t *testing.T) (*Proxy, net.Conn) {
 	t.Helper()
-	p, err := NewProxy(echo(t))
+	p, err := NewProxy(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,15 +54,15 @@
 	}
 }
 
-func wantBroken(t *testing.T, nc net.Conn) {
+func wantReset(t *testing.T, nc net.Conn) {
 	t.Helper()
 	if n, err := nc.Read(make([]byte, 1)); err == nil {
 		t.Fatalf("%d bytes where the connection should be broken", n)
 	}
 }
 
-func TestProxyForwardsAndPaces(t *testing.T) {
-	p, nc := proxied(t)
+func TestProxyForwardsAlsoWhenThrottled(t *testing.T) {
+	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetThrottle(time.Millisecond, 1)
 	wantEcho(t, nc)
@@ -73,13 +73,13 @@
 }
 
 // What was silent is of no use when the network is back; new connections are.
-func TestProxySilence(t *testing.T) {
-	p, nc := proxied(t)
+func TestSilencedConnectionIsResetAndNewOnesWork(t *testing.T) {
+	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetMode(Silent)
 	io.WriteString(nc, "lost\n")
 	p.SetMode(Pass)
-	wantBroken(t, nc)
+	wantReset(t, nc)
 	again, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -88,18 +88,18 @@
 	wantEcho(t, again)
 }
 
-func TestProxyCutsAndRefuses(t *testing.T) {
-	p, nc := proxied(t)
+func TestProxyResetsConnectionsAndRefusesNewOnes(t *testing.T) {
+	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	if n := p.ResetConnections(); n != 1 {
 		t.Fatalf("%d connections cut", n)
 	}
-	wantBroken(t, nc)
+	wantReset(t, nc)
 	p.SetMode(Refuse)
 	refused, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		return
 	}
 	defer refused.Close()
-	wantBroken(t, refused)
+	wantReset(t, refused)
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -15,28 +15,13 @@
 	"time"
 )
 
-// startBackend serves a backend on pipes, and ends it with the test.
-func startBackend(t *testing.T, cfg BackendConfig) (*Backend, *PipeListener) {
-	t.Helper()
-	b, ln := NewBackend(cfg), NewPipeListener()
-	served := make(chan error, 1)
-	go func() { served <- b.Serve(ln) }()
-	t.Cleanup(func() {
-		b.Close()
-		if err := <-served; err != nil {
-			t.Error(err)
-		}
-	})
-	return b, ln
-}
-
-func takes(d time.Duration) func(*rand.Rand) time.Duration {
+func constantServiceTime(d time.Duration) func(*rand.Rand) time.Duration {
 	return func(*rand.Rand) time.Duration { return d }
 }
 
-const fields = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
+const requestFieldsText = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 
-func words(w ...string) string {
+func encodeCommand(w ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(w))
 	for _, a := range w {
 		s += BulkString(a)
@@ -44,22 +29,24 @@
 	return s
 }
 
-func id(n int) string { return fmt.Sprintf("%016x", n) }
+func requestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-func lookup(n int) string { return words("Q.ASK", "00000000b4d65521", id(n), fields) }
+func encodeLookup(n int) string {
+	return encodeCommand("Q.ASK", "00000000b4d65521", requestID(n), requestFieldsText)
+}
 
-// attempt is a connection with one attempt, whose answers come word by word.
-func attempt(t *testing.T, ln *PipeListener, n int) *caller {
+// sendAttempt is a connection with one attempt, whose answers come word by word.
+func sendAttempt(t *testing.T, ln *PipeListener, n int) *testClient {
 	t.Helper()
-	c := newCaller(t, ln)
-	if _, err := io.WriteString(c, lookup(n)); err != nil {
+	c := dialClient(t, ln)
+	if _, err := io.WriteString(c, encodeLookup(n)); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// served is "value" for an answer that is one, or else its first line; "" at the end of the connection.
-func served(c *caller) string {
+// readReply is "value" for an answer that is one, or else its first line; "" at the end of the connection.
+func readReply(c *testClient) string {
 	first := <-c.lines
 	if first != "*3" {
 		return first
@@ -70,38 +57,38 @@
 	return "value"
 }
 
-func TestBackendAnswers(t *testing.T) {
-	order := words("Q.DO", "00000000b4d65521", id(7), "c=order,t=team,d=0,k=5c0f,units=2.5,spread=3,first=1,r=1", "A\r\nB")
+func TestBackendAnswersCommandsByTheirForm(t *testing.T) {
+	order := encodeCommand("Q.DO", "00000000b4d65521", requestID(7), "c=order,t=team,d=0,k=5c0f,units=2.5,spread=3,first=1,r=1", "A\r\nB")
 	for _, c := range []struct{ in, want string }{
-		{lookup(7), "*3 $16 " + id(7) + " $-1 $-1"},
-		{order, "*3 $16 " + id(7) + " $-1 $-1"},
-		{words("CLIENT", "SETNAME", "x"), "+OK"},
-		{words("SELECT", "0"), "+OK"},
-		{words("HELLO", "3"), "-ERR unknown command"},
-		{words("PING"), "-ERR unknown command"},
-		{lookup(1) + words("Q.ASK"), "*3 $16 " + id(1) + " $-1 $-1 -SYNTAX"},
+		{encodeLookup(7), "*3 $16 " + requestID(7) + " $-1 $-1"},
+		{order, "*3 $16 " + requestID(7) + " $-1 $-1"},
+		{encodeCommand("CLIENT", "SETNAME", "x"), "+OK"},
+		{encodeCommand("SELECT", "0"), "+OK"},
+		{encodeCommand("HELLO", "3"), "-ERR unknown command"},
+		{encodeCommand("PING"), "-ERR unknown command"},
+		{encodeLookup(1) + encodeCommand("Q.ASK"), "*3 $16 " + requestID(1) + " $-1 $-1 -SYNTAX"},
 		{"PING\r\n", "-SYNTAX"},
 		{"*0\r\n", "-SYNTAX"},
 		{"*-1\r\n", "-SYNTAX"},
 		{"*1\r\n$65537\r\n", "-SYNTAX"},
 		{"*1\r\n$4\r\nPINGxx", "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", id(7), fields, "BODY"), "-SYNTAX"},
-		{words("Q.DO", "00000000b4d65521", id(7), fields), "-SYNTAX"},
-		{words("Q.ASK", "b4d65521", id(7), fields), "-SYNTAX"},
-		{words("Q.ASK", "00000002b4d65521", id(7), fields), "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", "7", fields), "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", id(7), fields+",d=1"), "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", id(7), fields+",r"), "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", id(7), strings.Replace(fields, "d=480", "d=-1", 1)), "-SYNTAX"},
-		{words("Q.ASK", "00000000b4d65521", id(7), strings.Replace(fields, "d=480,", "", 1)), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), requestFieldsText, "BODY"), "-SYNTAX"},
+		{encodeCommand("Q.DO", "00000000b4d65521", requestID(7), requestFieldsText), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "b4d65521", requestID(7), requestFieldsText), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000002b4d65521", requestID(7), requestFieldsText), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", "7", requestFieldsText), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), requestFieldsText+",d=1"), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), requestFieldsText+",r"), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), strings.Replace(requestFieldsText, "d=480", "d=-1", 1)), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), strings.Replace(requestFieldsText, "d=480,", "", 1)), "-SYNTAX"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b, ln := startBackend(t, BackendConfig{})
-			nc := newCaller(t, ln)
+			nc := dialClient(t, ln)
 			if _, err := io.WriteString(nc, c.in); err != nil {
 				t.Fatal(err)
 			}
-			if got := strings.Join(arrived(nc.lines), " "); got != c.want {
+			if got := strings.Join(receivedLines(nc.lines), " "); got != c.want {
 				t.Errorf("%q: %q, want %q", c.in, got, c.want)
 			}
 			odd := strings.HasSuffix(c.want, "-SYNTAX")
@@ -115,14 +102,14 @@
 	}
 }
 
-// ends is what came of attempts that were sent at once, each on a connection of its own: which, what and when.
-func ends(t *testing.T, ln *PipeListener, attempts int) []string {
+// attemptOutcomes is what came of attempts that were sent at once, each on a connection of its own: which, what and when.
+func attemptOutcomes(t *testing.T, ln *PipeListener, attempts int) []string {
 	t.Helper()
 	began, done := time.Now(), make(chan string)
 	for n := range attempts {
-		c := attempt(t, ln, n)
+		c := sendAttempt(t, ln, n)
 		synctest.Wait()
-		go func() { done <- fmt.Sprint(n, " ", served(c), " ", time.Since(began).Round(time.Millisecond)) }()
+		go func() { done <- fmt.Sprint(n, " ", readReply(c), " ", time.Since(began).Round(time.Millisecond)) }()
 	}
 	var all []string
 	for range attempts {
@@ -133,7 +120,7 @@
 }
 
 // Attempts in work share the cores, as many wait as the queue has places, and the rest is turned away.
-func TestBackendCapacity(t *testing.T) {
+func TestAttemptsShareCoresThenQueueThenAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg  BackendConfig
 		want []string
@@ -153,9 +140,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c.cfg.ServiceTime = takes(time.Second)
+				c.cfg.ServiceTime = constantServiceTime(time.Second)
 				b, ln := startBackend(t, c.cfg)
-				if got := ends(t, ln, 3); !slices.Equal(got, c.want) {
+				if got := attemptOutcomes(t, ln, 3); !slices.Equal(got, c.want) {
 					t.Errorf("%q, want %q", got, c.want)
 				}
 				away := strings.Count(strings.Join(c.want, " "), "BUSY")
@@ -169,18 +156,18 @@
 }
 
 // One that comes later is slowed, and slows the others, only for the time that they share.
-func TestSharedCore(t *testing.T) {
+func TestLaterAttemptSlowsTheFirstWhileTheyShareACore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1})
+		_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1})
 		began := time.Now()
-		first := attempt(t, ln, 1)
+		first := sendAttempt(t, ln, 1)
 		time.Sleep(500 * time.Millisecond)
-		second := attempt(t, ln, 2)
-		served(first)
+		second := sendAttempt(t, ln, 2)
+		readReply(first)
 		if took := time.Since(began).Round(time.Millisecond); took != 1500*time.Millisecond {
 			t.Errorf("the first took %v", took)
 		}
-		served(second)
+		readReply(second)
 		if took := time.Since(began).Round(time.Millisecond); took != 2*time.Second {
 			t.Errorf("the second ended after %v", took)
 		}
@@ -188,7 +175,7 @@
 }
 
 // Commands written one behind another start at once, and are answered in their order.
-func TestBackendPipeline(t *testing.T) {
+func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		works := []time.Duration{0, time.Second, 0} // the first draws are for the mean
 		draws := 0
@@ -196,35 +183,35 @@
 			draws++
 			return works[max(0, draws-meanServiceTimeSamples)]
 		}})
-		nc := newCaller(t, ln)
-		if _, err := io.WriteString(nc, lookup(1)+lookup(2)); err != nil {
+		nc := dialClient(t, ln)
+		if _, err := io.WriteString(nc, encodeLookup(1)+encodeLookup(2)); err != nil {
 			t.Fatal(err)
 		}
-		got := arrived(nc.lines)
+		got := receivedLines(nc.lines)
 		if len(got) > 0 {
 			t.Fatalf("%q before the first one's end", got)
 		}
 		time.Sleep(time.Second + time.Millisecond)
 		answer := func(n int, report string) []string {
-			return []string{"*3", "$16", id(n), "$-1", fmt.Sprint("$", len(report)), report}
+			return []string{"*3", "$16", requestID(n), "$-1", fmt.Sprint("$", len(report)), report}
 		}
 		want := append(answer(1, "inflight=0,queue=0,util=0.00"), answer(2, "inflight=1,queue=0,util=0.50")...)
-		if got := arrived(nc.lines); !slices.Equal(got, want) {
+		if got := receivedLines(nc.lines); !slices.Equal(got, want) {
 			t.Fatalf("%q, want %q", got, want)
 		}
 	})
 }
 
 // An attempt that waits leaves with its connection; one in work goes on.
-func TestGivenUpAttempts(t *testing.T) {
+func TestQueuedAttemptLeavesWithItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
-		first, second, third := attempt(t, ln, 1), attempt(t, ln, 2), attempt(t, ln, 3)
+		b, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
+		first, second, third := sendAttempt(t, ln, 1), sendAttempt(t, ln, 2), sendAttempt(t, ln, 3)
 		synctest.Wait()
 		first.Close()
 		second.Close()
 		began := time.Now()
-		if got := served(third); got != "value" || time.Since(began).Round(time.Millisecond) != 2*time.Second {
+		if got := readReply(third); got != "value" || time.Since(began).Round(time.Millisecond) != 2*time.Second {
 			t.Fatalf("%s after %v", got, time.Since(began))
 		}
 		if s := b.Stats(); s.Served != 2 || s.Attempts != 3 {
@@ -234,7 +221,7 @@
 }
 
 // A cold backend is slow at first, and the less the warmer it is.
-func TestColdBackend(t *testing.T) {
+func TestColdBackendIsSlowerTheYoungerItIs(t *testing.T) {
 	for _, c := range []struct {
 		age, want time.Duration // of the backend when the attempt comes; what that takes
 	}{
@@ -245,11 +232,11 @@
 		{time.Hour, time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			_, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 4,
+			_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 4,
 				WarmUp: WarmUp{MinSpeed: 0.25, Window: 10 * time.Second}, StartedAt: time.Now()})
 			time.Sleep(c.age)
 			began := time.Now()
-			served(attempt(t, ln, 1))
+			readReply(sendAttempt(t, ln, 1))
 			if took := time.Since(began); took < c.want-50*time.Millisecond || took > c.want+50*time.Millisecond {
 				t.Errorf("at %v: %v, want %v", c.age, took, c.want)
 			}
@@ -258,8 +245,8 @@
 }
 
 // A cold backend falls at the first attempt beyond what it bears then: it resets what is open and refuses what comes.
-func TestColdFall(t *testing.T) {
-	cold := BackendConfig{ServiceTime: takes(100 * time.Millisecond), Cores: 2,
+func TestColdBackendCrashesBeyondItsLimit(t *testing.T) {
+	cold := BackendConfig{ServiceTime: constantServiceTime(100 * time.Millisecond), Cores: 2,
 		WarmUp:   WarmUp{MinSpeed: 0.5, Window: 1e6 * time.Hour},
 		Overload: Overload{Multiple: 1.6, Window: time.Second}} // 16 in a second
 	slack, warm, spaced := cold, cold, cold
@@ -280,9 +267,9 @@
 				c.cfg.StartedAt = time.Now()
 				time.Sleep(time.Millisecond)
 				b, ln := startBackend(t, c.cfg)
-				nc := newCaller(t, ln)
+				nc := dialClient(t, ln)
 				for n := 1; n <= 100; n++ {
-					if _, err := io.WriteString(nc, lookup(n)); err != nil {
+					if _, err := io.WriteString(nc, encodeLookup(n)); err != nil {
 						t.Fatal(err)
 					}
 					synctest.Wait()
@@ -310,23 +297,23 @@
 }
 
 // A draining backend finishes what it has and turns away the rest; an attempt counts by its first byte.
-func TestDrain(t *testing.T) {
+func TestDrainingBackendFinishesAndRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, ln := startBackend(t, BackendConfig{ServiceTime: takes(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
-		working, waiting := attempt(t, ln, 1), attempt(t, ln, 2)
-		begun := newCaller(t, ln)
-		begin, end := lookup(3)[:9], lookup(3)[9:]
+		b, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
+		working, waiting := sendAttempt(t, ln, 1), sendAttempt(t, ln, 2)
+		begun := dialClient(t, ln)
+		begin, end := encodeLookup(3)[:9], encodeLookup(3)[9:]
 		io.WriteString(begun, begin)
 		time.Sleep(time.Millisecond)
 		b.Drain()
 		time.Sleep(time.Millisecond)
 		io.WriteString(begun, end)
-		late := attempt(t, ln, 4)
-		if got := served(late); got != "-BUSY" {
+		late := sendAttempt(t, ln, 4)
+		if got := readReply(late); got != "-BUSY" {
 			t.Errorf("the late one: %s", got)
 		}
-		for i, c := range []*caller{working, waiting, begun} {
-			if got := served(c); got != "value" {
+		for i, c := range []*testClient{working, waiting, begun} {
+			if got := readReply(c); got != "value" {
 				t.Errorf("attempt %d: %s", i+1, got)
 			}
 		}
@@ -337,13 +324,13 @@
 }
 
 // The work of a seed is the same each time, and another seed's is another.
-func TestWorkFollowsTheSeed(t *testing.T) {
+func TestServiceTimesFollowTheSeed(t *testing.T) {
 	draw := func(seed uint64) (got []string) {
 		synctest.Test(t, func(t *testing.T) {
 			_, ln := startBackend(t, BackendConfig{Seed: seed, ServiceTime: func(rng *rand.Rand) time.Duration {
 				return time.Duration(rng.ExpFloat64() * float64(time.Second))
 			}})
-			got = ends(t, ln, 4)
+			got = attemptOutcomes(t, ln, 4)
 		})
 		return got
 	}
@@ -354,13 +341,13 @@
 }
 
 func TestBackendOnLoopback(t *testing.T) {
-	b, ln := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10, ServiceTime: takes(100 * time.Microsecond)}), listen(t)
+	b, ln := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10, ServiceTime: constantServiceTime(100 * time.Microsecond)}), listenLoopback(t)
 	done := make(chan error, 1)
 	go func() { done <- b.Serve(ln) }()
 	const conns, requests = 4, 50
 	results := make(chan error, conns)
 	for c := range conns {
-		go func() { results <- askMany(ln.Addr().String(), c*requests, requests) }()
+		go func() { results <- requestMany(ln.Addr().String(), c*requests, requests) }()
 	}
 	for range conns {
 		if err := <-results; err != nil {
@@ -380,8 +367,8 @@
 	}
 }
 
-// askMany asks one request after another on one connection, and wants the answer made for each.
-func askMany(addr string, first, requests int) error {
+// requestMany asks one request after another on one connection, and wants the answer made for each.
+func requestMany(addr string, first, requests int) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -389,10 +376,10 @@
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	for n := first; n < first+requests; n++ {
-		if _, err := io.WriteString(nc, lookup(n)); err != nil {
+		if _, err := io.WriteString(nc, encodeLookup(n)); err != nil {
 			return err
 		}
-		want := "*3\r\n" + BulkString(id(n)) + "$-1\r\n$-1\r\n"
+		want := "*3\r\n" + BulkString(requestID(n)) + "$-1\r\n$-1\r\n"
 		got := make([]byte, len(want))
 		if _, err := io.ReadFull(in, got); err != nil || string(got) != want {
 			return fmt.Errorf("request %d: %q, %v", n, got, err)
--- /dev/null
+++ b/internal/standin/counter_table_test.go
@@ -0,0 +1,31 @@
+package standin
+
+import (
+	"testing"
+	"time"
+)
+
+func TestCounterTableExpiresByTheGivenTime(t *testing.T) {
+	table, start := NewCounterTable(), time.Unix(0, 0)
+	for _, c := range []struct {
+		at       time.Duration
+		delta    float64
+		lifetime time.Duration
+		want     float64
+	}{
+		{0, 2, time.Second, 2},
+		{999 * time.Millisecond, 1, time.Hour, 3},
+		{time.Second, 5, time.Minute, 5},
+	} {
+		if got := table.Add(start.Add(c.at), "a", c.delta, c.lifetime); got != c.want {
+			t.Fatalf("after %v: %v, want %v", c.at, got, c.want)
+		}
+	}
+	if got := table.Total(start.Add(2*time.Second), "a"); got != 5 {
+		t.Errorf("total %v before the end of the lifetime", got)
+	}
+	after := start.Add(61 * time.Second)
+	if total, names := table.Total(after, "a"), table.Len(after); total != 0 || names != 0 {
+		t.Errorf("total %v, %d names after the lifetime", total, names)
+	}
+}
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -13,53 +13,7 @@
 	"time"
 )
 
-// startCounter serves a counter on pipes, and ends it with the test.
-func startCounter(t *testing.T, cfg CounterConfig) (*Counter, *PipeListener) {
-	t.Helper()
-	c, ln := NewCounter(cfg), NewPipeListener()
-	served := make(chan error, 1)
-	go func() { served <- c.Serve(ln) }()
-	t.Cleanup(func() {
-		c.Close()
-		if err := <-served; err != nil {
-			t.Error(err)
-		}
-	})
-	return c, ln
-}
-
-// caller is a connection of a test; what comes on it is sorted into lines.
-type caller struct {
-	net.Conn
-	lines chan string // closed at the end of the connection
-}
-
-func newCaller(t *testing.T, ln *PipeListener) *caller {
-	t.Helper()
-	nc, err := ln.Dial(t.Context())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { nc.Close() })
-	c := &caller{nc, make(chan string, 1<<10)}
-	go func() {
-		defer close(c.lines)
-		for in := bufio.NewScanner(nc); in.Scan(); {
-			c.lines <- in.Text()
-		}
-	}()
-	return c
-}
-
-// say writes lines in one go.
-func (c *caller) say(t *testing.T, lines ...string) {
-	t.Helper()
-	if _, err := io.WriteString(c, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
-		t.Fatal(err)
-	}
-}
-
-func TestCounterCalls(t *testing.T) {
+func TestCounterAnswersCallsByTheirForm(t *testing.T) {
 	long := strings.Repeat("n", 64)
 	for _, c := range []struct{ call, want string }{
 		{"tally a 2.5 1000", "ok 2.5"},
@@ -86,8 +40,8 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			counter, ln := startCounter(t, CounterConfig{})
-			nc := newCaller(t, ln)
-			nc.say(t, c.call)
+			nc := dialClient(t, ln)
+			nc.sendLines(t, c.call)
 			if got := <-nc.lines; got != c.want {
 				t.Errorf("%q: %q, want %q", c.call, got, c.want)
 			}
@@ -104,10 +58,10 @@
 }
 
 // A name lives as long as its first call said; the next one after that begins anew.
-func TestNamesExpire(t *testing.T) {
+func TestNameExpiresAfterTheLifetimeOfItsFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{})
-		nc := newCaller(t, ln)
+		nc := dialClient(t, ln)
 		for _, c := range []struct {
 			wait time.Duration
 			call string
@@ -119,7 +73,7 @@
 			{5 * time.Second, "tally a 1 1", "ok 2"},
 		} {
 			time.Sleep(c.wait)
-			nc.say(t, c.call)
+			nc.sendLines(t, c.call)
 			if got := <-nc.lines; got != c.want {
 				t.Fatalf("%s: %q, want %q", c.call, got, c.want)
 			}
@@ -139,7 +93,7 @@
 }
 
 // Names that nobody calls any more do not pile up.
-func TestExpiredNamesAreForgotten(t *testing.T) {
+func TestExpiredNamesAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(CounterConfig{})
 		for i := range 10 * minSweepSize {
@@ -156,11 +110,11 @@
 func TestCounterAnswersInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
-		slow, other := namesOfTwoParts()
-		nc := newCaller(t, ln)
+		slow, other := namesOfTwoShards()
+		nc := dialClient(t, ln)
 		began := time.Now()
 		same := "tally " + slow + " 1 9000"
-		nc.say(t, same, same, same, "tally "+other+" 5 9000", "ping", "?")
+		nc.sendLines(t, same, same, same, "tally "+other+" 5 9000", "ping", "?")
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "ok 5", "pong", "error"} {
 			if got := <-nc.lines; got != want {
 				t.Fatalf("answer %d: %q, want %q", i, got, want)
@@ -172,8 +126,8 @@
 	})
 }
 
-// namesOfTwoParts returns names that belong to the first and the second of two parts.
-func namesOfTwoParts() (first, second string) {
+// namesOfTwoShards returns names that belong to the first and the second of two parts.
+func namesOfTwoShards() (first, second string) {
 	for i := 0; first == "" || second == ""; i++ {
 		name := fmt.Sprint("n", i)
 		h := fnv.New32a()
@@ -188,18 +142,18 @@
 }
 
 // Each part serves its share of the rate: where all ask for one name, that is all there is.
-func TestPartsShareTheRate(t *testing.T) {
-	first, second := namesOfTwoParts()
+func TestEachShardServesItsShareOfTheRate(t *testing.T) {
+	first, second := namesOfTwoShards()
 	for _, c := range []struct {
 		names []string
 		want  time.Duration
 	}{{[]string{first, first, first, first}, 4 * time.Second}, {[]string{first, second, first, second}, 2 * time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
 			counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
-			began, callers := time.Now(), []*caller{}
+			began, callers := time.Now(), []*testClient{}
 			for _, n := range c.names {
-				nc := newCaller(t, ln)
-				nc.say(t, "tally "+n+" 1 9000")
+				nc := dialClient(t, ln)
+				nc.sendLines(t, "tally "+n+" 1 9000")
 				callers = append(callers, nc)
 			}
 			for _, nc := range callers {
@@ -216,12 +170,12 @@
 	}
 }
 
-func TestCounterBusy(t *testing.T) {
+func TestCallsBeyondTheQueueAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1, MaxQueued: 2})
-		nc := newCaller(t, ln)
+		nc := dialClient(t, ln)
 		call := "tally a 1 9000"
-		nc.say(t, call, call, call, call, call)
+		nc.sendLines(t, call, call, call, call, call)
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "busy", "busy"} {
 			if got := <-nc.lines; got != want {
 				t.Fatalf("answer %d: %q, want %q", i, got, want)
@@ -234,62 +188,62 @@
 }
 
 // A silence adds nothing that waits, and stays with the connections that were open or came; new ones work after it.
-func TestCounterSilence(t *testing.T) {
+func TestSilentCounterAddsNothingAndStaysSilentOnItsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1})
-		old := newCaller(t, ln)
-		old.say(t, "tally a 1 60000", "tally a 1 60000", "tally a 1 60000")
+		old := dialClient(t, ln)
+		old.sendLines(t, "tally a 1 60000", "tally a 1 60000", "tally a 1 60000")
 		if got := <-old.lines; got != "ok 1" {
 			t.Fatalf("%q", got)
 		}
 		counter.SetState(Silent)
-		during := newCaller(t, ln)
-		during.say(t, "tally a 1 60000", "ping")
+		during := dialClient(t, ln)
+		during.sendLines(t, "tally a 1 60000", "ping")
 		time.Sleep(5 * time.Second)
 		counter.SetState(Up)
-		nc := newCaller(t, ln)
-		nc.say(t, "tally a 1 60000")
+		nc := dialClient(t, ln)
+		nc.sendLines(t, "tally a 1 60000")
 		if got := <-nc.lines; got != "ok 2" {
 			t.Fatalf("after the return: %q", got)
 		}
-		old.say(t, "tally a 1 60000")
+		old.sendLines(t, "tally a 1 60000")
 		time.Sleep(30 * time.Second)
 		if len(old.lines) > 0 || len(during.lines) > 0 || counter.Total("a") != 2 {
 			t.Fatalf("%d, %d answers of the silence; total %v", len(old.lines), len(during.lines), counter.Total("a"))
 		}
 		counter.SetState(Down)
-		for _, c := range []*caller{old, during, nc, newCaller(t, ln)} {
+		for _, c := range []*testClient{old, during, nc, dialClient(t, ln)} {
 			if got, open := <-c.lines; open {
 				t.Fatalf("while down: %q", got)
 			}
 		}
 		counter.SetState(Up)
-		nc = newCaller(t, ln)
-		nc.say(t, "tally a 1 60000")
+		nc = dialClient(t, ln)
+		nc.sendLines(t, "tally a 1 60000")
 		if got := <-nc.lines; got != "ok 3" {
 			t.Fatalf("up again: %q", got)
 		}
 	})
 }
 
-func TestCounterConnections(t *testing.T) {
+func TestConnectionsBeyondTheLimitAndIdleOnesAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{MaxConnectionsPerClient: 2, CallsPerSecond: 0.05})
-		first, second := newCaller(t, ln), newCaller(t, ln)
+		first, second := dialClient(t, ln), dialClient(t, ln)
 		synctest.Wait()
-		third := newCaller(t, ln)
+		third := dialClient(t, ln)
 		if got, open := <-third.lines; open {
 			t.Fatalf("the third says %q", got)
 		}
 		first.Close()
 		synctest.Wait()
-		fourth := newCaller(t, ln)
-		fourth.say(t, "ping")
+		fourth := dialClient(t, ln)
+		fourth.sendLines(t, "ping")
 		if got := <-fourth.lines; got != "pong" {
 			t.Fatalf("in place of one that has gone: %q", got)
 		}
 		began := time.Now()
-		second.say(t, "tally a 1 60000") // waits for longer than an idle connection may
+		second.sendLines(t, "tally a 1 60000") // waits for longer than an idle connection may
 		if _, open := <-fourth.lines; open || time.Since(began) != 10*time.Second {
 			t.Fatalf("the idle one: open %v after %v", open, time.Since(began))
 		}
@@ -303,7 +257,7 @@
 }
 
 func TestCounterOnLoopback(t *testing.T) {
-	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), listen(t)
+	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), listenLoopback(t)
 	served := make(chan error, 1)
 	go func() { served <- counter.Serve(ln) }()
 	const callers, calls = 8, 200
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,31 +15,25 @@
 	"time"
 )
 
-// registry is a Discovery on pipes, with a client of its own.
-type registry struct {
+// testDiscovery is a Discovery on pipes, with a client of its own.
+type testDiscovery struct {
 	*Discovery
 	client *http.Client
 }
 
-// newRegistry serves a list of the backends a and b, as version 1.
-func newRegistry(t *testing.T, cfg DiscoveryConfig) *registry {
+// startDiscovery serves a list of the backends a and b, as revision 1.
+func startDiscovery(t *testing.T, cfg DiscoveryConfig) *testDiscovery {
 	t.Helper()
-	d, ln := NewDiscovery(cfg), NewPipeListener()
+	d := NewDiscovery(cfg)
 	d.SetList([]Target{{UID: "a", State: "SERVING"}, {UID: "b", State: "SERVING"}})
-	served := make(chan error, 1)
-	go func() { served <- d.Serve(ln) }()
+	ln := serveOnPipes(t, d.Serve, d.Close)
 	transport := &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return ln.Dial(ctx) }}
-	t.Cleanup(func() {
-		if err := errors.Join(d.Close(), <-served); err != nil {
-			t.Error(err)
-		}
-	})
-	return &registry{d, &http.Client{Transport: transport}}
+	return &testDiscovery{d, &http.Client{Transport: transport}}
 }
 
 // get opens a call; query is empty for a plain one.
-func (r *registry) get(ctx context.Context, query string) (*http.Response, error) {
+func (r *testDiscovery) get(ctx context.Context, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://discovery"+registryPath+query, nil)
 	if err != nil {
 		return nil, err
@@ -49,7 +42,7 @@
 }
 
 // watch opens a watch; what it brings comes line by line, and the channel ends with it.
-func (r *registry) watch(t *testing.T, since int64) <-chan string {
+func (r *testDiscovery) watch(t *testing.T, since int64) <-chan string {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -68,8 +61,8 @@
 	return lines
 }
 
-// told says what an object tells: its version, whether it is the whole list, and the entries.
-func told(t *testing.T, object string) string {
+// describeObject says what an object tells: its version, whether it is the whole list, and the entries.
+func describeObject(t *testing.T, object string) string {
 	t.Helper()
 	var l endpointList
 	if err := json.Unmarshal([]byte(object), &l); err != nil {
@@ -82,16 +75,7 @@
 	return s
 }
 
-// arrived is all that has come by now.
-func arrived(lines <-chan string) (got []string) {
-	synctest.Wait()
-	for len(lines) > 0 {
-		got = append(got, <-lines)
-	}
-	return got
-}
-
-func TestWatchFromAVersion(t *testing.T) {
+func TestWatchStartsWithChangesOrSnapshot(t *testing.T) {
 	for _, c := range []struct {
 		keep  int
 		since int64
@@ -102,20 +86,20 @@
 		{0, 2, "4 false a:DELETED c:SERVING"},
 		{0, 1, "4 false a:DELETED c:SERVING"}, // it drained first: one entry each, the latest
 		{0, 0, "4 true b:SERVING c:SERVING"},
-		{0, 5, "4 true b:SERVING c:SERVING"}, // of another life of the registry
+		{0, 5, "4 true b:SERVING c:SERVING"}, // of another incarnation
 		{1, 4, "4 false"},
 		{1, 3, "4 false c:SERVING"},
 		{1, 2, "4 true b:SERVING c:SERVING"},
 		{2, 2, "4 false a:DELETED c:SERVING"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRegistry(t, DiscoveryConfig{MaxChanges: c.keep})
+			r := startDiscovery(t, DiscoveryConfig{MaxChanges: c.keep})
 			r.Change(Target{UID: "a", State: "DRAINING"})
 			r.Change(Target{UID: "a", State: "DELETED"})
 			if rev := r.Change(Target{UID: "c", State: "SERVING"}); rev != 4 {
-				t.Fatalf("version %d", rev)
+				t.Fatalf("revision %d", rev)
 			}
-			if got := told(t, <-r.watch(t, c.since)); got != c.want {
+			if got := describeObject(t, <-r.watch(t, c.since)); got != c.want {
 				t.Errorf("keep %d, since %d: %s, want %s", c.keep, c.since, got, c.want)
 			}
 		})
@@ -123,23 +107,23 @@
 }
 
 // An open watch tells each change as it comes, and an empty line every 2 s where nothing does.
-func TestOpenWatch(t *testing.T) {
+func TestOpenWatchWritesChangesAndHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{})
+		r := startDiscovery(t, DiscoveryConfig{})
 		lines := r.watch(t, 1)
-		if got := told(t, <-lines); got != "1 false" {
+		if got := describeObject(t, <-lines); got != "1 false" {
 			t.Fatalf("first %s", got)
 		}
 		time.Sleep(7 * time.Second)
-		if got := arrived(lines); !slices.Equal(got, []string{"", "", ""}) {
+		if got := receivedLines(lines); !slices.Equal(got, []string{"", "", ""}) {
 			t.Fatalf("in 7 s: %q", got)
 		}
 		r.Change(Target{UID: "b", State: "DRAINING"}, Target{UID: "c", State: "SERVING"})
-		if got := told(t, <-lines); got != "2 false b:DRAINING c:SERVING" {
+		if got := describeObject(t, <-lines); got != "2 false b:DRAINING c:SERVING" {
 			t.Fatalf("change %s", got)
 		}
 		r.SetList([]Target{{UID: "d", State: "SERVING"}})
-		if got := told(t, <-lines); got != "3 true d:SERVING" {
+		if got := describeObject(t, <-lines); got != "3 true d:SERVING" {
 			t.Fatalf("list %s", got)
 		}
 		synctest.Wait()
@@ -150,26 +134,26 @@
 }
 
 // Versions go on from the one that is given.
-func TestFirstVersion(t *testing.T) {
+func TestRevisionsContinueFromTheInitialOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{InitialRevision: 40})
+		r := startDiscovery(t, DiscoveryConfig{InitialRevision: 40})
 		lines := r.watch(t, 40)
-		if got := told(t, <-lines); got != "41 true a:SERVING b:SERVING" {
+		if got := describeObject(t, <-lines); got != "41 true a:SERVING b:SERVING" {
 			t.Fatalf("list %s", got)
 		}
 		if rev := r.Change(Target{UID: "c"}); rev != 42 {
-			t.Fatalf("version %d", rev)
+			t.Fatalf("revision %d", rev)
 		}
 	})
 }
 
-func TestPlainCall(t *testing.T) {
+func TestPlainCallReturnsASnapshot(t *testing.T) {
 	for _, c := range []struct {
 		indent bool
 		lines  int
 	}{{false, 1}, {true, 26}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRegistry(t, DiscoveryConfig{Indent: c.indent})
+			r := startDiscovery(t, DiscoveryConfig{Indent: c.indent})
 			resp, err := r.get(t.Context(), "")
 			if err != nil {
 				t.Fatal(err)
@@ -179,7 +163,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := told(t, string(body)); got != "1 true a:SERVING b:SERVING" {
+			if got := describeObject(t, string(body)); got != "1 true a:SERVING b:SERVING" {
 				t.Errorf("list %s", got)
 			}
 			if got := strings.Count(string(body), "\n"); got != c.lines {
@@ -193,9 +177,9 @@
 	}
 }
 
-func TestOddCalls(t *testing.T) {
+func TestMalformedCallsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{})
+		r := startDiscovery(t, DiscoveryConfig{})
 		for query, want := range map[string]int{"/x": http.StatusNotFound, "?follow=1&since=x": http.StatusBadRequest} {
 			resp, err := r.get(t.Context(), query)
 			if err != nil {
@@ -209,24 +193,24 @@
 	})
 }
 
-// ended is how and when a call of a test ended.
-type ended struct {
+// callResult is how and when a call of a test ended.
+type callResult struct {
 	call   int
 	status string
 	after  time.Duration
 }
 
 // callAll opens calls a millisecond apart, each with its own time, and returns their ends in order.
-func (r *registry) callAll(t *testing.T, times ...time.Duration) (ends []ended) {
+func (r *testDiscovery) callAll(t *testing.T, times ...time.Duration) (ends []callResult) {
 	t.Helper()
-	began, done := time.Now(), make(chan ended)
+	began, done := time.Now(), make(chan callResult)
 	for i, limit := range times {
 		time.Sleep(time.Millisecond)
 		go func() {
 			ctx, stop := context.WithTimeout(t.Context(), limit)
 			defer stop()
 			resp, err := r.get(ctx, "")
-			e := ended{i, "no answer", time.Since(began).Truncate(100 * time.Millisecond)}
+			e := callResult{i, "no answer", time.Since(began).Truncate(100 * time.Millisecond)}
 			if err == nil {
 				e.status = resp.Status
 				resp.Body.Close()
@@ -241,31 +225,31 @@
 }
 
 // Calls have their turns in the order they came, whatever their callers do meanwhile.
-func TestLine(t *testing.T) {
+func TestQueuedCallsAreServedInOrder(t *testing.T) {
 	const long, short, s = time.Minute, 500 * time.Millisecond, time.Second
 	for name, c := range map[string]struct {
 		cfg  DiscoveryConfig
 		call []time.Duration
-		want []ended
+		want []callResult
 		most int
 	}{
 		"no bound": {DiscoveryConfig{}, []time.Duration{long, long},
-			[]ended{{0, "200 OK", 0}, {1, "200 OK", 0}}, 0},
+			[]callResult{{0, "200 OK", 0}, {1, "200 OK", 0}}, 0},
 		"in order": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{long, long, long},
-			[]ended{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {2, "200 OK", 3 * s}}, 2},
-		"left ones cost": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{long, short, short, long},
-			[]ended{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 4 * s}}, 3},
-		"left ones leave": {DiscoveryConfig{CallsPerSecond: 1, DropCancelled: true},
+			[]callResult{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {2, "200 OK", 3 * s}}, 2},
+		"cancelled ones take their time": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{long, short, short, long},
+			[]callResult{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 4 * s}}, 3},
+		"cancelled ones leave": {DiscoveryConfig{CallsPerSecond: 1, DropCancelled: true},
 			[]time.Duration{long, short, short, long},
-			[]ended{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 2 * s}}, 3},
-		"patience": {DiscoveryConfig{CallsPerSecond: 1, QueueTimeout: 2500 * time.Millisecond},
+			[]callResult{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 2 * s}}, 3},
+		"timeout": {DiscoveryConfig{CallsPerSecond: 1, QueueTimeout: 2500 * time.Millisecond},
 			[]time.Duration{long, long, long, long}, // the third one's turn has begun
-			[]ended{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {3, "503 Service Unavailable", 2500 * time.Millisecond},
+			[]callResult{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {3, "503 Service Unavailable", 2500 * time.Millisecond},
 				{2, "200 OK", 3 * s}}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRegistry(t, c.cfg)
+				r := startDiscovery(t, c.cfg)
 				if got := r.callAll(t, c.call...); !slices.Equal(got, c.want) {
 					t.Errorf("%v, want %v", got, c.want)
 				}
@@ -278,23 +262,23 @@
 }
 
 // A silence says nothing to what is open or comes, and stays with it after the return; new calls are told what it kept.
-func TestSilenceAndReturn(t *testing.T) {
+func TestSilentCallsAndWatchesStaySilentAfterTheReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{CallsPerSecond: 10})
+		r := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 10})
 		old := r.watch(t, 1)
 		<-old
 		r.SetState(Silent)
 		r.Change(Target{UID: "c", State: "SERVING"})
-		during := make(chan ended, 1)
+		during := make(chan callResult, 1)
 		go func() { during <- r.callAll(t, time.Hour)[0] }()
 		time.Sleep(10 * time.Second)
 		r.SetState(Up)
-		if got := told(t, <-r.watch(t, 1)); got != "2 false c:SERVING" {
+		if got := describeObject(t, <-r.watch(t, 1)); got != "2 false c:SERVING" {
 			t.Fatalf("after the return: %s", got)
 		}
 		r.Change(Target{UID: "d", State: "SERVING"})
 		time.Sleep(time.Minute)
-		if got := arrived(old); len(got) > 0 {
+		if got := receivedLines(old); len(got) > 0 {
 			t.Fatalf("the silent watch says %q", got)
 		}
 		if s := r.Stats(); s.OpenWatches != 2 || len(during) > 0 {
@@ -311,16 +295,16 @@
 }
 
 // The calls that wait in line when a silence begins are forgotten, and take no turn after it.
-func TestSilenceEmptiesTheLine(t *testing.T) {
+func TestSilenceClearsTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{CallsPerSecond: 1})
-		lost := make(chan []ended, 1)
+		r := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 1})
+		lost := make(chan []callResult, 1)
 		go func() { lost <- r.callAll(t, time.Hour, time.Hour, time.Hour) }()
 		time.Sleep(500 * time.Millisecond)
 		r.SetState(Silent)
 		time.Sleep(700 * time.Millisecond) // the turn that had begun is over, those of the others would not be
 		r.SetState(Up)
-		if got := r.callAll(t, time.Hour); got[0] != (ended{0, "200 OK", time.Second}) {
+		if got := r.callAll(t, time.Hour); got[0] != (callResult{0, "200 OK", time.Second}) {
 			t.Fatalf("after the return: %v", got)
 		}
 		r.SetState(Down)
@@ -332,16 +316,16 @@
 	})
 }
 
-func TestDownAndUp(t *testing.T) {
+func TestDownDisconnectsAndUpServesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{})
+		r := startDiscovery(t, DiscoveryConfig{})
 		lines := r.watch(t, 1)
 		<-lines
 		r.SetState(Down)
 		if got, open := <-lines; open {
 			t.Fatalf("the watch says %q", got)
 		}
-		if got := r.callAll(t, time.Hour); got[0] != (ended{0, "no answer", 0}) {
+		if got := r.callAll(t, time.Hour); got[0] != (callResult{0, "no answer", 0}) {
 			t.Fatalf("while down: %v", got)
 		}
 		synctest.Wait()
@@ -356,27 +340,27 @@
 }
 
 // Watches that are broken end, those that are hushed stay open and silent; new ones work either way.
-func TestWatchesEnd(t *testing.T) {
+func TestBrokenAndSilencedWatchesGetNothingMore(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(*Discovery)
 		open int
 	}{"broken": {(*Discovery).BreakWatches, 1}, "hushed": {(*Discovery).SilenceWatches, 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRegistry(t, DiscoveryConfig{})
+				r := startDiscovery(t, DiscoveryConfig{})
 				old := r.watch(t, 1)
 				<-old
 				c.end(r.Discovery)
 				r.Change(Target{UID: "c", State: "SERVING"})
 				lines := r.watch(t, 1)
-				if got := told(t, <-lines); got != "2 false c:SERVING" {
+				if got := describeObject(t, <-lines); got != "2 false c:SERVING" {
 					t.Fatalf("a new watch: %s", got)
 				}
 				time.Sleep(time.Minute)
-				if got := arrived(old); len(got) > 0 {
+				if got := receivedLines(old); len(got) > 0 {
 					t.Fatalf("the old one says %q", got)
 				}
-				if got := arrived(lines); len(got) < 29 {
+				if got := receivedLines(lines); len(got) < 29 {
 					t.Fatalf("the new one: %d lines in a minute", len(got))
 				}
 				if s := r.Stats(); s.OpenWatches != c.open || s.Failed != 2-c.open {
@@ -388,9 +372,9 @@
 }
 
 // A watch whose caller goes is no longer open.
-func TestWatchIsLeft(t *testing.T) {
+func TestWatchOfAGoneClientIsNotOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistry(t, DiscoveryConfig{})
+		r := startDiscovery(t, DiscoveryConfig{})
 		for i := range 3 {
 			ctx, leave := context.WithCancel(t.Context())
 			resp, err := r.get(ctx, "?follow=1")
@@ -414,7 +398,7 @@
 
 // On sockets too.
 func TestDiscoveryOnLoopback(t *testing.T) {
-	d, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), listen(t)
+	d, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), listenLoopback(t)
 	served := make(chan error, 1)
 	go func() { served <- d.Serve(ln) }()
 	d.SetList([]Target{{UID: "a"}})
@@ -425,7 +409,7 @@
 	defer resp.Body.Close()
 	in := bufio.NewReader(resp.Body)
 	first, err := in.ReadString('\n')
-	if err != nil || told(t, first) != "1 true a:" {
+	if err != nil || describeObject(t, first) != "1 true a:" {
 		t.Fatalf("%q, %v", first, err)
 	}
 	if err := d.Close(); err != nil {
@@ -438,12 +422,3 @@
 		t.Fatal(err)
 	}
 }
-
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
--- /dev/null
+++ b/internal/standin/fixtures_test.go
@@ -0,0 +1,92 @@
+package standin
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+)
+
+// serveOnPipes runs a stand-in on pipes, and ends it with the test.
+func serveOnPipes(t *testing.T, serve func(net.Listener) error, stop func() error) *PipeListener {
+	t.Helper()
+	ln := NewPipeListener()
+	served := make(chan error, 1)
+	go func() { served <- serve(ln) }()
+	t.Cleanup(func() {
+		if err := errors.Join(stop(), <-served); err != nil {
+			t.Error(err)
+		}
+	})
+	return ln
+}
+
+func startBackend(t *testing.T, config BackendConfig) (*Backend, *PipeListener) {
+	t.Helper()
+	b := NewBackend(config)
+	return b, serveOnPipes(t, b.Serve, func() error {
+		b.Close()
+		return nil
+	})
+}
+
+func startCounter(t *testing.T, config CounterConfig) (*Counter, *PipeListener) {
+	t.Helper()
+	c := NewCounter(config)
+	return c, serveOnPipes(t, c.Serve, func() error {
+		c.Close()
+		return nil
+	})
+}
+
+// testClient is a connection of a test; what comes on it is sorted into lines.
+type testClient struct {
+	net.Conn
+	lines chan string // closed at the end of the connection
+}
+
+func dialClient(t *testing.T, ln *PipeListener) *testClient {
+	t.Helper()
+	nc, err := ln.Dial(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { nc.Close() })
+	c := &testClient{nc, make(chan string, 1<<10)}
+	go func() {
+		defer close(c.lines)
+		for in := bufio.NewScanner(nc); in.Scan(); {
+			c.lines <- in.Text()
+		}
+	}()
+	return c
+}
+
+// sendLines writes lines in one go.
+func (c *testClient) sendLines(t *testing.T, lines ...string) {
+	t.Helper()
+	if _, err := io.WriteString(c, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// receivedLines is all that has come by now.
+func receivedLines(lines <-chan string) (got []string) {
+	synctest.Wait()
+	for len(lines) > 0 {
+		got = append(got, <-lines)
+	}
+	return got
+}
+
+func listenLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ln
+}
--- a/internal/telemetry/limiter_test.go
+++ b/internal/telemetry/limiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLimiterTellsWhatItSuppressed(t *testing.T) {
+func TestLimiterReportsWhatItSuppressed(t *testing.T) {
 	l, now := NewLimiter(2, time.Second), time.Unix(100, 0)
 	for i, want := range []bool{true, true, false, false, false} {
 		if ok, _ := l.Allow(now); ok != want {
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -20,7 +20,7 @@
 	unformed = "TestB fails\n"
 )
 
-func TestJudgement(t *testing.T) {
+func TestOnlyListedFailuresArePassedOver(t *testing.T) {
 	for name, c := range map[string]struct {
 		records, list string
 		want          string // part of the error; "": none
@@ -54,7 +54,7 @@
 }
 
 // The text of a test is printed if it fails, or if its package ends before it does.
-func TestTextOfFailuresIsPrinted(t *testing.T) {
+func TestOutputOfFailuresIsPrinted(t *testing.T) {
 	text := func(test, output string) string {
 		return fmt.Sprintf(`{"Action":"output","Package":"q","Test":%q,"Output":%q}`+"\n", test, output)
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestListedTestsAreTold(t *testing.T) {
+func TestListedTestsAreReported(t *testing.T) {
 	list, err := parseList(listed)
 	if err != nil {
 		t.Fatal(err)
