--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -35,7 +35,7 @@
 	return encodeCommand("Q.ASK", "00000000b4d65521", requestID(n), requestFieldsText)
 }
 
-// sendAttempt is a connection with one attempt, whose answers come word by word.
+// sendAttempt sends one request on a connection of its own, which it returns.
 func sendAttempt(t *testing.T, ln *PipeListener, n int) *testClient {
 	t.Helper()
 	c := dialClient(t, ln)
@@ -45,20 +45,21 @@
 	return c
 }
 
-// readReply is "value" for an answer that is one, or else its first line; "" at the end of the connection.
+// readReply returns "value" for an answer that holds one, and else its first line; "" at the end of the connection.
 func readReply(c *testClient) string {
 	first := <-c.lines
 	if first != "*3" {
 		return first
 	}
-	for range 4 { // the value's length, the value, no figures, no report
+	for range 4 { // the value's length, the value, no settled units, no load report
 		<-c.lines
 	}
 	return "value"
 }
 
 func TestBackendAnswersCommandsByTheirForm(t *testing.T) {
-	order := encodeCommand("Q.DO", "00000000b4d65521", requestID(7), "c=order,t=team,d=0,k=5c0f,units=2.5,spread=3,first=1,r=1", "A\r\nB")
+	order := encodeCommand("Q.DO", "00000000b4d65521", requestID(7),
+		"c=order,t=team,d=0,k=5c0f,units=2.5,spread=3,first=1,r=1", "A\r\nB")
 	for _, c := range []struct{ in, want string }{
 		{encodeLookup(7), "*3 $16 " + requestID(7) + " $-1 $-1"},
 		{order, "*3 $16 " + requestID(7) + " $-1 $-1"},
@@ -79,8 +80,10 @@
 		{encodeCommand("Q.ASK", "00000000b4d65521", "7", requestFieldsText), "-SYNTAX"},
 		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), requestFieldsText+",d=1"), "-SYNTAX"},
 		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), requestFieldsText+",r"), "-SYNTAX"},
-		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), strings.Replace(requestFieldsText, "d=480", "d=-1", 1)), "-SYNTAX"},
-		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7), strings.Replace(requestFieldsText, "d=480,", "", 1)), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7),
+			strings.Replace(requestFieldsText, "d=480", "d=-1", 1)), "-SYNTAX"},
+		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7),
+			strings.Replace(requestFieldsText, "d=480,", "", 1)), "-SYNTAX"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b, ln := startBackend(t, BackendConfig{})
@@ -102,7 +105,8 @@
 	}
 }
 
-// attemptOutcomes is what came of attempts that were sent at once, each on a connection of its own: which, what and when.
+// attemptOutcomes sends attempts at once, each on a connection of its own, and returns for each its number, its outcome
+// and its time.
 func attemptOutcomes(t *testing.T, ln *PipeListener, attempts int) []string {
 	t.Helper()
 	began, done := time.Now(), make(chan string)
@@ -119,7 +123,6 @@
 	return all
 }
 
-// Attempts in work share the cores, as many wait as the queue has places, and the rest is turned away.
 func TestAttemptsShareCoresThenQueueThenAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg  BackendConfig
@@ -155,7 +158,6 @@
 	}
 }
 
-// One that comes later is slowed, and slows the others, only for the time that they share.
 func TestLaterAttemptSlowsTheFirstWhileTheyShareACore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1})
@@ -174,7 +176,7 @@
 	})
 }
 
-// Commands written one behind another start at once, and are answered in their order.
+// Pipelined commands start at once, whatever the order in which they end.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		works := []time.Duration{0, time.Second, 0} // the first draws are for the mean
@@ -202,7 +204,7 @@
 	})
 }
 
-// An attempt that waits leaves with its connection; one in work goes on.
+// One in service goes on.
 func TestQueuedAttemptLeavesWithItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
@@ -220,12 +222,11 @@
 	})
 }
 
-// A cold backend is slow at first, and the less the warmer it is.
 func TestColdBackendIsSlowerTheYoungerItIs(t *testing.T) {
 	for _, c := range []struct {
-		age, want time.Duration // of the backend when the attempt comes; what that takes
+		age, want time.Duration // of the backend when the attempt comes; time that this takes
 	}{
-		// At 0.25 + 0.075/s an attempt of 1 s takes 2.82 s: the whole of 0.25x + 0.0375x² is 1.
+		// At 0.25 + 0.075/s an attempt of 1 s takes 2.82 s: 0.25x + 0.0375x² is 1.
 		{0, 2805 * time.Millisecond},
 		{5 * time.Second, 1505 * time.Millisecond}, // 0.625x + 0.0375x² is 1
 		{10 * time.Second, time.Second},
@@ -244,7 +245,7 @@
 	}
 }
 
-// A cold backend falls at the first attempt beyond what it bears then: it resets what is open and refuses what comes.
+// It resets the connections that are open and refuses new ones.
 func TestColdBackendCrashesBeyondItsLimit(t *testing.T) {
 	cold := BackendConfig{ServiceTime: constantServiceTime(100 * time.Millisecond), Cores: 2,
 		WarmUp:   WarmUp{MinSpeed: 0.5, Window: 1e6 * time.Hour},
@@ -255,7 +256,7 @@
 	for name, c := range map[string]struct {
 		cfg   BackendConfig
 		pause time.Duration
-		bears int // 0: any number
+		limit int // attempts that it bears; 0: any number
 	}{
 		"cold":   {cold, 0, 16},
 		"slack":  {slack, 0, 26},
@@ -274,7 +275,7 @@
 					}
 					synctest.Wait()
 					s := b.Stats()
-					if s.Attempts != n || s.Crashed != (n == c.bears+1 && c.bears > 0) {
+					if s.Attempts != n || s.Crashed != (n == c.limit+1 && c.limit > 0) {
 						t.Fatalf("after %d: %+v", n, s)
 					}
 					if s.Crashed {
@@ -282,7 +283,7 @@
 					}
 					time.Sleep(c.pause)
 				}
-				if c.bears == 0 {
+				if c.limit == 0 {
 					return
 				}
 				if _, err := nc.Write([]byte("*")); err == nil {
@@ -296,7 +297,7 @@
 	}
 }
 
-// A draining backend finishes what it has and turns away the rest; an attempt counts by its first byte.
+// Whether an attempt came before Drain is decided by its first byte.
 func TestDrainingBackendFinishesAndRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
@@ -323,7 +324,6 @@
 	})
 }
 
-// The work of a seed is the same each time, and another seed's is another.
 func TestServiceTimesFollowTheSeed(t *testing.T) {
 	draw := func(seed uint64) (got []string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -341,7 +341,9 @@
 }
 
 func TestBackendOnLoopback(t *testing.T) {
-	b, ln := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10, ServiceTime: constantServiceTime(100 * time.Microsecond)}), listenLoopback(t)
+	b := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10,
+		ServiceTime: constantServiceTime(100 * time.Microsecond)})
+	ln := listenLoopback(t)
 	done := make(chan error, 1)
 	go func() { done <- b.Serve(ln) }()
 	const conns, requests = 4, 50
@@ -367,7 +369,7 @@
 	}
 }
 
-// requestMany asks one request after another on one connection, and wants the answer made for each.
+// requestMany sends one request after another on one connection, and returns an error unless each gets its own answer.
 func requestMany(addr string, first, requests int) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -20,7 +20,7 @@
 		{"tally a -4 1000", "ok -4"},
 		{"tally a 0 1000", "ok 0"},
 		{"tally a 1000000000 1000", "ok 1000000000"},
-		{"tally a 12345678.9 1000", "ok 12345680"}, // seven digits
+		{"tally a 12345678.9 1000", "ok 12345680"}, // seven significant digits
 		{"tally a 0.000012345678 1000", "ok 0.00001234568"},
 		{"tally " + long + " 1 60001", "ok 1"},
 		{"ping", "pong"},
@@ -57,7 +57,6 @@
 	}
 }
 
-// A name lives as long as its first call said; the next one after that begins anew.
 func TestNameExpiresAfterTheLifetimeOfItsFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{})
@@ -92,7 +91,7 @@
 	})
 }
 
-// Names that nobody calls any more do not pile up.
+// Names that are not called any more take no memory for good.
 func TestExpiredNamesAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(CounterConfig{})
@@ -106,7 +105,7 @@
 	})
 }
 
-// Answers of one connection come in the order of its calls, also where a later call's part is free and it is no call.
+// That holds also where the shard of a later call is free, and for lines that are no calls.
 func TestCounterAnswersInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
@@ -126,7 +125,7 @@
 	})
 }
 
-// namesOfTwoShards returns names that belong to the first and the second of two parts.
+// namesOfTwoShards returns names that belong to the first and the second of two shards.
 func namesOfTwoShards() (first, second string) {
 	for i := 0; first == "" || second == ""; i++ {
 		name := fmt.Sprint("n", i)
@@ -141,7 +140,7 @@
 	return first, second
 }
 
-// Each part serves its share of the rate: where all ask for one name, that is all there is.
+// Where all calls are for one name, that share is all there is.
 func TestEachShardServesItsShareOfTheRate(t *testing.T) {
 	first, second := namesOfTwoShards()
 	for _, c := range []struct {
@@ -187,7 +186,7 @@
 	})
 }
 
-// A silence adds nothing that waits, and stays with the connections that were open or came; new ones work after it.
+// Connections that come after the silence work.
 func TestSilentCounterAddsNothingAndStaysSilentOnItsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1})
@@ -243,7 +242,7 @@
 			t.Fatalf("in place of one that has gone: %q", got)
 		}
 		began := time.Now()
-		second.sendLines(t, "tally a 1 60000") // waits for longer than an idle connection may
+		second.sendLines(t, "tally a 1 60000") // queued for longer than the idle timeout
 		if _, open := <-fourth.lines; open || time.Since(began) != 10*time.Second {
 			t.Fatalf("the idle one: open %v after %v", open, time.Since(began))
 		}
@@ -283,7 +282,7 @@
 	}
 }
 
-// addMany adds one many times, one call behind another, and wants rising totals.
+// addMany pipelines calls that add one each, and returns an error unless the totals rise.
 func addMany(addr string, calls int) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -32,7 +32,7 @@
 	return &testDiscovery{d, &http.Client{Transport: transport}}
 }
 
-// get opens a call; query is empty for a plain one.
+// get sends a call; query is empty for a plain one.
 func (r *testDiscovery) get(ctx context.Context, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://discovery"+registryPath+query, nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return r.client.Do(req)
 }
 
-// watch opens a watch; what it brings comes line by line, and the channel ends with it.
+// watch opens a watch and returns its lines; the channel is closed with the watch.
 func (r *testDiscovery) watch(t *testing.T, since int64) <-chan string {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -61,7 +61,7 @@
 	return lines
 }
 
-// describeObject says what an object tells: its version, whether it is the whole list, and the entries.
+// describeObject returns an object's revision, whether it is a snapshot, and its entries.
 func describeObject(t *testing.T, object string) string {
 	t.Helper()
 	var l endpointList
@@ -84,7 +84,7 @@
 		{0, 4, "4 false"},
 		{0, 3, "4 false c:SERVING"},
 		{0, 2, "4 false a:DELETED c:SERVING"},
-		{0, 1, "4 false a:DELETED c:SERVING"}, // it drained first: one entry each, the latest
+		{0, 1, "4 false a:DELETED c:SERVING"}, // it was draining before: one entry each, the latest
 		{0, 0, "4 true b:SERVING c:SERVING"},
 		{0, 5, "4 true b:SERVING c:SERVING"}, // of another incarnation
 		{1, 4, "4 false"},
@@ -106,7 +106,7 @@
 	}
 }
 
-// An open watch tells each change as it comes, and an empty line every 2 s where nothing does.
+// A heartbeat is an empty line, every 2 s without a change.
 func TestOpenWatchWritesChangesAndHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startDiscovery(t, DiscoveryConfig{})
@@ -133,7 +133,6 @@
 	})
 }
 
-// Versions go on from the one that is given.
 func TestRevisionsContinueFromTheInitialOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startDiscovery(t, DiscoveryConfig{InitialRevision: 40})
@@ -200,7 +199,7 @@
 	after  time.Duration
 }
 
-// callAll opens calls a millisecond apart, each with its own time, and returns their ends in order.
+// callAll sends calls a millisecond apart, each with a timeout of its own, and returns their results as they come.
 func (r *testDiscovery) callAll(t *testing.T, times ...time.Duration) (ends []callResult) {
 	t.Helper()
 	began, done := time.Now(), make(chan callResult)
@@ -224,7 +223,7 @@
 	return ends
 }
 
-// Calls have their turns in the order they came, whatever their callers do meanwhile.
+// They are, whatever their clients do meanwhile.
 func TestQueuedCallsAreServedInOrder(t *testing.T) {
 	const long, short, s = time.Minute, 500 * time.Millisecond, time.Second
 	for name, c := range map[string]struct {
@@ -243,7 +242,7 @@
 			[]time.Duration{long, short, short, long},
 			[]callResult{{1, "no answer", short}, {2, "no answer", short}, {0, "200 OK", s}, {3, "200 OK", 2 * s}}, 3},
 		"timeout": {DiscoveryConfig{CallsPerSecond: 1, QueueTimeout: 2500 * time.Millisecond},
-			[]time.Duration{long, long, long, long}, // the third one's turn has begun
+			[]time.Duration{long, long, long, long}, // the service of the third one has begun
 			[]callResult{{0, "200 OK", s}, {1, "200 OK", 2 * s}, {3, "503 Service Unavailable", 2500 * time.Millisecond},
 				{2, "200 OK", 3 * s}}, 3},
 	} {
@@ -261,7 +260,7 @@
 	}
 }
 
-// A silence says nothing to what is open or comes, and stays with it after the return; new calls are told what it kept.
+// New calls then get what changed during the silence.
 func TestSilentCallsAndWatchesStaySilentAfterTheReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 10})
@@ -294,7 +293,7 @@
 	})
 }
 
-// The calls that wait in line when a silence begins are forgotten, and take no turn after it.
+// The calls that are queued when a silence begins take no time of the service after it.
 func TestSilenceClearsTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 1})
@@ -302,7 +301,7 @@
 		go func() { lost <- r.callAll(t, time.Hour, time.Hour, time.Hour) }()
 		time.Sleep(500 * time.Millisecond)
 		r.SetState(Silent)
-		time.Sleep(700 * time.Millisecond) // the turn that had begun is over, those of the others would not be
+		time.Sleep(700 * time.Millisecond) // the call in service is over, the others would not be
 		r.SetState(Up)
 		if got := r.callAll(t, time.Hour); got[0] != (callResult{0, "200 OK", time.Second}) {
 			t.Fatalf("after the return: %v", got)
@@ -339,12 +338,12 @@
 	})
 }
 
-// Watches that are broken end, those that are hushed stay open and silent; new ones work either way.
+// Broken ones end, silenced ones stay open; new ones work either way.
 func TestBrokenAndSilencedWatchesGetNothingMore(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(*Discovery)
 		open int
-	}{"broken": {(*Discovery).BreakWatches, 1}, "hushed": {(*Discovery).SilenceWatches, 2}} {
+	}{"broken": {(*Discovery).BreakWatches, 1}, "silenced": {(*Discovery).SilenceWatches, 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := startDiscovery(t, DiscoveryConfig{})
@@ -371,7 +370,6 @@
 	}
 }
 
-// A watch whose caller goes is no longer open.
 func TestWatchOfAGoneClientIsNotOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startDiscovery(t, DiscoveryConfig{})
@@ -396,7 +394,6 @@
 	})
 }
 
-// On sockets too.
 func TestDiscoveryOnLoopback(t *testing.T) {
 	d, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), listenLoopback(t)
 	served := make(chan error, 1)
--- a/internal/standin/fixtures_test.go
+++ b/internal/standin/fixtures_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// testClient is a connection of a test; what comes on it is sorted into lines.
+// testClient is a connection of a test, with what it receives as lines.
 type testClient struct {
 	net.Conn
 	lines chan string // closed at the end of the connection
@@ -65,7 +65,7 @@
 	return c
 }
 
-// sendLines writes lines in one go.
+// sendLines writes lines in one call.
 func (c *testClient) sendLines(t *testing.T, lines ...string) {
 	t.Helper()
 	if _, err := io.WriteString(c, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// receivedLines is all that has come by now.
+// receivedLines returns all lines that have come by now.
 func receivedLines(lines <-chan string) (got []string) {
 	synctest.Wait()
 	for len(lines) > 0 {
--- a/internal/standin/pipe.go
+++ b/internal/standin/pipe.go
@@ -57,5 +57,8 @@
 
 type pipeAddr struct{}
 
+// Network is part of net.Addr.
 func (pipeAddr) Network() string { return "pipe" }
-func (pipeAddr) String() string  { return "pipe" }
+
+// String is part of net.Addr.
+func (pipeAddr) String() string { return "pipe" }
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/judge_test.go
@@ -8,8 +8,11 @@
 )
 
 const (
-	passes   = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n" + `{"Action":"pass","Package":"p"}` + "\n"
-	fails    = `{"Action":"fail","Package":"q","Test":"TestB/sub"}` + "\n" + `{"Action":"fail","Package":"q","Test":"TestB"}` + "\n" + `{"Action":"fail","Package":"q"}` + "\n"
+	passes = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n" +
+		`{"Action":"pass","Package":"p"}` + "\n"
+	fails = `{"Action":"fail","Package":"q","Test":"TestB/sub"}` + "\n" +
+		`{"Action":"fail","Package":"q","Test":"TestB"}` + "\n" +
+		`{"Action":"fail","Package":"q"}` + "\n"
 	panics   = `{"Action":"output","Package":"q","Test":"TestB","Output":"panic: oops\n"}` + "\n" + fails
 	races    = `{"Action":"output","Package":"q","Test":"TestB","Output":"WARNING: DATA RACE\n"}` + "\n" + fails
 	noBuild  = `{"Action":"build-fail","ImportPath":"q"}` + "\n" + `{"Action":"fail","Package":"q"}` + "\n"
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -9,7 +9,8 @@
 
 func TestActionsBecomeLines(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		"TRANSMIT\ti=1\tcall=2\tbackend=b\tstopAtUs=7\n":   policy.Send{ID: 2, Endpoint: "b", AttemptDeadline: 7 * time.Microsecond},
+		"TRANSMIT\ti=1\tcall=2\tbackend=b\tstopAtUs=7\n": policy.Send{
+			ID: 2, Endpoint: "b", AttemptDeadline: 7 * time.Microsecond},
 		"REVOKE\ti=1\tcall=2\ttry=1\n":                     policy.Cancel{ID: 2, Attempt: 1},
 		"BUSY\ti=1\tcall=2\n":                              policy.Reject{ID: 2},
 		"DROP_REQUEST\ti=1\tcall=2\n":                      policy.Fail{ID: 2},
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -29,6 +29,7 @@
 	Err     error
 }
 
+// Error names the line, the message and the field, as far as they are known.
 func (e *ParseError) Error() string {
 	text := fmt.Sprintf("line %d: ", e.Line)
 	if e.Message != "" {
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -25,7 +25,13 @@
 		`{"permissions":{"maxAttempts":1e999}}`:         "settings: json",
 	} {
 		_, _, err := ParseSettings([]byte(text))
-		if (err == nil) != (want == "") || err != nil && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
+		if err == nil {
+			if want != "" {
+				t.Errorf("%s: no error, want one line with %q", text, want)
+			}
+			continue
+		}
+		if want == "" || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
--- a/internal/wire/settings_validate.go
+++ b/internal/wire/settings_validate.go
@@ -11,6 +11,7 @@
 	Value, Max float64
 }
 
+// Error names the key, its value and its range.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s is %v, want 0 to %v", e.Key, e.Value, e.Max)
 }
@@ -18,6 +19,7 @@
 // ClassNameError says that a class has no name, or that of another one.
 type ClassNameError struct{ Name string }
 
+// Error names the class.
 func (e *ClassNameError) Error() string {
 	return fmt.Sprintf("class %q has no name of its own", e.Name)
 }
