--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -85,22 +85,24 @@
 		{encodeCommand("Q.ASK", "00000000b4d65521", requestID(7),
 			strings.Replace(requestFieldsText, "d=480,", "", 1)), "-SYNTAX"},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			b, ln := startBackend(t, BackendConfig{})
-			nc := dialClient(t, ln)
-			if _, err := io.WriteString(nc, c.in); err != nil {
-				t.Fatal(err)
-			}
-			if got := strings.Join(receivedLines(nc.lines), " "); got != c.want {
-				t.Errorf("%q: %q, want %q", c.in, got, c.want)
-			}
-			odd := strings.HasSuffix(c.want, "-SYNTAX")
-			if _, err := nc.Write(nil); odd != (err != nil) {
-				t.Errorf("%q: closed %v, want %v", c.in, err, odd)
-			}
-			if s := b.Stats(); (s.Malformed == 1) != odd || s.Served != strings.Count(c.want, "*3") || s.Connections != 1 {
-				t.Errorf("%q: %+v", c.in, s)
-			}
+		t.Run(fmt.Sprintf("%q", c.in), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				b, ln := startBackend(t, BackendConfig{})
+				nc := dialClient(t, ln)
+				if _, err := io.WriteString(nc, c.in); err != nil {
+					t.Fatal(err)
+				}
+				if got := strings.Join(receivedLines(nc.lines), " "); got != c.want {
+					t.Errorf("%q: %q, want %q", c.in, got, c.want)
+				}
+				odd := strings.HasSuffix(c.want, "-SYNTAX")
+				if _, err := nc.Write(nil); odd != (err != nil) {
+					t.Errorf("%q: closed %v, want %v", c.in, err, odd)
+				}
+				if s := b.Stats(); (s.Malformed == 1) != odd || s.Served != strings.Count(c.want, "*3") || s.Connections != 1 {
+					t.Errorf("%q: %+v", c.in, s)
+				}
+			})
 		})
 	}
 }
@@ -232,15 +234,17 @@
 		{10 * time.Second, time.Second},
 		{time.Hour, time.Second},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 4,
-				WarmUp: WarmUp{MinSpeed: 0.25, Window: 10 * time.Second}, StartedAt: time.Now()})
-			time.Sleep(c.age)
-			began := time.Now()
-			readReply(sendAttempt(t, ln, 1))
-			if took := time.Since(began); took < c.want-50*time.Millisecond || took > c.want+50*time.Millisecond {
-				t.Errorf("at %v: %v, want %v", c.age, took, c.want)
-			}
+		t.Run(c.age.String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 4,
+					WarmUp: WarmUp{MinSpeed: 0.25, Window: 10 * time.Second}, StartedAt: time.Now()})
+				time.Sleep(c.age)
+				began := time.Now()
+				readReply(sendAttempt(t, ln, 1))
+				if took := time.Since(began); took < c.want-50*time.Millisecond || took > c.want+50*time.Millisecond {
+					t.Errorf("at %v: %v, want %v", c.age, took, c.want)
+				}
+			})
 		})
 	}
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -38,21 +38,23 @@
 		{"count a 1 1000", "error"},
 		{"", "error"},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			counter, ln := startCounter(t, CounterConfig{})
-			nc := dialClient(t, ln)
-			nc.sendLines(t, c.call)
-			if got := <-nc.lines; got != c.want {
-				t.Errorf("%q: %q, want %q", c.call, got, c.want)
-			}
-			synctest.Wait()
-			want := CounterStats{Connections: 1, BytesIn: int64(len(c.call) + 2), BytesOut: int64(len(c.want) + 2)}
-			if strings.HasPrefix(c.want, "ok") {
-				want.Names, want.Calls = 1, 1
-			}
-			if s := counter.Stats(); s != want {
-				t.Errorf("%q: %+v, want %+v", c.call, s, want)
-			}
+		t.Run(c.call, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				counter, ln := startCounter(t, CounterConfig{})
+				nc := dialClient(t, ln)
+				nc.sendLines(t, c.call)
+				if got := <-nc.lines; got != c.want {
+					t.Errorf("%q: %q, want %q", c.call, got, c.want)
+				}
+				synctest.Wait()
+				want := CounterStats{Connections: 1, BytesIn: int64(len(c.call) + 2), BytesOut: int64(len(c.want) + 2)}
+				if strings.HasPrefix(c.want, "ok") {
+					want.Names, want.Calls = 1, 1
+				}
+				if s := counter.Stats(); s != want {
+					t.Errorf("%q: %+v, want %+v", c.call, s, want)
+				}
+			})
 		})
 	}
 }
@@ -147,24 +149,26 @@
 		names []string
 		want  time.Duration
 	}{{[]string{first, first, first, first}, 4 * time.Second}, {[]string{first, second, first, second}, 2 * time.Second}} {
-		synctest.Test(t, func(t *testing.T) {
-			counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
-			began, callers := time.Now(), []*testClient{}
-			for _, n := range c.names {
-				nc := dialClient(t, ln)
-				nc.sendLines(t, "tally "+n+" 1 9000")
-				callers = append(callers, nc)
-			}
-			for _, nc := range callers {
-				<-nc.lines
-			}
-			if took := time.Since(began); took != c.want {
-				t.Errorf("%v: %v, want %v", c.names, took, c.want)
-			}
-			names := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
-			if s := counter.Stats(); s.MaxWait != c.want || s.Calls != 4 || s.Names != names {
-				t.Errorf("%v: %+v", c.names, s)
-			}
+		t.Run(strings.Join(c.names, " "), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
+				began, callers := time.Now(), []*testClient{}
+				for _, n := range c.names {
+					nc := dialClient(t, ln)
+					nc.sendLines(t, "tally "+n+" 1 9000")
+					callers = append(callers, nc)
+				}
+				for _, nc := range callers {
+					<-nc.lines
+				}
+				if took := time.Since(began); took != c.want {
+					t.Errorf("%v: %v, want %v", c.names, took, c.want)
+				}
+				names := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
+				if s := counter.Stats(); s.MaxWait != c.want || s.Calls != 4 || s.Names != names {
+					t.Errorf("%v: %+v", c.names, s)
+				}
+			})
 		})
 	}
 }
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -92,16 +92,18 @@
 		{1, 2, "4 true b:SERVING c:SERVING"},
 		{2, 2, "4 false a:DELETED c:SERVING"},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			r := startDiscovery(t, DiscoveryConfig{MaxChanges: c.keep})
-			r.Change(Target{UID: "a", State: "DRAINING"})
-			r.Change(Target{UID: "a", State: "DELETED"})
-			if rev := r.Change(Target{UID: "c", State: "SERVING"}); rev != 4 {
-				t.Fatalf("revision %d", rev)
-			}
-			if got := describeObject(t, <-r.watch(t, c.since)); got != c.want {
-				t.Errorf("keep %d, since %d: %s, want %s", c.keep, c.since, got, c.want)
-			}
+		t.Run(fmt.Sprintf("keep %d, since %d", c.keep, c.since), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := startDiscovery(t, DiscoveryConfig{MaxChanges: c.keep})
+				r.Change(Target{UID: "a", State: "DRAINING"})
+				r.Change(Target{UID: "a", State: "DELETED"})
+				if rev := r.Change(Target{UID: "c", State: "SERVING"}); rev != 4 {
+					t.Fatalf("revision %d", rev)
+				}
+				if got := describeObject(t, <-r.watch(t, c.since)); got != c.want {
+					t.Errorf("keep %d, since %d: %s, want %s", c.keep, c.since, got, c.want)
+				}
+			})
 		})
 	}
 }
@@ -151,27 +153,29 @@
 		indent bool
 		lines  int
 	}{{false, 1}, {true, 26}} {
-		synctest.Test(t, func(t *testing.T) {
-			r := startDiscovery(t, DiscoveryConfig{Indent: c.indent})
-			resp, err := r.get(t.Context(), "")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer resp.Body.Close()
-			body, err := io.ReadAll(resp.Body)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got := describeObject(t, string(body)); got != "1 true a:SERVING b:SERVING" {
-				t.Errorf("list %s", got)
-			}
-			if got := strings.Count(string(body), "\n"); got != c.lines {
-				t.Errorf("%d lines, want %d", got, c.lines)
-			}
-			synctest.Wait()
-			if s := r.Stats(); s.Calls != 1 || s.Lists != 1 || s.Bytes != int64(len(body)) {
-				t.Errorf("%+v", s)
-			}
+		t.Run(fmt.Sprintf("indent %v", c.indent), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := startDiscovery(t, DiscoveryConfig{Indent: c.indent})
+				resp, err := r.get(t.Context(), "")
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer resp.Body.Close()
+				body, err := io.ReadAll(resp.Body)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if got := describeObject(t, string(body)); got != "1 true a:SERVING b:SERVING" {
+					t.Errorf("list %s", got)
+				}
+				if got := strings.Count(string(body), "\n"); got != c.lines {
+					t.Errorf("%d lines, want %d", got, c.lines)
+				}
+				synctest.Wait()
+				if s := r.Stats(); s.Calls != 1 || s.Lists != 1 || s.Bytes != int64(len(body)) {
+					t.Errorf("%+v", s)
+				}
+			})
 		})
 	}
 }
