--- a/cmd/ingress/main_test.go
+++ b/cmd/ingress/main_test.go
@@ -70,7 +70,7 @@
 func TestBadConfiguration(t *testing.T) {
 	for text, want := range map[string]string{
 		"":   "unexpected end",
-		"{}": "listen, discovery and settings are wanted",
+		"{}": "listen, discovery and settings are required",
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":{}}`:                                                             "seed",
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":[]}`:                                                              "settings",
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{},"limits":{"sockets":3}}`:                                       "sockets are too few",
