--- /dev/null
+++ b/cmd/ingress/fixtures_test.go
@@ -0,0 +1,297 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"lemontack/internal/ingress"
+)
+
+// descriptorsEnv names the environment variable that makes the test binary run as the ingress, with so many file
+// descriptors.
+const descriptorsEnv = "INGRESS_TEST_DESCRIPTORS"
+
+func TestMain(m *testing.M) {
+	n, err := strconv.ParseUint(os.Getenv(descriptorsEnv), 10, 32)
+	if err != nil {
+		os.Exit(m.Run())
+	}
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	main()
+}
+
+const (
+	minDescriptors = 128              // the minimum that an ingress accepts
+	testTimeout    = 90 * time.Second // for a condition to hold or a reply to come, however busy the machine is
+	ping           = "*1\r\n$4\r\nPING\r\n"
+	unknownCommand = "*1\r\n$5\r\nHELLO\r\n"
+)
+
+// eventually fails the test if a condition never holds; how long it takes is not asserted.
+func eventually(t *testing.T, description string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("never: ", description)
+		}
+	}
+}
+
+// reservedAddress is a loopback address that no other socket gets and that refuses connections until listen.
+type reservedAddress struct {
+	file *os.File
+	addr string
+}
+
+func reserveAddress(t *testing.T) reservedAddress {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := reservedAddress{file: os.NewFile(uintptr(fd), "reserved")}
+	t.Cleanup(func() { r.file.Close() })
+	err = errors.Join(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1),
+		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	sa, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.addr = fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
+	return r
+}
+
+// listen begins to accept connections at the address.
+func (r reservedAddress) listen(t *testing.T) net.Listener {
+	t.Helper()
+	if err := syscall.Listen(int(r.file.Fd()), 128); err != nil {
+		t.Fatal(err)
+	}
+	ln, err := net.FileListener(r.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// serveConns listens on a loopback address and hands each connection to handle, on a goroutine of its own. At the end of the
+// test the connections are closed and their goroutines waited for.
+func serveConns(t *testing.T, handle func(net.Conn)) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var serving sync.WaitGroup
+	var mu sync.Mutex // guards conns
+	var conns []net.Conn
+	serving.Go(func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			conns = append(conns, nc)
+			mu.Unlock()
+			serving.Go(func() {
+				defer nc.Close()
+				handle(nc)
+			})
+		}
+	})
+	t.Cleanup(func() {
+		ln.Close()
+		mu.Lock()
+		for _, nc := range conns {
+			nc.Close()
+		}
+		mu.Unlock()
+		serving.Wait()
+	})
+	return ln.Addr().String()
+}
+
+// serveBackend runs a backend that replies with its name to each command and counts them. If gate is not nil, it replies
+// only once gate is closed.
+func serveBackend(t *testing.T, name string, gate <-chan struct{}, commands *atomic.Int32) (addr string) {
+	t.Helper()
+	return serveConns(t, func(nc net.Conn) {
+		for in := redcon.NewReader(nc); ; {
+			if _, err := in.ReadCommand(); err != nil {
+				return
+			}
+			commands.Add(1)
+			if gate != nil {
+				<-gate
+			}
+			fmt.Fprintf(nc, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(name), name)
+		}
+	})
+}
+
+// request is one command of a client.
+type request struct {
+	id       int
+	customer int
+	class    string
+	plan     string
+	timeLeft int64 // until the client's deadline, in milliseconds
+}
+
+func (r request) encode() []byte {
+	b := redcon.AppendArray(nil, 4)
+	for _, arg := range []string{"Q.ASK", fmt.Sprintf("%016x", r.customer), fmt.Sprintf("%016x", r.id),
+		fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", r.class, r.plan, r.timeLeft)} {
+		b = redcon.AppendBulkString(b, arg)
+	}
+	return b
+}
+
+// exchange sends bytes on a new connection and returns the first lines of the reply.
+func exchange(addr string, b []byte, lines int) (string, error) {
+	nc, err := net.Dial("tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	defer nc.Close()
+	nc.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := nc.Write(b); err != nil {
+		return "", err
+	}
+	in, got := bufio.NewReader(nc), ""
+	for range lines {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return "", err
+		}
+		got += line
+	}
+	return got, nil
+}
+
+// testClient is a connection whose reads end the test if nothing comes.
+type testClient struct {
+	t  *testing.T
+	nc net.Conn
+	in *bufio.Reader
+}
+
+func dialClient(t *testing.T, addr string) *testClient {
+	t.Helper()
+	nc, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { nc.Close() })
+	nc.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{t, nc, bufio.NewReader(nc)}
+}
+
+func (c *testClient) send(r request) { c.nc.Write(r.encode()) }
+
+// reply reads one reply: the value of a bulk string, or else the only line.
+func (c *testClient) reply() string {
+	c.t.Helper()
+	first := c.line()
+	if first[0] != '$' {
+		return first
+	}
+	return c.line()
+}
+
+func (c *testClient) line() string {
+	c.t.Helper()
+	line, err := c.in.ReadString('\n')
+	if err != nil {
+		c.t.Fatalf("incomplete reply: %q, %v", line, err)
+	}
+	return strings.TrimRight(line, "\r\n")
+}
+
+// configuration is the configuration file of an ingress.
+type configuration struct {
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Counter   string          `json:"counter,omitempty"`
+	Seed      string          `json:"seed"`
+	Known     *ingress.Fleet  `json:"known,omitempty"`
+	Limits    limits          `json:"limits"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+// endpoint is an entry of an endpoint list.
+type endpoint struct{ id, addr string }
+
+// endpointList is a complete list of endpoints, all of them serving, as discovery and the configuration give it.
+func endpointList(revision int64, endpoints ...endpoint) *ingress.Fleet {
+	list := &ingress.Fleet{Rev: revision, All: true}
+	for _, e := range endpoints {
+		list.Targets = append(list.Targets, ingress.Target{UID: e.id, Endpoint: e.addr, State: "SERVING"})
+	}
+	return list
+}
+
+func writeConfig(t *testing.T, path string, cfg configuration) {
+	t.Helper()
+	text, err := json.Marshal(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// startIngress runs an ingress as a process with minDescriptors descriptors and returns its process id. At the end of the
+// test it has to shut down without an error, and must not have run out of descriptors.
+func startIngress(t *testing.T, cfg configuration) (pid int) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, cfg)
+	var log bytes.Buffer
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), fmt.Sprint(descriptorsEnv, "=", minDescriptors), configEnv+"="+path)
+	cmd.Stderr = &log
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Signal(syscall.SIGTERM)
+		if err := cmd.Wait(); err != nil || strings.Contains(log.String(), "too many open files") {
+			t.Errorf("the ingress ended: %v; its log:\n%s", err, log.String())
+		}
+	})
+	return cmd.Process.Pid
+}
+
+func awaitReady(t *testing.T, addr string) {
+	t.Helper()
+	eventually(t, "the ingress replies to PING", func() bool {
+		got, err := exchange(addr, []byte(ping), 1)
+		return err == nil && got == "+PONG\r\n"
+	})
+}
--- a/cmd/ingress/main_test.go
+++ b/cmd/ingress/main_test.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"encoding/json"
 	"io"
 	"log/slog"
 	"net/http"
@@ -14,34 +14,34 @@
 	"testing"
 )
 
-// SIGHUP once ended the process. It moves discovery to the address that the file names now; a bad file changes
-// nothing, nor does one in the middle of a shutdown.
-func TestHangup(t *testing.T) {
-	ours := make(chan os.Signal, 1) // whatever the program does, the test goes on
-	signal.Notify(ours, syscall.SIGHUP)
-	defer signal.Stop(ours)
-	asked := make(chan int, 16)
+// SIGHUP moves discovery to the address that the file names now; a bad file changes nothing, nor does a SIGHUP in the middle
+// of a shutdown.
+func TestHangupReloadsConfiguration(t *testing.T) {
+	hangups := make(chan os.Signal, 1) // keeps SIGHUP from ending the test's process, whatever run does
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	polled := make(chan int, 16)
 	var discovery [3]string
 	for i := range discovery {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- i
+			polled <- i
 			io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 		}))
 		defer s.Close()
 		discovery[i] = strings.TrimPrefix(s.URL, "http://")
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv("ROUTER_CONFIG", path)
+	t.Setenv(configEnv, path)
+	const settings = `{"replicasOfMe":1,
+		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}`
 	write := func(addr string) {
-		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"sockets":256},"settings":{
-			"replicasOfMe":1,"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}}`, addr)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		t.Helper()
+		writeConfig(t, path, configuration{Listen: "127.0.0.1:0", Discovery: addr, Seed: "1",
+			Limits: limits{Cores: 1, Sockets: 256}, Settings: json.RawMessage(settings)})
 	}
 	hangup := func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
 	await := func(want int) {
-		for got := range asked {
+		for got := range polled {
 			if got == want {
 				return
 			}
@@ -66,8 +66,8 @@
 	}
 }
 
-// A bad configuration is one plain line that names what is wrong.
-func TestBadConfiguration(t *testing.T) {
+// The error for a bad configuration is one line that names what is wrong.
+func TestBadConfigurationIsRejectedInOneLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"":   "unexpected end",
 		"{}": "listen, discovery and settings are required",
@@ -82,13 +82,13 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		t.Setenv("ROUTER_CONFIG", path)
+		t.Setenv(configEnv, path)
 		err := run(slog.New(slog.DiscardHandler))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
-	t.Setenv("ROUTER_CONFIG", "")
+	t.Setenv(configEnv, "")
 	if err := run(slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("no configuration: no error")
 	}
