--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -44,7 +44,7 @@
 			return err
 		}
 		report, err := soak.Run(ctx, soak.Options{Seed: s, Processes: *processes, Duration: *duration, Rate: *rate,
-			Command: []string{program}, Dir: logs, Timed: true})
+			Command: []string{program}, Dir: logs, CheckTiming: true})
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", s, err)
 		}
--- /dev/null
+++ b/internal/soak/checker_test.go
@@ -0,0 +1,115 @@
+package soak
+
+import (
+	"testing"
+	"time"
+)
+
+var (
+	idempotentClass    = classes[0]
+	nonIdempotentClass = classes[1]
+	keyedClass         = classes[2]
+)
+
+// wantViolation fails the test unless the checker found just this one violation; "": none.
+func wantViolation(t *testing.T, c *checker, want ViolationKind) {
+	t.Helper()
+	var got ViolationKind
+	for _, v := range c.violations.all() {
+		got += v.Kind
+	}
+	if got != want {
+		t.Fatalf("found %q, want %q", got, want)
+	}
+}
+
+// Each violation in a history is found, and what resembles it and is allowed is not.
+func TestCheckHistoryFindsViolations(t *testing.T) {
+	const timeout = 500 * time.Millisecond
+	now := time.Now()
+	attemptAt := func(after time.Duration) attempt {
+		return attempt{startedAt: now.Add(after), timeLeft: 10 * time.Millisecond, undelayed: true}
+	}
+	at := func(after time.Duration) time.Time { return now.Add(after) }
+	for name, c := range map[string]struct {
+		request request
+		want    ViolationKind // "": none
+	}{
+		"answered":                  {request{class: idempotentClass, repliedAt: at(timeout), reply: ReplyValue}, ""},
+		"never answered":            {request{class: idempotentClass}, NoReply},
+		"excused":                   {request{class: idempotentClass, excuse: "killed"}, ""},
+		"client disconnected":       {request{class: idempotentClass, disconnected: at(0)}, ""},
+		"crossed the close":         {request{class: idempotentClass, closedAt: at(20 * time.Millisecond)}, ""},
+		"closed after it was read":  {request{class: idempotentClass, closedAt: at(2 * time.Second)}, NoReply},
+		"closed after forwarding":   {request{class: idempotentClass, closedAt: at(time.Millisecond), attempts: []attempt{attemptAt(0)}}, NoReply},
+		"answered late":             {request{class: idempotentClass, repliedAt: at(2 * time.Second)}, LateReply},
+		"late, behind another":      {request{class: idempotentClass, repliedAt: at(2 * time.Second), prevReplyAt: at(1900 * time.Millisecond)}, ""},
+		"idempotent, twice":         {request{class: idempotentClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(1)}}, ""},
+		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(1)}}, ExecutedTwice},
+		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: at(0), reply: ReplyBusy, attempts: []attempt{attemptAt(0)}}, RejectedAfterExecution},
+		"key, twice within window":  {request{class: keyedClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(deduplicationWindow)}}, ""},
+		"key, again after a window": {request{class: keyedClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(2 * deduplicationWindow)}}, ExecutedTwice},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checker := newChecker(true)
+			c.request.id, c.request.sentAt, c.request.timeout = 1, now, timeout
+			checker.history.requests[1] = &c.request
+			checker.checkHistory()
+			wantViolation(t, checker, c.want)
+		})
+	}
+}
+
+// An attempt that must not begin is found as it arrives at a backend.
+func TestAttemptedFindsViolations(t *testing.T) {
+	now := time.Now()
+	for name, c := range map[string]struct {
+		disconnected, draining time.Duration // before the attempt; 0: not
+		timeLeft               time.Duration
+		undelayed              bool
+		want                   ViolationKind
+	}{
+		"in order":                   {0, 0, 400 * time.Millisecond, true, ""},
+		"deadline extended":          {0, 0, time.Second, true, DeadlineExtended},
+		"deadline extended, delayed": {0, 0, time.Second, false, ""},
+		"disconnected just now":      {200 * time.Millisecond, 0, 1, true, ""},
+		"disconnected before":        {time.Second, 0, 1, true, SentAfterDisconnect},
+		"draining for a short time":  {0, 900 * time.Millisecond, 1, true, ""},
+		"draining for a long time":   {0, 3 * time.Second, 1, true, SentToDraining},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checker := newChecker(true)
+			r := &request{id: 1, sentAt: now.Add(-100 * time.Millisecond), timeout: 500 * time.Millisecond}
+			if c.disconnected > 0 {
+				r.disconnected = now.Add(-c.disconnected)
+			}
+			drainingSince := time.Time{}
+			if c.draining > 0 {
+				drainingSince = now.Add(-c.draining)
+			}
+			checker.history.requests[1] = r
+			checker.attempted(1, attempt{now, c.timeLeft, c.undelayed}, drainingSince, 0)
+			wantViolation(t, checker, c.want)
+		})
+	}
+}
+
+func TestRepliedFindsWrongReplies(t *testing.T) {
+	for name, c := range map[string]struct {
+		kind ReplyKind
+		text string
+		want ViolationKind
+	}{
+		"its value":       {ReplyValue, valueOf(1), ""},
+		"another's value": {ReplyValue, valueOf(2), WrongReply},
+		"invalid reply":   {ReplyInvalid, "+OK", WrongReply},
+		"rejected":        {ReplyBusy, "-BUSY", ""},
+		"failed":          {ReplyError, "-ERR failed", ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checker := newChecker(true)
+			checker.replied(&request{id: 1}, time.Time{}, c.kind, c.text)
+			wantViolation(t, checker, c.want)
+		})
+	}
+}
--- /dev/null
+++ b/internal/soak/client.go
@@ -0,0 +1,123 @@
+package soak
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+const (
+	connsPerIngress     = 3 // of clients that pipeline
+	unknownCommandShare = 0.02
+	disconnectShare     = 0.01                  // of requests after which the client closes its connection at once
+	redialInterval      = 20 * time.Millisecond // after a connection was refused
+
+	shortLivedInterval = 50 * time.Millisecond // mean time between two requests of short-lived connections, for each ingress
+	slowWriterShare    = 0.2                   // of short-lived connections, whose commands are written in chunks
+	maxChunkDelayMS    = 4                     // between these chunks, in milliseconds
+)
+
+// pipeliningClient sends one command after another on a connection without waiting for replies, as a server that forwards
+// the requests of many customers does. It opens a new connection when one ends.
+type pipeliningClient struct {
+	target   *ingressProcess
+	checker  *checker
+	workload workload
+	rate     float64 // requests a second
+}
+
+func newPipeliningClient(target *ingressProcess, c *checker, rng *rand.Rand, rate float64) *pipeliningClient {
+	return &pipeliningClient{target, c, workload{target.index, rng}, rate}
+}
+
+// run sends requests until ctx ends, and waits for the last replies.
+func (pc *pipeliningClient) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		c, err := dialClientConn(pc.target, pc.checker)
+		if err != nil {
+			sleep(ctx, redialInterval)
+			continue
+		}
+		ended := make(chan struct{})
+		go func() { // waited for below; the end of the connection ends it
+			defer close(ended)
+			c.read()
+		}()
+		pc.sendRequests(ctx, c, ended)
+		if ctx.Err() != nil { // the last replies
+			select {
+			case <-ended:
+			case <-time.After(replyTimeout):
+			}
+		}
+		c.nc.Close()
+		<-ended
+	}
+}
+
+// sendRequests sends requests on a connection until it or ctx ends.
+func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, ended <-chan struct{}) {
+	rng := pc.workload.rng
+	for {
+		var rejected *request
+		select {
+		case <-ctx.Done():
+			c.closeWhenIdle()
+			return
+		case <-ended:
+			return
+		case rejected = <-c.retries:
+		case <-time.After(time.Duration(rng.ExpFloat64() / pc.rate * float64(time.Second))):
+		}
+		var err error
+		switch draw := rng.Float64(); {
+		case rejected != nil:
+			timeLeft := time.Until(rejected.sentAt.Add(rejected.timeout)).Truncate(time.Millisecond)
+			err = c.send(pc.workload.request(rejected.class, max(timeLeft, 0)))
+		case draw < unknownCommandShare:
+			err = c.sendUnknownCommand()
+		case draw < unknownCommandShare+disconnectShare:
+			c.send(pc.workload.next())
+			c.disconnect()
+			return
+		default:
+			err = c.send(pc.workload.next())
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// shortLivedClient opens a connection for each request.
+type shortLivedClient struct {
+	target   *ingressProcess
+	checker  *checker
+	workload workload
+	conns    *sync.WaitGroup // the goroutines of its connections, which end at the latest with the ingress
+}
+
+// run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
+func (sc *shortLivedClient) run(ctx context.Context) {
+	rng := sc.workload.rng
+	for ctx.Err() == nil {
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(shortLivedInterval)))
+		c, err := dialClientConn(sc.target, sc.checker)
+		if err != nil {
+			continue
+		}
+		if rng.Float64() < slowWriterShare {
+			c.chunkDelay = time.Duration(rng.IntN(maxChunkDelayMS+1)) * time.Millisecond
+		}
+		sc.conns.Go(func() {
+			defer c.nc.Close()
+			c.read()
+		})
+		c.send(sc.workload.next())
+		sc.conns.Go(func() {
+			defer c.nc.Close()
+			c.closeWhenIdle()
+		})
+	}
+}
--- /dev/null
+++ b/internal/soak/conn.go
@@ -0,0 +1,201 @@
+package soak
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	replyTimeout      = 10 * time.Second // for the last replies, once nothing more is sent
+	chunkSize         = 30               // bytes of a command that is written slowly
+	maxPendingRetries = 64               // of one connection; rejected requests beyond are not retried
+	retryTenths       = 7                // of ten rejected requests are retried at once, with what is left of their time
+	unknownCommand    = "*1\r\n$5\r\nHELLO\r\n"
+)
+
+// clientConn is one connection of a client, on which commands are pipelined.
+type clientConn struct {
+	nc          net.Conn
+	checker     *checker
+	target      *ingressProcess
+	incarnation int // of the target, when the connection was opened
+	dialledAt   time.Time
+	chunkDelay  time.Duration // between the chunks of a command; 0: it is written at once
+	retries     chan *request // rejected ones
+
+	mu      sync.Mutex // guards the fields below
+	pending []*request // without a reply, in the order of the commands; nil: an unknown command
+	closed  bool       // nothing more is sent, and replies are of no interest
+}
+
+// dialClientConn opens a connection to an ingress.
+func dialClientConn(target *ingressProcess, c *checker) (*clientConn, error) {
+	nc, err := target.dial()
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{nc: nc, checker: c, target: target, incarnation: target.currentIncarnation(), dialledAt: time.Now(),
+		retries: make(chan *request, maxPendingRetries)}, nil
+}
+
+// sendUnknownCommand sends a command that no ingress knows.
+func (c *clientConn) sendUnknownCommand() error { return c.send(nil, []byte(unknownCommand)) }
+
+// send sends the command of a request; nil: an unknown command.
+func (c *clientConn) send(r *request, command []byte) error {
+	if !c.addPending(r) {
+		return net.ErrClosed
+	}
+	for c.chunkDelay > 0 && len(command) > chunkSize {
+		if _, err := c.nc.Write(command[:chunkSize]); err != nil {
+			break // the write of the last chunk returns the error; an incomplete command needs no reply
+		}
+		command = command[chunkSize:]
+		time.Sleep(c.chunkDelay)
+	}
+	if r != nil {
+		c.checker.history.sent(r)
+	}
+	_, err := c.nc.Write(command)
+	return err
+}
+
+// addPending reports whether the connection is still open for another command.
+func (c *clientConn) addPending(r *request) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return false
+	}
+	c.pending = append(c.pending, r)
+	return true
+}
+
+// disconnect closes the connection while requests are open on it.
+func (c *clientConn) disconnect() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.checker.history.clientDisconnected(c.openRequests())
+	c.pending, c.closed = nil, true
+	c.nc.Close()
+}
+
+// closeWhenIdle waits for the replies to all commands and closes the connection. After replyTimeout it returns and leaves the
+// connection open.
+func (c *clientConn) closeWhenIdle() {
+	const interval = 5 * time.Millisecond
+	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !c.isIdle(); {
+		time.Sleep(interval)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.closed && len(c.pending) == 0 {
+		c.closed = true
+		c.nc.Close()
+	}
+}
+
+func (c *clientConn) isIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.pending) == 0 || c.closed
+}
+
+// openRequests returns the requests without a reply; c.mu is held.
+func (c *clientConn) openRequests() (open []*request) {
+	for _, r := range c.pending {
+		if r != nil {
+			open = append(open, r)
+		}
+	}
+	return open
+}
+
+// read reads replies until the connection ends.
+func (c *clientConn) read() {
+	in := bufio.NewReader(c.nc)
+	for prevReplyAt := (time.Time{}); ; prevReplyAt = time.Now() {
+		kind, text, err := readReply(in)
+		if err != nil {
+			c.ended(err)
+			return
+		}
+		r, state := c.takePending()
+		switch {
+		case state == nothingPending:
+			c.checker.violations.report(WrongReply, c.target.index, "%q answers no command", text)
+			c.nc.Close()
+			return
+		case state == connClosed:
+			return
+		case r == nil:
+			if kind != ReplyError {
+				c.checker.violations.report(WrongReply, c.target.index, "%q answers an unknown command", text)
+			}
+		default:
+			c.checker.replied(r, prevReplyAt, kind, text)
+			c.retry(r, kind)
+		}
+	}
+}
+
+// pendingState says what a reply belongs to.
+type pendingState int
+
+const (
+	commandPending pendingState = iota
+	nothingPending
+	connClosed // the client closed the connection as the reply came
+)
+
+// takePending removes the command that the next reply answers.
+func (c *clientConn) takePending() (*request, pendingState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case c.closed:
+		return nil, connClosed
+	case len(c.pending) == 0:
+		return nil, nothingPending
+	}
+	r := c.pending[0]
+	c.pending = c.pending[1:]
+	return r, commandPending
+}
+
+// retry hands a rejected request back to be sent again. One without any time left is not.
+func (c *clientConn) retry(r *request, kind ReplyKind) {
+	if kind != ReplyBusy || r.id%10 >= retryTenths || r.timeout == 0 {
+		return
+	}
+	select {
+	case c.retries <- r:
+	default:
+	}
+}
+
+// ended records or reports the end of the connection as the requests without a reply explain it.
+func (c *clientConn) ended(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	open, closed := c.openRequests(), c.closed
+	c.closed = true
+	if closed || len(open) == 0 {
+		return
+	}
+	switch {
+	case c.target.stoppedAccepting(c.dialledAt):
+		c.checker.history.excuse(open, "the connection was opened as the ingress stopped accepting")
+	case c.target.wasKilled(c.incarnation):
+		c.checker.history.excuse(open, "the ingress was killed")
+	case errors.Is(err, io.EOF):
+		c.checker.history.connectionClosed(open)
+	case errors.Is(err, syscall.ECONNRESET):
+		c.checker.violations.report(NoReply, c.target.index, "a connection with %d open requests was reset", len(open))
+	}
+}
--- /dev/null
+++ b/internal/soak/history.go
@@ -0,0 +1,143 @@
+package soak
+
+import (
+	"maps"
+	"sync"
+	"time"
+)
+
+// request is one request of a client and all that was observed of it. The fields above sentAt are set before it is sent; the
+// history guards the others.
+type request struct {
+	id      uint64
+	ingress int // index of the process that it is sent to
+	class   requestClass
+	timeout time.Duration // from sentAt until the client's deadline
+
+	sentAt       time.Time // its last byte was written
+	disconnected time.Time // the client closed its connection; zero: it did not
+	excuse       string    // a fault that frees the ingress from replying; "": none
+	closedAt     time.Time // the ingress closed the connection in good order without a reply; zero: it did not
+	repliedAt    time.Time // zero: no reply yet
+	prevReplyAt  time.Time // when the reply before it on the connection had come
+	reply        ReplyKind
+	attempts     []attempt
+}
+
+// isOpen reports whether the request still waits for a reply.
+func (r *request) isOpen() bool {
+	return r.repliedAt.IsZero() && r.disconnected.IsZero() && r.closedAt.IsZero() && r.excuse == ""
+}
+
+// attempt is a complete command that arrived at a backend and was not rejected there.
+type attempt struct {
+	startedAt time.Time     // its first byte arrived
+	timeLeft  time.Duration // until the deadline, as the command says
+	undelayed bool          // no proxy delayed it
+}
+
+// history is what clients and backends observed. It is safe for concurrent use.
+type history struct {
+	mu       sync.Mutex // guards the fields below, and the observations in the requests
+	requests map[uint64]*request
+	replies  map[ReplyKind]int
+	attempts int
+}
+
+func newHistory() *history {
+	return &history{requests: map[uint64]*request{}, replies: map[ReplyKind]int{}}
+}
+
+// sent records a request as its last byte is about to be written.
+func (h *history) sent(r *request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	r.sentAt = time.Now()
+	h.requests[r.id] = r
+}
+
+// replied records a request's final reply, and when the reply before it on the connection had come.
+func (h *history) replied(r *request, prevReplyAt time.Time, kind ReplyKind) (at time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	r.repliedAt, r.prevReplyAt, r.reply = time.Now(), prevReplyAt, kind
+	h.replies[kind]++
+	return r.repliedAt
+}
+
+// clientDisconnected records that the client closes the connection of open requests.
+func (h *history) clientDisconnected(open []*request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range open {
+		r.disconnected = time.Now()
+	}
+}
+
+// excuse records a fault that frees the ingress from replying to open requests.
+func (h *history) excuse(open []*request, reason string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range open {
+		r.excuse = reason
+	}
+}
+
+// connectionClosed records that the ingress closed the connection of open requests in good order.
+func (h *history) connectionClosed(open []*request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range open {
+		r.closedAt = time.Now()
+	}
+}
+
+// attempted records an attempt and returns a copy of its request as it is then; ok is false if no client sent it.
+func (h *history) attempted(id uint64, a attempt) (r request, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.attempts++
+	known := h.requests[id]
+	if known == nil {
+		return request{}, false
+	}
+	known.attempts = append(known.attempts, a)
+	return *known, true
+}
+
+// awaitReplies waits until no request is open, but not for longer than timeout.
+func (h *history) awaitReplies(timeout time.Duration) {
+	const interval = 10 * time.Millisecond
+	for deadline := time.Now().Add(timeout); h.anyOpen() && time.Now().Before(deadline); {
+		time.Sleep(interval)
+	}
+}
+
+func (h *history) anyOpen() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range h.requests {
+		if r.isOpen() {
+			return true
+		}
+	}
+	return false
+}
+
+// snapshot returns copies of all requests.
+func (h *history) snapshot() []request {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	requests := make([]request, 0, len(h.requests))
+	for _, r := range h.requests {
+		requests = append(requests, *r)
+	}
+	return requests
+}
+
+// totals returns the numbers of requests, of replies by kind, and of attempts.
+func (h *history) totals() (requests int, replies map[ReplyKind]int, attempts int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.requests), maps.Clone(h.replies), h.attempts
+}
--- /dev/null
+++ b/internal/soak/injector.go
@@ -0,0 +1,67 @@
+package soak
+
+import (
+	"context"
+	"maps"
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+const (
+	faultInterval    = 150 * time.Millisecond // mean time between the beginnings of two faults
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
+)
+
+// FaultKind names a kind of fault.
+type FaultKind string
+
+// fault is one kind of fault. Its inject begins it, waits and ends it; ctx ends the wait.
+type fault struct {
+	kind   FaultKind
+	inject func(ctx context.Context, rng *rand.Rand, duration time.Duration)
+}
+
+// faultInjector injects faults into a cluster and its ingresses.
+type faultInjector struct {
+	cluster   *cluster
+	processes []*ingressProcess
+	checker   *checker
+	rng       *rand.Rand
+
+	mu       sync.Mutex // guards injected
+	injected map[FaultKind]int
+}
+
+func newFaultInjector(cl *cluster, processes []*ingressProcess, c *checker, rng *rand.Rand) *faultInjector {
+	return &faultInjector{cluster: cl, processes: processes, checker: c, rng: rng, injected: map[FaultKind]int{}}
+}
+
+// run begins one fault after another until ctx ends; they overlap. When it returns, all have ended.
+func (fi *faultInjector) run(ctx context.Context) {
+	faults := fi.faults()
+	var active sync.WaitGroup
+	defer active.Wait()
+	for ctx.Err() == nil {
+		sleep(ctx, time.Duration(fi.rng.ExpFloat64()*float64(faultInterval)))
+		f := faults[fi.rng.IntN(len(faults))]
+		duration := minFaultDuration + time.Duration(fi.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		rng := rand.New(rand.NewPCG(fi.rng.Uint64(), 1)) // its own, since faults overlap in no fixed order
+		fi.count(f.kind)
+		active.Go(func() { f.inject(ctx, rng, duration) })
+	}
+}
+
+func (fi *faultInjector) count(kind FaultKind) {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	fi.injected[kind]++
+}
+
+// counts returns how many faults of each kind were injected.
+func (fi *faultInjector) counts() map[FaultKind]int {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return maps.Clone(fi.injected)
+}
--- /dev/null
+++ b/internal/soak/reply.go
@@ -0,0 +1,36 @@
+package soak
+
+import (
+	"bufio"
+	"strings"
+)
+
+// ReplyKind is the kind of an ingress's reply.
+type ReplyKind string
+
+// The kinds of replies.
+const (
+	ReplyValue   ReplyKind = "value"
+	ReplyBusy    ReplyKind = "busy" // rejected, and not executed
+	ReplyError   ReplyKind = "error"
+	ReplyInvalid ReplyKind = "invalid" // no reply that the protocol knows
+)
+
+// readReply reads one reply and returns its kind and its value, or else its line.
+func readReply(in *bufio.Reader) (kind ReplyKind, text string, err error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return "", "", err
+	}
+	line = strings.TrimRight(line, "\r\n")
+	switch {
+	case line == "-BUSY" || strings.HasPrefix(line, "-BUSY "):
+		return ReplyBusy, line, nil
+	case strings.HasPrefix(line, "-ERR"):
+		return ReplyError, line, nil
+	case !strings.HasPrefix(line, "$"):
+		return ReplyInvalid, line, nil
+	}
+	value, err := in.ReadString('\n')
+	return ReplyValue, strings.TrimRight(value, "\r\n"), err
+}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,155 +1,165 @@
-// Package soak runs a fleet of real ingress processes over loopback, puts faults between them that overlap in time, and judges
-// from the outside, by what clients sent and got and by what backends saw, whether the rules of the protocol held. Everything
-// that is drawn comes from one seed; what the machine's scheduling makes of it does not.
+// Package soak runs several ingresses as processes over loopback, injects faults that overlap in time, and checks from the
+// outside, by what clients sent and received and by what backends received, whether the rules of the protocol held.
+// Everything that is drawn comes from one seed; what the scheduling of the machine makes of it does not.
+//
+// A run consists of a cluster (backends behind proxies, discovery, counter), the ingress processes, clients of three kinds
+// (pipelining, short-lived and misbehaving ones) and a fault injector. All of them report to one checker, which keeps the
+// history of the requests and collects the violations.
 package soak
 
 import (
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"os"
+	"strings"
 	"sync"
 	"time"
 )
 
-// Options say what is run.
+// settleTime is how long the load goes on after the last fault has begun.
+const settleTime = 2 * time.Second
+
+// Options say what a run does.
 type Options struct {
-	Seed      uint64
-	Processes int           // ingresses
-	Duration  time.Duration // of the load and the faults
-	Rate      float64       // requests a second for each ingress
-	Command   []string      // starts one ingress, which finds its configuration in ROUTER_CONFIG
-	Env       []string      // for it, besides the process's own
-	Dir       string        // for configurations and logs; it must be there
-	Timed     bool          // also judge by times; on a machine with room to spare
+	Seed        uint64
+	Processes   int           // ingresses
+	Duration    time.Duration // of the faults; the load goes on for two seconds more
+	Rate        float64       // requests a second to each ingress, on its pipelining connections together
+	Command     []string      // starts one ingress, which finds its configuration by ROUTER_CONFIG
+	Env         []string      // for it, besides the environment of this process
+	Dir         string        // for configurations and logs; it has to exist
+	CheckTiming bool          // also check the rules that depend on times; for a machine with capacity to spare
 }
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
-	Requests   int            // sent by clients
-	Answers    map[string]int // by kind
-	Attempts   int            // whole at backends
-	Faults     map[string]int // by kind
-	Violations []Violation
+	Requests   int // that clients sent
+	Replies    map[ReplyKind]int
+	Attempts   int // that arrived at backends complete and were not rejected there
+	Faults     map[FaultKind]int
+	Violations []Violation // the first 200, in the order in which they were found
 }
 
-const (
-	backendCount = 8
-	sideCount    = 2 // of the network: each reaches the backends through proxies of its own
-	settleTime   = 2 * time.Second
-)
+// String returns the report on one line, and each violation on one more.
+func (r *Report) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d requests, %d attempts at backends, replies %v, faults %v, %d violations", r.Requests, r.Attempts,
+		r.Replies, r.Faults, len(r.Violations))
+	for _, v := range r.Violations {
+		fmt.Fprintf(&b, "\n  %v", v)
+	}
+	return b.String()
+}
 
-// run is one run of a fleet.
-type run struct {
-	opts    Options
-	stalls  *stalls
-	ledger  *ledger
-	world   *world
-	fleet   []*ingressProcess
-	faults  map[string]int
-	faultMu sync.Mutex
+// runner does one run.
+type runner struct {
+	options   Options
+	checker   *checker
+	cluster   *cluster
+	processes []*ingressProcess
+	injector  *faultInjector
+	conns     sync.WaitGroup // goroutines of connections that outlive their client's run; the end of the ingresses ends them
 }
 
-// Run plays one run. An error means that it could not be played; broken rules are in the report.
+// Run does one run. An error means that the run could not be done; violations of the protocol are in the report.
 func Run(ctx context.Context, opts Options) (*Report, error) {
-	r := &run{opts: opts, stalls: newStalls(), faults: map[string]int{}}
-	r.ledger = newLedger(r.stalls, opts.Timed)
-	stop := r.stalls.watch()
-	defer stop()
-	world, err := newWorld(r.ledger, opts.Seed)
+	c := newChecker(opts.CheckTiming)
+	stopDetector := startDetector(ctx, c.stalls)
+	defer stopDetector()
+	cl, err := newCluster(c, opts.Seed)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start cluster: %w", err)
 	}
-	r.world = world
-	defer world.close()
-	defer r.stopFleet()
-	if err := r.startFleet(ctx); err != nil {
+	defer cl.close()
+	r := &runner{options: opts, checker: c, cluster: cl}
+	defer r.shutdown()
+	if err := r.startProcesses(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
-	r.stopFleet()
-	r.ledger.judge()
+	r.injector = newFaultInjector(cl, r.processes, c, r.rng(0))
+	r.runLoad(ctx)
+	r.shutdown()
+	c.checkHistory()
 	return r.report(), ctx.Err()
 }
 
-func (r *run) startFleet(ctx context.Context) error {
-	for i := range r.opts.Processes {
-		p, err := newIngressProcess(r, i)
+// startDetector runs the stall detector until stop is called, also after ctx has ended.
+func startDetector(ctx context.Context, d *stallDetector) (stop func()) {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	var running sync.WaitGroup
+	running.Go(func() { d.run(ctx) }) // stop ends it and waits for it
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// rng returns one of the run's sources of random numbers.
+func (r *runner) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(r.options.Seed, stream)) }
+
+// startProcesses starts all ingresses and waits until they are ready.
+func (r *runner) startProcesses(ctx context.Context) error {
+	for i := range r.options.Processes {
+		p, err := newIngressProcess(&r.options, r.cluster, r.checker, i)
 		if err != nil {
-			return err
+			return fmt.Errorf("ingress %d: %w", i, err)
 		}
-		r.fleet = append(r.fleet, p)
+		r.processes = append(r.processes, p)
 		if err := p.start(); err != nil {
 			return fmt.Errorf("ingress %d: %w", i, err)
 		}
 	}
-	for _, p := range r.fleet {
-		if err := p.ready(ctx); err != nil {
+	for _, p := range r.processes {
+		if err := p.awaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play lets clients and faults go on together, then lets the fleet settle without faults.
-func (r *run) play(ctx context.Context) {
-	faultTime, endFaults := context.WithTimeout(ctx, r.opts.Duration)
+// runLoad runs clients and faults at the same time, lets the ingresses settle without faults and waits for the last replies.
+func (r *runner) runLoad(ctx context.Context) {
+	faultCtx, endFaults := context.WithTimeout(ctx, r.options.Duration)
 	defer endFaults()
-	loadTime, endLoad := context.WithTimeout(ctx, r.opts.Duration+settleTime)
+	loadCtx, endLoad := context.WithTimeout(ctx, r.options.Duration+settleTime)
 	defer endLoad()
-	var all sync.WaitGroup
-	for i, p := range r.fleet {
+	var running sync.WaitGroup // each goroutine ends with its context
+	for _, p := range r.processes {
+		streams := uint64(1000 * p.index) // of random numbers: one for each client of the ingress, from the next one on
 		for k := range connsPerIngress {
-			c := newCaller(p, r.ledger, rand.New(rand.NewPCG(r.opts.Seed, uint64(1000*i+k+1))), r.opts.Rate/connsPerIngress)
-			all.Go(func() { c.run(loadTime) })
+			c := newPipeliningClient(p, r.checker, r.rng(streams+uint64(k)+1), r.options.Rate/connsPerIngress)
+			running.Go(func() { c.run(loadCtx) })
 		}
+		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(streams + connsPerIngress + 1)}, &r.conns}
+		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(streams + connsPerIngress + 2), &r.conns}
+		running.Go(func() { shortLived.run(loadCtx) })
+		running.Go(func() { misbehaving.run(faultCtx) })
 	}
-	for i, p := range r.fleet {
-		newcomers := newCaller(p, r.ledger, rand.New(rand.NewPCG(r.opts.Seed, uint64(1000*i+connsPerIngress+1))), 0)
-		bad := &rude{p, r.ledger, rand.New(rand.NewPCG(r.opts.Seed, uint64(1000*i+connsPerIngress+2)))}
-		all.Go(func() { newcomers.newcomers(loadTime) })
-		all.Go(func() { bad.run(faultTime) })
-	}
-	all.Go(func() { r.injectFaults(faultTime) })
-	all.Wait()
-	r.ledger.awaitAnswers(answerWait)
-}
-
-func (r *run) stopFleet() {
-	var all sync.WaitGroup
-	for _, p := range r.fleet {
-		all.Go(p.stopForGood)
-	}
-	all.Wait()
-}
-
-func (r *run) report() *Report {
-	r.ledger.mu.Lock()
-	defer r.ledger.mu.Unlock()
-	return &Report{Requests: len(r.ledger.requests), Answers: r.ledger.answers, Attempts: r.ledger.attempts, Faults: r.faults,
-		Violations: r.ledger.violations}
+	running.Go(func() { r.injector.run(faultCtx) })
+	running.Wait()
+	r.checker.history.awaitReplies(replyTimeout)
 }
 
-// String is the report in a few lines.
-func (r *Report) String() string {
-	text := fmt.Sprintf("%d requests, %d attempts at backends, answers %v, faults %v, %d violations", r.Requests, r.Attempts,
-		r.Answers, r.Faults, len(r.Violations))
-	for _, v := range r.Violations {
-		text += "\n  " + v.String()
+// shutdown ends all ingresses and waits for the connections to them. Further calls do nothing.
+func (r *runner) shutdown() {
+	var ending sync.WaitGroup
+	for _, p := range r.processes {
+		ending.Go(p.shutdown)
 	}
-	return text
+	ending.Wait()
+	r.conns.Wait()
 }
 
-// noteFault counts a fault that was put in.
-func (r *run) noteFault(kind string) {
-	r.faultMu.Lock()
-	defer r.faultMu.Unlock()
-	r.faults[kind]++
+func (r *runner) report() *Report {
+	requests, replies, attempts := r.checker.history.totals()
+	return &Report{Requests: requests, Replies: replies, Attempts: attempts, Faults: r.injector.counts(),
+		Violations: r.checker.violations.all()}
 }
 
-func writeFile(path string, text []byte) error {
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
-		return err
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
 	}
-	return os.Rename(path+".new", path)
 }
--- /dev/null
+++ b/internal/soak/workload.go
@@ -0,0 +1,98 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+const (
+	customersPerIngress = 40
+	urgentShare         = 0.05 // of requests, which have less than 3 ms left
+	minTimeout          = 50 * time.Millisecond
+)
+
+// idempotency says whether a request may be executed more than once.
+type idempotency int
+
+const (
+	idempotent idempotency = iota
+	nonIdempotent
+	idempotencyKey // it may, within deduplicationWindow
+)
+
+// configName is how the settings of an ingress name it.
+func (i idempotency) configName() string {
+	switch i {
+	case idempotent:
+		return "read_like"
+	case nonIdempotent:
+		return "non_idempotent"
+	default:
+		return "idempotency_key"
+	}
+}
+
+// requestClass is a class of requests.
+type requestClass struct {
+	name        string
+	command     string
+	idempotency idempotency
+}
+
+var classes = []requestClass{{"read", "Q.ASK", idempotent}, {"write", "Q.DO", nonIdempotent}, {"keyed", "Q.DO", idempotencyKey}}
+
+// lastRequestID is shared by all runs of this process, so that none sees a request of another one.
+var lastRequestID atomic.Uint64
+
+// workload draws the requests that a client sends to one ingress.
+type workload struct {
+	ingress int
+	rng     *rand.Rand
+}
+
+func (w workload) class() requestClass { return classes[w.rng.IntN(len(classes))] }
+
+// timeout draws how long a client waits; some requests have hardly any time left.
+func (w workload) timeout() time.Duration {
+	if w.rng.Float64() < urgentShare {
+		return time.Duration(w.rng.IntN(3)) * time.Millisecond
+	}
+	return minTimeout + time.Duration(w.rng.IntN(int((maxTimeout-minTimeout)/time.Millisecond)))*time.Millisecond
+}
+
+// next draws a request and returns it with its command.
+func (w workload) next() (*request, []byte) {
+	class := w.class()
+	return w.request(class, w.timeout())
+}
+
+// request returns a request of a drawn customer, and its command.
+func (w workload) request(class requestClass, timeout time.Duration) (*request, []byte) {
+	r := &request{id: lastRequestID.Add(1), ingress: w.ingress, class: class, timeout: timeout}
+	fields := requestFields(class, w.rng.IntN(planCount), timeout, w.ingress)
+	if class.idempotency == idempotencyKey {
+		fields += fmt.Sprintf(",k=%x", r.id)
+	}
+	customer := customerID(w.ingress, w.rng.IntN(customersPerIngress))
+	command := redcon.AppendArray(nil, 4)
+	for _, arg := range []string{class.command, customer, requestID(r.id), fields} {
+		command = redcon.AppendBulkString(command, arg)
+	}
+	return r, command
+}
+
+// requestFields returns the fields of a command, but for an idempotency key. first is the index of the first gateway that
+// the customer's requests go to.
+func requestFields(class requestClass, plan int, timeout time.Duration, first int) string {
+	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d", class.name, planName(plan), timeout.Milliseconds(), first)
+}
+
+func planName(plan int) string { return fmt.Sprint("p", plan) }
+
+func customerID(ingress, customer int) string { return fmt.Sprintf("%016x", ingress*1000+customer) }
+
+func requestID(id uint64) string { return fmt.Sprintf("%016x", id) }
