--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -1,8 +1,10 @@
-// Command faultsoak runs fleets of real ingresses under faults that overlap, seed by seed, and reports the rules that broke.
+// Command faultsoak runs ingress processes under overlapping faults, seed by seed, and reports the rules of the protocol that
+// were violated. It exits with 1 if there was any violation, or if a run could not be done.
 package main
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -14,61 +16,94 @@
 	"lemontack/internal/soak"
 )
 
+// The number of ingresses that the load and the faults are made for.
 const (
-	fewest = 10
-	most   = 40
+	minProcesses = 10
+	maxProcesses = 40
 )
 
-func run() error {
-	binary := flag.String("ingress", "bin/ingress", "the ingress's program")
-	seed := flag.Uint64("seed", 1, "first seed")
-	seeds := flag.Uint64("seeds", 1, "number of seeds, one after another")
-	processes := flag.Int("processes", 16, "ingresses, 10 to 40")
-	duration := flag.Duration("duration", 20*time.Second, "of load and faults, for each seed")
-	rate := flag.Float64("rate", 40, "requests a second for each ingress")
-	dir := flag.String("dir", "", "folder for configurations and logs; a new one if empty")
-	flag.Parse()
-	if *processes < fewest || *processes > most || flag.NArg() > 0 {
-		return fmt.Errorf("%d processes, %d to %d are wanted, and no arguments", *processes, fewest, most)
+var (
+	errUsage      = errors.New("wrong arguments")
+	errViolations = errors.New("violations")
+)
+
+// arguments are the values of the flags.
+type arguments struct {
+	program   string
+	firstSeed uint64
+	seeds     uint64
+	processes int
+	duration  time.Duration
+	rate      float64
+	dir       string
+}
+
+func main() {
+	if err := run(); err != nil {
+		fmt.Fprintln(os.Stderr, "faultsoak:", err)
+		os.Exit(1)
 	}
-	program, err := filepath.Abs(*binary)
+}
+
+// run does one run for each seed. SIGINT and SIGTERM end it early.
+func run() error {
+	args, err := parseArguments()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	broken := 0
-	for s := *seed; s < *seed+*seeds && ctx.Err() == nil; s++ {
-		logs, err := folder(*dir, s)
-		if err != nil {
-			return err
-		}
-		report, err := soak.Run(ctx, soak.Options{Seed: s, Processes: *processes, Duration: *duration, Rate: *rate,
-			Command: []string{program}, Dir: logs, CheckTiming: true})
+	violations := 0
+	for seed := args.firstSeed; seed < args.firstSeed+args.seeds && ctx.Err() == nil; seed++ {
+		report, err := runSeed(ctx, args, seed)
 		if err != nil {
-			return fmt.Errorf("seed %d: %w", s, err)
+			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		broken += len(report.Violations)
-		fmt.Printf("seed %d: %v\n", s, report)
+		violations += len(report.Violations)
+		fmt.Printf("seed %d: %v\n", seed, report)
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d violations", broken)
+	if violations > 0 {
+		return fmt.Errorf("%d %w", violations, errViolations)
 	}
 	return ctx.Err()
 }
 
-// folder is where the files of a seed go.
-func folder(dir string, seed uint64) (string, error) {
+func parseArguments() (arguments, error) {
+	var args arguments
+	flag.StringVar(&args.program, "ingress", "bin/ingress", "the ingress's program")
+	flag.Uint64Var(&args.firstSeed, "seed", 1, "first seed")
+	flag.Uint64Var(&args.seeds, "seeds", 1, "number of seeds, one after another")
+	flag.IntVar(&args.processes, "processes", 16, fmt.Sprintf("ingresses, %d to %d", minProcesses, maxProcesses))
+	flag.DurationVar(&args.duration, "duration", 20*time.Second, "of load and faults, for each seed")
+	flag.Float64Var(&args.rate, "rate", 40, "requests a second for each ingress")
+	flag.StringVar(&args.dir, "dir", "", "folder for configurations and logs; a new one if empty")
+	flag.Parse()
+	if args.processes < minProcesses || args.processes > maxProcesses || flag.NArg() > 0 {
+		return args, fmt.Errorf("%w: %d processes and %d further arguments, want %d to %d processes and no arguments",
+			errUsage, args.processes, flag.NArg(), minProcesses, maxProcesses)
+	}
+	program, err := filepath.Abs(args.program)
+	if err != nil {
+		return args, fmt.Errorf("path of the ingress's program: %w", err)
+	}
+	args.program = program
+	return args, nil
+}
+
+func runSeed(ctx context.Context, args arguments, seed uint64) (*soak.Report, error) {
+	dir, err := makeDir(args.dir, seed)
+	if err != nil {
+		return nil, err
+	}
+	return soak.Run(ctx, soak.Options{Seed: seed, Processes: args.processes, Duration: args.duration, Rate: args.rate,
+		Command: []string{args.program}, Dir: dir, CheckTiming: true})
+}
+
+// makeDir makes the folder for the files of a seed: under dir, or a temporary one if dir is empty.
+func makeDir(dir string, seed uint64) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "faultsoak")
 	}
 	dir = filepath.Join(dir, fmt.Sprint("seed-", seed))
 	return dir, os.MkdirAll(dir, 0o700)
 }
-
-func main() {
-	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "faultsoak:", err)
-		os.Exit(1)
-	}
-}
