--- a/cmd/ingress/main_test.go
+++ b/cmd/ingress/main_test.go
@@ -49,7 +49,7 @@
 	}
 	write(discovery[0])
 	done := make(chan error, 1)
-	go func() { done <- run(slog.New(slog.DiscardHandler)) }()
+	go func() { done <- run(slog.New(slog.DiscardHandler)) }() // waited for below; SIGTERM ends it
 	await(0)
 	write(discovery[1])
 	hangup()
@@ -68,25 +68,30 @@
 
 // The error for a bad configuration is one line that names what is wrong.
 func TestBadConfigurationIsRejectedInOneLine(t *testing.T) {
-	for text, want := range map[string]string{
-		"":   "unexpected end",
-		"{}": "listen, discovery and settings are required",
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":{}}`:                                                             "seed",
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":[]}`:                                                              "settings",
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{},"limits":{"sockets":3}}`:                                       "sockets are too few",
-		`{"listen":"127.0.0.1:0","discovery":"nowhere","seed":"1","settings":{},"limits":{"sockets":1024}}`:                                        "not an address",
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{},"limits":{"sockets":1024}}`:                                    "gateway 0 of 0",
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"familyInfo":{"sharedCounter":true}},"limits":{"sockets":1024}}`: "no address of it",
+	const addresses = `"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`
+	for name, c := range map[string]struct{ text, want string }{
+		"empty file":  {"", "unexpected end"},
+		"no keys":     {"{}", "listen, discovery and settings are required"},
+		"bad seed":    {`{` + addresses + `,"seed":"zz","settings":{}}`, "seed"},
+		"bad type":    {`{` + addresses + `,"seed":"1","settings":[]}`, "settings"},
+		"few sockets": {`{` + addresses + `,"seed":"1","settings":{},"limits":{"sockets":3}}`, "sockets are too few"},
+		"bad address": {`{"listen":"127.0.0.1:0","discovery":"nowhere","seed":"1","settings":{},"limits":{"sockets":1024}}`,
+			"not an address"},
+		"no gateways": {`{` + addresses + `,"seed":"1","settings":{},"limits":{"sockets":1024}}`, "gateway 0 of 0"},
+		"no counter": {`{` + addresses + `,"seed":"1","settings":{"familyInfo":{"sharedCounter":true}},"limits":{"sockets":1024}}`,
+			"no address of it"},
 	} {
-		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		t.Setenv(configEnv, path)
-		err := run(slog.New(slog.DiscardHandler))
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", text, err, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			t.Setenv(configEnv, path)
+			err := run(slog.New(slog.DiscardHandler))
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: error %v, want one line with %q", c.text, err, c.want)
+			}
+		})
 	}
 	t.Setenv(configEnv, "")
 	if err := run(slog.New(slog.DiscardHandler)); err == nil {
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -27,32 +27,33 @@
 func TestCheckHistoryFindsViolations(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	now := time.Now()
-	attemptAt := func(after time.Duration) attempt {
-		return attempt{startedAt: now.Add(after), timeLeft: 10 * time.Millisecond, undelayed: true}
-	}
 	at := func(after time.Duration) time.Time { return now.Add(after) }
 	for name, c := range map[string]struct {
-		request request
-		want    ViolationKind // "": none
+		request  request
+		attempts []time.Duration // after the request was sent
+		want     ViolationKind   // "": none
 	}{
-		"answered":                  {request{class: idempotentClass, repliedAt: at(timeout), reply: ReplyValue}, ""},
-		"never answered":            {request{class: idempotentClass}, NoReply},
-		"excused":                   {request{class: idempotentClass, excuse: "killed"}, ""},
-		"client disconnected":       {request{class: idempotentClass, disconnected: at(0)}, ""},
-		"crossed the close":         {request{class: idempotentClass, closedAt: at(20 * time.Millisecond)}, ""},
-		"closed after it was read":  {request{class: idempotentClass, closedAt: at(2 * time.Second)}, NoReply},
-		"closed after forwarding":   {request{class: idempotentClass, closedAt: at(time.Millisecond), attempts: []attempt{attemptAt(0)}}, NoReply},
-		"answered late":             {request{class: idempotentClass, repliedAt: at(2 * time.Second)}, LateReply},
-		"late, behind another":      {request{class: idempotentClass, repliedAt: at(2 * time.Second), prevReplyAt: at(1900 * time.Millisecond)}, ""},
-		"idempotent, twice":         {request{class: idempotentClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(1)}}, ""},
-		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(1)}}, ExecutedTwice},
-		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: at(0), reply: ReplyBusy, attempts: []attempt{attemptAt(0)}}, RejectedAfterExecution},
-		"key, twice within window":  {request{class: keyedClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(deduplicationWindow)}}, ""},
-		"key, again after a window": {request{class: keyedClass, repliedAt: at(0), attempts: []attempt{attemptAt(0), attemptAt(2 * deduplicationWindow)}}, ExecutedTwice},
+		"answered":                  {request{class: idempotentClass, repliedAt: at(timeout), reply: ReplyValue}, nil, ""},
+		"never answered":            {request{class: idempotentClass}, nil, NoReply},
+		"excused":                   {request{class: idempotentClass, excuse: "killed"}, nil, ""},
+		"client disconnected":       {request{class: idempotentClass, disconnected: at(0)}, nil, ""},
+		"crossed the close":         {request{class: idempotentClass, closedAt: at(20 * time.Millisecond)}, nil, ""},
+		"closed after it was read":  {request{class: idempotentClass, closedAt: at(2 * time.Second)}, nil, NoReply},
+		"closed after forwarding":   {request{class: idempotentClass, closedAt: at(time.Millisecond)}, []time.Duration{0}, NoReply},
+		"answered late":             {request{class: idempotentClass, repliedAt: at(2 * time.Second)}, nil, LateReply},
+		"late, behind another":      {request{class: idempotentClass, repliedAt: at(2 * time.Second), prevReplyAt: at(1900 * time.Millisecond)}, nil, ""},
+		"idempotent, twice":         {request{class: idempotentClass, repliedAt: at(0)}, []time.Duration{0, 1}, ""},
+		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: at(0)}, []time.Duration{0, 1}, ExecutedTwice},
+		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: at(0), reply: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
+		"key, twice within window":  {request{class: keyedClass, repliedAt: at(0)}, []time.Duration{0, deduplicationWindow}, ""},
+		"key, again after a window": {request{class: keyedClass, repliedAt: at(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
 			c.request.id, c.request.sentAt, c.request.timeout = 1, now, timeout
+			for _, after := range c.attempts {
+				c.request.attempts = append(c.request.attempts, attempt{at(after), 10 * time.Millisecond, true})
+			}
 			checker.history.requests[1] = &c.request
 			checker.checkHistory()
 			wantViolation(t, checker, c.want)
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -20,6 +20,9 @@
 	discoveryCapacity = 10_000
 )
 
+// loopback is a free port of the loopback interface, as an address to listen on.
+const loopback = "127.0.0.1:0"
+
 // segmentOf returns the segment of the network that an ingress is in.
 func segmentOf(ingress int) int { return ingress % segmentCount }
 
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -16,6 +16,11 @@
 	partitionShare = 0.6             // of the backends that a network partition cuts a segment off from
 	minDrain       = 2 * time.Second // of a backend, besides the duration of the fault: longer than maxSendAfterDrain
 	idleConns      = 40              // that are opened at once
+
+	// A slow proxy waits for less than proxyDelayLimitMS milliseconds before each piece of minProxyPiece bytes or more.
+	proxyDelayLimitMS = 30
+	minProxyPiece     = 20
+	proxyPieceSpread  = 200
 )
 
 // faults returns the kinds of faults; the draw is uniform, so that one that stands twice is twice as frequent. Their order
@@ -77,9 +82,9 @@
 
 // delayBackend makes a proxy forward in small pieces with delays between them.
 func (fi *faultInjector) delayBackend(ctx context.Context, rng *rand.Rand, duration time.Duration) {
-	delay, bytes := time.Duration(rng.IntN(30))*time.Millisecond, 20+rng.IntN(200)
+	delay, piece := time.Duration(rng.IntN(proxyDelayLimitMS))*time.Millisecond, minProxyPiece+rng.IntN(proxyPieceSpread)
 	fi.delayProxy(ctx, rng.IntN(segmentCount), rng.IntN(backendCount), duration,
-		func(p *faults.Proxy) { p.SetPace(delay, bytes) }, func(p *faults.Proxy) { p.SetPace(0, 0) })
+		func(p *faults.Proxy) { p.SetPace(delay, piece) }, func(p *faults.Proxy) { p.SetPace(0, 0) })
 }
 
 // partition cuts one segment off from a part of the backends.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -22,9 +22,11 @@
 	readyPollInterval = 5 * time.Millisecond
 	dialTimeout       = time.Second
 	pingTimeout       = time.Second
-	loopback          = "127.0.0.1:0" // a free port of the loopback interface
 )
 
+// configEnv names the environment variable by which an ingress finds its configuration file.
+const configEnv = "ROUTER_CONFIG"
+
 // errNotReady says that an ingress did not reply to PING within readyTimeout.
 var errNotReady = errors.New("not ready in time")
 
@@ -73,7 +75,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(p.options.Command[0], p.options.Command[1:]...)
-	cmd.Env = append(append(os.Environ(), p.options.Env...), "ROUTER_CONFIG="+p.configPath)
+	cmd.Env = append(append(os.Environ(), p.options.Env...), configEnv+"="+p.configPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start process: %w", err)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,8 +16,10 @@
 	"time"
 )
 
-// settleTime is how long the load goes on after the last fault has begun.
-const settleTime = 2 * time.Second
+const (
+	settleTime        = 2 * time.Second // for which the load goes on after the last fault has begun
+	streamsPerIngress = 1000            // of random numbers that are reserved for the clients of an ingress
+)
 
 // Options say what a run does.
 type Options struct {
@@ -125,13 +127,13 @@
 	defer endLoad()
 	var running sync.WaitGroup // each goroutine ends with its context
 	for _, p := range r.processes {
-		streams := uint64(1000 * p.index) // of random numbers: one for each client of the ingress, from the next one on
+		stream := uint64(streamsPerIngress * p.index) // the clients use the ones after it; 0 is the fault injector's
 		for k := range connsPerIngress {
-			c := newPipeliningClient(p, r.checker, r.rng(streams+uint64(k)+1), r.options.Rate/connsPerIngress)
+			c := newPipeliningClient(p, r.checker, r.rng(stream+uint64(k)+1), r.options.Rate/connsPerIngress)
 			running.Go(func() { c.run(loadCtx) })
 		}
-		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(streams + connsPerIngress + 1)}, &r.conns}
-		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(streams + connsPerIngress + 2), &r.conns}
+		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(stream + connsPerIngress + 1)}, &r.conns}
+		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(stream + connsPerIngress + 2), &r.conns}
 		running.Go(func() { shortLived.run(loadCtx) })
 		running.Go(func() { misbehaving.run(faultCtx) })
 	}
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -17,9 +17,9 @@
 	WrongReply             ViolationKind = "wrong reply"              // a value made for another request, or no valid reply
 	ExecutedTwice          ViolationKind = "executed twice"           // a request that must not be repeated reached backends twice
 	RejectedAfterExecution ViolationKind = "rejected after execution" // rejected as not executed though it may have been
-	SentAfterDisconnect    ViolationKind = "sent after disconnect"    // an attempt began over maxSendAfterDisconnect after the client closed
+	SentAfterDisconnect    ViolationKind = "sent after disconnect"    // an attempt began too long after the client closed its connection
 	DeadlineExtended       ViolationKind = "deadline extended"        // a backend was told more time than the client had left
-	SentToDraining         ViolationKind = "sent to draining"         // an attempt began over maxSendAfterDrain after the backend began to drain
+	SentToDraining         ViolationKind = "sent to draining"         // an attempt began too long after the backend began to drain
 	Crashed                ViolationKind = "crashed"                  // an ingress ended by itself, or did not end when it had to
 	InvariantViolated      ViolationKind = "invariant violated"       // an ingress reported that it broke an invariant of its own
 )
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -11,7 +11,9 @@
 
 const (
 	customersPerIngress = 40
-	urgentShare         = 0.05 // of requests, which have less than 3 ms left
+	customerIDSpan      = 1000 // between the first ids of the customers of two ingresses
+	urgentShare         = 0.05 // of requests, which have hardly any time left
+	maxUrgentTimeoutMS  = 2
 	minTimeout          = 50 * time.Millisecond
 )
 
@@ -56,10 +58,10 @@
 
 func (w workload) class() requestClass { return classes[w.rng.IntN(len(classes))] }
 
-// timeout draws how long a client waits; some requests have hardly any time left.
+// timeout draws how long a client waits.
 func (w workload) timeout() time.Duration {
 	if w.rng.Float64() < urgentShare {
-		return time.Duration(w.rng.IntN(3)) * time.Millisecond
+		return time.Duration(w.rng.IntN(maxUrgentTimeoutMS+1)) * time.Millisecond
 	}
 	return minTimeout + time.Duration(w.rng.IntN(int((maxTimeout-minTimeout)/time.Millisecond)))*time.Millisecond
 }
@@ -93,6 +95,8 @@
 
 func planName(plan int) string { return fmt.Sprint("p", plan) }
 
-func customerID(ingress, customer int) string { return fmt.Sprintf("%016x", ingress*1000+customer) }
+func customerID(ingress, customer int) string {
+	return fmt.Sprintf("%016x", ingress*customerIDSpan+customer)
+}
 
 func requestID(id uint64) string { return fmt.Sprintf("%016x", id) }
