--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// request is one request of a client and all that was observed of it. The fields above sentAt are set before it is sent; the
-// history guards the others.
+// request is one request of a client and all that was observed of it. The fields above sentAt never change. The history guards
+// the others; only the client that sent the request may read sentAt without it.
 type request struct {
 	id      uint64
 	ingress int // index of the process that it is sent to
