--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -3,113 +3,229 @@
 import (
 	"slices"
 	"time"
+
+	"lemontack/policy/balancer"
+	"lemontack/policy/limiter"
 )
 
 const (
-	retryBudgetRatio = 0.15 // further attempts that a first one earns
-	hedgeDeviations  = 3.0  // mean deviations over the mean, after which a second copy goes
-	answerDeviations = 2.0  // the same, within which nearly all answers come
+	// retryBudgetRatio is the share of a retry or hedge that each first attempt adds to the budget.
+	retryBudgetRatio = 0.15
+	// answerDeviations is the number of mean deviations above the mean latency within which nearly all
+	// answers come.
+	answerDeviations = 2.0
+	// hedgeDeviations is the same number after which a request is hedged.
+	hedgeDeviations = 3.0
+	// attemptDeadlineDeviations is the same number after which an attempt ends for a retry, where hedging is
+	// off.
+	attemptDeadlineDeviations = 2 * hedgeDeviations
+	// minAttemptDeadlineDivisor lets an attempt last this part of the latency objective at least.
+	minAttemptDeadlineDivisor = 3
+
+	// maxTriedOnStack is the number of earlier attempts that the choice of an endpoint is told of without an
+	// allocation.
+	maxTriedOnStack = 8
 )
 
-// firstMaybeExecuted is the first attempt that is out or may have run.
-func (r *request) firstMaybeExecuted() *attempt {
-	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveExecuted }); i >= 0 {
-		return r.attempts[i]
+// maybeExecuted returns the first attempt that may have been executed, or nil.
+func (r *request) maybeExecuted() *attempt {
+	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return r.attempts[i]
+}
+
+// tried reports whether an attempt of the request has gone to the endpoint.
+func (r *request) tried(endpoint *balancer.Endpoint) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.Endpoint == endpoint })
 }
 
-// mayRetry says whether another attempt may go out now.
+// mayRetry reports whether another attempt is safe and within the limits now. The deduplication window has a
+// margin of a tenth for the time to the endpoint.
 func (g *Gateway) mayRetry(r *request) bool {
 	if len(r.attempts) >= g.settings.MaxAttempts || r.streaming || r.finished {
 		return false
 	}
-	a := r.firstMaybeExecuted()
-	return a == nil || r.class.Idempotency == Idempotent || // the margin is for the way there
-		r.class.Idempotency == IdempotencyKey && g.now-a.sentAt < r.class.DeduplicationWindow*9/10
+	executed := r.maybeExecuted()
+	if executed == nil {
+		return true
+	}
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotencyKey:
+		return g.now-executed.StartedAt < r.class.DeduplicationWindow*9/10
+	default:
+		return false
+	}
+}
+
+// pickEndpoint chooses the endpoint of the request's next attempt; nil if none may take it now.
+func (g *Gateway) pickEndpoint(r *request) *balancer.Endpoint {
+	var buffer [maxTriedOnStack]*balancer.Endpoint
+	query := balancer.Query{Tried: buffer[:0], Scope: r.class.DeduplicationScope}
+	for _, a := range r.attempts {
+		query.Tried = append(query.Tried, a.Endpoint)
+	}
+	if executed := r.maybeExecuted(); executed != nil {
+		query.MaybeExecuted = executed.Endpoint
+	}
+	return g.balancer.Pick(g.now, query)
 }
 
-func (g *Gateway) startAttempt(r *request, s *endpoint) {
+// startAttempt sends the request to an endpoint.
+func (g *Gateway) startAttempt(r *request, endpoint *balancer.Endpoint) {
 	if !r.dispatched {
 		r.dispatched = true
-		g.retryBudget = min(g.initialWindow(), g.retryBudget+retryBudgetRatio)
+		g.retryBudget = min(g.balancer.InitialAttempts(), g.retryBudget+retryBudgetRatio)
 		r.customer.ceilingTokens -= r.Units
 	}
-	a := &attempt{number: len(r.attempts), endpoint: s, sentAt: g.now, mayHaveExecuted: true}
+	a := &attempt{
+		Attempt:         balancer.Attempt{Endpoint: endpoint},
+		number:          len(r.attempts),
+		mayHaveExecuted: true,
+	}
 	r.attempts = append(r.attempts, a)
-	r.attemptsInFlight, r.customer.attemptsInFlight, g.inFlight = r.attemptsInFlight+1, r.customer.attemptsInFlight+1, g.inFlight+1
-	s.inFlight = append(s.inFlight, a)
+	r.attemptsInFlight++
+	r.customer.attemptsInFlight++
+	g.limiter.AttemptStarted(g.now)
+	g.balancer.AttemptStarted(g.now, &a.Attempt)
 	if r.permits > 0 && r.attemptsInFlight > r.permits {
 		g.adjustPermits(r, r.attemptsInFlight)
 	}
-	s.lastSend, g.lastSend, s.pacingPhase = g.now, g.now, 1
-	var stop time.Duration
-	if !g.settings.Hedging && r.class.meanLatency > 0 && r.class.Idempotency != NonIdempotent { // ends for another
-		stop = g.now + max(r.class.expectedLatency(2*hedgeDeviations), r.class.LatencyObjective/3)
+	g.emit(Send{ID: r.ID, Endpoint: endpoint.ID, AttemptDeadline: g.attemptDeadline(r)})
+}
+
+// attemptDeadline is when an attempt that starts now ends for a retry, where the latency of its class is
+// known and hedging, which would keep it in flight, is off; else 0, for the request's deadline.
+func (g *Gateway) attemptDeadline(r *request) time.Duration {
+	if g.settings.Hedging || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
+		return 0
 	}
-	g.emit(Send{ID: r.ID, Endpoint: s.ID, AttemptDeadline: stop})
+	expected := r.class.latency.Expected(attemptDeadlineDeviations)
+	return g.now + max(expected, r.class.LatencyObjective/minAttemptDeadlineDivisor)
 }
 
-// hedgeIfOverdue looks after a request that is out: a copy goes to another server when the answer is overdue.
-func (g *Gateway) hedgeIfOverdue(r *request) {
+// markOverdue no longer counts attempts in the window that have been in flight for more than the latency
+// objective: their endpoints may never answer.
+func (g *Gateway) markOverdue(r *request) {
 	for _, a := range r.attempts {
-		if !a.ended && !a.overdue && g.now-a.sentAt > r.class.LatencyObjective {
-			a.overdue = true
-			g.inFlight--
-			g.recordSample(a, r.class, TimedOut, 0, nil)
+		if a.ended || a.overdue || g.now-a.StartedAt <= r.class.LatencyObjective {
+			continue
 		}
+		a.overdue = true
+		g.limiter.AttemptReleased()
+		g.recordSample(r.class, a.Endpoint, limiter.Sample{Outcome: TimedOut})
 	}
-	if !g.settings.Hedging || r.attemptsInFlight != 1 || g.retryBudget < 1 || g.now > r.arrived+r.class.LatencyObjective || r.overQuota ||
-		r.class.meanLatency == 0 || g.saturated() || !g.mayRetry(r) || !g.mayDispatch(r) {
+}
+
+// hedgeIfOverdue starts a second attempt at another endpoint where the answer to the only one in flight is
+// overdue.
+func (g *Gateway) hedgeIfOverdue(r *request) {
+	if !g.mayHedge(r) || !g.mayRetry(r) || !g.mayDispatch(r) {
 		return
 	}
-	if last := r.attempts[len(r.attempts)-1]; g.now-last.sentAt < r.class.expectedLatency(hedgeDeviations) {
+	last := r.attempts[len(r.attempts)-1]
+	if g.now-last.StartedAt < r.class.latency.Expected(hedgeDeviations) {
 		return
 	}
-	if s := g.pickEndpoint(r); s != nil && !r.triedEndpoint(s) {
-		g.retryBudget--
-		g.startAttempt(r, s)
+	endpoint := g.pickEndpoint(r)
+	if endpoint == nil || r.tried(endpoint) {
+		return
 	}
+	g.retryBudget--
+	g.startAttempt(r, endpoint)
 }
 
+// mayHedge reports whether a hedge may help the request, and takes no capacity from others.
+func (g *Gateway) mayHedge(r *request) bool {
+	switch {
+	case !g.settings.Hedging, r.attemptsInFlight != 1, g.retryBudget < 1:
+		return false
+	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
+		return false
+	default:
+		return !g.saturated()
+	}
+}
+
+// handleAttemptEnded takes in the end of an attempt. The request is finished with it, waits for another
+// attempt in flight, is queued for a retry, or gets its final answer.
 func (g *Gateway) handleAttemptEnded(ev AttemptEnded) {
 	r := g.requests[ev.ID]
 	if r == nil || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	a.ended, a.mayHaveExecuted = true, !ev.Outcome.NotExecuted()
-	r.attempted = r.attempted || ev.Outcome != NotSent
-	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(b *attempt) bool { return a == b })
-	r.attemptsInFlight, r.customer.attemptsInFlight = r.attemptsInFlight-1, r.customer.attemptsInFlight-1
-	if !a.overdue {
-		g.inFlight--
-		g.recordSample(a, r.class, ev.Outcome, ev.Latency, ev.LoadReport)
-	}
-	g.recordLatency(a, r.class, ev.Outcome, ev.Latency)
+	g.endAttempt(r, a, ev)
 	switch {
 	case r.finished:
 	case ev.RequestFinished:
-		if r.plan.SettledByReply && ev.SettledUnits > 0 {
-			if r.leaseCharged {
-				r.customer.lease -= ev.SettledUnits - r.Units
-			}
-			if r.leaseCharged && r.customer.central || r.claimCharged {
-				r.customer.unreported += ev.SettledUnits - r.Units
-			}
-		}
+		r.settleUnits(ev.SettledUnits)
 		g.finish(r)
 	case r.attemptsInFlight > 0:
-	case !g.mayRetry(r) || r.Deadline-g.now < r.class.expectedLatency(0)+2*g.tickInterval:
+	case !g.mayRetry(r) || r.Deadline-g.now < r.class.latency.Expected(0)+2*g.tickInterval:
 		g.giveUp(r)
-	case ev.Outcome == NotSent: // nothing has left: no further load
+	case ev.Outcome == NotSent: // no endpoint had any load of it: it needs no budget
 		g.enqueue(r)
 	case g.retryBudget < 1:
 		g.giveUp(r)
-	default: // tried again where its class, its time and the budget allow
+	default:
 		g.retryBudget--
 		g.enqueue(r)
 	}
 	g.refundTokens(r)
 	g.releasePermits(r)
 }
+
+// endAttempt marks an attempt as ended, and lets limiter and balancer learn from it.
+func (g *Gateway) endAttempt(r *request, a *attempt, ev AttemptEnded) {
+	a.ended = true
+	a.mayHaveExecuted = !ev.Outcome.NotExecuted()
+	r.attempted = r.attempted || ev.Outcome != NotSent
+	r.attemptsInFlight--
+	r.customer.attemptsInFlight--
+	g.balancer.AttemptEnded(&a.Attempt)
+	if !a.overdue {
+		g.limiter.AttemptReleased()
+		g.recordSample(r.class, a.Endpoint,
+			limiter.Sample{Outcome: ev.Outcome, Latency: ev.Latency, LoadReport: ev.LoadReport})
+	}
+	g.recordLatency(r.class, a.Endpoint, ev.Outcome, ev.Latency)
+}
+
+// recordSample counts the end of an attempt in the limiter.
+func (g *Gateway) recordSample(class *classState, endpoint *balancer.Endpoint, sample limiter.Sample) {
+	sample.LatencyObjective = class.LatencyObjective
+	sample.RequestsQueued = g.queue.Len() > 0
+	g.limiter.Record(sample, &class.samples, &endpoint.LimiterSamples)
+}
+
+// recordLatency lets the estimate of the class and the balancer learn from an attempt that its endpoint had a
+// chance to answer.
+func (g *Gateway) recordLatency(
+	class *classState, endpoint *balancer.Endpoint, outcome Outcome, took time.Duration,
+) {
+	switch outcome {
+	case Cancelled, NotSent:
+	case Succeeded:
+		g.balancer.RecordSuccess(g.now, endpoint, class.latency.Record(took))
+	default:
+		g.balancer.RecordFailure(g.now, endpoint)
+	}
+}
+
+// settleUnits corrects what the request was charged by the true units, where its plan has them from the
+// answer.
+func (r *request) settleUnits(settled float64) {
+	if !r.plan.SettledByReply || settled <= 0 {
+		return
+	}
+	if r.leaseCharged {
+		r.customer.lease -= settled - r.Units
+	}
+	if r.leaseCharged && r.customer.central || r.claimCharged {
+		r.customer.unreported += settled - r.Units
+	}
+}
--- /dev/null
+++ b/policy/balancer/balancer.go
@@ -0,0 +1,187 @@
+// Package balancer chooses the endpoint of an attempt.
+//
+// It keeps the endpoints of the endpoint list, with what this gateway has learned of each: its latency
+// relative to that of the others, its attempts in flight, and its failures in a row. Outliers are ejected for
+// a while, and endpoints that have just started get attempts at a rate that grows with their capacity (slow
+// start). The choice is by least expected latency.
+package balancer
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"lemontack/policy/latency"
+	"lemontack/policy/limiter"
+	"lemontack/policy/model"
+)
+
+// initialAttemptsPerEndpoint is the number of attempts in flight that any endpoint is assumed to serve well,
+// before anything is known of it: two for each of two cores.
+const initialAttemptsPerEndpoint = 4.0
+
+// Config holds the settings of a balancer.
+type Config struct {
+	// Zone is the zone of this gateway.
+	Zone string
+	// GatewayCount is the number of gateways, which share each endpoint unless a Change says otherwise.
+	GatewayCount int
+	// CrossZonePrice is the price of an attempt in another zone; above 0 the own zone is preferred.
+	CrossZonePrice float64
+	// HandshakePrice is the price of a new connection, in requests of mean price.
+	HandshakePrice float64
+	// ConnectionIdleTimeout is the time after which an idle connection closes.
+	ConnectionIdleTimeout time.Duration
+	// SlowStart is how endpoints that have just started take up work.
+	SlowStart SlowStartConfig
+	// MaxLatencyObjective is the longest latency objective of a class: the unit in which relative latencies
+	// are forgotten and ejections last.
+	MaxLatencyObjective time.Duration
+	// CapacityInterval is the time for which the capacity of the endpoints is cached.
+	CapacityInterval time.Duration
+}
+
+// Balancer chooses endpoints for one gateway. It is not safe for concurrent use. Times are on the gateway's
+// clock.
+type Balancer struct {
+	config  Config
+	rng     *rand.Rand
+	latency *latency.Overall
+
+	endpoints           map[model.EndpointID]*Endpoint // all that are listed, or that have attempts in flight
+	serving             []*Endpoint                    // those that take new requests, by id
+	gatewaysPerEndpoint float64
+
+	capacity capacity
+	answers  answerRates
+}
+
+// Endpoint is an endpoint of the list, with what this gateway has learned of it.
+type Endpoint struct {
+	model.Endpoint
+	inFlight []*Attempt // in the order of their start
+
+	relativeLatency   float64 // latency relative to the mean of the request's class: 1 is like the others
+	relativeLatencyAt time.Duration
+
+	lastSuccess         time.Duration // when it last answered well, 0 for never
+	consecutiveFailures int
+	ejectedUntil        time.Duration
+
+	// LimiterSamples belongs to the limiter. It lies here since it ends with the endpoint's incarnation.
+	LimiterSamples limiter.EndpointSamples
+
+	lastSend    time.Duration // start of the last attempt, or when the endpoint became known
+	pacingPhase float64       // share of the slow-start pause to wait before the next attempt
+}
+
+// Attempt is an attempt at an endpoint. The owner of the request embeds it in its own record of the attempt.
+type Attempt struct {
+	Endpoint  *Endpoint
+	StartedAt time.Duration
+}
+
+// Change is a change of the endpoint list.
+type Change struct {
+	// Snapshot tells that Endpoints is the entire list; else it holds only the endpoints that have changed.
+	Snapshot bool
+	// Endpoints are the endpoints of the list, or the changed ones.
+	Endpoints []model.Endpoint
+	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints; 0 stands for all
+	// gateways.
+	GatewaysPerEndpoint float64
+}
+
+// New returns a balancer without endpoints. It draws from rng, and reads the mean latency of all answers from
+// overall.
+func New(config Config, rng *rand.Rand, overall *latency.Overall) *Balancer {
+	return &Balancer{
+		config:              config,
+		rng:                 rng,
+		latency:             overall,
+		endpoints:           map[model.EndpointID]*Endpoint{},
+		gatewaysPerEndpoint: float64(config.GatewayCount),
+	}
+}
+
+// Serving returns the endpoints that take new requests, by id. The caller must not change the slice; it is
+// valid until the next Apply.
+func (b *Balancer) Serving() []*Endpoint { return b.serving }
+
+// GatewaysPerEndpoint returns the mean number of gateways that share one of the endpoints.
+func (b *Balancer) GatewaysPerEndpoint() float64 { return b.gatewaysPerEndpoint }
+
+// InitialAttempts returns this gateway's share of the attempts in flight that the serving endpoints are
+// assumed to serve well before anything is known of them, 1 at least.
+func (b *Balancer) InitialAttempts() float64 {
+	return max(1, initialAttemptsPerEndpoint*float64(len(b.serving))/b.gatewaysPerEndpoint)
+}
+
+// Apply takes in a change of the endpoint list.
+func (b *Balancer) Apply(now time.Duration, change Change) {
+	if change.Snapshot {
+		for _, e := range b.serving {
+			e.State = model.Removed // unless the snapshot has it
+		}
+	}
+	for _, listed := range change.Endpoints {
+		b.update(now, listed)
+	}
+	b.rebuildServing()
+	b.gatewaysPerEndpoint = cmp.Or(change.GatewaysPerEndpoint, float64(b.config.GatewayCount))
+	b.capacity.expire(b.config.CapacityInterval)
+}
+
+// update takes in one endpoint of the list. Of an endpoint that has restarted nothing that was learned holds
+// any longer, but its attempts in flight still end.
+func (b *Balancer) update(now time.Duration, listed model.Endpoint) {
+	e := b.endpoints[listed.ID]
+	if e == nil {
+		e = &Endpoint{}
+		b.endpoints[listed.ID] = e
+	}
+	if e.relativeLatency == 0 || e.StartedAt != listed.StartedAt {
+		*e = Endpoint{
+			inFlight:          e.inFlight,
+			relativeLatency:   b.sampleRelativeLatency(now),
+			relativeLatencyAt: now,
+			lastSend:          now,
+			pacingPhase:       b.rng.Float64(),
+		}
+	}
+	e.Endpoint = listed
+}
+
+// rebuildServing lists the serving endpoints anew. It forgets removed ones without attempts in flight: since
+// endpoints come under ever new ids, the map would grow without bound.
+func (b *Balancer) rebuildServing() {
+	b.serving = b.serving[:0]
+	for id, e := range b.endpoints {
+		switch {
+		case e.State == model.Serving:
+			b.serving = append(b.serving, e)
+		case e.State == model.Removed && len(e.inFlight) == 0:
+			delete(b.endpoints, id)
+		}
+	}
+	slices.SortFunc(b.serving, func(x, y *Endpoint) int { return cmp.Compare(x.ID, y.ID) })
+}
+
+// AttemptStarted counts an attempt as in flight at its endpoint.
+func (b *Balancer) AttemptStarted(now time.Duration, attempt *Attempt) {
+	e := attempt.Endpoint
+	attempt.StartedAt = now
+	e.inFlight = append(e.inFlight, attempt)
+	e.lastSend = now
+	e.pacingPhase = 1
+}
+
+// AttemptEnded no longer counts an attempt as in flight.
+func (b *Balancer) AttemptEnded(attempt *Attempt) {
+	e := attempt.Endpoint
+	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *Attempt) bool { return other == attempt })
+}
+
+// InFlight returns the number of this gateway's attempts in flight at the endpoint.
+func (e *Endpoint) InFlight() int { return len(e.inFlight) }
--- /dev/null
+++ b/policy/balancer/slowstart.go
@@ -0,0 +1,120 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+// SlowStartConfig tells how endpoints that have just started take up work.
+type SlowStartConfig struct {
+	// MinWeight is the share of its capacity that an endpoint has at its start.
+	MinWeight float64
+	// Window is the time in which the capacity grows evenly to the whole; 0 turns slow start off.
+	Window time.Duration
+	// BudgetMultiple is the multiple of an endpoint's capacity that all gateways together may send within
+	// BudgetSpan; 0 sets no limit.
+	BudgetMultiple float64
+	// BudgetSpan is the time over which BudgetMultiple is counted.
+	BudgetSpan time.Duration
+}
+
+const (
+	// minSlowStartWeight bounds the weight of an endpoint, so that it gets some work whatever the settings
+	// say.
+	minSlowStartWeight = 0.01
+	// slowStartPacing limits attempts at an endpoint in slow start, in what a warm endpoint of that weight
+	// answers: with some more than it answers it is kept busy.
+	slowStartPacing = 1.5
+	// slowStartBudgetShare limits them also to this share of BudgetMultiple: the rest is a margin for random
+	// variation and for what the gateways do not know of each other.
+	slowStartBudgetShare = 0.6
+	// minBudgetSpan bounds BudgetSpan, in seconds: over a shorter span the rate of answers is too uncertain.
+	minBudgetSpan = 1
+)
+
+// capacity is a cached sum over the serving endpoints.
+type capacity struct {
+	at                  time.Duration
+	warmEndpoints       float64 // sum of the slow-start weights
+	warmConnectionShare float64 // share of the warm endpoints that likely have a warm connection
+}
+
+// expire lets the next use compute the capacity anew.
+func (c *capacity) expire(interval time.Duration) { c.at = -interval }
+
+// answerRates are running rates of the good answers at this gateway.
+type answerRates struct {
+	at        time.Duration
+	perSecond float64 // answers in a second
+
+	spanRate        float64 // answers a second, over the budget span
+	spanCapacity    float64 // capacity in warm endpoints that they came from, over the budget span
+	perWarmEndpoint float64 // answers a second of one warm endpoint, as of the last answer
+}
+
+// slowStartWeight is the share of its capacity that an endpoint has at its age: it grows evenly from the
+// minimum to 1.
+func (b *Balancer) slowStartWeight(now time.Duration, e *Endpoint) float64 {
+	age := now - e.StartedAt
+	if e.StartedAt == 0 || age >= b.config.SlowStart.Window || b.config.SlowStart.Window <= 0 {
+		return 1
+	}
+	minWeight := max(b.config.SlowStart.MinWeight, minSlowStartWeight)
+	return minWeight + (1-minWeight)*max(0, age.Seconds())/b.config.SlowStart.Window.Seconds()
+}
+
+// servingCapacity is the capacity of the serving endpoints, in warm endpoints.
+func (b *Balancer) servingCapacity(now time.Duration) float64 {
+	if now >= b.capacity.at+b.config.CapacityInterval {
+		b.computeCapacity(now)
+	}
+	return max(b.capacity.warmEndpoints, b.config.SlowStart.MinWeight, minSlowStartWeight)
+}
+
+func (b *Balancer) computeCapacity(now time.Duration) {
+	sum, warm, connected := 0.0, 0.0, 0.0
+	for _, e := range b.serving {
+		weight := b.slowStartWeight(now, e)
+		sum += weight
+		if weight < 1 {
+			continue
+		}
+		warm++
+		if b.hasWarmConnection(now, e) {
+			connected++
+		}
+	}
+	b.capacity = capacity{at: now, warmEndpoints: sum, warmConnectionShare: 1}
+	if warm > 0 {
+		b.capacity.warmConnectionShare = connected / warm
+	}
+}
+
+// recordAnswer counts an answer in the rates. The budget span is the one over which the settings count what
+// an endpoint in slow start gets: over a shorter one the rate of a gateway with few requests, computed as an
+// answer comes, would seem larger than it is. The rate is put in relation to the capacity of that time: where
+// all endpoints restart at once, what they answered when they were warm is no measure of what they can now.
+func (b *Balancer) recordAnswer(now time.Duration) {
+	elapsed := (now - b.answers.at).Seconds()
+	span := max(b.config.SlowStart.BudgetSpan.Seconds(), minBudgetSpan)
+	current := b.servingCapacity(now)
+	remembered := math.Exp(-elapsed / span)
+	rates := &b.answers
+	rates.spanCapacity = current + (rates.spanCapacity-current)*remembered
+	rates.spanRate = 1/span + rates.spanRate*remembered
+	rates.perWarmEndpoint = rates.spanRate / rates.spanCapacity
+	rates.perSecond = 1 + rates.perSecond*math.Exp(-elapsed)
+	rates.at = now
+}
+
+// pacingAllows reports whether an endpoint in slow start may get an attempt now. Attempts are spaced by what
+// one warm endpoint answers to this gateway, scaled to the weight, so that the sum over all gateways stays
+// within the endpoint's capacity. The first comes after a random part of the pause, from when the endpoint is
+// known: the gateways do not all start at once.
+func (b *Balancer) pacingAllows(now time.Duration, e *Endpoint, weight float64) bool {
+	multiple := cmp.Or(b.config.SlowStart.BudgetMultiple, math.Inf(1))
+	pacing := min(slowStartPacing, slowStartBudgetShare*multiple)
+	rate := pacing * weight * max(b.answers.perWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
+	return (now - e.lastSend).Seconds() >= e.pacingPhase/rate
+}
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -71,22 +71,3 @@
 		t.Errorf("%d servers used with dear handshakes, %d with free ones: want half as many at most", dear, free)
 	}
 }
-
-// A late answer is a sign of a full back end only where the server says that requests wait, or says nothing.
-func TestLateAnswersCountWhereRequestsWait(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		load LoadReport
-		bad  int
-	}{
-		{"nothing told", nil, 1},
-		{"one waits", LoadReport{"queue": 1}, 1},
-		{"none waits", LoadReport{"queue": 0, "util": 0.9}, 0},
-	} {
-		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-		r.g.recordSample(&attempt{endpoint: r.g.endpoints["s"]}, r.g.classes["read"], Succeeded, 400*ms, c.load)
-		if r.g.lateSamples != c.bad {
-			t.Errorf("%s: %d counted as late, want %d", c.name, r.g.lateSamples, c.bad)
-		}
-	}
-}
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -1,15 +1,11 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-// This file estimates: how long answers of a class take, and, from the counter's answers, how often requests of a
-// plan are inside their quotas. What follows from an estimate is decided elsewhere.
+// This file estimates, from the counter's answers, how often requests of a plan are inside their quotas. What follows from
+// an estimate is decided elsewhere.
 
 const (
-	latencyGain        = 0.02 // of one answer of a server
 	grantGain          = 0.05 // of one answer of the counter
 	priorGrantedFirst  = 0.8  // share of first tries inside quotas, before the counter has told
 	priorGrantedRetry  = 0.5  // the same of repeats
@@ -17,24 +13,6 @@
 	minCustomerSamples = 4    // from so many on a customer is judged by its own
 )
 
-// classState is a class, with how long its answers take.
-type classState struct {
-	Class
-	meanLatency, latencyDeviation float64 // latency of answers, seconds
-	timelySamples, lateSamples    int     // timely and untimely ends in this round
-}
-
-// expectedLatency is the latency to reckon with: the mean, and so many mean deviations more.
-func (c *classState) expectedLatency(devs float64) time.Duration {
-	return time.Duration((c.meanLatency + devs*c.latencyDeviation) * float64(time.Second))
-}
-
-// recordLatency takes one latency in, in seconds.
-func (c *classState) recordLatency(latency float64) {
-	c.latencyDeviation += latencyGain * (math.Abs(latency-c.meanLatency) - c.latencyDeviation)
-	c.meanLatency += latencyGain * (latency - c.meanLatency)
-}
-
 // planState is a plan, with what the counter's answers have shown of it.
 type planState struct {
 	Plan
@@ -98,5 +76,5 @@
 
 // meanAnswerTime is the mean latency of answers.
 func (g *Gateway) meanAnswerTime() time.Duration {
-	return max(time.Duration(g.meanLatency*float64(time.Second)), g.tickInterval)
+	return max(g.latency.Duration(), g.tickInterval)
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -4,128 +4,208 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"lemontack/policy/balancer"
+	"lemontack/policy/latency"
+	"lemontack/policy/limiter"
+	"lemontack/policy/queue"
 )
 
-const ticksPerObjective = 50 // sweeps in the shortest aim: held requests overstay by 2% of it
+const (
+	// ticksPerObjective is the number of ticks in the shortest latency objective: requests that wait are late
+	// by 2% of it at most when they are looked at.
+	ticksPerObjective = 50
+	// minTickInterval bounds the ticks' cost.
+	minTickInterval = time.Millisecond
+	// maxTickInterval lets every gateway look at its requests and customers once a second.
+	maxTickInterval = time.Second
+	// minCounterTimeout is the least time that a call of the shared counter may take; backoff is counted in
+	// it.
+	minCounterTimeout = time.Millisecond
+
+	// seedMix makes a second word of the seed, which differs in many bits: the golden ratio in 64 bits.
+	seedMix = 0x9e3779b97f4a7c15
+)
 
-// Gateway decides for one gateway; see the package comment.
+// Gateway decides for one gateway process: it is told of events, and returns the actions to be taken. It owns
+// the parts that decide, dispatches the events to them, and has the clock and the random source that they
+// share. It is single-threaded and starts no goroutine: the clock comes with the events.
 type Gateway struct {
-	settings                          Settings
-	rng                               *rand.Rand
-	now                               time.Duration
-	actions                           []Action
-	tickInterval, maxLatencyObjective time.Duration // time between sweeps; longest aim of a class
-	maxDeadline                       time.Duration // longest of a class
-	tickerStarted, watchingEndpoints  bool          // the sweep runs; changes of the fleet list come
-
-	classes       map[string]*classState
-	plans         map[string]*planState
-	customers     map[string]*customer
-	customerOrder []*customer // in order of first sight
-	nextIdleCheck int         // next of the customerList to look at
-
-	requests       map[RequestID]*request
-	activeRequests []*request // in order of arrival
-	queue          []*request // the priority queues end to end: highest worth first, in order of arrival within one
-
-	window, meanLatency                       float64       // attempts that may be out; mean latency of answers, seconds
-	inFlight, roundNumber                     int           // attempts that fill the window
-	timelySamples, lateSamples, lateEndpoints int           // in this round: timely and untimely ends, servers with untimely ones
-	roundEnd, lastSend                        time.Duration // when the window's round ends; last attempt out
-	retryBudget                               float64       // budget of further attempts
-
-	endpoints           map[EndpointID]*endpoint
-	serving             []*endpoint
-	gatewaysPerEndpoint float64 // gateways that share each of these, about
-	answerRate          float64 // answers a second to this gateway
-	answerRateAt        time.Duration
-
-	budgetSpanRate, budgetSpanCapacity float64 // the same, and the capacity that they came from, over the span of a fall
-	ratePerWarmEndpoint                float64 // answers a second for each warm server, as of the last
-
-	warmCapacity, warmConnectionShare float64 // the fleet, in warm servers; part of the warm that are linked
-	capacityAt                        time.Duration
-
-	counterCallShare float64 // share of requests with central buckets or permits that asks
-	counterFailures  int
-	meanPermitStake  float64 // of the requests that a permit may be asked for
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	actions  []Action // of the event that is being handled
+
+	tickInterval        time.Duration // time between two ticks
+	tickerStarted       bool
+	watchingEndpoints   bool          // changes of the endpoint list come
+	maxLatencyObjective time.Duration // longest of a class
+	maxDeadline         time.Duration // longest of a class
+
+	classes map[string]*classState
+	plans   map[string]*planState
+
+	requests       map[RequestID]*request // all that have no final answer, or have attempts in flight
+	activeRequests []*request             // the same, in the order of arrival
+	queue          queue.Queue[*request]
+	limiter        *limiter.Limiter
+	balancer       *balancer.Balancer
+	latency        *latency.Overall
+	retryBudget    float64 // retries and hedges that may start
+
+	customers        map[string]*customer
+	customerOrder    []*customer // in the order of their first requests
+	nextIdleCheck    int         // index in customerOrder of the next one to check for idleness
+	counterCallShare float64     // share, of the requests that may call the counter, that do
+	counterFailures  int         // consecutive failures of calls
+	meanPermitStake  float64     // of the requests that a permit may be asked for
 }
 
-// New returns a gateway, or an error where the settings cannot be decided with.
-func New(set Settings, seed uint64) (*Gateway, error) {
-	if err := set.validate(); err != nil {
+// New returns a gateway. Equal settings, seeds and events lead to equal actions. The error says which setting
+// the gateway cannot decide with.
+func New(settings Settings, seed uint64) (*Gateway, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{settings: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), tickInterval: time.Second,
-		classes: map[string]*classState{}, plans: map[string]*planState{}, customers: map[string]*customer{},
-		requests: map[RequestID]*request{}, endpoints: map[EndpointID]*endpoint{}, counterCallShare: 1,
-		gatewaysPerEndpoint: float64(set.GatewayCount)}
-	for _, c := range set.Classes {
-		g.classes[c.Name] = &classState{Class: c}
-		g.tickInterval = min(g.tickInterval, max(c.LatencyObjective/ticksPerObjective, time.Millisecond))
-		g.maxLatencyObjective = max(g.maxLatencyObjective, c.LatencyObjective)
-		g.maxDeadline = max(g.maxDeadline, c.Deadline)
+	settings.setMinimums()
+	overall := &latency.Overall{}
+	g := &Gateway{
+		settings:         settings,
+		rng:              rand.New(rand.NewPCG(seed, seed^seedMix)),
+		tickInterval:     settings.tickInterval(),
+		classes:          map[string]*classState{},
+		plans:            map[string]*planState{},
+		requests:         map[RequestID]*request{},
+		latency:          overall,
+		customers:        map[string]*customer{},
+		counterCallShare: 1,
+	}
+	g.limiter = limiter.New(overall, g.tickInterval)
+	for _, class := range settings.Classes {
+		state := g.newClassState(class)
+		g.limiter.AddClass(&state.samples)
+		g.classes[class.Name] = state
+		g.maxLatencyObjective = max(g.maxLatencyObjective, class.LatencyObjective)
+		g.maxDeadline = max(g.maxDeadline, class.Deadline)
 	}
-	for _, p := range set.Plans {
-		p.Burst = max(p.Burst, set.MaxUnits, 1) // a store that can never hold a request would shut all out
-		g.plans[p.Name] = newPlanState(p)
+	for _, plan := range settings.Plans {
+		plan.Burst = max(plan.Burst, settings.MaxUnits, 1) // a smaller bucket would never admit a request
+		g.plans[plan.Name] = newPlanState(plan)
 	}
-	g.settings.MaxAttempts = max(set.MaxAttempts, 1)
-	g.settings.CounterTimeout = max(set.CounterTimeout, time.Millisecond)
+	g.balancer = balancer.New(g.balancerConfig(), g.rng, overall)
 	return g, nil
 }
 
-// Handle tells the gateway one event at a time on its clock; it appends what is to be done to out.
-func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
-	g.now, g.actions = max(now, g.now), out
+func (g *Gateway) newClassState(class Class) *classState {
+	return &classState{Class: class, latency: latency.NewEstimate(g.latency)}
+}
+
+func (g *Gateway) balancerConfig() balancer.Config {
+	return balancer.Config{
+		Zone:                  g.settings.Zone,
+		GatewayCount:          g.settings.GatewayCount,
+		CrossZonePrice:        g.settings.CrossZonePrice,
+		HandshakePrice:        g.settings.HandshakePrice,
+		ConnectionIdleTimeout: g.settings.ConnectionIdleTimeout,
+		SlowStart: balancer.SlowStartConfig{
+			MinWeight:      g.settings.SlowStartMinWeight,
+			Window:         g.settings.SlowStartWindow,
+			BudgetMultiple: g.settings.SlowStartBudgetMultiple,
+			BudgetSpan:     g.settings.SlowStartBudgetSpan,
+		},
+		MaxLatencyObjective: g.maxLatencyObjective,
+		CapacityInterval:    g.tickInterval,
+	}
+}
+
+// Handle tells the gateway of one event, at a time on its clock. It appends the actions to be taken, in their
+// order, to out.
+func (g *Gateway) Handle(now time.Duration, event Event, out []Action) []Action {
+	g.now = max(now, g.now)
+	g.actions = out
 	if !g.tickerStarted {
 		g.tickerStarted = true
 		g.emit(SetTimer{After: g.tickInterval})
 	}
-	switch ev := ev.(type) {
+	switch event := event.(type) {
 	case Arrival:
-		g.handleArrival(ev.Request)
+		g.handleArrival(event.Request)
 	case AttemptEnded:
-		g.handleAttemptEnded(ev)
+		g.handleAttemptEnded(event)
 	case StreamStarted:
-		if r := g.requests[ev.ID]; r != nil {
-			r.streaming = true
-		}
+		g.handleStreamStarted(event)
 	case ClientDisconnected:
-		if r := g.requests[ev.ID]; r != nil && !r.finished {
-			g.finish(r)
-		}
+		g.handleClientDisconnected(event)
 	case EndpointsChanged:
-		g.handleEndpointsChanged(ev)
+		g.handleEndpointsChanged(event)
 	case TimerFired:
 		g.tick()
 	case CounterReply:
-		g.handleCounterReply(ev)
+		g.handleCounterReply(event)
 	}
 	g.dispatch()
 	return g.actions
 }
 
-func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
+func (g *Gateway) emit(action Action) { g.actions = append(g.actions, action) }
 
-// tick is the sweep: expired and overdue requests first, so that no freed slot goes to a dead one.
+func (g *Gateway) handleStreamStarted(ev StreamStarted) {
+	if r := g.requests[ev.ID]; r != nil {
+		r.streaming = true
+	}
+}
+
+func (g *Gateway) handleClientDisconnected(ev ClientDisconnected) {
+	if r := g.requests[ev.ID]; r != nil && !r.finished {
+		g.finish(r)
+	}
+}
+
+// handleEndpointsChanged takes in a change of the endpoint list. With the first endpoints the gateway starts
+// with its share of the attempts that they are assumed to serve.
+func (g *Gateway) handleEndpointsChanged(ev EndpointsChanged) {
+	if ev.Failed {
+		g.watchingEndpoints = false
+		return
+	}
+	first := len(g.balancer.Serving()) == 0
+	g.balancer.Apply(g.now, balancer.Change{
+		Snapshot:            ev.Snapshot,
+		Endpoints:           ev.Endpoints,
+		GatewaysPerEndpoint: ev.GatewaysPerEndpoint,
+	})
+	if first {
+		g.limiter.SetWindow(g.balancer.InitialAttempts())
+		g.retryBudget = g.balancer.InitialAttempts()
+	}
+}
+
+// tick does what is due by the clock. Requests that are too late end before dispatch, so that none of them
+// gets capacity that has become free.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{After: g.tickInterval})
 	if g.settings.PollEndpoints && !g.watchingEndpoints {
 		g.watchingEndpoints = true
 		g.emit(WatchEndpoints{})
 	}
-	g.closeRound()
-	g.activeRequests = slices.DeleteFunc(g.activeRequests, func(r *request) bool {
-		if g.hedgeIfOverdue(r); r.queued || !r.dispatched && !r.finished {
-			g.expire(r)
-		}
-		if r.finished && r.attemptsInFlight == 0 {
-			delete(g.requests, r.ID)
-		}
-		return r.finished && r.attemptsInFlight == 0
-	})
+	g.limiter.EndRoundIfDue(g.now, len(g.balancer.Serving()), g.balancer.GatewaysPerEndpoint())
+	g.activeRequests = slices.DeleteFunc(g.activeRequests, g.tickRequest)
 	for range (len(g.customerOrder) + ticksPerObjective - 1) / ticksPerObjective {
 		g.reclaimIdle()
 	}
 }
+
+// tickRequest does what is due for one request, and reports whether the request is over and has been
+// forgotten.
+func (g *Gateway) tickRequest(r *request) (over bool) {
+	g.markOverdue(r)
+	g.hedgeIfOverdue(r)
+	if r.queued || !r.dispatched && !r.finished {
+		g.expireIfLate(r)
+	}
+	if !r.finished || r.attemptsInFlight > 0 {
+		return false
+	}
+	delete(g.requests, r.ID)
+	return true
+}
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"lemontack/policy/balancer"
 )
 
 const ms = time.Millisecond
@@ -56,6 +58,36 @@
 	return out
 }
 
+// endpoint returns a serving endpoint.
+func (r *rig) endpoint(id EndpointID) *balancer.Endpoint {
+	r.Helper()
+	for _, e := range r.g.balancer.Serving() {
+		if e.ID == id {
+			return e
+		}
+	}
+	r.Fatalf("no serving endpoint %s", id)
+	return nil
+}
+
+// inFlight is an attempt that has not ended.
+type inFlight struct {
+	*attempt
+	id RequestID
+}
+
+// attemptsInFlight returns all attempts that have not ended, in the order of their requests' arrival.
+func (r *rig) attemptsInFlight() (all []inFlight) {
+	for _, q := range r.g.activeRequests {
+		for _, a := range q.attempts {
+			if !a.ended {
+				all = append(all, inFlight{a, q.ID})
+			}
+		}
+	}
+	return all
+}
+
 func only[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -109,18 +141,16 @@
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
-	before := len(r.g.endpoints["s"].inFlight)
+	before := r.endpoint("s").InFlight()
 	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
-	if now := len(r.g.endpoints["s"].inFlight); now != before || before == 0 {
+	if now := r.endpoint("s").InFlight(); now != before || before == 0 {
 		t.Fatalf("%d attempts out before the restart, %d after", before, now)
 	}
 	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
 	r.tell(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
 	r.pass(time.Second)
-	for _, a := range r.g.endpoints["s"].inFlight {
-		if a == nil || a.ended {
-			t.Fatalf("out to the server: %v", a)
-		}
+	if got, want := r.endpoint("s").InFlight(), len(r.attemptsInFlight()); got != want {
+		t.Fatalf("%d attempts in flight at the endpoint, %d have not ended", got, want)
 	}
 }
 
@@ -223,18 +253,3 @@
 		}
 	}
 }
-
-// Servers come under ever new ids: one that is gone is forgotten once nothing is out there.
-func TestGoneServerIsForgotten(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	r.arrive(1, "read", "free")
-	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Removed}, {ID: "u", State: Serving}}})
-	if len(r.g.endpoints) != 2 {
-		t.Fatal("forgotten while an attempt is out")
-	}
-	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: ms, RequestFinished: true})
-	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "v", State: Serving}}})
-	if r.g.endpoints["s"] != nil || len(r.g.serving) != 2 {
-		t.Fatalf("servers %v, fleet %v", r.g.endpoints, r.g.serving)
-	}
-}
--- /dev/null
+++ b/policy/latency/latency.go
@@ -0,0 +1,70 @@
+// Package latency estimates how long answers take: a running mean and mean deviation for each class of
+// requests, and one mean over all classes.
+package latency
+
+import (
+	"math"
+	"time"
+)
+
+// MaxRelative limits what one answer counts for, in multiples of the mean latency of its class: a single
+// answer that took very long must not outweigh many.
+const MaxRelative = 8.0
+
+const (
+	overallGain = 0.05 // weight of one answer in the mean over all classes
+	classGain   = 0.02 // weight of one answer in the estimate of its class: classes are seen less often
+
+	initialDeviation = 0.5 // mean deviation after the first answer, as a share of its latency
+)
+
+// Overall is the mean latency of the answers of all classes. The zero value has seen no answer. Its estimates
+// and those who read it share one by pointer.
+type Overall struct {
+	mean float64 // seconds
+}
+
+// Seconds returns the mean latency in seconds, 0 before the first answer.
+func (o *Overall) Seconds() float64 { return o.mean }
+
+// Duration returns the mean latency, 0 before the first answer.
+func (o *Overall) Duration() time.Duration { return time.Duration(o.mean * float64(time.Second)) }
+
+func (o *Overall) record(seconds float64) {
+	o.mean += overallGain * (seconds - o.mean)
+}
+
+// Estimate is the running estimate of the latency of one class.
+type Estimate struct {
+	overall   *Overall
+	mean      float64 // seconds; 0 before the first answer
+	deviation float64 // mean absolute deviation, seconds
+}
+
+// NewEstimate returns an estimate that has seen no answer. What it records counts in overall as well.
+func NewEstimate(overall *Overall) Estimate { return Estimate{overall: overall} }
+
+// Known reports whether there has been an answer to estimate from.
+func (e *Estimate) Known() bool { return e.mean > 0 }
+
+// Expected returns the mean latency plus a number of mean deviations, 0 before the first answer.
+func (e *Estimate) Expected(deviations float64) time.Duration {
+	return time.Duration((e.mean + deviations*e.deviation) * float64(time.Second))
+}
+
+// Record takes in the latency of one successful answer. It returns that latency in multiples of the mean
+// before it, at most MaxRelative.
+func (e *Estimate) Record(latency time.Duration) (relative float64) {
+	seconds := latency.Seconds()
+	if e.mean == 0 {
+		e.mean = seconds
+		e.deviation = seconds * initialDeviation
+		e.overall.mean = max(e.overall.mean, seconds)
+	}
+	relative = min(seconds/e.mean, MaxRelative)
+	clipped := min(seconds, e.mean*MaxRelative)
+	e.deviation += classGain * (math.Abs(clipped-e.mean) - e.deviation)
+	e.mean += classGain * (clipped - e.mean)
+	e.overall.record(clipped)
+	return relative
+}
--- /dev/null
+++ b/policy/latency/latency_test.go
@@ -0,0 +1,48 @@
+package latency
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+func TestFirstAnswerSetsTheEstimate(t *testing.T) {
+	var overall Overall
+	e := NewEstimate(&overall)
+	if e.Known() || e.Expected(3) != 0 || overall.Duration() != 0 {
+		t.Fatalf("before the first answer: known %v, expected %v, overall %v", e.Known(), e.Expected(3), overall.Duration())
+	}
+	if relative := e.Record(100 * ms); relative != 1 {
+		t.Errorf("relative latency of the first answer %v, want 1", relative)
+	}
+	if !e.Known() || e.Expected(0) != 100*ms || overall.Duration() != 100*ms {
+		t.Errorf("known %v, expected %v, overall %v; want 100ms", e.Known(), e.Expected(0), overall.Duration())
+	}
+	if got := e.Expected(1); got < 148*ms || got > 150*ms {
+		t.Errorf("expected with one deviation %v, want nearly 150ms", got)
+	}
+}
+
+func TestVeryLateAnswerCountsAsMaxRelative(t *testing.T) {
+	var overall Overall
+	e := NewEstimate(&overall)
+	e.Record(100 * ms)
+	if relative := e.Record(time.Hour); relative != MaxRelative {
+		t.Errorf("relative latency %v, want %v", relative, MaxRelative)
+	}
+	if got, want := e.Expected(0).Seconds(), 0.1+classGain*(0.8-0.1); math.Abs(got-want) > 1e-6 {
+		t.Errorf("mean %v, want %v", got, want)
+	}
+}
+
+func TestOverallMeanStartsWithTheSlowestClass(t *testing.T) {
+	var overall Overall
+	slow, fast := NewEstimate(&overall), NewEstimate(&overall)
+	slow.Record(400 * ms)
+	fast.Record(10 * ms)
+	if got := overall.Duration(); got < 350*ms || got > 400*ms {
+		t.Errorf("overall mean %v after a first answer of a second class, want little below 400ms", got)
+	}
+}
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -40,7 +40,7 @@
 			counted(Succeeded, 1)},
 		"for the counter, beyond": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
 		"for a ceiling's window":  {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
-		"in the queue":            {"free", false, 2, func(r *rig) { r.g.window = 0 }, nil, nil},
+		"in the queue":            {"free", false, 2, func(r *rig) { r.g.limiter.SetWindow(0) }, nil, nil},
 		"for a server": {"free", false, 2, func(r *rig) { r.tell(EndpointsChanged{Snapshot: true}) }, nil,
 			func(r *rig, _ []IncrementCounter) []Action {
 				return r.tell(EndpointsChanged{Snapshot: true, Endpoints: fleet})
@@ -50,13 +50,13 @@
 				return r.tell(AttemptEnded{ID: 9, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 			}},
 		"for an answer, before a copy": {"free", false, 2,
-			func(r *rig) { r.g.classes["read"].meanLatency = 0.02 }, nil, nil},
+			func(r *rig) { r.g.classes["read"].latency.Record(20 * ms) }, nil, nil},
 		"for an answer that is a refusal": {"free", false, 2, nil, nil,
 			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(Rejected)) }},
 		"for a connection that never comes": {"free", false, 2, nil, nil,
 			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(ConnectFailed)) }},
 		"for a further attempt": {"free", false, 2, nil, func(r *rig) {
-			r.g.window = 0 // it shrinks meanwhile
+			r.g.limiter.SetWindow(0) // it shrinks meanwhile
 			r.tell(ended(Rejected))
 		}, nil},
 	} {
@@ -68,7 +68,8 @@
 					Plan{Name: "excess", Price: 1, Rate: 0.8, Burst: 8, OverQuotaWeight: 1, OverQuotaCost: 0.1},
 					Plan{Name: "lid", Price: 1, Rate: 0.8, Burst: 8, CeilingRate: 2, CeilingBurst: 16})
 				r := newRig(t, set, fleet...)
-				r.g.window, r.g.retryBudget = 10, 10
+				r.g.limiter.SetWindow(10)
+				r.g.retryBudget = 10
 				if c.ready != nil {
 					c.ready(r)
 				}
@@ -80,7 +81,7 @@
 				if leaves {
 					acts = r.tell(ClientDisconnected{ID: 1})
 				}
-				r.g.window = max(r.g.window, 10)
+				r.g.limiter.SetWindow(max(r.g.limiter.Window(), 10))
 				r.now += ms
 				if c.later != nil {
 					acts = append(acts, c.later(r, calls)...)
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"lemontack/policy/limiter"
 )
 
 // crowd is many gateways over one fleet and one counter, driven by one table of events.
@@ -94,7 +96,7 @@
 				}
 				for i := range max(1, 20/n) * n {
 					r := c.rigs[i%n]
-					r.g.window = 1000
+					r.g.limiter.SetWindow(1000)
 					id++
 					for _, s := range c.arrive(r, id, "read", "capped") {
 						sent++
@@ -154,7 +156,7 @@
 			out := 0
 			for _, r := range c.rigs {
 				r.now = time.Minute + time.Duration(moment)*37*ms
-				r.g.window = 100
+				r.g.limiter.SetWindow(100)
 				out += max(0, r.g.concurrencyShare(&customer{plan: r.g.plans["open"], gatewaySpan: n, gatewayIndex: r.g.settings.Index}))
 			}
 			if out != 3 {
@@ -206,13 +208,14 @@
 	}
 	r := newRig(t, set, fleet...)
 	for i := range 12 {
-		r.g.recordSample(&attempt{endpoint: r.g.serving[i]}, r.g.classes["read"], TimedOut, 0, nil)
+		r.g.recordSample(r.g.classes["read"], r.g.balancer.Serving()[i], limiter.Sample{Outcome: TimedOut})
 		r.pass(time.Second)
 	}
-	if r.g.window >= 1 {
-		t.Fatalf("window %v after untimely answers only", r.g.window)
+	if r.g.limiter.Window() >= 1 {
+		t.Fatalf("window %v after untimely answers only", r.g.limiter.Window())
 	}
-	r.g.meanLatency, r.g.window = 0.1, 0.5
+	r.g.classes["read"].latency.Record(100 * ms)
+	r.g.limiter.SetWindow(0.5)
 	first := only[Send](r.arrive(1, "read", "free"))
 	r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 100 * ms, RequestFinished: true})
 	second := only[Send](r.arrive(2, "read", "free"))
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -14,7 +14,7 @@
 func TestUnitsOfWhoLeavesComeBack(t *testing.T) {
 	for name, wait := range map[string]func(r *rig){
 		"in the queue": func(r *rig) {
-			r.g.window = 0
+			r.g.limiter.SetWindow(0)
 			r.arrive(1, "read", "small")
 			r.tell(ClientDisconnected{ID: 1})
 		},
@@ -40,10 +40,10 @@
 				want = 1 // the unit that was granted; the share of the store is less than one
 			}
 			wait(r)
-			if c := r.g.customers["c"]; c.lease+c.bucket.reserved != want || c.attemptsInFlight != 0 || r.g.inFlight != 0 {
-				t.Fatalf("block and reservation %v of %v, %d attempts and %d places taken", c.lease+c.bucket.reserved, want, c.attemptsInFlight, r.g.inFlight)
+			if c := r.g.customers["c"]; c.lease+c.bucket.reserved != want || c.attemptsInFlight != 0 || r.g.limiter.InFlight() != 0 {
+				t.Fatalf("block and reservation %v of %v, %d attempts and %d places taken", c.lease+c.bucket.reserved, want, c.attemptsInFlight, r.g.limiter.InFlight())
 			}
-			r.g.window = 10
+			r.g.limiter.SetWindow(10)
 			if got := only[Send](r.pass(time.Second)); len(got) > 0 {
 				t.Fatalf("sent %v", got)
 			}
@@ -58,7 +58,7 @@
 		set := settings()
 		set.GatewayCount = 100
 		r := newRig(t, set, Endpoint{ID: "s", State: Serving})
-		r.g.window = 0 // nothing leaves
+		r.g.limiter.SetWindow(0) // nothing leaves
 		arrive := func(id RequestID) {
 			for _, call := range only[IncrementCounter](r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c",
 				Units: 1, Deadline: r.now + 2*time.Second, GatewaySpan: spread}})) {
@@ -83,7 +83,7 @@
 // Units that a request has taken before the block was filled again go back to the store, which the counter is told.
 func TestUnitsBeyondTheBlockGoBackToTheStore(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	r.g.window = 0
+	r.g.limiter.SetWindow(0)
 	r.arrive(1, "read", "small")
 	c := r.g.customers["c"]
 	c.lease = 4 // filled meanwhile
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,65 +2,97 @@
 
 import (
 	"time"
+
+	"lemontack/policy/balancer"
+	"lemontack/policy/latency"
+	"lemontack/policy/limiter"
 )
 
+// classState is a class, with what this gateway has learned of it.
+type classState struct {
+	Class
+	latency latency.Estimate
+	samples limiter.ClassSamples
+}
+
+// request is a request from its arrival to its last attempt's end, which may come after its final answer.
 type request struct {
 	Request
-	class                        *classState
-	plan                         *planState
-	customer                     *customer
-	arrived                      time.Duration
-	priority                     float64 // worth, as queued
-	overQuota                    bool    // sent on beyond the quota
-	leaseCharged, ceilingGranted bool    // its units came from the block; from the counter, within the ceiling
-	claimCharged, attempted      bool    // from the counter, for the block if it is not sent; an attempt has left
-	queued, dispatched, finished bool    // in the queue; first attempt has gone; answered for good
-	objectiveMissed, streaming   bool    // the aim can no longer be met; the answer has begun
-	attempts                     []*attempt
-	attemptsInFlight             int
-	permits                      int // that it holds
-	permitName                   string
+	class           *classState
+	plan            *planState
+	customer        *customer
+	arrived         time.Duration
+	overQuota       bool // admitted beyond the quota
+	leaseCharged    bool // its units were taken from the lease
+	ceilingGranted  bool // the counter granted its units within the ceiling
+	claimCharged    bool // its units were claimed at the counter; they go to the lease if it is not sent
+	attempted       bool // at least one attempt has ended otherwise than NotSent
+	queued          bool // in the queue
+	dispatched      bool // its first attempt has started
+	finished        bool // it has its final answer, or its client has disconnected
+	objectiveMissed bool // it can no longer be answered within the latency objective
+	streaming       bool // its answer has begun to reach the client
+	attempts        []*attempt
+	// attemptsInFlight counts the attempts that have not ended, overdue ones too.
+	attemptsInFlight int
+	permits          int // permits that it holds
+	permitName       string
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
-	number                          int
-	endpoint                        *endpoint
-	sentAt                          time.Duration
-	ended, overdue, mayHaveExecuted bool // lost: out for so long that it no longer fills the window
+	balancer.Attempt
+	number          int
+	ended           bool
+	overdue         bool // in flight for so long that it no longer counts in the limiter's window
+	mayHaveExecuted bool // in flight, or ended without proof that it was not executed
 }
 
-func (g *Gateway) handleArrival(q Request) {
-	r := &request{Request: q, class: g.classes[q.Class], plan: g.plans[q.Plan], arrived: g.now}
-	if r.class == nil { // unknown: unsafe to repeat
-		r.class = &classState{Class: Class{Name: q.Class, LatencyObjective: max(q.Deadline-g.now, time.Millisecond)}}
-	}
-	if r.plan == nil {
-		r.plan = newPlanState(Plan{Name: q.Plan, Price: 1})
+// handleArrival starts the life of a request: it is rejected, waits for the counter, or is queued.
+func (g *Gateway) handleArrival(arrival Request) {
+	r := &request{
+		Request: arrival,
+		class:   g.classes[arrival.Class],
+		plan:    g.plans[arrival.Plan],
+		arrived: g.now,
 	}
-	if r.Units <= 0 {
-		r.Units = 1
-	}
-	if r.Deadline <= g.now { // its time was over as it came: no quota is asked for it
+	g.setDefaults(r)
+	if r.Deadline <= g.now { // before any quota is charged
 		g.emit(Reject{ID: r.ID, RetryAfter: min(r.class.LatencyObjective, g.settings.MaxRetryAfter)})
 		return
 	}
 	r.customer = g.customerFor(r)
-	g.requests[q.ID] = r
+	g.requests[r.ID] = r
 	g.activeRequests = append(g.activeRequests, r)
 	g.checkQuota(r)
 	if !r.dispatched && !r.finished {
-		g.expire(r) // it may come with less time than a sweep takes
+		g.expireIfLate(r) // its deadline may come before the next tick
 	}
 }
 
-// resolveQuota lets a request into the queues by what is known of its customer's store.
+// setDefaults makes a request of an unknown class or plan one that can be decided on: non-idempotent, with
+// its deadline as the latency objective, and without quotas.
+func (g *Gateway) setDefaults(r *request) {
+	if r.class == nil {
+		objective := max(r.Deadline-g.now, time.Millisecond)
+		r.class = g.newClassState(Class{Name: r.Class, LatencyObjective: objective})
+	}
+	if r.plan == nil {
+		r.plan = newPlanState(Plan{Name: r.Plan, Price: 1})
+	}
+	if r.Units <= 0 {
+		r.Units = 1
+	}
+}
+
+// resolveQuota goes on with a request once it is known whether it is inside its customer's quota.
 func (g *Gateway) resolveQuota(r *request, inside bool) {
 	if !inside {
 		if r.plan.OverQuotaWeight <= r.plan.OverQuotaCost || g.saturated() {
 			g.reject(r, g.quotaRetryAfter(r))
 			return
 		}
-		r.overQuota = true // earns more than it costs, and nobody inside a quota waits for the place
+		r.overQuota = true // earns more than it costs, and takes no capacity from requests inside quotas
 	}
 	if inside && r.plan.MaxConcurrency > 0 {
 		g.acquirePermit(r)
@@ -69,51 +101,39 @@
 	g.enqueueAdmitted(r)
 }
 
-// enqueueAdmitted queues a request that its quotas let in.
+// enqueueAdmitted queues a request that its quotas admit.
 func (g *Gateway) enqueueAdmitted(r *request) {
 	g.enqueue(r)
 	g.dispatch()
 }
 
-// priorityValue is the request's priority: class worth x plan price, times what is left of it.
-func (r *request) priorityValue() float64 {
-	w := r.class.PriorityWeight * r.plan.Price
-	if r.overQuota {
-		w *= r.plan.OverQuotaWeight
+// expireIfLate ends a request that waits and, by the latency of its class, can no longer be answered by its
+// deadline. One that will only miss its latency objective is queued again at the priority of a late answer,
+// if that earns anything.
+func (g *Gateway) expireIfLate(r *request) {
+	expected := min(r.class.latency.Expected(answerDeviations), r.class.LatencyObjective)
+	if g.now+min(expected, r.class.latency.Expected(0)) >= r.Deadline-2*g.tickInterval {
+		g.giveUp(r)
+		return
 	}
-	if r.objectiveMissed {
-		w *= r.class.LateWeight
+	if !r.queued || r.objectiveMissed { // it waits for the counter, or was queued again before
+		return
 	}
-	return w
-}
-
-// saturated says whether requests inside their quotas wait, or are about to.
-func (g *Gateway) saturated() bool {
-	return len(g.queue) > 0 || float64(g.inFlight) > max(1, 0.7*g.window)
-}
-
-// expire ends a held request that cannot be answered in time, by the learned latency; where lateness still
-// earns something it goes on at that worth.
-func (g *Gateway) expire(r *request) {
-	need := min(r.class.expectedLatency(answerDeviations), r.class.LatencyObjective)
-	if g.now+min(need, r.class.expectedLatency(0)) >= r.Deadline-2*g.tickInterval {
-		g.giveUp(r)
+	if g.now+expected < r.arrived+r.class.LatencyObjective {
 		return
 	}
-	switch {
-	case !r.queued, r.objectiveMissed, g.now+need < r.arrived+r.class.LatencyObjective: // not held: it waits for the counter
-	case r.class.LateWeight <= 0:
+	if r.class.LateWeight <= 0 {
 		g.giveUp(r)
-	default:
-		g.dequeue(r)
-		r.objectiveMissed = true
-		g.enqueue(r)
+		return
 	}
+	g.dequeue(r)
+	r.objectiveMissed = true
+	g.enqueue(r)
 }
 
-// giveUp answers for good: refused where trying again is surely harmless, else failed.
+// giveUp answers for good: it rejects where a retry of the client is surely harmless, else it fails.
 func (g *Gateway) giveUp(r *request) {
-	if r.firstMaybeExecuted() != nil && r.class.Idempotency != Idempotent && (r.class.Idempotency != IdempotencyKey || r.class.DeduplicationScope != ScopeAll) {
+	if r.maybeExecuted() != nil && !r.class.clientMayRetry() {
 		g.emit(Fail{ID: r.ID})
 		g.finish(r)
 		return
@@ -121,12 +141,26 @@
 	g.reject(r, r.class.LatencyObjective)
 }
 
-func (g *Gateway) reject(r *request, after time.Duration) {
-	g.emit(Reject{ID: r.ID, RetryAfter: min(after, g.settings.MaxRetryAfter)})
+// clientMayRetry reports whether a retry by the client is harmless, at whichever endpoint it ends up,
+// although the request may have been executed.
+func (c *classState) clientMayRetry() bool {
+	switch c.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotencyKey:
+		return c.DeduplicationScope == ScopeAll
+	default:
+		return false
+	}
+}
+
+// reject answers for good that the client may retry after a time.
+func (g *Gateway) reject(r *request, retryAfter time.Duration) {
+	g.emit(Reject{ID: r.ID, RetryAfter: min(retryAfter, g.settings.MaxRetryAfter)})
 	g.finish(r)
 }
 
-// finish marks the request as finally answered and calls off what is still out for it.
+// finish marks a request as finally answered, returns what it holds, and cancels its attempts in flight.
 func (g *Gateway) finish(r *request) {
 	if r.queued {
 		g.dequeue(r)
@@ -134,8 +168,11 @@
 	r.finished = true
 	g.refundTokens(r)
 	g.releasePermits(r)
+	if !g.settings.MayCancel || r.streaming {
+		return
+	}
 	for _, a := range r.attempts {
-		if !a.ended && g.settings.MayCancel && !r.streaming {
+		if !a.ended {
 			g.emit(Cancel{ID: r.ID, Attempt: a.number})
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"lemontack/policy/limiter"
 )
 
 // Rule 1: each request taken has exactly one final answer before its client gives up.
@@ -77,7 +79,7 @@
 		if len(sends) != want || len(only[Reject](got)) > 0 {
 			t.Fatalf("after %v: actions %v, want %d sends and no refusal", wait, got, want)
 		}
-		if want == 1 && r.g.endpoints[sends[0].Endpoint].Cell != r.g.endpoints[s].Cell {
+		if want == 1 && r.endpoint(sends[0].Endpoint).Cell != r.endpoint(s).Cell {
 			t.Fatalf("sent to %v after %v: another cell", sends[0].Endpoint, s)
 		}
 	}
@@ -99,7 +101,7 @@
 	}
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
-	if len(r.g.serving) != 1 {
+	if len(r.g.balancer.Serving()) != 1 {
 		t.Fatal("a server that is not in a whole list is gone")
 	}
 }
@@ -109,21 +111,15 @@
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	r := newRig(t, settings())
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
-	r.g.window = 100
+	r.g.limiter.SetWindow(100)
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each refused by the server at once
 		id := RequestID(i + 1)
 		r.arrive(id, "read", "free")
-		for _, s := range r.g.serving {
-			for len(s.inFlight) > 0 {
+		for r.endpoint("s").InFlight() > 0 {
+			for _, a := range r.attemptsInFlight() {
 				sent++
-				q := r.g.activeRequests[len(r.g.activeRequests)-1]
-				for _, l := range r.g.activeRequests {
-					if len(l.attempts) > 0 && l.attempts[len(l.attempts)-1] == s.inFlight[0] {
-						q = l
-					}
-				}
-				r.tell(AttemptEnded{ID: q.ID, Attempt: s.inFlight[0].number, Endpoint: "s", Outcome: Rejected})
+				r.tell(AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: "s", Outcome: Rejected})
 			}
 		}
 		r.pass(10 * ms)
@@ -138,7 +134,7 @@
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
-	r.g.window = 1000
+	r.g.limiter.SetWindow(1000)
 	sent := 0
 	for i := range 400 {
 		acts := r.arrive(RequestID(i+1), "read", "capped")
@@ -154,7 +150,7 @@
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4, OverQuotaCost: 1})
 	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	r.g.window = 100
+	r.g.limiter.SetWindow(100)
 	sends := 0
 	for id := RequestID(1); id <= 5; id++ {
 		sends += len(only[Send](r.arrive(id, "read", "open")))
@@ -258,20 +254,20 @@
 		fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
 	r := newRig(t, settings(), fleet...)
-	before := r.g.window
+	before := r.g.limiter.Window()
 	c := r.g.classes["read"]
 	for range 50 {
-		r.g.recordSample(&attempt{endpoint: r.g.serving[0]}, c, TimedOut, 0, nil)
+		r.g.recordSample(c, r.g.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
 	}
 	r.pass(100 * ms)
-	if r.g.window < before {
+	if r.g.limiter.Window() < before {
 		t.Fatal("narrowed by one server")
 	}
 	for i := range 50 {
-		r.g.recordSample(&attempt{endpoint: r.g.serving[i%12]}, c, TimedOut, 0, nil)
+		r.g.recordSample(c, r.g.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
 	r.pass(2 * time.Second)
-	if r.g.window >= before {
+	if r.g.limiter.Window() >= before {
 		t.Fatal("not narrowed by a shared symptom")
 	}
 }
@@ -279,14 +275,14 @@
 // Long calls of one class are not a full back end: while another class is answered in time the window stays.
 func TestOneClassesLongCallsDoNotNarrowTheWindow(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	before := r.g.window
+	before := r.g.limiter.Window()
 	for i := range 40 {
-		s := r.g.serving[i%2]
-		r.g.recordSample(&attempt{endpoint: s}, r.g.classes["book"], Succeeded, 400*ms, nil)
-		r.g.recordSample(&attempt{endpoint: s}, r.g.classes["read"], Succeeded, 20*ms, nil)
+		s := r.g.balancer.Serving()[i%2]
+		r.g.recordSample(r.g.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
+		r.g.recordSample(r.g.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
 	}
 	r.pass(2 * time.Second)
-	if r.g.window < before {
+	if r.g.limiter.Window() < before {
 		t.Fatal("narrowed by one class's long calls")
 	}
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"lemontack/policy/balancer"
 )
 
 // counted counts the draws of a source: a choice draws once for each server that it looks at.
@@ -28,18 +30,18 @@
 
 // What a choice costs does not grow with the fleet, and today's fleets are looked at whole.
 func TestServersThatAChoiceLooksAt(t *testing.T) {
-	for _, n := range []int{1, 8, 200, maxCandidates, maxCandidates + 1, 1000, 1024, 4096, 20_000} {
+	for _, n := range []int{1, 8, 200, balancer.MaxCandidates, balancer.MaxCandidates + 1, 1000, 1024, 4096, 20_000} {
 		r := newRig(t, settings(), longFleet(n)...)
 		src := &counted{Source: rand.NewPCG(1, 2)}
-		r.g.rng = rand.New(src)
+		*r.g.rng = *rand.New(src) // in place: the balancer has it too
 		for id := range RequestID(40) {
 			src.draws = 0
 			sends := only[Send](r.arrive(id+1, "read", "free"))
 			if len(sends) != 1 {
 				t.Fatalf("%d servers: sends %v", n, sends)
 			}
-			if looked := src.draws; looked > maxCandidates+1 || n <= maxCandidates && looked != n {
-				t.Fatalf("%d servers: %d looked at, want %d at most", n, looked, maxCandidates)
+			if looked := src.draws; looked > balancer.MaxCandidates+1 || n <= balancer.MaxCandidates && looked != n {
+				t.Fatalf("%d servers: %d looked at, want %d at most", n, looked, balancer.MaxCandidates)
 			}
 			r.tell(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		}
@@ -75,11 +77,11 @@
 	set.Classes[1].Deadline = time.Minute
 	for seed := range uint64(20) {
 		r := newRig(t, set, longFleet(4000)...)
-		r.g.rng = rand.New(rand.NewPCG(seed, 5))
+		*r.g.rng = *rand.New(rand.NewPCG(seed, 5))
 		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
 		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
 		got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset}))
-		if len(got) != 1 || r.g.endpoints[got[0].Endpoint].Cell != r.g.endpoints[s].Cell || got[0].Endpoint == s {
+		if len(got) != 1 || r.endpoint(got[0].Endpoint).Cell != r.endpoint(s).Cell || got[0].Endpoint == s {
 			t.Fatalf("after %s: sends %v", s, got)
 		}
 	}
@@ -91,11 +93,11 @@
 	set.GatewayCount = 6400
 	r := newRig(t, set)
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(900), GatewaysPerEndpoint: 30})
-	if got, want := r.g.initialWindow(), initialAttemptsPerEndpoint*900/30; got != want || r.g.window != want {
-		t.Errorf("part %v, window %v; want %v", got, r.g.window, want)
+	if got, want := r.g.balancer.InitialAttempts(), 4.0*900/30; got != want || r.g.limiter.Window() != want {
+		t.Errorf("part %v, window %v; want %v", got, r.g.limiter.Window(), want)
 	}
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(200)})
-	if got, want := r.g.initialWindow(), 1.0; got != want {
+	if got, want := r.g.balancer.InitialAttempts(), 1.0; got != want {
 		t.Errorf("part %v of a whole list, want %v", got, want)
 	}
 }
