--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -31,14 +31,14 @@
 	now time.Duration
 }
 
-func newRig(t *testing.T, set Settings, servers ...Endpoint) *rig {
+func newRig(t *testing.T, set Settings, endpoints ...Endpoint) *rig {
 	t.Helper()
 	g, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{T: t, g: g, now: time.Minute}
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: servers})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
 	return r
 }
 
@@ -49,7 +49,7 @@
 		Deadline: r.now + 2*time.Second, GatewaySpan: 2}})
 }
 
-// pass lets time go by in sweeps.
+// pass lets time pass in ticks.
 func (r *rig) pass(d time.Duration) (out []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += 10 * ms
@@ -97,14 +97,14 @@
 	return out
 }
 
-func TestSendsAtOnceWhileTheWindowHasRoom(t *testing.T) {
+func TestRequestIsSentAtOnceWhileTheWindowHasCapacity(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	if got := only[Send](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
 
-func TestFreedSlotTakesTheHighestWorth(t *testing.T) {
+func TestCapacityThatBecomesFreeGoesToTheHighestPriority(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
@@ -116,15 +116,15 @@
 	}
 }
 
-func TestHeldWithLessTimeThanASweepIsAnsweredAtOnce(t *testing.T) {
-	r := newRig(t, settings()) // no servers: nothing can leave
+func TestRequestWithLessTimeThanATickIsAnsweredAtOnce(t *testing.T) {
+	r := newRig(t, settings()) // no endpoints: nothing can be sent
 	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + ms}})
 	if len(only[Reject](got)) != 1 {
-		t.Fatalf("actions %v, want a refusal", got)
+		t.Fatalf("actions %v, want a rejection", got)
 	}
 }
 
-func TestRefusedRequestsGiveNoUnitsBack(t *testing.T) {
+func TestRejectedRequestsRefundNoUnits(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
@@ -136,15 +136,15 @@
 	}
 }
 
-// A server that restarts keeps what is still out to it, and survives that work's end.
-func TestRestartedServerKeepsItsOutstandingAttempts(t *testing.T) {
+// An endpoint that restarts keeps its attempts in flight until they end.
+func TestRestartedEndpointKeepsItsAttemptsInFlight(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
 	before := r.endpoint("s").InFlight()
 	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
 	if now := r.endpoint("s").InFlight(); now != before || before == 0 {
-		t.Fatalf("%d attempts out before the restart, %d after", before, now)
+		t.Fatalf("%d attempts in flight before the restart, %d after", before, now)
 	}
 	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
 	r.tell(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
@@ -152,22 +152,28 @@
 	if got, want := r.endpoint("s").InFlight(), len(r.attemptsInFlight()); got != want {
 		t.Fatalf("%d attempts in flight at the endpoint, %d have not ended", got, want)
 	}
+	for left := r.attemptsInFlight(); len(left) > 0; left = r.attemptsInFlight() {
+		r.tell(AttemptEnded{ID: left[0].id, Attempt: left[0].number, Endpoint: "s", Outcome: Reset})
+	}
+	if got := r.endpoint("s").InFlight(); got != 0 {
+		t.Fatalf("%d attempts in flight at the endpoint after all have ended", got)
+	}
 }
 
-// After a long silence of the counter its customers are not refused for what others took in the meantime.
-func TestCounterSilenceLeavesNoDebt(t *testing.T) {
+// After a long outage of the counter customers are not rejected for what other gateways admitted meanwhile.
+func TestCounterOutageLeavesNoDebt(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	c := r.silence()
+	c := r.timeOutACall()
 	r.pass(20 * time.Second)
 	r.g.renewLease(c)
 	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd + c.lastTotal + 30})
 	if room := r.g.availableTokens(c) + c.lease; room < 1 {
-		t.Fatalf("room %v after a silence in which others kept to their share", room)
+		t.Fatalf("%v tokens after an outage in which the others kept to their share", room)
 	}
 }
 
-// silence uses one customer until a call is out and lets it time out.
-func (r *rig) silence() *customer {
+// timeOutACall brings requests of one customer until a call is in flight, and lets that time out.
+func (r *rig) timeOutACall() *customer {
 	id := RequestID(1000)
 	for {
 		id++
@@ -180,9 +186,9 @@
 	}
 }
 
-// A burst that gives each gateway less than one request is asked for at the counter, request by request: what all
-// gateways send stays within it, whatever each has seen, and also after all have restarted.
-func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
+// A burst of less than one request for each gateway is claimed at the counter, request by request: what all gateways send
+// stays within it, whatever each has seen, and also after all have restarted.
+func TestSmallBurstOverManyGatewaysIsClaimedAtTheCounter(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		set := settings()
 		set.GatewayCount = n
@@ -207,8 +213,8 @@
 	}
 }
 
-// A counter that comes back empty tells nothing new, and gives no second burst.
-func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
+// A counter that has lost its totals tells nothing new, and allows no second burst.
+func TestCounterThatLostItsTotalsAllowsNoSecondBurst(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	c := r.g.customerFor(&request{Request: Request{Customer: "c", GatewaySpan: 2}, plan: r.g.plans["small"]})
 	c.lease, c.unreported, c.estimatedTokens = 0, 0, 0
@@ -218,17 +224,17 @@
 	r.g.callForLease(c, 0)
 	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd})
 	if room := r.g.availableTokens(c); room > 1 {
-		t.Fatalf("room %v after the counter lost its numbers", room)
+		t.Fatalf("%v tokens after the counter lost its totals", room)
 	}
 }
 
-// A spoilt answer of the counter is no silence: the amount was added. The block that it asked for comes with the next
+// An invalid reply of the counter is no outage: the amount was added. The lease that it asked for comes with the next
 // total, and nothing is counted twice or forgotten.
-func TestSpoiltTotalIsMadeGood(t *testing.T) {
+func TestInvalidReplyIsMadeUpForByTheNextTotal(t *testing.T) {
 	set := settings()
 	totals := 0.0
 	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	id, spoilt := RequestID(0), true
+	id, invalid := RequestID(0), true
 	for range 200 {
 		r.now += 50 * ms
 		id++
@@ -237,7 +243,7 @@
 			for _, call := range only[IncrementCounter](acts) {
 				totals += call.Add
 				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals}
-				if spoilt = !spoilt; spoilt {
+				if invalid = !invalid; invalid {
 					reply.Outcome, reply.Total = Failed, 0
 				}
 				next = append(next, r.tell(reply)...)
--- a/policy/rules_test.go
+++ b/policy/invariants_test.go
@@ -8,7 +8,7 @@
 	"lemontack/policy/limiter"
 )
 
-// Rule 1: each request taken has exactly one final answer before its client gives up.
+// Rule 1: each request has exactly one final answer before its client gives up.
 func TestEveryRequestHasOneFinalAnswer(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	final := map[RequestID]int{}
@@ -30,7 +30,7 @@
 			continue
 		}
 		if q.queued {
-			t.Fatalf("request %d is still held at its deadline", id)
+			t.Fatalf("request %d is still queued at its deadline", id)
 		}
 		for _, a := range q.attempts {
 			count(r.tell(AttemptEnded{ID: id, Attempt: a.number, Endpoint: "s", Outcome: TimedOut}))
@@ -43,8 +43,8 @@
 	}
 }
 
-// Rule 2: unsafe work that may have run is neither sent again nor refused.
-func TestUnsafeWorkThatMayHaveRunIsFailed(t *testing.T) {
+// Rule 2: a non-idempotent request that may have been executed is neither retried nor rejected.
+func TestNonIdempotentRequestThatMayHaveBeenExecutedFails(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
 		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
@@ -55,17 +55,18 @@
 	}
 }
 
-func TestWorkThatNeverRanIsSentAgain(t *testing.T) {
+func TestRequestThatWasNotExecutedIsRetried(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
 	got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: ConnectFailed}))
 	if len(got) != 1 || got[0].Endpoint == s {
-		t.Fatalf("sends %v, want one to the other server", got)
+		t.Fatalf("sends %v, want one to the other endpoint", got)
 	}
 }
 
-// Rule 2: keyed work that may have run goes again only to the cell that drops its repeats, and only in its time.
-func TestKeyedWorkStaysInItsCellAndTime(t *testing.T) {
+// Rule 2: a request with an idempotency key that may have been executed is retried only in the cell that drops its
+// repeats, and only within the deduplication window.
+func TestRequestWithIdempotencyKeyIsRetriedInItsScopeAndWindowOnly(t *testing.T) {
 	set := settings()
 	set.Classes[1].Deadline, set.Classes[1].DeduplicationWindow = 60*time.Second, time.Second
 	for wait, want := range map[time.Duration]int{100 * ms: 1, 1200 * ms: 0} {
@@ -77,7 +78,7 @@
 		got := r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset})
 		sends := only[Send](got)
 		if len(sends) != want || len(only[Reject](got)) > 0 {
-			t.Fatalf("after %v: actions %v, want %d sends and no refusal", wait, got, want)
+			t.Fatalf("after %v: actions %v, want %d sends and no rejection", wait, got, want)
 		}
 		if want == 1 && r.endpoint(sends[0].Endpoint).Cell != r.endpoint(s).Cell {
 			t.Fatalf("sent to %v after %v: another cell", sends[0].Endpoint, s)
@@ -85,8 +86,8 @@
 	}
 }
 
-// Rule 3: nothing new goes to a server that drains or is gone.
-func TestNothingGoesToADrainingServer(t *testing.T) {
+// Rule 3: no attempt goes to an endpoint that is draining or removed.
+func TestNoAttemptGoesToADrainingEndpoint(t *testing.T) {
 	for _, state := range []EndpointState{Draining, Removed, EndpointState(9)} {
 		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: state}}})
@@ -102,18 +103,18 @@
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
 	if len(r.g.balancer.Serving()) != 1 {
-		t.Fatal("a server that is not in a whole list is gone")
+		t.Fatal("an endpoint that is not in a snapshot still serves")
 	}
 }
 
-// Rule 4: a cold server gets one attempt at a time at first, also from a gateway that knows nothing, and also where
-// all servers are cold.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+// Rule 4: an endpoint in slow start gets one attempt at a time at first, also from a gateway that has just started, and
+// also where all endpoints are in slow start.
+func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
 	r := newRig(t, settings())
 	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
 	r.g.limiter.SetWindow(100)
 	sent := 0
-	for i := range 300 { // three seconds of a hundred requests a second, each refused by the server at once
+	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the endpoint at once
 		id := RequestID(i + 1)
 		r.arrive(id, "read", "free")
 		for r.endpoint("s").InFlight() > 0 {
@@ -124,13 +125,13 @@
 		}
 		r.pass(10 * ms)
 	}
-	// A server that does 20 a second when warm does 4 now; 4 times that for 3 s, halved for two gateways, is 24.
+	// An endpoint that answers 20 a second when warm answers 4 now; 4 times that for 3 s, halved for two gateways, is 24.
 	if sent == 0 || sent > 24 {
-		t.Fatalf("%d sent to a cold server in 3 s", sent)
+		t.Fatalf("%d sent to an endpoint in slow start in 3 s", sent)
 	}
 }
 
-// Rule 5: a gateway stays within its part of the ceiling, and starts with none of it.
+// Rule 5: a gateway stays within its share of the ceiling, and starts with none of it.
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
@@ -142,11 +143,11 @@
 		sent += len(only[Send](acts))
 	}
 	if max := 4*20/2 + 1; sent == 0 || sent > max { // 4 s of half the ceiling's rate
-		t.Fatalf("%d sent in 4 s, the part is %d", sent, max)
+		t.Fatalf("%d sent in 4 s, the share is %d", sent, max)
 	}
 }
 
-func TestOpenCapIsSharedAndWaits(t *testing.T) {
+func TestConcurrencyQuotaIsSharedAndRequestsWaitForIt(t *testing.T) {
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4, OverQuotaCost: 1})
 	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
@@ -156,16 +157,16 @@
 		sends += len(only[Send](r.arrive(id, "read", "open")))
 	}
 	if sends != 2 {
-		t.Fatalf("%d out, this gateway's part is 2", sends)
+		t.Fatalf("%d in flight, this gateway's share is 2", sends)
 	}
 	got := only[Send](r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true}))
 	if len(got) != 1 {
-		t.Fatalf("sends %v, a waiting request takes the slot", got)
+		t.Fatalf("sends %v, want one of a request that waits", got)
 	}
 }
 
-// A stall leaves no dead backlog: what has expired goes before a freed slot is given.
-func TestAStalledGatewaySweepsBeforeItReleases(t *testing.T) {
+// After a stall no capacity goes to requests that can no longer be answered: they end before dispatch.
+func TestStalledGatewayExpiresRequestsBeforeItDispatches(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	for id := RequestID(1); id <= 10; id++ {
 		r.arrive(id, "read", "free")
@@ -176,13 +177,13 @@
 	}
 }
 
-func TestUnusableSettingsGiveAnError(t *testing.T) {
+func TestInvalidSettingsReturnAnError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"gateways": func(s *Settings) { s.GatewayCount = 0 },
-		"number":   func(s *Settings) { s.Index = 2 },
-		"classes":  func(s *Settings) { s.Classes = nil },
-		"aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"rate":     func(s *Settings) { s.Plans[0].Rate = -1 },
+		"gateways":  func(s *Settings) { s.GatewayCount = 0 },
+		"index":     func(s *Settings) { s.Index = 2 },
+		"classes":   func(s *Settings) { s.Classes = nil },
+		"objective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"rate":      func(s *Settings) { s.Plans[0].Rate = -1 },
 	} {
 		set := settings()
 		change(&set)
@@ -192,8 +193,8 @@
 	}
 }
 
-// Settings with little in them must still decide, and never panic.
-func TestPoorSettingsStillDecide(t *testing.T) {
+// A gateway with few permissions and minimal settings must still decide, and never panic.
+func TestMinimalSettingsStillDecide(t *testing.T) {
 	set := settings()
 	set.SharedCounter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
@@ -212,7 +213,7 @@
 	}
 }
 
-func TestAnInstanceActsAlikeAloneAndBesideOthers(t *testing.T) {
+func TestGatewaysOfOneProcessShareNoState(t *testing.T) {
 	play := func(beside bool) string {
 		a := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		b := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
@@ -230,8 +231,8 @@
 	}
 }
 
-// The next block is asked for at half spent, off the path; one call is out at a time.
-func TestNextBlockIsAskedForAtHalfSpent(t *testing.T) {
+// The lease is renewed once half of it is spent, without a request that waits for it; one call is in flight at a time.
+func TestLeaseIsRenewedAtHalfSpent(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	var calls []IncrementCounter
 	for id := RequestID(1); id <= 3; id++ {
@@ -243,17 +244,17 @@
 		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if len(calls) != 1 || calls[0].Add < 4 {
-		t.Fatalf("calls %v, want one that adds the first block and the next", calls)
+		t.Fatalf("calls %v, want one that adds the first lease and the next", calls)
 	}
 }
 
-// One sick server must not narrow the window for all.
-func TestOneSickServerDoesNotNarrowTheWindow(t *testing.T) {
-	var fleet []Endpoint
+// Late answers of one endpoint must not narrow the window for all.
+func TestOneSlowEndpointDoesNotNarrowTheWindow(t *testing.T) {
+	var endpoints []Endpoint
 	for i := range 12 {
-		fleet = append(fleet, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
-	r := newRig(t, settings(), fleet...)
+	r := newRig(t, settings(), endpoints...)
 	before := r.g.limiter.Window()
 	c := r.g.classes["read"]
 	for range 50 {
@@ -261,19 +262,19 @@
 	}
 	r.pass(100 * ms)
 	if r.g.limiter.Window() < before {
-		t.Fatal("narrowed by one server")
+		t.Fatal("narrowed by one endpoint")
 	}
 	for i := range 50 {
 		r.g.recordSample(c, r.g.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
 	r.pass(2 * time.Second)
 	if r.g.limiter.Window() >= before {
-		t.Fatal("not narrowed by a shared symptom")
+		t.Fatal("not narrowed by late answers of all endpoints")
 	}
 }
 
-// Long calls of one class are not a full back end: while another class is answered in time the window stays.
-func TestOneClassesLongCallsDoNotNarrowTheWindow(t *testing.T) {
+// Long requests of one class are no overload: while another class is answered in time the window stays.
+func TestLongRequestsOfOneClassDoNotNarrowTheWindow(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	before := r.g.limiter.Window()
 	for i := range 40 {
@@ -283,6 +284,6 @@
 	}
 	r.pass(2 * time.Second)
 	if r.g.limiter.Window() < before {
-		t.Fatal("narrowed by one class's long calls")
+		t.Fatal("narrowed by long requests of one class")
 	}
 }
--- a/policy/size_test.go
+++ b/policy/longlist_test.go
@@ -10,50 +10,50 @@
 	"lemontack/policy/balancer"
 )
 
-// counted counts the draws of a source: a choice draws once for each server that it looks at.
-type counted struct {
+// countingSource counts the draws of a source: a choice draws once for each endpoint that it looks at.
+type countingSource struct {
 	rand.Source
 	draws int
 }
 
-func (c *counted) Uint64() uint64 {
+func (c *countingSource) Uint64() uint64 {
 	c.draws++
 	return c.Source.Uint64()
 }
 
-func longFleet(n int) (out []Endpoint) {
+func longList(n int) (out []Endpoint) {
 	for i := range n {
 		out = append(out, Endpoint{ID: EndpointID(fmt.Sprintf("s%06d", i)), State: Serving, Cell: i / 4})
 	}
 	return out
 }
 
-// What a choice costs does not grow with the fleet, and today's fleets are looked at whole.
-func TestServersThatAChoiceLooksAt(t *testing.T) {
+// The cost of a choice does not grow with the list; of a list of usual length it looks at every endpoint.
+func TestChoiceLooksAtMaxCandidatesOfALongList(t *testing.T) {
 	for _, n := range []int{1, 8, 200, balancer.MaxCandidates, balancer.MaxCandidates + 1, 1000, 1024, 4096, 20_000} {
-		r := newRig(t, settings(), longFleet(n)...)
-		src := &counted{Source: rand.NewPCG(1, 2)}
+		r := newRig(t, settings(), longList(n)...)
+		src := &countingSource{Source: rand.NewPCG(1, 2)}
 		*r.g.rng = *rand.New(src) // in place: the balancer has it too
 		for id := range RequestID(40) {
 			src.draws = 0
 			sends := only[Send](r.arrive(id+1, "read", "free"))
 			if len(sends) != 1 {
-				t.Fatalf("%d servers: sends %v", n, sends)
+				t.Fatalf("%d endpoints: sends %v", n, sends)
 			}
 			if looked := src.draws; looked > balancer.MaxCandidates+1 || n <= balancer.MaxCandidates && looked != n {
-				t.Fatalf("%d servers: %d looked at, want %d at most", n, looked, balancer.MaxCandidates)
+				t.Fatalf("%d endpoints: %d looked at, want %d at most", n, looked, balancer.MaxCandidates)
 			}
 			r.tell(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		}
 	}
 }
 
-// The servers of a long fleet share the work as evenly as those of a short one.
-func TestLongFleetIsUsedEvenly(t *testing.T) {
-	const servers, each = 1000, 60
-	r := newRig(t, settings(), longFleet(servers)...)
+// The endpoints of a long list share the attempts as evenly as those of a short one.
+func TestLongListIsUsedEvenly(t *testing.T) {
+	const endpoints, attemptsEach = 1000, 60
+	r := newRig(t, settings(), longList(endpoints)...)
 	sent := map[EndpointID]int{}
-	for id := range RequestID(servers * each) {
+	for id := range RequestID(endpoints * attemptsEach) {
 		r.now += ms
 		s := only[Send](r.arrive(id+1, "read", "free"))[0].Endpoint
 		sent[s]++
@@ -66,17 +66,18 @@
 	for _, n := range sent {
 		counts = append(counts, n)
 	}
-	if len(sent) != servers || slices.Max(counts) > 2*each {
-		t.Errorf("%d of %d servers used, the busiest %d times, the mean is %d", len(sent), servers, slices.Max(counts), each)
+	if len(sent) != endpoints || slices.Max(counts) > 2*attemptsEach {
+		t.Errorf("%d of %d endpoints used, one %d times, the mean is %d", len(sent), endpoints, slices.Max(counts), attemptsEach)
 	}
 }
 
-// Where the sample has no server that may take a request, all are looked at: work that may have run goes to its cell alone.
-func TestChoiceOfARareServer(t *testing.T) {
+// Where the sample has no endpoint that may take a request, all are looked at: a request that may have been executed goes
+// to the endpoints of one cell alone.
+func TestRetryFindsItsCellInALongList(t *testing.T) {
 	set := settings()
 	set.Classes[1].Deadline = time.Minute
 	for seed := range uint64(20) {
-		r := newRig(t, set, longFleet(4000)...)
+		r := newRig(t, set, longList(4000)...)
 		*r.g.rng = *rand.New(rand.NewPCG(seed, 5))
 		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
 		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
@@ -87,17 +88,17 @@
 	}
 }
 
-// A gateway's part of what all may do counts the gateways that share its servers, not all that there are.
-func TestPartOfASharedSubset(t *testing.T) {
+// A gateway's share counts the gateways that share its endpoints, not all that there are.
+func TestFirstEndpointsSetTheWindowToTheGatewaysShare(t *testing.T) {
 	set := settings()
 	set.GatewayCount = 6400
 	r := newRig(t, set)
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(900), GatewaysPerEndpoint: 30})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longList(900), GatewaysPerEndpoint: 30})
 	if got, want := r.g.balancer.InitialAttempts(), 4.0*900/30; got != want || r.g.limiter.Window() != want {
-		t.Errorf("part %v, window %v; want %v", got, r.g.limiter.Window(), want)
+		t.Errorf("initial attempts %v, window %v; want %v", got, r.g.limiter.Window(), want)
 	}
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longFleet(200)})
+	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longList(200)})
 	if got, want := r.g.balancer.InitialAttempts(), 1.0; got != want {
-		t.Errorf("part %v of a whole list, want %v", got, want)
+		t.Errorf("initial attempts %v for the entire list, want %v", got, want)
 	}
 }
