--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -9,8 +9,6 @@
 )
 
 const (
-	// retryBudgetRatio is the share of a retry or hedge that each first attempt adds to the budget.
-	retryBudgetRatio = 0.15
 	// answerDeviations is the number of mean deviations above the mean latency within which nearly all
 	// answers come.
 	answerDeviations = 2.0
@@ -78,7 +76,7 @@
 func (g *Gateway) startAttempt(r *request, endpoint *balancer.Endpoint) {
 	if !r.dispatched {
 		r.dispatched = true
-		g.retryBudget = min(g.balancer.InitialAttempts(), g.retryBudget+retryBudgetRatio)
+		g.retryBudget.fill(g.balancer.InitialAttempts())
 		r.customer.ceilingTokens -= r.Units
 	}
 	a := &attempt{
@@ -89,7 +87,7 @@
 	r.attempts = append(r.attempts, a)
 	r.attemptsInFlight++
 	r.customer.attemptsInFlight++
-	g.limiter.AttemptStarted(g.now)
+	g.limiter.Acquire(g.now)
 	g.balancer.AttemptStarted(g.now, &a.Attempt)
 	if r.permits > 0 && r.attemptsInFlight > r.permits {
 		g.adjustPermits(r, r.attemptsInFlight)
@@ -107,15 +105,15 @@
 	return g.now + max(expected, r.class.LatencyObjective/minAttemptDeadlineDivisor)
 }
 
-// markOverdue no longer counts attempts in the window that have been in flight for more than the latency
-// objective: their endpoints may never answer.
+// markOverdue releases the window of attempts that have been in flight for more than the latency objective:
+// their endpoints may never answer.
 func (g *Gateway) markOverdue(r *request) {
 	for _, a := range r.attempts {
 		if a.ended || a.overdue || g.now-a.StartedAt <= r.class.LatencyObjective {
 			continue
 		}
 		a.overdue = true
-		g.limiter.AttemptReleased()
+		g.limiter.Release()
 		g.recordSample(r.class, a.Endpoint, limiter.Sample{Outcome: TimedOut})
 	}
 }
@@ -134,14 +132,14 @@
 	if endpoint == nil || r.tried(endpoint) {
 		return
 	}
-	g.retryBudget--
+	g.retryBudget.spend()
 	g.startAttempt(r, endpoint)
 }
 
-// mayHedge reports whether a hedge may help the request, and takes no capacity from others.
+// mayHedge reports whether a hedge can still save the request, and takes no capacity from others.
 func (g *Gateway) mayHedge(r *request) bool {
 	switch {
-	case !g.settings.Hedging, r.attemptsInFlight != 1, g.retryBudget < 1:
+	case !g.settings.Hedging, r.attemptsInFlight != 1, !g.retryBudget.allows():
 		return false
 	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
 		return false
@@ -167,12 +165,12 @@
 	case r.attemptsInFlight > 0:
 	case !g.mayRetry(r) || r.Deadline-g.now < r.class.latency.Expected(0)+2*g.tickInterval:
 		g.giveUp(r)
-	case ev.Outcome == NotSent: // no endpoint had any load of it: it needs no budget
+	case ev.Outcome == NotSent: // it put no load on an endpoint: it needs no budget
 		g.enqueue(r)
-	case g.retryBudget < 1:
+	case !g.retryBudget.allows():
 		g.giveUp(r)
 	default:
-		g.retryBudget--
+		g.retryBudget.spend()
 		g.enqueue(r)
 	}
 	g.refundTokens(r)
@@ -188,7 +186,7 @@
 	r.customer.attemptsInFlight--
 	g.balancer.AttemptEnded(&a.Attempt)
 	if !a.overdue {
-		g.limiter.AttemptReleased()
+		g.limiter.Release()
 		g.recordSample(r.class, a.Endpoint,
 			limiter.Sample{Outcome: ev.Outcome, Latency: ev.Latency, LoadReport: ev.LoadReport})
 	}
--- a/policy/balancer/outlier.go
+++ b/policy/balancer/outlier.go
@@ -14,8 +14,8 @@
 	failureRelativeLatency = latency.MaxRelative
 	// halfLifeObjectives is the half-life of a relative latency, in longest latency objectives.
 	halfLifeObjectives = 8.0
-	// minAnswerRate is the least rate of answers, a second, that the half-life is taken from: it bounds the
-	// half-life.
+	// minAnswerRate is the least rate that the half-life is computed from, in answers a second: it bounds the
+	// half-life above.
 	minAnswerRate = 1e-3
 
 	// failuresToEject is the number of consecutive failures that eject an endpoint.
@@ -50,8 +50,8 @@
 	b.recordRelativeLatency(now, e, failureRelativeLatency)
 }
 
-// recordRelativeLatency moves the relative latency towards an observed one, by more the more of it was
-// forgotten.
+// recordRelativeLatency moves the relative latency towards an observed one: the more of it was forgotten, the
+// further.
 func (b *Balancer) recordRelativeLatency(now time.Duration, e *Endpoint, observed float64) {
 	remembered := b.rememberedShare(now, e)
 	e.relativeLatency = 1 + (e.relativeLatency-1)*remembered
--- a/policy/balancer/pick.go
+++ b/policy/balancer/pick.go
@@ -16,8 +16,8 @@
 	// tieBreakSpread is the random part of a score: equal endpoints share the requests, and the gateways do
 	// not all choose the same one.
 	tieBreakSpread = 0.1
-	// handshakeCostFactor is the number of expected latencies that one handshake is equal to, times its
-	// price.
+	// handshakeCostFactor times the price of a handshake is the share by which a handshake raises a score:
+	// one of price 0.1 counts as much as the expected latency.
 	handshakeCostFactor = 10.0
 	// crossZoneFactor is the factor on the score of an endpoint in another zone, where crossing zones has a
 	// price.
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -20,16 +20,17 @@
 }
 
 const (
-	// minSlowStartWeight bounds the weight of an endpoint, so that it gets some work whatever the settings
-	// say.
+	// minSlowStartWeight bounds the weight of an endpoint below, so that it gets some attempts whatever the
+	// settings say.
 	minSlowStartWeight = 0.01
-	// slowStartPacing limits attempts at an endpoint in slow start, in what a warm endpoint of that weight
-	// answers: with some more than it answers it is kept busy.
+	// slowStartPacing limits the rate of attempts at an endpoint in slow start, in multiples of what a warm
+	// endpoint answers for the same weight: above 1, so that the endpoint is kept busy.
 	slowStartPacing = 1.5
 	// slowStartBudgetShare limits them also to this share of BudgetMultiple: the rest is a margin for random
 	// variation and for what the gateways do not know of each other.
 	slowStartBudgetShare = 0.6
-	// minBudgetSpan bounds BudgetSpan, in seconds: over a shorter span the rate of answers is too uncertain.
+	// minBudgetSpan bounds BudgetSpan below, in seconds: over a shorter span the rate of answers is too
+	// uncertain.
 	minBudgetSpan = 1
 )
 
@@ -40,16 +41,16 @@
 	warmConnectionShare float64 // share of the warm endpoints that likely have a warm connection
 }
 
-// expire lets the next use compute the capacity anew.
+// expire makes the capacity be computed anew at the next use.
 func (c *capacity) expire(interval time.Duration) { c.at = -interval }
 
-// answerRates are running rates of the good answers at this gateway.
+// answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
-	at        time.Duration
-	perSecond float64 // answers in a second
+	at        time.Duration // of the last answer
+	perSecond float64       // answers a second, with a time constant of one second
 
-	spanRate        float64 // answers a second, over the budget span
-	spanCapacity    float64 // capacity in warm endpoints that they came from, over the budget span
+	spanRate        float64 // answers a second, with the budget span as the time constant
+	spanCapacity    float64 // capacity that they came from, in warm endpoints, with the same time constant
 	perWarmEndpoint float64 // answers a second of one warm endpoint, as of the last answer
 }
 
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -15,12 +15,11 @@
 	// ticksPerObjective is the number of ticks in the shortest latency objective: requests that wait are late
 	// by 2% of it at most when they are looked at.
 	ticksPerObjective = 50
-	// minTickInterval bounds the ticks' cost.
+	// minTickInterval bounds the CPU time that ticks take.
 	minTickInterval = time.Millisecond
 	// maxTickInterval lets every gateway look at its requests and customers once a second.
 	maxTickInterval = time.Second
-	// minCounterTimeout is the least time that a call of the shared counter may take; backoff is counted in
-	// it.
+	// minCounterTimeout bounds Settings.CounterTimeout below: the backoff after failures is a multiple of it.
 	minCounterTimeout = time.Millisecond
 
 	// seedMix makes a second word of the seed, which differs in many bits: the golden ratio in 64 bits.
@@ -51,7 +50,7 @@
 	limiter        *limiter.Limiter
 	balancer       *balancer.Balancer
 	latency        *latency.Overall
-	retryBudget    float64 // retries and hedges that may start
+	retryBudget    retryBudget
 
 	customers        map[string]*customer
 	customerOrder    []*customer // in the order of their first requests
@@ -176,7 +175,7 @@
 	})
 	if first {
 		g.limiter.SetWindow(g.balancer.InitialAttempts())
-		g.retryBudget = g.balancer.InitialAttempts()
+		g.retryBudget = retryBudget(g.balancer.InitialAttempts())
 	}
 }
 
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -17,8 +17,8 @@
 const (
 	// lateSampleThreshold is the share of late samples in a round above which the window narrows.
 	lateSampleThreshold = 0.1
-	// minLateEndpointShare is the share of the endpoints that have to have late samples: with fewer the fault
-	// is theirs.
+	// minLateEndpointShare is the share of the endpoints that must have late samples: with fewer of them,
+	// only these are slow.
 	minLateEndpointShare = 0.25
 	// minLateEndpoints bounds that share below, in endpoints: two may be slow by chance.
 	minLateEndpoints = 3
@@ -26,8 +26,7 @@
 	minClassSamples = 4
 	// minRoundSamples is the number of samples that end a round, so that its late share means something.
 	minRoundSamples = 8
-	// minLateRoundSamples is the number of late samples that end a round earlier: then the window has to
-	// react.
+	// minLateRoundSamples is the number of late samples that end a round earlier, so that the window reacts.
 	minLateRoundSamples = 3
 	// lateObjectiveDivisor makes an answer late after this part of its latency objective: the window has to
 	// narrow before the objective is missed.
@@ -54,9 +53,9 @@
 	latency      *latency.Overall
 	tickInterval time.Duration // time between two calls of EndRoundIfDue
 
-	window   float64 // attempts that may be in flight
-	inFlight int     // attempts in flight that count
-	lastSend time.Duration
+	window    float64       // attempts that may be in flight
+	inFlight  int           // attempts in flight that count
+	lastStart time.Duration // start of the last attempt
 
 	round         int // number of the current round; the first is 1
 	roundEnd      time.Duration
@@ -106,15 +105,14 @@
 // InFlight returns the number of attempts in flight that count.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// AttemptStarted counts an attempt as in flight.
-func (l *Limiter) AttemptStarted(now time.Duration) {
+// Acquire counts an attempt that starts as in flight.
+func (l *Limiter) Acquire(now time.Duration) {
 	l.inFlight++
-	l.lastSend = now
+	l.lastStart = now
 }
 
-// AttemptReleased no longer counts an attempt as in flight: it has ended, or is so late that it is given up
-// on.
-func (l *Limiter) AttemptReleased() { l.inFlight-- }
+// Release no longer counts an attempt as in flight: it has ended, or is overdue.
+func (l *Limiter) Release() { l.inFlight-- }
 
 // HasCapacity reports whether another attempt may start. A window below 1 lets attempts start one by one,
 // with pauses of so many mean latencies that the mean number in flight is the window.
@@ -122,7 +120,7 @@
 	if float64(l.inFlight) >= l.window {
 		return false
 	}
-	return l.window >= 1 || (now-l.lastSend).Seconds() >= l.latency.Seconds()/l.window
+	return l.window >= 1 || (now-l.lastStart).Seconds() >= l.latency.Seconds()/l.window
 }
 
 // NearlyFull reports whether so much of the window is in flight that requests are about to wait.
@@ -142,7 +140,7 @@
 }
 
 // late reports whether the sample is a sign of overload. An answer that took long from an endpoint that
-// reports an empty queue is none: it was long work, or comes from a slow machine.
+// reports an empty queue is none: the request took long to process, or the machine is slow.
 func (sample Sample) late() bool {
 	switch sample.Outcome {
 	case model.Rejected, model.TimedOut:
--- a/policy/limiter/limiter_test.go
+++ b/policy/limiter/limiter_test.go
@@ -65,7 +65,7 @@
 	} {
 		l := newLimiter(10)
 		for range c.inFlight {
-			l.AttemptStarted(0)
+			l.Acquire(0)
 		}
 		s := sample(model.Succeeded, 20*ms)
 		s.RequestsQueued = c.queued
@@ -82,10 +82,10 @@
 		if got := l.HasCapacity(0); got != want {
 			t.Errorf("%d in flight: capacity %v, want %v", i, got, want)
 		}
-		l.AttemptStarted(0)
+		l.Acquire(0)
 	}
-	l.AttemptReleased()
-	l.AttemptReleased()
+	l.Release()
+	l.Release()
 	if !l.HasCapacity(0) || l.InFlight() != 1 {
 		t.Errorf("capacity %v with %d in flight, want some with 1", l.HasCapacity(0), l.InFlight())
 	}
@@ -97,8 +97,8 @@
 	estimate.Record(100 * ms)
 	l := New(overall, 10*ms)
 	l.SetWindow(0.5)
-	l.AttemptStarted(time.Minute)
-	l.AttemptReleased()
+	l.Acquire(time.Minute)
+	l.Release()
 	if l.HasCapacity(time.Minute + 190*ms) {
 		t.Error("capacity before two mean latencies have passed")
 	}
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -1,5 +1,5 @@
-// Package model holds the plain data that the parts of the decision module share: request classes, plans, endpoints and
-// outcomes. It has no state and decides nothing. Package policy re-exports all of it.
+// Package model holds the plain data that the parts of the decision module share: request classes, plans,
+// endpoints and outcomes. It has no state and decides nothing. Package policy re-exports all of it.
 package model
 
 import "time"
@@ -43,7 +43,7 @@
 // Class is a kind of request.
 type Class struct {
 	Name                string
-	PriorityWeight      float64       // what an answer is worth, before the plan's price
+	PriorityWeight      float64       // what an answer earns, before the plan's price
 	LatencyObjective    time.Duration // an answer within it earns the full weight
 	Deadline            time.Duration // after it an answer earns nothing
 	LateWeight          float64       // share of the weight that an answer earns after the objective, 0 to 1
@@ -91,7 +91,8 @@
 	Removed
 )
 
-// LoadReport is what an endpoint last said of itself, by the names of its figures. A figure that it did not give is absent.
+// LoadReport is what an endpoint last said of itself, by the names of its figures. A figure that it did not
+// give is absent.
 type LoadReport map[string]float64
 
 // queueFigure names the number of requests that wait at the endpoint.
--- a/policy/model/outcome.go
+++ b/policy/model/outcome.go
@@ -7,20 +7,21 @@
 const (
 	Failed        Outcome = iota // answered with an error
 	Succeeded                    // served
-	Rejected                     // turned away before it was looked at: not executed
+	Rejected                     // rejected before it was processed: not executed
 	TimedOut                     // no answer in time
 	ConnectFailed                // no connection: not executed
 	Reset                        // the connection broke
-	Cancelled                    // called off by the gateway
-	NotSent                      // given up before its first byte was written: not executed
+	Cancelled                    // cancelled by the gateway
+	NotSent                      // cancelled before its first byte was written: not executed
 )
 
 // OutcomeCount is the number of outcomes.
 const OutcomeCount = NotSent + 1
 
 // outcomeNames are the names of outcomes in logs.
-var outcomeNames = [OutcomeCount]string{"failed", "succeeded", "rejected", "timed_out", "connect_failed", "reset",
-	"cancelled", "not_sent"}
+var outcomeNames = [OutcomeCount]string{
+	"failed", "succeeded", "rejected", "timed_out", "connect_failed", "reset", "cancelled", "not_sent",
+}
 
 // NotExecuted reports whether the outcome proves that the attempt was not executed.
 func (outcome Outcome) NotExecuted() bool {
--- /dev/null
+++ b/policy/retrybudget_test.go
@@ -0,0 +1,32 @@
+package policy
+
+import "testing"
+
+func TestRetryBudgetAllowsAShareOfTheFirstAttempts(t *testing.T) {
+	var budget retryBudget
+	retries := 0
+	for range 1000 {
+		budget.fill(10)
+		if budget.allows() {
+			budget.spend()
+			retries++
+		}
+	}
+	if retries < 149 || retries > 150 {
+		t.Errorf("%d retries for 1000 first attempts, want 150", retries)
+	}
+}
+
+func TestRetryBudgetIsLimited(t *testing.T) {
+	var budget retryBudget
+	for range 1000 {
+		budget.fill(3)
+	}
+	retries := 0
+	for ; budget.allows(); retries++ {
+		budget.spend()
+	}
+	if retries != 3 {
+		t.Errorf("%d retries after a long time without any, want 3", retries)
+	}
+}
