--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestRejectedRequestsRefundNoUnits(t *testing.T) {
+func TestRefusedRequestsGiveNoUnitsBack(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
@@ -160,20 +160,20 @@
 	}
 }
 
-// After a long outage of the counter customers are not rejected for what other gateways admitted meanwhile.
-func TestCounterOutageLeavesNoDebt(t *testing.T) {
+// After a long silence of the counter its customers are not refused for what others took in the meantime.
+func TestCounterSilenceLeavesNoDebt(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	c := r.timeOutACall()
+	c := r.silence()
 	r.pass(20 * time.Second)
 	r.g.renewLease(c)
 	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd + c.lastTotal + 30})
 	if room := r.g.availableTokens(c) + c.lease; room < 1 {
-		t.Fatalf("%v tokens after an outage in which the others kept to their share", room)
+		t.Fatalf("room %v after a silence in which others kept to their share", room)
 	}
 }
 
-// timeOutACall brings requests of one customer until a call is in flight, and lets that time out.
-func (r *rig) timeOutACall() *customer {
+// silence uses one customer until a call is out and lets it time out.
+func (r *rig) silence() *customer {
 	id := RequestID(1000)
 	for {
 		id++
@@ -186,9 +186,9 @@
 	}
 }
 
-// A burst of less than one request for each gateway is claimed at the counter, request by request: what all gateways send
-// stays within it, whatever each has seen, and also after all have restarted.
-func TestSmallBurstOverManyGatewaysIsClaimedAtTheCounter(t *testing.T) {
+// A burst that gives each gateway less than one request is asked for at the counter, request by request: what all
+// gateways send stays within it, whatever each has seen, and also after all have restarted.
+func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		set := settings()
 		set.GatewayCount = n
@@ -213,8 +213,8 @@
 	}
 }
 
-// A counter that has lost its totals tells nothing new, and allows no second burst.
-func TestCounterThatLostItsTotalsAllowsNoSecondBurst(t *testing.T) {
+// A counter that comes back empty tells nothing new, and gives no second burst.
+func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
 	c := r.g.customerFor(&request{Request: Request{Customer: "c", GatewaySpan: 2}, plan: r.g.plans["small"]})
 	c.lease, c.unreported, c.estimatedTokens = 0, 0, 0
@@ -224,17 +224,17 @@
 	r.g.callForLease(c, 0)
 	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd})
 	if room := r.g.availableTokens(c); room > 1 {
-		t.Fatalf("%v tokens after the counter lost its totals", room)
+		t.Fatalf("room %v after the counter lost its numbers", room)
 	}
 }
 
-// An invalid reply of the counter is no outage: the amount was added. The lease that it asked for comes with the next
+// A spoilt answer of the counter is no silence: the amount was added. The block that it asked for comes with the next
 // total, and nothing is counted twice or forgotten.
-func TestInvalidReplyIsMadeUpForByTheNextTotal(t *testing.T) {
+func TestSpoiltTotalIsMadeGood(t *testing.T) {
 	set := settings()
 	totals := 0.0
 	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	id, invalid := RequestID(0), true
+	id, spoilt := RequestID(0), true
 	for range 200 {
 		r.now += 50 * ms
 		id++
@@ -243,7 +243,7 @@
 			for _, call := range only[IncrementCounter](acts) {
 				totals += call.Add
 				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals}
-				if invalid = !invalid; invalid {
+				if spoilt = !spoilt; spoilt {
 					reply.Outcome, reply.Total = Failed, 0
 				}
 				next = append(next, r.tell(reply)...)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// Rule 5: a gateway stays within its share of the ceiling, and starts with none of it.
+// Rule 5: a gateway stays within its part of the ceiling, and starts with none of it.
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
