--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -33,15 +33,12 @@
 	if !r.dispatched {
 		r.dispatched = true
 		g.retryBudget = min(g.initialWindow(), g.retryBudget+retryBudgetRatio)
-		r.customer.ceilingTokens -= r.Units
 	}
 	a := &attempt{number: len(r.attempts), endpoint: s, sentAt: g.now, mayHaveExecuted: true}
 	r.attempts = append(r.attempts, a)
-	r.attemptsInFlight, r.customer.attemptsInFlight, g.inFlight = r.attemptsInFlight+1, r.customer.attemptsInFlight+1, g.inFlight+1
+	r.attemptsInFlight, g.inFlight = r.attemptsInFlight+1, g.inFlight+1
 	s.inFlight = append(s.inFlight, a)
-	if r.permits > 0 && r.attemptsInFlight > r.permits {
-		g.adjustPermits(r, r.attemptsInFlight)
-	}
+	g.quota.AttemptStarted(&r.charge)
 	s.lastSend, g.lastSend, s.pacingPhase = g.now, g.now, 1
 	var stop time.Duration
 	if !g.settings.Hedging && r.class.meanLatency > 0 && r.class.Idempotency != NonIdempotent { // ends for another
@@ -79,9 +76,9 @@
 	}
 	a := r.attempts[ev.Attempt]
 	a.ended, a.mayHaveExecuted = true, !ev.Outcome.NotExecuted()
-	r.attempted = r.attempted || ev.Outcome != NotSent
 	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(b *attempt) bool { return a == b })
-	r.attemptsInFlight, r.customer.attemptsInFlight = r.attemptsInFlight-1, r.customer.attemptsInFlight-1
+	r.attemptsInFlight--
+	g.quota.AttemptEnded(&r.charge, ev.Outcome)
 	if !a.overdue {
 		g.inFlight--
 		g.recordSample(a, r.class, ev.Outcome, ev.Latency, ev.LoadReport)
@@ -90,14 +87,7 @@
 	switch {
 	case r.finished:
 	case ev.RequestFinished:
-		if r.plan.SettledByReply && ev.SettledUnits > 0 {
-			if r.leaseCharged {
-				r.customer.lease -= ev.SettledUnits - r.Units
-			}
-			if r.leaseCharged && r.customer.central || r.claimCharged {
-				r.customer.unreported += ev.SettledUnits - r.Units
-			}
-		}
+		g.quota.Settle(&r.charge, ev.SettledUnits)
 		g.finish(r)
 	case r.attemptsInFlight > 0:
 	case !g.mayRetry(r) || r.Deadline-g.now < r.class.expectedLatency(0)+2*g.tickInterval:
@@ -110,6 +100,5 @@
 		g.retryBudget--
 		g.enqueue(r)
 	}
-	g.refundTokens(r)
-	g.releasePermits(r)
+	g.quota.Release(&r.charge)
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"lemontack/policy/quota"
 )
 
 const ticksPerObjective = 50 // sweeps in the shortest aim: held requests overstay by 2% of it
@@ -18,11 +20,8 @@
 	maxDeadline                       time.Duration // longest of a class
 	tickerStarted, watchingEndpoints  bool          // the sweep runs; changes of the fleet list come
 
-	classes       map[string]*classState
-	plans         map[string]*planState
-	customers     map[string]*customer
-	customerOrder []*customer // in order of first sight
-	nextIdleCheck int         // next of the customerList to look at
+	classes map[string]*classState
+	quota   *quota.Manager
 
 	requests       map[RequestID]*request
 	activeRequests []*request // in order of arrival
@@ -45,10 +44,6 @@
 
 	warmCapacity, warmConnectionShare float64 // the fleet, in warm servers; part of the warm that are linked
 	capacityAt                        time.Duration
-
-	counterCallShare float64 // share of requests with central buckets or permits that asks
-	counterFailures  int
-	meanPermitStake  float64 // of the requests that a permit may be asked for
 }
 
 // New returns a gateway, or an error where the settings cannot be decided with.
@@ -57,8 +52,7 @@
 		return nil, err
 	}
 	g := &Gateway{settings: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), tickInterval: time.Second,
-		classes: map[string]*classState{}, plans: map[string]*planState{}, customers: map[string]*customer{},
-		requests: map[RequestID]*request{}, endpoints: map[EndpointID]*endpoint{}, counterCallShare: 1,
+		classes: map[string]*classState{}, requests: map[RequestID]*request{}, endpoints: map[EndpointID]*endpoint{},
 		gatewaysPerEndpoint: float64(set.GatewayCount)}
 	for _, c := range set.Classes {
 		g.classes[c.Name] = &classState{Class: c}
@@ -66,12 +60,9 @@
 		g.maxLatencyObjective = max(g.maxLatencyObjective, c.LatencyObjective)
 		g.maxDeadline = max(g.maxDeadline, c.Deadline)
 	}
-	for _, p := range set.Plans {
-		p.Burst = max(p.Burst, set.MaxUnits, 1) // a store that can never hold a request would shut all out
-		g.plans[p.Name] = newPlanState(p)
-	}
 	g.settings.MaxAttempts = max(set.MaxAttempts, 1)
 	g.settings.CounterTimeout = max(set.CounterTimeout, time.Millisecond)
+	g.quota = quota.NewManager(g.quotaConfig(), set.Plans, g.rng, quotaHost{g})
 	return g, nil
 }
 
@@ -125,7 +116,5 @@
 		}
 		return r.finished && r.attemptsInFlight == 0
 	})
-	for range (len(g.customerOrder) + ticksPerObjective - 1) / ticksPerObjective {
-		g.reclaimIdle()
-	}
+	g.quota.Tick()
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"testing"
 	"time"
 )
@@ -124,32 +123,6 @@
 	}
 }
 
-// After a long silence of the counter its customers are not refused for what others took in the meantime.
-func TestCounterSilenceLeavesNoDebt(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	c := r.silence()
-	r.pass(20 * time.Second)
-	r.g.renewLease(c)
-	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd + c.lastTotal + 30})
-	if room := r.g.availableTokens(c) + c.lease; room < 1 {
-		t.Fatalf("room %v after a silence in which others kept to their share", room)
-	}
-}
-
-// silence uses one customer until a call is out and lets it time out.
-func (r *rig) silence() *customer {
-	id := RequestID(1000)
-	for {
-		id++
-		r.arrive(id, "read", "small")
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
-		if c := r.g.customers["c"]; c.callInFlight {
-			r.tell(CounterReply{Name: c.bucketName(), Outcome: TimedOut})
-			return c
-		}
-	}
-}
-
 // A burst that gives each gateway less than one request is asked for at the counter, request by request: what all
 // gateways send stays within it, whatever each has seen, and also after all have restarted.
 func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
@@ -177,53 +150,6 @@
 	}
 }
 
-// A counter that comes back empty tells nothing new, and gives no second burst.
-func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	c := r.g.customerFor(&request{Request: Request{Customer: "c", GatewaySpan: 2}, plan: r.g.plans["small"]})
-	c.lease, c.unreported, c.estimatedTokens = 0, 0, 0
-	r.g.callForLease(c, 0)
-	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: 1000})
-	c.nextCallAt, c.estimatedTokens, c.lease = 0, 0, 0
-	r.g.callForLease(c, 0)
-	r.tell(CounterReply{Name: c.bucketName(), Outcome: Succeeded, Total: c.pendingAdd})
-	if room := r.g.availableTokens(c); room > 1 {
-		t.Fatalf("room %v after the counter lost its numbers", room)
-	}
-}
-
-// A spoilt answer of the counter is no silence: the amount was added. The block that it asked for comes with the next
-// total, and nothing is counted twice or forgotten.
-func TestSpoiltTotalIsMadeGood(t *testing.T) {
-	set := settings()
-	totals := 0.0
-	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	id, spoilt := RequestID(0), true
-	for range 200 {
-		r.now += 50 * ms
-		id++
-		for acts := r.arrive(id, "read", "capped"); len(acts) > 0; {
-			var next []Action
-			for _, call := range only[IncrementCounter](acts) {
-				totals += call.Add
-				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals}
-				if spoilt = !spoilt; spoilt {
-					reply.Outcome, reply.Total = Failed, 0
-				}
-				next = append(next, r.tell(reply)...)
-			}
-			for _, s := range only[Send](acts) {
-				next = append(next, r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
-			}
-			acts = next
-		}
-		c := r.g.customers["c"]
-		if c.counterSilent || c.remoteUsageRate > 1e-6 || math.Abs(c.lastTotal-totals) > 1e-6 {
-			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.counterSilent, c.remoteUsageRate, c.lastTotal, totals)
-		}
-	}
-}
-
 // Servers come under ever new ids: one that is gone is forgotten once nothing is out there.
 func TestGoneServerIsForgotten(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -5,6 +5,16 @@
 	"time"
 )
 
+// fleetSettings are those of one gateway of a large fleet: a customer comes through all of it.
+func fleetSettings() Settings {
+	set := settings()
+	set.GatewayCount, set.MaxUnits = 60, 4
+	set.Plans = append(set.Plans,
+		Plan{Name: "thin", Price: 1, Rate: 0.8, Burst: 8, OverQuotaCost: 1.2},
+		Plan{Name: "thick", Price: 1, Rate: 14, Burst: 25, OverQuotaCost: 1.2})
+	return set
+}
+
 // Wherever a request waits when its client leaves, nothing of it is sent from then on, whatever comes later:
 // answers of the counter, ends of attempts, room in the window or at the cap, servers.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
@@ -24,6 +34,12 @@
 			return acts
 		}
 	}
+	// loseCall lets a call for another customer time out, after which not all requests call the counter.
+	loseCall := func(r *rig) {
+		calls := only[IncrementCounter](r.tell(Arrival{Request{ID: 9, Class: "read", Plan: "thin", Customer: "other", Units: 1,
+			Deadline: r.now + 2*time.Second, GatewaySpan: 60}}))
+		r.tell(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
+	}
 	for name, c := range map[string]struct {
 		plan    string
 		refused bool // where its client stays
@@ -36,7 +52,7 @@
 		"for the counter, which refuses": {"thin", true, 60, nil, nil, counted(Succeeded, 1000)},
 		"for the counter, which is gone": {"thin", false, 60, nil, nil, counted(TimedOut, 0)},
 		"for the counter, turned away":   {"thin", false, 60, nil, nil, counted(Rejected, 0)},
-		"for the counter, with others' adds": {"thin", false, 60, func(r *rig) { r.g.counterCallShare = 0.6 }, nil,
+		"for the counter, with others' adds": {"thin", false, 60, loseCall, nil,
 			counted(Succeeded, 1)},
 		"for the counter, beyond": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
 		"for a ceiling's window":  {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -144,22 +144,15 @@
 	}
 }
 
-// Where gateways outnumber the attempts that a customer may have out and going over costs, they take turns.
-func TestOpenCapHoldsInTheSum(t *testing.T) {
+// Where gateways outnumber a customer's concurrent attempts and an over-quota attempt has a cost, they take turns.
+func TestConcurrencyLimitHoldsInTheSum(t *testing.T) {
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
 		c := newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-		for moment := range 20 {
-			out := 0
-			for _, r := range c.rigs {
-				r.now = time.Minute + time.Duration(moment)*37*ms
-				r.g.window = 100
-				out += max(0, r.g.concurrencyShare(&customer{plan: r.g.plans["open"], gatewaySpan: n, gatewayIndex: r.g.settings.Index}))
-			}
-			if out != 3 {
-				t.Fatalf("%d gateways may have %d out in all, the cap is 3", n, out)
-			}
+		for _, r := range c.rigs {
+			r.now = time.Minute + 19*37*ms // some gateways have their turn
+			r.g.window = 100
 		}
 		sent := 0
 		for i := range 3 * n {
--- a/policy/permits_test.go
+++ b/policy/permits_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// permitFleet is gateways of a customer with two attempts out at most.
+// permitFleet is gateways of a customer with a limit of two concurrent attempts.
 func permitFleet(t *testing.T, n int) *crowd {
 	t.Helper()
 	set := settings()
@@ -13,8 +13,8 @@
 	return newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 }
 
-// The fleet holds a limit on attempts out, and an attempt that ends makes room at any other gateway.
-func TestPermitsHoldTheLimitInTheSum(t *testing.T) {
+// The gateways together hold a limit on concurrent attempts, and an attempt that ends lets one start at any other gateway.
+func TestPermitsHoldTheConcurrencyLimitInTheSum(t *testing.T) {
 	c := permitFleet(t, 100)
 	var sent []Send
 	for i, r := range c.rigs {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A counter that came back empty is told of the permits that a gateway holds.
-func TestPermitsSurviveACounterThatForgets(t *testing.T) {
+// A counter that has lost its numbers is corrected by the permits that a gateway holds.
+func TestPermitsAreKeptWhenTheCounterLosesItsNumbers(t *testing.T) {
 	c := permitFleet(t, 100)
 	r := c.rigs[0]
 	c.arrive(r, 1, "read", "open")
@@ -50,26 +50,14 @@
 }
 
 // The permits of gateways that have crashed end with the window of their name.
-func TestPermitsOfACrashedGatewayEnd(t *testing.T) {
+func TestPermitsOfACrashedGatewayEndWithTheirWindow(t *testing.T) {
 	c := permitFleet(t, 100)
 	for i, r := range c.rigs {
 		c.arrive(r, i+1, "read", "open") // and never ends
 	}
 	r := c.rigs[50]
-	r.now += r.g.permitWindow()
+	r.now += 8 * time.Second // the window of the name: four of the longest deadline, 2 s
 	if got := c.arrive(r, 1000, "read", "open"); len(got) != 1 {
 		t.Errorf("%d sent a window after the crash, want one", len(got))
 	}
 }
-
-// A call for a permit that timed out may have been counted: what is refused then is taken off.
-func TestPermitOfALostCallIsTakenOff(t *testing.T) {
-	r := permitFleet(t, 100).rigs[0]
-	r.g.plans["open"].permitGrants.granted = [2]float64{0.1, 0.1} // too few are granted for a guess
-	calls := only[IncrementCounter](r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "open", Customer: "c", Units: 1,
-		Deadline: r.now + 2*time.Second, GatewaySpan: 100}}))
-	acts := r.tell(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
-	if back := only[IncrementCounter](acts); len(only[Reject](acts)) != 1 || len(back) != 1 || back[0].Add != -1 {
-		t.Errorf("actions %v, want a refusal and the permit taken off", acts)
-	}
-}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -37,8 +37,5 @@
 }
 
 func (g *Gateway) mayDispatch(r *request) bool {
-	if g.now >= r.Deadline || r.plan.MaxConcurrency > 0 && r.permits == 0 && r.customer.attemptsInFlight >= g.concurrencyShare(r.customer) {
-		return false
-	}
-	return r.dispatched || g.ceilingAllows(r)
+	return g.now < r.Deadline && g.quota.MayDispatch(&r.charge)
 }
--- /dev/null
+++ b/policy/quota/bucket.go
@@ -0,0 +1,235 @@
+package quota
+
+import (
+	"time"
+
+	"lemontack/policy/model"
+)
+
+const (
+	// overfillTolerance is the share of the burst that a bucket may seem to hold in excess before its total
+	// is corrected.
+	overfillTolerance = 0.5
+	// maxCarriedBursts bounds, in bursts, the deficit that a window hands on to the next.
+	maxCarriedBursts = 1.5
+	// negligibleTokens is the rounding error of the counter's totals, which have seven digits, in units.
+	negligibleTokens = 1e-6
+)
+
+// centralBucket is what this gateway knows of a central token bucket.
+type centralBucket struct {
+	window         time.Duration // length of the windows of its name on the counter
+	initialCredit  float64       // units that the local bucket gets when it is used first
+	reserved       float64       // units claimed ahead, for a client's retry
+	reservedFrom   time.Duration // the reservation has been refilled by then
+	exhaustedUntil time.Duration // the bucket holds too little until then
+}
+
+// initCentralBucket prepares a customer with a central bucket. Its local bucket starts with a random part of
+// the largest request, so that from the start all gateways together admit their shares.
+func (m *Manager) initCentralBucket(c *customer) {
+	c.lease.counterSilent = true
+	c.unreported = 0
+	c.bucket.window = counterWindowLength
+	if c.hasCeiling() {
+		c.bucket.window = seconds(c.plan.Burst / c.plan.Rate)
+	}
+	c.bucket.initialCredit = m.rng.Float64() * max(1, m.config.MaxUnits)
+	if !m.config.SharedCounter {
+		// Nothing else will be granted at once: up to two of the smallest requests, including the first
+		// lease.
+		c.bucket.initialCredit = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
+	}
+}
+
+// admitByBucket decides on a new request of a customer with a central bucket, or claims its units from the
+// bucket.
+func (m *Manager) admitByBucket(charge *Charge) Decision {
+	c, now := charge.customer, m.host.Now()
+	switch {
+	case c.bucket.reserved >= charge.units && now >= c.bucket.reservedFrom:
+		c.bucket.reserved -= charge.units
+		charge.claimCharged = true
+		return m.resolve(charge, true)
+	case now < c.bucket.exhaustedUntil:
+		return m.resolve(charge, false)
+	case c.hasCeiling() && m.counterIsHealthy(), m.shouldCallForTokens(charge):
+		m.claimTokens(charge)
+		return pending
+	}
+	return m.resolve(charge, m.chargeLocalBucket(charge))
+}
+
+// chargeLocalBucket decides without the counter: by the share of such requests that it has granted, and by
+// the local bucket.
+func (m *Manager) chargeLocalBucket(charge *Charge) bool {
+	c := charge.customer
+	c.lease.tokens += c.bucket.initialCredit
+	c.bucket.initialCredit = 0
+	hasEstimate := (m.config.SharedCounter || charge.isRetry) && !c.hasCeiling()
+	if hasEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
+		return false
+	}
+	return m.chargeLease(charge)
+}
+
+// claimTokens calls the counter for the units of a request, and reports what is unreported.
+func (m *Manager) claimTokens(charge *Charge) {
+	c := charge.customer
+	call := pendingCall{charge: charge, claim: charge.units}
+	if !c.hasCeiling() {
+		call.adjustment = c.unreported
+		c.unreported = 0
+	}
+	m.callBucket(c, call)
+}
+
+// callBucket calls the counter by the name of the customer's bucket in the present window.
+func (m *Manager) callBucket(c *customer, call pendingCall) {
+	c.counterWindow = c.windowAt(m.host.Now(), c.bucket.window)
+	call.name = c.bucketName()
+	m.call(c, call, c.bucket.window)
+}
+
+// reportUsage calls the counter with the units used, settled or refunded since the last call.
+func (m *Manager) reportUsage(c *customer) {
+	adjustment := c.unreported
+	c.unreported = 0
+	m.callBucket(c, pendingCall{adjustment: adjustment})
+}
+
+// handleBucketReply takes the reply to a call by the name of a central bucket.
+func (m *Manager) handleBucketReply(c *customer, call pendingCall, reply Reply) Decision {
+	c.restoreAdjustment(call, reply.Outcome)
+	if call.charge != nil {
+		return m.handleClaimReply(call, reply)
+	}
+	if reply.Outcome == model.Succeeded {
+		m.handleCorrectionReply(c, call, reply.Total)
+	}
+	return pending
+}
+
+// restoreAdjustment keeps the units of a failed call for the next one, as far as they are known not to be in
+// the total.
+func (c *customer) restoreAdjustment(call pendingCall, outcome model.Outcome) {
+	switch {
+	case outcome.NotExecuted():
+		c.unreported += call.adjustment
+	case outcome != model.Succeeded && !c.hasCeiling():
+		// The claim was added, in all likelihood, but the request is now decided locally.
+		c.unreported -= call.claim
+	}
+}
+
+// handleClaimReply decides on a request by the reply to the claim of its units.
+func (m *Manager) handleClaimReply(call pendingCall, reply Reply) Decision {
+	charge := call.charge
+	c := charge.customer
+	switch {
+	case charge.finished && reply.Outcome == model.Succeeded && !c.hasCeiling():
+		charge.claimCharged = m.bucketCovers(call, reply.Total)
+		m.refundTokens(charge)
+		return pending
+	case charge.finished:
+		return pending
+	case reply.Outcome != model.Succeeded:
+		return m.resolve(charge, m.chargeLocalBucket(charge))
+	case c.hasCeiling():
+		return m.resolve(charge, m.grantWithinCeiling(call, reply.Total))
+	}
+	charge.claimCharged = m.bucketCovers(call, reply.Total)
+	updateShare(charge.plan.bucketGrants.grantProbability(charge), charge.claimCharged, grantGain)
+	return m.resolve(charge, charge.claimCharged)
+}
+
+// grantWithinCeiling reports whether a claim of a customer with a ceiling is granted: a window grants one
+// burst, and at most half of the ceiling's, since the end of one window and the start of the next may come
+// together.
+func (m *Manager) grantWithinCeiling(call pendingCall, total float64) bool {
+	charge := call.charge
+	c := charge.customer
+	limit := min(c.plan.Burst, c.plan.CeilingBurst/2)
+	granted := total <= max(limit, charge.units)
+	charge.ceilingGranted = granted && m.counterIsHealthy()
+	switch {
+	case granted:
+		c.lease.tokens = max(0, c.lease.tokens-charge.units)
+	case call.name == c.bucketName() && total > limit+charge.units:
+		windowEnd := time.Duration(c.counterWindow+1)*c.bucket.window - c.windowOffset
+		c.bucket.exhaustedUntil = windowEnd
+	}
+	return granted
+}
+
+// bucketCovers reports whether the bucket held the units of a claim, and corrects its total on the counter:
+// where the window has just begun, where the bucket has overflowed, and where the claim is not kept as a
+// reservation.
+func (m *Manager) bucketCovers(call pendingCall, total float64) bool {
+	charge := call.charge
+	c := charge.customer
+	window := c.windowAt(call.sentAt, c.bucket.window)
+	refilled := m.refilledTokens(c, window)
+	usedBefore := total - call.claim
+	level := c.plan.Burst + refilled - usedBefore
+	correction := 0.0
+	switch {
+	case usedBefore-call.adjustment < negligibleTokens:
+		// It is the first claim of the window, or the counter has lost its numbers.
+		level = c.plan.Burst
+		correction = refilled
+		m.readPreviousWindow(c, window)
+	case level > c.plan.Burst*(1+overfillTolerance):
+		correction = level - c.plan.Burst
+	}
+	c.lease.estimatedTokens = min(level, c.plan.Burst)
+	covered := c.lease.estimatedTokens >= min(charge.units, c.plan.Burst)
+	if !covered {
+		missing := charge.units - c.lease.estimatedTokens
+		c.bucket.exhaustedUntil = m.host.Now() + seconds(missing/c.plan.Rate)
+		if !m.keepReservation(c, call) {
+			correction -= call.claim
+		}
+	}
+	if correction != 0 {
+		corrective := pendingCall{name: call.name, adjustment: correction, correctedTotal: total}
+		m.call(c, corrective, c.bucket.window)
+	}
+	return covered
+}
+
+// refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
+func (m *Manager) refilledTokens(c *customer, window int64) float64 {
+	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.window).Seconds()
+}
+
+// readPreviousWindow calls for the final usage of the window before the given one: the total of a new name
+// starts at 0, which stands for a full bucket.
+func (m *Manager) readPreviousWindow(c *customer, window int64) {
+	if !c.hasCeiling() {
+		m.call(c, pendingCall{name: c.bucketNameOf(window - 1), readsPreviousWindow: true}, c.bucket.window)
+	}
+}
+
+// handleCorrectionReply takes the reply to a call that was made for no request. The deficit of the previous
+// window is carried over into the present one. A correction that another gateway has made too, from the same
+// total, is reverted; the other's, which came first, remains.
+func (m *Manager) handleCorrectionReply(c *customer, call pendingCall, total float64) {
+	remoteAdds := total - call.correctedTotal - call.adjustment
+	isLargeCorrection := call.correctedTotal > 0 && call.adjustment > c.plan.Burst/2
+	switch {
+	case call.readsPreviousWindow:
+		m.carryDeficit(c, total)
+	case isLargeCorrection && remoteAdds > call.adjustment/2:
+		m.call(c, pendingCall{name: call.name, adjustment: -call.adjustment}, c.bucket.window)
+	}
+}
+
+// carryDeficit adds the deficit of the previous window, by its final usage, to the usage of the present one.
+func (m *Manager) carryDeficit(c *customer, previousUsage float64) {
+	window := c.windowAt(m.host.Now(), c.bucket.window)
+	deficit := min(previousUsage-m.refilledTokens(c, window-1), maxCarriedBursts*c.plan.Burst)
+	if previousUsage > 0 && deficit > 0 {
+		m.call(c, pendingCall{name: c.bucketNameOf(window), adjustment: deficit}, c.bucket.window)
+	}
+}
--- /dev/null
+++ b/policy/quota/bucket_test.go
@@ -0,0 +1,195 @@
+package quota
+
+import (
+	"testing"
+	"time"
+
+	"lemontack/policy/model"
+)
+
+// centralSpan is the number of gateways of a large deployment, all of which each customer's requests arrive
+// at.
+const centralSpan = 60
+
+func newCentralGateway(t *testing.T) *testGateway {
+	t.Helper()
+	config := testConfig()
+	config.GatewayCount, config.MaxUnits = centralSpan, 4
+	return newTestGateway(t, config, append(testPlans(),
+		model.Plan{Name: "thin", Price: 1, Rate: 0.8, Burst: 8, OverQuotaCost: 1.2},
+		model.Plan{Name: "thick", Price: 1, Rate: 14, Burst: 25, OverQuotaCost: 1.2}))
+}
+
+// arriveCentral brings a request for two units.
+func (g *testGateway) arriveCentral(id model.RequestID, plan string, isRetry bool) effects {
+	return g.arrive(Request{ID: id, Plan: plan, Units: 2, GatewaySpan: centralSpan, IsRetry: isRetry})
+}
+
+// newCentralCall brings one request of a plan to a new gateway, and returns the gateway with the call that it
+// makes.
+func newCentralCall(t *testing.T, plan string) (*testGateway, Call) {
+	t.Helper()
+	g := newCentralGateway(t)
+	c := g.customer(plan, centralSpan)
+	// Well into a window of the customer's name, with nothing refilled in the local bucket.
+	g.now += c.bucket.window - (g.now+c.windowOffset)%c.bucket.window + 30*time.Second
+	c.lease.refreshedAt = g.now
+	calls := g.arriveCentral(1, plan, false).calls
+	if len(calls) != 1 {
+		t.Fatalf("%d calls for a request of plan %s, want one", len(calls), plan)
+	}
+	return g, calls[0]
+}
+
+// refilled returns the units that have been refilled since the present window of the customer's name began.
+func (g *testGateway) refilled() float64 {
+	c := g.manager.customers["c"]
+	return c.plan.Rate * ((g.now + c.windowOffset) % c.bucket.window).Seconds()
+}
+
+// The total of a central bucket's name is its whole usage; a gateway that finds it wrong corrects it by a
+// second call.
+func TestTotalOfACentralBucketIsCorrected(t *testing.T) {
+	const add = 2.0
+	for _, c := range []struct {
+		name       string
+		usedBefore func(refilled float64) float64 // total before the request's own add
+		sent       bool
+		correction func(refilled float64) float64
+	}{
+		{"first claim of the window", func(float64) float64 { return 0 }, true, func(f float64) float64 { return f }},
+		{"half full", func(f float64) float64 { return f + 4 }, true, func(float64) float64 { return 0 }},
+		{"overflowed by a little", func(f float64) float64 { return f - 3 }, true, func(float64) float64 { return 0 }},
+		{"overflowed by much", func(f float64) float64 { return f - 6 }, true, func(float64) float64 { return 6 }},
+		{"empty", func(f float64) float64 { return f + 7 }, false, func(float64) float64 { return -add }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g, call := newCentralCall(t, "thin")
+			refilled := g.refilled()
+			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: c.usedBefore(refilled) + add})
+			if sent := len(got.sent) == 1; sent != c.sent {
+				t.Errorf("sent %v, want %v", sent, c.sent)
+			}
+			want := c.correction(refilled)
+			if corrected := addsOf(got.calls); corrected < want-0.01 || corrected > want+0.01 {
+				t.Errorf("corrected by %v, want %v", corrected, want)
+			}
+		})
+	}
+}
+
+// A gateway that found a bucket exhausted does not call the counter for a while, and tells clients when to
+// retry.
+func TestExhaustedCentralBucketIsNotCalledAtOnce(t *testing.T) {
+	g, call := newCentralCall(t, "thick")
+	rejections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 1000}).rejections
+	if len(rejections) != 1 || rejections[0].retryAfter < 500*ms {
+		t.Fatalf("rejections %v, want one with a time to retry", rejections)
+	}
+	got := g.arriveCentral(2, "thick", false)
+	if len(got.calls) != 0 || len(got.rejections) != 1 {
+		t.Errorf("%d calls and %d rejections for the next request, want a rejection without a call", len(got.calls),
+			len(got.rejections))
+	}
+}
+
+// Two gateways that find a total at the start of its window correct it from the same total; the second of
+// them reverts its correction. Else the customer would be rejected until the window ends.
+func TestCorrectionThatAnotherGatewayMadeTooIsReverted(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		otherClaims  float64 // corrections by other gateways between the claim's reply and the correction's
+		wantReverted int
+	}{
+		{"no other gateway", 0, 0},
+		{"another gateway", 1, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g, call := newCentralCall(t, "thick")
+			const claimedBefore = 1.0 // unit that another gateway has claimed just before
+			claimTotal := call.Add + claimedBefore
+			corrections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: claimTotal}).calls
+			if len(corrections) != 1 || corrections[0].Add <= 0 {
+				t.Fatalf("calls %v, want one that corrects the total", corrections)
+			}
+			total := claimTotal + corrections[0].Add*(1+c.otherClaims)
+			reverted := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}).calls
+			if len(reverted) != c.wantReverted || c.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
+				t.Errorf("calls %v after a correction of %v, want %d that reverts it", reverted, corrections[0].Add,
+					c.wantReverted)
+			}
+		})
+	}
+}
+
+// A claim that finds too few tokens is a reservation: the client's retry uses it without a call, and it is
+// returned if no retry arrives.
+func TestClaimThatFindsTooFewTokensIsReserved(t *testing.T) {
+	for _, retries := range []bool{true, false} {
+		g, call := newCentralCall(t, "thick")
+		got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 25 + g.refilled() + call.Add})
+		if len(got.rejections) != 1 || len(got.calls) != 0 || len(got.sent) != 0 {
+			t.Fatalf("effects %+v, want a rejection and no call", got)
+		}
+		g.pass(got.rejections[0].retryAfter)
+		if retries {
+			got = g.arriveCentral(2, "thick", true)
+			if len(got.sent) != 1 || len(got.calls) != 0 {
+				t.Errorf("retry: effects %+v, want it sent without a call", got)
+			}
+			continue
+		}
+		returned := g.pass(3 * g.manager.config.MaxLatencyObjective).calls
+		if len(returned) != 1 || returned[0].Add != -2 {
+			t.Errorf("no retry: calls %v, want the reservation returned", returned)
+		}
+	}
+}
+
+// The total of a new window's name starts at 0, which stands for a full bucket. A gateway that finds it so
+// reads the previous window's, and carries its deficit over: a customer gets no second burst.
+func TestDeficitIsCarriedIntoTheNextWindow(t *testing.T) {
+	const rate, elapsed = 14.0, 2.0
+	for _, c := range []struct {
+		name    string
+		deficit float64 // units as the previous window ended
+		carried float64 // 2 s of the rate have been refilled since
+	}{
+		{"nothing", 0, 0},
+		{"less than was refilled", 20, 0},
+		{"nearly all", 45, 45 - elapsed*rate},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := newCentralGateway(t)
+			customer := g.customer("thick", centralSpan)
+			window := customer.bucket.window
+			g.now += window - (g.now+customer.windowOffset)%window + time.Duration(elapsed*float64(time.Second))
+			call := g.arriveCentral(1, "thick", false).calls[0]
+			calls := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: call.Add}).calls
+			if len(calls) == 0 || calls[0].Name == call.Name || calls[0].Add != 0 {
+				t.Fatalf("calls %v, want the previous window's name read first", calls)
+			}
+			previousUsage := rate*window.Seconds() + c.deficit
+			got := addsOf(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
+			if got < c.carried-0.1 || got > c.carried+0.1 {
+				t.Errorf("carried over %v, want %v", got, c.carried)
+			}
+		})
+	}
+}
+
+// The units that an answer settles for a request whose claim was granted are reported by the customer's next
+// call.
+func TestSettledUnitsAreReportedByTheNextCall(t *testing.T) {
+	g, call := newCentralCall(t, "thick")
+	g.manager.plans["thick"].SettledByReply = true
+	sent := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: g.refilled() + call.Add}).sent
+	if len(sent) != 1 {
+		t.Fatalf("sent %v, want one", sent)
+	}
+	g.succeed(1, 3.5)
+	next := g.arriveCentral(2, "thick", false).calls
+	if len(next) != 1 || next[0].Add != 2+1.5 {
+		t.Errorf("calls %v, want one for 2 units and the 1.5 that were settled", next)
+	}
+}
--- /dev/null
+++ b/policy/quota/calls.go
@@ -0,0 +1,103 @@
+package quota
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"lemontack/policy/model"
+)
+
+// Call is a call of the shared counter: it adds to a named number and returns the new total.
+type Call struct {
+	Name string
+	Add  float64       // units or permits; 0 only reads the total
+	TTL  time.Duration // the counter deletes the number this long after the first call of its name
+}
+
+// Reply is the reply to a Call.
+type Reply struct {
+	Name    string
+	Outcome model.Outcome
+	Total   float64 // after the add, where the call has succeeded
+}
+
+// semaphoreMark tells the names that hold permits from those that hold units.
+const semaphoreMark = "!"
+
+// pendingCall is a call in flight for a customer's central bucket or permits. It adds the claim and the
+// adjustment.
+type pendingCall struct {
+	name                string
+	charge              *Charge // the request that it claims for; nil: the call only adjusts
+	claim               float64 // units or permits of that request
+	adjustment          float64 // units or permits of earlier requests, or a correction of the total
+	correctedTotal      float64 // of a correction: the total that it was derived from
+	readsPreviousWindow bool    // it reads the final usage of the previous window
+	sentAt              time.Duration
+}
+
+// requestID returns the request that the call claims for, or 0.
+func (call *pendingCall) requestID() model.RequestID {
+	if call.charge == nil {
+		return 0
+	}
+	return call.charge.id
+}
+
+// call starts a call for a customer. Replies for one name arrive in the order of its calls.
+func (m *Manager) call(c *customer, call pendingCall, window time.Duration) {
+	call.sentAt = m.host.Now()
+	c.calls = append(c.calls, call)
+	m.host.CallCounter(Call{
+		Name: call.name,
+		Add:  call.claim + call.adjustment,
+		TTL:  min(2*window, maxCounterNameTTL),
+	})
+}
+
+// takeCall removes and returns the oldest call in flight for a name, which a reply for it belongs to.
+func (c *customer) takeCall(name string) (call pendingCall, ok bool) {
+	i := slices.IndexFunc(c.calls, func(call pendingCall) bool { return call.name == name })
+	if i < 0 {
+		return pendingCall{}, false
+	}
+	call = c.calls[i]
+	c.calls = slices.Delete(c.calls, i, i+1)
+	return call, true
+}
+
+func (c *customer) hasCallInFlight(name string) bool {
+	return slices.ContainsFunc(c.calls, func(call pendingCall) bool { return call.name == name })
+}
+
+// handleCallReply takes the reply to a call for a central bucket or permits, and returns the decision on the
+// request that waited for it, if any.
+func (m *Manager) handleCallReply(c *customer, reply Reply) (model.RequestID, Decision) {
+	call, ok := c.takeCall(reply.Name)
+	if !ok {
+		return 0, pending
+	}
+	m.adaptCallShare(reply.Outcome, m.host.Now()-call.sentAt)
+	if isSemaphoreName(call.name) {
+		return call.requestID(), m.handleSemaphoreReply(c, call, reply)
+	}
+	return call.requestID(), m.handleBucketReply(c, call, reply)
+}
+
+// bucketName returns the name of the customer's units in the window of its last call.
+func (c *customer) bucketName() string { return c.bucketNameOf(c.counterWindow) }
+
+func (c *customer) bucketNameOf(window int64) string {
+	return c.id + ":" + strconv.FormatInt(window, 36)
+}
+
+func (c *customer) semaphoreNameOf(window int64) string {
+	return c.id + ":" + semaphoreMark + strconv.FormatInt(window, 36)
+}
+
+func isSemaphoreName(name string) bool { return strings.Contains(name, ":"+semaphoreMark) }
+
+// customerOf returns the customer that a name on the counter belongs to.
+func customerOf(name string) string { return name[:max(0, strings.LastIndexByte(name, ':'))] }
--- /dev/null
+++ b/policy/quota/callshare.go
@@ -0,0 +1,72 @@
+package quota
+
+import (
+	"time"
+
+	"lemontack/policy/model"
+)
+
+const (
+	// minCallShare is the share of requests that always call the counter, to notice its recovery.
+	minCallShare = 0.05
+	// minHealthyCallShare is the share of requests below which the counter counts as unavailable.
+	minHealthyCallShare = 0.3
+	// spareCallShare is the share of requests from which on the counter has spare calls.
+	spareCallShare = 0.99
+	// callShareFactorOnLoss is the multiplicative decrease by a failed call, the work of which is wasted.
+	callShareFactorOnLoss = 0.7
+	// callShareFactorOnDelay is the multiplicative decrease by a slow call: the counter's queue grows long
+	// before calls fail.
+	callShareFactorOnDelay = 0.9
+	// callShareIncrease is the additive increase by a fast call. It is small, since all gateways see that the
+	// counter is fast at the same time.
+	callShareIncrease = 0.01
+)
+
+// adaptCallShare adapts the share of requests that call the counter, by AIMD. All gateways share the counter,
+// so its delay shows the sum of their calls.
+func (m *Manager) adaptCallShare(outcome model.Outcome, delay time.Duration) {
+	switch {
+	case outcome == model.Failed: // an error reply is no sign of load
+	case outcome != model.Succeeded:
+		m.callShare = max(minCallShare, m.callShare*callShareFactorOnLoss)
+	case delay > m.config.CounterTimeout/2:
+		m.callShare = max(minCallShare, m.callShare*callShareFactorOnDelay)
+	default:
+		m.callShare = min(1, m.callShare+callShareIncrease/m.callShare)
+	}
+}
+
+// counterIsHealthy reports whether the counter replies to enough calls for ceilings to rely on its grants.
+func (m *Manager) counterIsHealthy() bool { return m.callShare >= minHealthyCallShare }
+
+// counterHasSpareCalls reports whether nearly all requests call the counter.
+func (m *Manager) counterHasSpareCalls() bool { return m.callShare >= spareCallShare }
+
+// shouldCallForTokens decides whether a request of a central bucket calls the counter. Where over-quota
+// requests gain more than they cost, a guess does nearly as well as a call, so that these leave the calls to
+// others first.
+func (m *Manager) shouldCallForTokens(charge *Charge) bool {
+	switch {
+	case !m.config.SharedCounter:
+		return false
+	case !charge.customer.hasCeiling() && charge.plan.OverQuotaWeight > charge.plan.OverQuotaCost:
+		return m.rng.Float64() <= 2*m.callShare-1
+	}
+	return m.rng.Float64() <= m.callShare
+}
+
+// shouldCallForPermit decides whether a request calls the counter for a permit. Where calls are scarce, the
+// probability is in proportion to the weight that a wrong guess would lose; a customer with a rate needs its
+// calls for that.
+func (m *Manager) shouldCallForPermit(charge *Charge) bool {
+	probability := charge.customer.permitProbability(charge)
+	costOfAdmitting := (1 - probability) * max(0, charge.plan.OverQuotaCost-charge.plan.OverQuotaWeight)
+	wrong := min(probability, costOfAdmitting)
+	stake := charge.units * charge.plan.Price * charge.priorityWeight * wrong
+	m.meanPermitStake += grantGain * (stake - m.meanPermitStake)
+	if charge.plan.Rate > 0 || m.counterHasSpareCalls() {
+		return m.counterHasSpareCalls()
+	}
+	return m.rng.Float64()*m.meanPermitStake <= m.callShare*stake
+}
--- /dev/null
+++ b/policy/quota/callshare_test.go
@@ -0,0 +1,34 @@
+package quota
+
+import (
+	"testing"
+	"time"
+
+	"lemontack/policy/model"
+)
+
+// The counter is shared by all gateways: a growing delay makes each of them call less, long before calls
+// fail.
+func TestCallShareFollowsTheDelayOfTheCounter(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		outcome    model.Outcome
+		delay      time.Duration
+		less, more bool
+	}{
+		{"timed out", model.TimedOut, 50 * ms, true, false},
+		{"rejected", model.Rejected, ms, true, false},
+		{"slow", model.Succeeded, 30 * ms, true, false},
+		{"fast", model.Succeeded, 5 * ms, false, true},
+		{"error reply", model.Failed, 5 * ms, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := newCentralGateway(t)
+			g.manager.callShare = 0.5
+			g.manager.adaptCallShare(c.outcome, c.delay)
+			if got := g.manager.callShare; got < 0.5 != c.less || got > 0.5 != c.more {
+				t.Errorf("share %v after 0.5", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/quota/customer.go
@@ -0,0 +1,124 @@
+package quota
+
+import (
+	"hash/fnv"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// maxCounterNameTTL is the longest time that the counter keeps a name.
+	maxCounterNameTTL = 60 * time.Second
+	// counterWindowLength is the window of a name. It is shorter than the name's lifetime, so that the final
+	// total can still be read after the window has ended.
+	counterWindowLength = maxCounterNameTTL * 5 / 6
+	// unreportedFlushShare is the share of the gateway's part of the burst above which the unreported units
+	// of an idle customer are reported without a request.
+	unreportedFlushShare = 0.25
+	// minIdleRefill is the units that the rate refills until a customer without requests counts as idle.
+	minIdleRefill = 1
+)
+
+// customer is what this gateway knows of one customer. It has one of two kinds of rate quota: a lease, or a
+// central token bucket beside which the lease is the local bucket.
+type customer struct {
+	id           string
+	plan         *planState
+	gatewaySpan  int           // number of gateways that its requests arrive at
+	gatewayIndex int           // index of this gateway among them
+	windowOffset time.Duration // spreads the ends of the customers' windows over time
+	central      bool          // its rate is held by a central token bucket
+
+	lease            lease
+	bucket           centralBucket
+	permits          semaphore
+	ceiling          ceiling
+	counterWindow    int64   // window of the name on the counter that holds its usage
+	unreported       float64 // units that the next call has to add
+	calls            []pendingCall
+	attemptsInFlight int
+	lastSeen         time.Duration // time of its last request
+}
+
+// customerFor returns the customer of a request. A new customer has the plan of its first request.
+func (m *Manager) customerFor(request Request, plan *planState) *customer {
+	c := m.customers[request.Customer]
+	if c == nil {
+		c = m.newCustomer(request, plan)
+		m.customers[c.id] = c
+		m.customerOrder = append(m.customerOrder, c)
+	}
+	c.lastSeen = m.host.Now()
+	return c
+}
+
+func (m *Manager) newCustomer(request Request, plan *planState) *customer {
+	span := min(max(request.GatewaySpan, 1), m.config.GatewayCount)
+	now, count := m.host.Now(), m.config.GatewayCount
+	c := &customer{
+		id:           request.Customer,
+		plan:         plan,
+		gatewaySpan:  span,
+		gatewayIndex: (m.config.Index - request.FirstGateway%count + count) % count,
+		windowOffset: windowOffsetOf(request.Customer),
+		central:      plan.Rate > 0 && plan.Burst < float64(span)*max(1, m.config.MaxUnits),
+		ceiling:      ceiling{updatedAt: now},
+	}
+	c.lease = m.newLease(c)
+	c.unreported = c.lease.tokens // the first lease is reported by the first call
+	if c.central {
+		m.initCentralBucket(c)
+	}
+	return c
+}
+
+// windowOffsetOf derives the offset of a customer's windows from its identifier, so that it is the same at
+// all gateways.
+func windowOffsetOf(customerID string) time.Duration {
+	hash := fnv.New64a()
+	hash.Write([]byte(customerID))
+	return time.Duration(hash.Sum64() % uint64(counterWindowLength))
+}
+
+// burstShare is this gateway's part of the customer's burst, in units.
+func (c *customer) burstShare() float64 { return c.plan.Burst / float64(c.gatewaySpan) }
+
+// rateShare is this gateway's part of the customer's rate, in units a second.
+func (c *customer) rateShare() float64 { return c.plan.Rate / float64(c.gatewaySpan) }
+
+// windowAt returns the window at a time. All gateways of a customer count its windows alike.
+func (c *customer) windowAt(at, length time.Duration) int64 {
+	return int64((at + c.windowOffset) / length)
+}
+
+// checkNextIdle checks one customer in turn: it reports corrections that wait for a call, returns unused
+// tokens, and forgets the customer if it has been idle for long.
+func (m *Manager) checkNextIdle() {
+	m.nextIdleCheck = (m.nextIdleCheck + 1) % len(m.customerOrder)
+	c := m.customerOrder[m.nextIdleCheck]
+	if c.permits.unreported != 0 {
+		m.callSemaphore(c, pendingCall{name: m.semaphoreName(c)})
+	}
+	if c.central {
+		m.returnReservation(c)
+	}
+	idle := (m.host.Now() - c.lastSeen).Seconds()
+	if c.isForgettable(idle) {
+		delete(m.customers, c.id)
+		m.customerOrder = slices.Delete(m.customerOrder, m.nextIdleCheck, m.nextIdleCheck+1)
+		return
+	}
+	flushThreshold := unreportedFlushShare * c.plan.Burst / float64(c.gatewaySpan)
+	if c.plan.Rate > 0 && math.Abs(c.unreported) > flushThreshold && idle*c.plan.Rate > minIdleRefill {
+		m.callForLease(c, 0)
+	}
+}
+
+// isForgettable reports whether a customer that has been idle for some seconds would start anew with the same
+// state: no attempt is in flight, its names on the counter have expired, and its token bucket is full.
+func (c *customer) isForgettable(idleSeconds float64) bool {
+	hasExpired := idleSeconds > maxCounterNameTTL.Seconds()
+	isFull := idleSeconds*c.plan.Rate >= c.plan.Burst
+	return hasExpired && isFull && c.attemptsInFlight == 0
+}
--- /dev/null
+++ b/policy/quota/decision.go
@@ -0,0 +1,76 @@
+package quota
+
+import "time"
+
+// Verdict is the kind of a decision on a request.
+type Verdict uint8
+
+// Verdicts.
+const (
+	Pending  Verdict = iota // the reply of the shared counter will decide
+	Admitted                // the request may be queued
+	Rejected                // the request is over its quota
+)
+
+// Decision is the answer of the quotas to a request.
+type Decision struct {
+	Verdict    Verdict
+	OverQuota  bool          // admitted although it is over the quota, because it gains more than it costs
+	RetryAfter time.Duration // of a rejection: after how long a retry may succeed
+}
+
+var (
+	pending  = Decision{Verdict: Pending}
+	admitted = Decision{Verdict: Admitted}
+)
+
+func rejected(retryAfter time.Duration) Decision {
+	return Decision{Verdict: Rejected, RetryAfter: retryAfter}
+}
+
+// Admit decides on a new request, or calls the shared counter and leaves the decision to its reply.
+func (m *Manager) Admit(charge *Charge) Decision {
+	c := charge.customer
+	if !c.central {
+		return m.resolve(charge, m.chargeLease(charge))
+	}
+	return m.admitByBucket(charge)
+}
+
+// resolve decides on a request once it is known whether it is inside its rate.
+func (m *Manager) resolve(charge *Charge, insideRate bool) Decision {
+	if !insideRate {
+		return m.resolveOverQuota(charge)
+	}
+	if charge.plan.MaxConcurrency > 0 {
+		return m.acquirePermit(charge)
+	}
+	return admitted
+}
+
+// resolveOverQuota admits a request over its quota where it gains more than it costs and delays no request
+// that is inside its quota.
+func (m *Manager) resolveOverQuota(charge *Charge) Decision {
+	if charge.plan.OverQuotaWeight <= charge.plan.OverQuotaCost || m.host.Saturated() {
+		return rejected(m.retryAfter(charge))
+	}
+	return Decision{Verdict: Admitted, OverQuota: true}
+}
+
+// retryAfter returns the time until the customer's token bucket will hold the request's units.
+func (m *Manager) retryAfter(charge *Charge) time.Duration {
+	c, now := charge.customer, m.host.Now()
+	if c.central && c.bucket.exhaustedUntil > now {
+		return max(c.bucket.exhaustedUntil-now, m.config.TickInterval)
+	}
+	if c.central { // the level is unknown: an empty bucket would have refilled by then
+		return seconds(charge.units / c.plan.Rate)
+	}
+	missing := max(charge.units-max(0, c.availableTokens(now))-max(0, c.lease.tokens), 1)
+	return seconds(missing / max(c.plan.Rate, minRate))
+}
+
+// seconds converts a count of seconds to a Duration.
+func seconds(count float64) time.Duration {
+	return time.Duration(count * float64(time.Second))
+}
--- /dev/null
+++ b/policy/quota/harness_test.go
@@ -0,0 +1,178 @@
+package quota
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"lemontack/policy/model"
+)
+
+const (
+	ms             = time.Millisecond
+	testSeed       = 7
+	requestTimeout = 2 * time.Second
+)
+
+func testConfig() Config {
+	return Config{
+		GatewayCount:        2,
+		MaxUnits:            1,
+		SharedCounter:       true,
+		CounterTimeout:      50 * ms,
+		MaxRetryAfter:       time.Second,
+		TickInterval:        10 * ms,
+		MinLatencyObjective: 500 * ms,
+		MaxLatencyObjective: 500 * ms,
+		MaxDeadline:         requestTimeout,
+	}
+}
+
+func testPlans() []model.Plan {
+	return []model.Plan{
+		{Name: "small", Price: 1, Rate: 2, Burst: 8, OverQuotaCost: 0.5},
+		{Name: "capped", Price: 1, Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, CeilingTolerance: 4},
+	}
+}
+
+// rejection is a request that was rejected.
+type rejection struct {
+	id         model.RequestID
+	retryAfter time.Duration
+}
+
+// effects are what one event has led to.
+type effects struct {
+	calls      []Call
+	sent       []model.RequestID
+	rejections []rejection
+}
+
+// heldRequest is a request of a testGateway.
+type heldRequest struct {
+	id       model.RequestID
+	deadline time.Duration
+	charge   Charge
+}
+
+// testGateway is a Host on a driven clock. It starts an attempt of each admitted request as soon as the
+// Manager allows one, in the order of arrival, and never on its own gives up a request that waits.
+type testGateway struct {
+	*testing.T
+	manager  *Manager
+	now      time.Duration
+	paused   bool // no attempt starts
+	requests map[model.RequestID]*heldRequest
+	queue    []*heldRequest
+	effects  effects // of the present event
+}
+
+func newTestGateway(t *testing.T, config Config, plans []model.Plan) *testGateway {
+	t.Helper()
+	g := &testGateway{T: t, now: time.Minute, requests: map[model.RequestID]*heldRequest{}}
+	rng := rand.New(rand.NewPCG(testSeed, testSeed^0x9e3779b97f4a7c15))
+	g.manager = NewManager(config, plans, rng, g)
+	return g
+}
+
+func (g *testGateway) Now() time.Duration            { return g.now }
+func (g *testGateway) CallCounter(call Call)         { g.effects.calls = append(g.effects.calls, call) }
+func (g *testGateway) Saturated() bool               { return len(g.queue) > 0 }
+func (g *testGateway) MeanAnswerTime() time.Duration { return g.manager.config.TickInterval }
+
+// customer returns the customer of all requests, which it creates if there was none.
+func (g *testGateway) customer(plan string, gatewaySpan int) *customer {
+	return g.manager.customerFor(Request{Customer: "c", GatewaySpan: gatewaySpan}, g.manager.planFor(plan))
+}
+
+// arrive brings a request of customer "c".
+func (g *testGateway) arrive(request Request) effects {
+	request.Customer = "c"
+	request.PriorityWeight = 1
+	held := &heldRequest{id: request.ID, deadline: g.now + requestTimeout, charge: g.manager.Open(request)}
+	g.requests[request.ID] = held
+	g.resolve(held, g.manager.Admit(&held.charge))
+	return g.takeEffects()
+}
+
+// reply brings a reply of the counter.
+func (g *testGateway) reply(reply Reply) effects {
+	id, decision := g.manager.HandleReply(reply)
+	if decision.Verdict != Pending {
+		g.resolve(g.requests[id], decision)
+	}
+	return g.takeEffects()
+}
+
+// succeed brings the answer of a request's only attempt.
+func (g *testGateway) succeed(id model.RequestID, settledUnits float64) effects {
+	charge := &g.requests[id].charge
+	if charge.finished {
+		return g.takeEffects()
+	}
+	g.manager.AttemptEnded(charge, model.Succeeded)
+	g.manager.Settle(charge, settledUnits)
+	g.manager.Finish(charge)
+	g.manager.Release(charge)
+	return g.takeEffects()
+}
+
+// disconnect takes a client away whose request waits.
+func (g *testGateway) disconnect(id model.RequestID) effects {
+	g.finish(g.requests[id])
+	return g.takeEffects()
+}
+
+// pass lets time go by in ticks.
+func (g *testGateway) pass(d time.Duration) (all effects) {
+	for end := g.now + d; g.now < end; {
+		g.now += g.manager.config.TickInterval
+		g.manager.Tick()
+		tick := g.takeEffects()
+		all.calls = append(all.calls, tick.calls...)
+		all.sent = append(all.sent, tick.sent...)
+		all.rejections = append(all.rejections, tick.rejections...)
+	}
+	return all
+}
+
+func (g *testGateway) resolve(held *heldRequest, decision Decision) {
+	switch decision.Verdict {
+	case Admitted:
+		g.queue = append(g.queue, held)
+	case Rejected:
+		retryAfter := min(decision.RetryAfter, g.manager.config.MaxRetryAfter)
+		g.effects.rejections = append(g.effects.rejections, rejection{held.id, retryAfter})
+		g.finish(held)
+	case Pending:
+	}
+}
+
+func (g *testGateway) finish(held *heldRequest) {
+	g.queue = slices.DeleteFunc(g.queue, func(other *heldRequest) bool { return other == held })
+	g.manager.Finish(&held.charge)
+}
+
+// takeEffects starts the attempts that may start, and returns the effects since the last event.
+func (g *testGateway) takeEffects() effects {
+	g.queue = slices.DeleteFunc(g.queue, func(held *heldRequest) bool {
+		if g.paused || g.now >= held.deadline || !g.manager.MayDispatch(&held.charge) {
+			return false
+		}
+		g.manager.AttemptStarted(&held.charge)
+		g.effects.sent = append(g.effects.sent, held.id)
+		return true
+	})
+	taken := g.effects
+	g.effects = effects{}
+	return taken
+}
+
+// addsOf sums what calls add.
+func addsOf(calls []Call) (sum float64) {
+	for _, call := range calls {
+		sum += call.Add
+	}
+	return sum
+}
--- /dev/null
+++ b/policy/quota/semaphore.go
@@ -0,0 +1,162 @@
+package quota
+
+import (
+	"time"
+
+	"lemontack/policy/model"
+)
+
+const (
+	// permitWindowDeadlines is the window of a permit name in longest deadlines, so that few attempts outlast
+	// it.
+	permitWindowDeadlines = 4
+	// minPermitWindow is the shortest window of a permit name.
+	minPermitWindow = 4 * time.Second
+	// maxPermitWindow is the longest window of a permit name: the counter has to keep names for two windows.
+	maxPermitWindow = 30 * time.Second
+)
+
+// semaphore is what this gateway knows of a customer's permits.
+type semaphore struct {
+	grantEstimate                // of this customer alone
+	samples        int           // replies in the estimate
+	window         int64         // window of the present name
+	held           int           // permits that this gateway holds under the present name
+	unreported     int           // permits that the next call has to add, since calls were not executed
+	exhaustedUntil time.Duration // all permits are taken until then
+}
+
+// usesSemaphore reports whether the limit on concurrent attempts is held by permits. A limit of at least one
+// attempt for each gateway is split instead.
+func (m *Manager) usesSemaphore(c *customer) bool {
+	return m.config.SharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
+}
+
+// acquirePermit decides on a request that is inside its rate by the limit on concurrent attempts, or calls
+// the counter for a permit.
+func (m *Manager) acquirePermit(charge *Charge) Decision {
+	c := charge.customer
+	calledShare := &c.plan.permitGrants.calledShare
+	now := m.host.Now()
+	if now < c.permits.exhaustedUntil {
+		return rejected(c.permits.exhaustedUntil - now)
+	}
+	if m.usesSemaphore(c) && m.shouldCallForPermit(charge) {
+		updateShare(calledShare, true, grantGain)
+		m.callSemaphore(c, pendingCall{name: m.semaphoreName(c), charge: charge, claim: 1})
+		return pending
+	}
+	updateShare(calledShare, false, grantGain)
+	return m.decideWithoutPermit(charge)
+}
+
+// decideWithoutPermit decides by the estimated probability that a permit is free. Requests that it admits are
+// limited to this gateway's share of the attempts; see MayDispatch. For a customer with a rate that share
+// alone decides.
+func (m *Manager) decideWithoutPermit(charge *Charge) Decision {
+	c := charge.customer
+	if charge.plan.Rate > 0 || !m.usesSemaphore(c) {
+		return admitted
+	}
+	if worthAdmitting(charge, c.permitProbabilityUncalled(charge)) {
+		return admitted
+	}
+	return rejected(m.host.MeanAnswerTime())
+}
+
+// handleSemaphoreReply takes the reply to a call by a permit name.
+func (m *Manager) handleSemaphoreReply(c *customer, call pendingCall, reply Reply) Decision {
+	m.repairSemaphore(c, &call, reply)
+	if call.charge == nil {
+		return pending
+	}
+	return m.handlePermitReply(call, reply)
+}
+
+// repairSemaphore takes back the permits of a call that was not executed, and corrects the total of a counter
+// that has lost its numbers.
+func (m *Manager) repairSemaphore(c *customer, call *pendingCall, reply Reply) {
+	isPresentName := call.name == m.semaphoreName(c)
+	if reply.Outcome.NotExecuted() {
+		if isPresentName {
+			c.permits.held -= int(call.claim + call.adjustment)
+			c.permits.unreported += int(call.adjustment)
+		}
+		call.claim = 0
+	}
+	missing := float64(c.permits.held) - reply.Total
+	if reply.Outcome == model.Succeeded && isPresentName && missing > 0 && !c.hasCallInFlight(call.name) {
+		m.call(c, pendingCall{name: call.name, adjustment: missing}, m.permitWindow())
+	}
+}
+
+// handlePermitReply decides on a request by the reply to its call for a permit.
+func (m *Manager) handlePermitReply(call pendingCall, reply Reply) Decision {
+	charge := call.charge
+	c := charge.customer
+	charge.permits = int(call.claim)
+	charge.permitName = call.name
+	granted := reply.Total <= float64(charge.plan.MaxConcurrency)
+	if reply.Outcome == model.Succeeded {
+		c.recordPermit(charge, granted)
+	}
+	switch {
+	case charge.finished:
+		m.releasePermits(charge)
+		return pending
+	case reply.Outcome != model.Succeeded:
+		return m.decideWithoutPermit(charge)
+	case granted:
+		return admitted
+	}
+	answerTime := m.host.MeanAnswerTime()
+	c.permits.exhaustedUntil = m.host.Now() + answerTime/time.Duration(charge.plan.MaxConcurrency)
+	return rejected(answerTime)
+}
+
+// releasePermits returns the permits that no attempt of the request needs. A request that may still be sent
+// keeps one.
+func (m *Manager) releasePermits(charge *Charge) {
+	needed := charge.attemptsInFlight
+	if !charge.finished {
+		needed = max(needed, 1)
+	}
+	if charge.permits > needed {
+		m.adjustPermits(charge, needed)
+	}
+}
+
+// adjustPermits calls the counter to set the number of permits that a request holds: fewer, or more for a
+// hedge or retry.
+func (m *Manager) adjustPermits(charge *Charge, permits int) {
+	difference := float64(permits - charge.permits)
+	m.callSemaphore(charge.customer, pendingCall{name: charge.permitName, adjustment: difference})
+	charge.permits = permits
+}
+
+// callSemaphore calls the counter by a permit name; by that of the present window with what is unreported.
+func (m *Manager) callSemaphore(c *customer, call pendingCall) {
+	if call.name == m.semaphoreName(c) {
+		call.adjustment += float64(c.permits.unreported)
+		c.permits.unreported = 0
+		c.permits.held += int(call.claim + call.adjustment)
+	}
+	m.call(c, call, m.permitWindow())
+}
+
+// permitWindow returns the length of the windows of permit names, the same at all gateways.
+func (m *Manager) permitWindow() time.Duration {
+	return min(max(permitWindowDeadlines*m.config.MaxDeadline, minPermitWindow), maxPermitWindow)
+}
+
+// semaphoreName returns the permit name of the present window. A new window begins without permits, which
+// ends those of crashed gateways.
+func (m *Manager) semaphoreName(c *customer) string {
+	window := c.windowAt(m.host.Now(), m.permitWindow())
+	if window != c.permits.window {
+		c.permits.window = window
+		c.permits.held = 0
+		c.permits.unreported = 0
+	}
+	return c.semaphoreNameOf(window)
+}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The units of a request whose client leaves before anything of it has left the gateway are free again: in the queue,
+// The units of a request whose client disconnects before anything of it has left the gateway are refunded: in the queue,
 // while it waits for a connection, and while it waits for the counter.
-func TestUnitsOfWhoLeavesComeBack(t *testing.T) {
+func TestUnitsAreRefundedWhenTheClientDisconnectsBeforeSending(t *testing.T) {
 	for name, wait := range map[string]func(r *rig){
 		"in the queue": func(r *rig) {
 			r.g.window = 0
@@ -27,7 +27,6 @@
 			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1,
 				Deadline: r.now + 2*time.Second, GatewaySpan: 100}})
 			r.tell(ClientDisconnected{ID: 1})
-			r.g.customers["c"].lease = 0
 			r.tell(CounterReply{Name: only[IncrementCounter](acts)[0].Name, Outcome: Succeeded, Total: 1})
 		},
 	} {
@@ -37,11 +36,13 @@
 			r := newRig(t, set, Endpoint{ID: "s", State: Serving})
 			want := 4.0
 			if name == "for the counter" {
-				want = 1 // the unit that was granted; the share of the store is less than one
+				want = 8.0/100 + 1 // the first lease, which is less than a unit, and the unit that was granted
 			}
 			wait(r)
-			if c := r.g.customers["c"]; c.lease+c.bucket.reserved != want || c.attemptsInFlight != 0 || r.g.inFlight != 0 {
-				t.Fatalf("block and reservation %v of %v, %d attempts and %d places taken", c.lease+c.bucket.reserved, want, c.attemptsInFlight, r.g.inFlight)
+			c := r.g.quota.Customer("c")
+			if tokens := c.LeaseTokens + c.ReservedTokens; tokens != want || c.AttemptsInFlight != 0 || r.g.inFlight != 0 {
+				t.Fatalf("lease and reservation %v of %v, %d attempts in flight, %d in the window", tokens, want,
+					c.AttemptsInFlight, r.g.inFlight)
 			}
 			r.g.window = 10
 			if got := only[Send](r.pass(time.Second)); len(got) > 0 {
@@ -51,9 +52,9 @@
 	}
 }
 
-// However many requests expire unsent, their units fill the block up to this gateway's share of the store and no further:
-// the rest goes back to the store, or, in a central bucket, is told.
-func TestUnitsThatComeBackFillTheBlockOnly(t *testing.T) {
+// However many requests expire unsent, their units refill the lease up to this gateway's share of the burst and no further:
+// the rest goes back to the token bucket, or, of a central bucket, is reported.
+func TestRefundsRefillTheLeaseOnlyUpToItsShare(t *testing.T) {
 	for _, spread := range []int{2, 4, 100} {
 		set := settings()
 		set.GatewayCount = 100
@@ -70,27 +71,37 @@
 			r.pass(300 * ms)
 		}
 		r.pass(3 * time.Second)
-		c := r.g.customers["c"]
-		if most := max(8/float64(spread), 1); c.lease+c.bucket.reserved > most+1e-9 || c.lease+c.bucket.reserved < most/2 || len(r.g.activeRequests) > 0 {
-			t.Errorf("%d gateways: block %v after all have expired, the share is %v", spread, c.lease, most)
+		c := r.g.quota.Customer("c")
+		share, tokens := max(8/float64(spread), 1), c.LeaseTokens+c.ReservedTokens
+		if tokens > share+1e-9 || tokens < share/2 || len(r.g.activeRequests) > 0 {
+			t.Errorf("%d gateways: lease %v after all have expired, the share is %v", spread, tokens, share)
 		}
-		if all := c.lease + r.g.availableTokens(c); !c.central && all > 8+1e-9 {
-			t.Errorf("%d gateways: block and store hold %v, the burst is 8", spread, all)
+		if all := c.LeaseTokens + c.AvailableTokens; !c.Central && all > 8+1e-9 {
+			t.Errorf("%d gateways: lease and token bucket hold %v, the burst is 8", spread, all)
 		}
 	}
 }
 
-// Units that a request has taken before the block was filled again go back to the store, which the counter is told.
-func TestUnitsBeyondTheBlockGoBackToTheStore(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	r.g.window = 0
-	r.arrive(1, "read", "small")
-	c := r.g.customers["c"]
-	c.lease = 4 // filled meanwhile
-	owed, level := c.unreported, c.estimatedTokens
-	r.tell(ClientDisconnected{ID: 1})
-	if c.lease != 4 || c.unreported != owed-1 || c.estimatedTokens != level+1 {
-		t.Fatalf("block %v, owed %v of %v, level %v of %v", c.lease, c.unreported, owed, c.estimatedTokens, level)
+// The units that an answer settles for a request whose claim was granted are reported by the customer's next call.
+func TestSettledUnitsOfAnAnswerAreReportedByTheNextCall(t *testing.T) {
+	set := fleetSettings()
+	for i := range set.Plans {
+		set.Plans[i].SettledByReply = true
+	}
+	r := newRig(t, set, Endpoint{ID: "s", State: Serving})
+	arrive := func(id RequestID) []Action {
+		return r.tell(Arrival{Request{ID: id, Class: "read", Plan: "thick", Customer: "c", Units: 2,
+			Deadline: r.now + 2*time.Second, GatewaySpan: 60}})
+	}
+	call := only[IncrementCounter](arrive(1))[0]
+	sends := only[Send](r.tell(CounterReply{Name: call.Name, Outcome: Succeeded, Total: call.Add}))
+	if len(sends) != 1 {
+		t.Fatalf("sends %v, want one", sends)
+	}
+	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: ms, RequestFinished: true, SettledUnits: 3.5})
+	next := only[IncrementCounter](arrive(2))
+	if len(next) != 1 || next[0].Add != 2+1.5 {
+		t.Errorf("calls %v, want one for 2 units and the 1.5 that were settled", next)
 	}
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,24 +2,22 @@
 
 import (
 	"time"
+
+	"lemontack/policy/quota"
 )
 
 type request struct {
 	Request
 	class                        *classState
-	plan                         *planState
-	customer                     *customer
+	charge                       quota.Charge // its account with the quotas
+	plan                         *Plan
 	arrived                      time.Duration
 	priority                     float64 // worth, as queued
-	overQuota                    bool    // sent on beyond the quota
-	leaseCharged, ceilingGranted bool    // its units came from the block; from the counter, within the ceiling
-	claimCharged, attempted      bool    // from the counter, for the block if it is not sent; an attempt has left
+	overQuota                    bool    // admitted although it is over its quota
 	queued, dispatched, finished bool    // in the queue; first attempt has gone; answered for good
 	objectiveMissed, streaming   bool    // the aim can no longer be met; the answer has begun
 	attempts                     []*attempt
 	attemptsInFlight             int
-	permits                      int // that it holds
-	permitName                   string
 }
 
 type attempt struct {
@@ -30,13 +28,10 @@
 }
 
 func (g *Gateway) handleArrival(q Request) {
-	r := &request{Request: q, class: g.classes[q.Class], plan: g.plans[q.Plan], arrived: g.now}
+	r := &request{Request: q, class: g.classes[q.Class], arrived: g.now}
 	if r.class == nil { // unknown: unsafe to repeat
 		r.class = &classState{Class: Class{Name: q.Class, LatencyObjective: max(q.Deadline-g.now, time.Millisecond)}}
 	}
-	if r.plan == nil {
-		r.plan = newPlanState(Plan{Name: q.Plan, Price: 1})
-	}
 	if r.Units <= 0 {
 		r.Units = 1
 	}
@@ -44,37 +39,15 @@
 		g.emit(Reject{ID: r.ID, RetryAfter: min(r.class.LatencyObjective, g.settings.MaxRetryAfter)})
 		return
 	}
-	r.customer = g.customerFor(r)
+	g.openCharge(r)
 	g.requests[q.ID] = r
 	g.activeRequests = append(g.activeRequests, r)
-	g.checkQuota(r)
+	g.resolveQuota(r, g.quota.Admit(&r.charge))
 	if !r.dispatched && !r.finished {
 		g.expire(r) // it may come with less time than a sweep takes
 	}
 }
 
-// resolveQuota lets a request into the queues by what is known of its customer's store.
-func (g *Gateway) resolveQuota(r *request, inside bool) {
-	if !inside {
-		if r.plan.OverQuotaWeight <= r.plan.OverQuotaCost || g.saturated() {
-			g.reject(r, g.quotaRetryAfter(r))
-			return
-		}
-		r.overQuota = true // earns more than it costs, and nobody inside a quota waits for the place
-	}
-	if inside && r.plan.MaxConcurrency > 0 {
-		g.acquirePermit(r)
-		return
-	}
-	g.enqueueAdmitted(r)
-}
-
-// enqueueAdmitted queues a request that its quotas let in.
-func (g *Gateway) enqueueAdmitted(r *request) {
-	g.enqueue(r)
-	g.dispatch()
-}
-
 // priorityValue is the request's priority: class worth x plan price, times what is left of it.
 func (r *request) priorityValue() float64 {
 	w := r.class.PriorityWeight * r.plan.Price
@@ -132,8 +105,7 @@
 		g.dequeue(r)
 	}
 	r.finished = true
-	g.refundTokens(r)
-	g.releasePermits(r)
+	g.quota.Finish(&r.charge)
 	for _, a := range r.attempts {
 		if !a.ended && g.settings.MayCancel && !r.streaming {
 			g.emit(Cancel{ID: r.ID, Attempt: a.number})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -136,8 +136,9 @@
 
 // Rule 5: a gateway stays within its part of the ceiling, and starts with none of it.
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
+	set := settings()
+	set.Plans[3].Rate = 0 // the ceiling is the only limit
+	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	r.g.window = 1000
 	sent := 0
 	for i := range 400 {
