--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestRefusedRequestsGiveNoUnitsBack(t *testing.T) {
+func TestRejectedRequestsRefundNoUnits(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
@@ -123,9 +123,9 @@
 	}
 }
 
-// A burst that gives each gateway less than one request is asked for at the counter, request by request: what all
-// gateways send stays within it, whatever each has seen, and also after all have restarted.
-func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
+// A burst that gives each gateway less than one request is claimed at the counter, request by request: what all gateways
+// send stays within it, whatever each has seen, and also after all have restarted.
+func TestSmallBurstOverManyGatewaysIsClaimedAtTheCounter(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		set := settings()
 		set.GatewayCount = n
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fleetSettings are those of one gateway of a large fleet: a customer comes through all of it.
+// fleetSettings are those of one gateway of a large fleet: requests of a customer arrive at all of its gateways.
 func fleetSettings() Settings {
 	set := settings()
 	set.GatewayCount, set.MaxUnits = 60, 4
@@ -15,9 +15,9 @@
 	return set
 }
 
-// Wherever a request waits when its client leaves, nothing of it is sent from then on, whatever comes later:
-// answers of the counter, ends of attempts, room in the window or at the cap, servers.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+// Wherever a request waits when its client disconnects, nothing of it is sent from then on, whatever comes later: replies of
+// the counter, ends of attempts, capacity of the window or the concurrency limit, endpoints.
+func TestNothingIsSentAfterTheClientDisconnects(t *testing.T) {
 	fleet := []Endpoint{{ID: "s", State: Serving}, {ID: "u", State: Serving}}
 	ended := func(o Outcome) AttemptEnded {
 		return AttemptEnded{ID: 1, Endpoint: "s", Outcome: o, Latency: 20 * ms}
@@ -41,38 +41,38 @@
 		r.tell(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
 	}
 	for name, c := range map[string]struct {
-		plan    string
-		refused bool // where its client stays
-		spread  int
-		ready   func(r *rig)                                    // before the request comes
-		waits   func(r *rig)                                    // after, up to where it waits
-		later   func(r *rig, calls []IncrementCounter) []Action // after its client has left
+		plan     string
+		rejected bool // where its client stays
+		spread   int
+		ready    func(r *rig)                                    // before the request comes
+		waits    func(r *rig)                                    // after, up to where it waits
+		later    func(r *rig, calls []IncrementCounter) []Action // after its client has disconnected
 	}{
-		"for the counter, which grants":  {"thin", false, 60, nil, nil, counted(Succeeded, 1)},
-		"for the counter, which refuses": {"thin", true, 60, nil, nil, counted(Succeeded, 1000)},
-		"for the counter, which is gone": {"thin", false, 60, nil, nil, counted(TimedOut, 0)},
-		"for the counter, turned away":   {"thin", false, 60, nil, nil, counted(Rejected, 0)},
-		"for the counter, with others' adds": {"thin", false, 60, loseCall, nil,
+		"for the counter, which grants":             {"thin", false, 60, nil, nil, counted(Succeeded, 1)},
+		"for the counter, which rejects":            {"thin", true, 60, nil, nil, counted(Succeeded, 1000)},
+		"for the counter, which times out":          {"thin", false, 60, nil, nil, counted(TimedOut, 0)},
+		"for the counter, whose calls are rejected": {"thin", false, 60, nil, nil, counted(Rejected, 0)},
+		"for the counter, which not all requests call": {"thin", false, 60, loseCall, nil,
 			counted(Succeeded, 1)},
-		"for the counter, beyond": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
-		"for a ceiling's window":  {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
-		"in the queue":            {"free", false, 2, func(r *rig) { r.g.window = 0 }, nil, nil},
-		"for a server": {"free", false, 2, func(r *rig) { r.tell(EndpointsChanged{Snapshot: true}) }, nil,
+		"for the counter, over the quota": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
+		"for a ceiling's window":          {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
+		"in the queue":                    {"free", false, 2, func(r *rig) { r.g.window = 0 }, nil, nil},
+		"for an endpoint": {"free", false, 2, func(r *rig) { r.tell(EndpointsChanged{Snapshot: true}) }, nil,
 			func(r *rig, _ []IncrementCounter) []Action {
 				return r.tell(EndpointsChanged{Snapshot: true, Endpoints: fleet})
 			}},
-		"at the cap": {"open", false, 1, func(r *rig) { of(r, 9, "open", 1) }, nil,
+		"at the concurrency limit": {"open", false, 1, func(r *rig) { of(r, 9, "open", 1) }, nil,
 			func(r *rig, _ []IncrementCounter) []Action {
 				return r.tell(AttemptEnded{ID: 9, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 			}},
-		"for an answer, before a copy": {"free", false, 2,
+		"for an answer, before a hedge": {"free", false, 2,
 			func(r *rig) { r.g.classes["read"].meanLatency = 0.02 }, nil, nil},
-		"for an answer that is a refusal": {"free", false, 2, nil, nil,
+		"for an answer that is a rejection": {"free", false, 2, nil, nil,
 			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(Rejected)) }},
 		"for a connection that never comes": {"free", false, 2, nil, nil,
 			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(ConnectFailed)) }},
-		"for a further attempt": {"free", false, 2, nil, func(r *rig) {
-			r.g.window = 0 // it shrinks meanwhile
+		"for a retry": {"free", false, 2, nil, func(r *rig) {
+			r.g.window = 0 // it shrinks in the meantime
 			r.tell(ended(Rejected))
 		}, nil},
 	} {
@@ -119,7 +119,7 @@
 					switch {
 					case leaves && sends+answers > 0:
 						t.Errorf("may cancel %v: %d attempts, %d answers", mayCancel, sends, answers)
-					case !leaves && sends == 0 && !c.refused:
+					case !leaves && sends == 0 && !c.rejected:
 						t.Errorf("may cancel %v: not sent for a client that stays", mayCancel)
 					}
 				}
@@ -128,8 +128,8 @@
 	}
 }
 
-// A request that comes with no time left is refused at once and takes nothing of its customer's quota.
-func TestArrivesWithoutTime(t *testing.T) {
+// A request that arrives at its deadline is rejected at once and takes nothing of its customer's quota.
+func TestRequestThatArrivesAtItsDeadlineIsRejected(t *testing.T) {
 	g, err := New(settings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -138,17 +138,17 @@
 	for id := RequestID(1); id <= 50; id++ {
 		out := g.Handle(now, Arrival{Request: Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1, GatewaySpan: 1,
 			Deadline: now}}, nil)
-		refused := 0
+		rejections := 0
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reject:
-				refused++
+				rejections++
 			case Send, IncrementCounter:
 				t.Fatalf("request %d: %+v", id, a)
 			}
 		}
-		if refused != 1 {
-			t.Fatalf("request %d: %d refusals in %+v", id, refused, out)
+		if rejections != 1 {
+			t.Fatalf("request %d: %d rejections in %+v", id, rejections, out)
 		}
 	}
 }
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -50,35 +50,36 @@
 		Deadline: r.now + 2*time.Second, GatewaySpan: len(c.rigs)}})
 }
 
-// What all gateways send on for a customer within a window is its burst, and with the counter silent its fair
-// shares, however many the gateways are.
-func TestFirstSightsOfAllGatewaysSumToTheBurst(t *testing.T) {
+// The first requests that all gateways admit for a customer sum to its burst, or while the counter is silent to the
+// gateways' shares of it, however many gateways there are.
+func TestFirstRequestsAtAllGatewaysSumToTheBurst(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
 		for _, silent := range []bool{false, true} {
 			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 			c.silent = silent
 			sent := 0
-			for i := range 2 * max(n, 20) { // everyone twice at one moment, the few more often
+			for i := range 2 * max(n, 20) { // all of them twice at one moment, a few gateways more often
 				r := c.rigs[i%n]
 				for _, s := range c.arrive(r, i, "read", "small") {
 					sent++
 					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 				}
 			}
-			most := 2 * 8 // the burst is 8; the random phases of the fair shares add some chance
+			limit := 2 * 8 // the burst is 8; the random parts of the local buckets add some variance
 			if n == 3 && !silent {
-				most = (n + 1) * 8 // leased ahead: a gateway's first look takes the use before it as spread out
+				limit = (n + 1) * 8 // leased ahead: a gateway's first total takes earlier usage as spread over its window
 			}
-			if sent < 3 || sent > most {
+			if sent < 3 || sent > limit {
 				t.Errorf("%d gateways, counter silent %v: %d sent at one moment, the burst is 8", n, silent, sent)
 			}
 		}
 	}
 }
 
-// The ceiling holds in the sum, by the counter's grants, by the shares while it is silent, and over a restart of all.
-func TestCeilingHoldsInTheSum(t *testing.T) {
-	for _, n := range []int{1, 3, 20} { // a ceiling's customer comes through no more gateways than half its burst
+// The ceiling holds over all gateways, by the counter's grants, by their shares while it is silent, and over a restart of
+// all of them.
+func TestCeilingHoldsOverAllGateways(t *testing.T) {
+	for _, n := range []int{1, 3, 20} { // the requests of such a customer arrive at no more gateways than half its burst
 		for _, silent := range []bool{false, true} {
 			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 			c.silent = silent
@@ -108,8 +109,8 @@
 					}
 				}
 			}
-			if most := 40 + 3*20 + 4; sent == 0 || sent > most {
-				t.Errorf("%d gateways, counter silent %v: %d sent in 3 s, the ceiling lets %d", n, silent, sent, most)
+			if limit := 40 + 3*20 + 4; sent == 0 || sent > limit {
+				t.Errorf("%d gateways, counter silent %v: %d sent in 3 s, the ceiling allows %d", n, silent, sent, limit)
 			}
 		}
 	}
@@ -145,7 +146,7 @@
 }
 
 // Where gateways outnumber a customer's concurrent attempts and an over-quota attempt has a cost, they take turns.
-func TestConcurrencyLimitHoldsInTheSum(t *testing.T) {
+func TestConcurrencyLimitHoldsOverAllGateways(t *testing.T) {
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
@@ -159,14 +160,14 @@
 			sent += len(c.arrive(c.rigs[i%n], i, "read", "open"))
 		}
 		if n > 1 && sent != 3 {
-			t.Errorf("%d gateways sent %d at one moment, the cap is 3", n, sent)
+			t.Errorf("%d gateways sent %d at one moment, the limit is 3", n, sent)
 		}
 	}
 }
 
-// A request that waits for the counter has its answer before its client gives up, whatever the counter does, and
-// the counter's late answer sends nothing.
-func TestWaitingForTheCounterLosesNoRequest(t *testing.T) {
+// A request that waits for the counter has its answer before its deadline, whatever the counter does, and a late reply of
+// the counter sends nothing.
+func TestRequestThatWaitsForTheCounterIsAnsweredBeforeItsDeadline(t *testing.T) {
 	set := settings()
 	set.GatewayCount = 100
 	for _, left := range []time.Duration{2 * ms, 15 * ms, 700 * ms} {
@@ -179,11 +180,11 @@
 		}
 		acts = append(acts, r.pass(left-left%(10*ms))...)
 		if len(only[Reject](acts)) != 1 {
-			t.Fatalf("%v left: actions %v, want one refusal", left, acts)
+			t.Fatalf("%v left: actions %v, want one rejection", left, acts)
 		}
 		late := r.tell(CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})
 		if len(only[Send](late)) > 0 || len(only[Reject](late)) > 0 {
-			t.Fatalf("%v left: the late answer gave %v", left, late)
+			t.Fatalf("%v left: the late reply led to %v", left, late)
 		}
 	}
 }
@@ -217,8 +218,8 @@
 	}
 }
 
-// Odd customers and fleets: sane decisions, no panic.
-func TestOddSpreadsAndFleetsStillDecide(t *testing.T) {
+// Out-of-range gateway spans and indexes lead to valid decisions without a panic.
+func TestOutOfRangeGatewaySpansStillDecide(t *testing.T) {
 	set := settings()
 	set.GatewayCount = 100
 	for _, q := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
