--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,8 +1,9 @@
 // Package policy decides for one gateway of a metered service. Its interface is in settings.go, events.go and
-// actions.go; what decides is in the files named after their subject.
+// actions.go; the decisions are in the files named after their subject and in the packages below this one.
 //
-// A request spends units of its customer's leased block (lease), or claims them as it comes (ask). It joins
-// the queue of its priority, class worth x plan price, and leaves when the AIMD window of attempts has room,
-// highest first (release). The choice of server, hedges, retries and slow starts never change that order.
-// A Gateway is single-threaded: the clock comes with the events, chance from the seed.
+// Package quota decides whether a request is inside the quotas of its customer; admission.go connects it. An
+// admitted request joins the queue of its priority, class weight x plan price, and leaves when the AIMD
+// window of attempts has capacity, highest priority first. The choice of endpoint, hedges, retries and slow
+// starts never change that order. A Gateway is single-threaded: the clock comes with the events, chance from
+// the seed.
 package policy
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -36,14 +36,12 @@
 	}
 	c.bucket.initialCredit = m.rng.Float64() * max(1, m.config.MaxUnits)
 	if !m.config.SharedCounter {
-		// Nothing else will be granted at once: up to two of the smallest requests, including the first
-		// lease.
+		// Nothing else is granted at once: up to two of the smallest requests, with the first lease.
 		c.bucket.initialCredit = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
 	}
 }
 
-// admitByBucket decides on a new request of a customer with a central bucket, or claims its units from the
-// bucket.
+// admitByBucket decides on a new request of a customer with a central bucket, or claims its units there.
 func (m *Manager) admitByBucket(charge *Charge) Decision {
 	c, now := charge.customer, m.host.Now()
 	switch {
@@ -53,7 +51,7 @@
 		return m.resolve(charge, true)
 	case now < c.bucket.exhaustedUntil:
 		return m.resolve(charge, false)
-	case c.hasCeiling() && m.counterIsHealthy(), m.shouldCallForTokens(charge):
+	case c.hasCeiling() && m.throttle.counterIsHealthy(), m.shouldCallForTokens(charge):
 		m.claimTokens(charge)
 		return pending
 	}
@@ -151,7 +149,7 @@
 	c := charge.customer
 	limit := min(c.plan.Burst, c.plan.CeilingBurst/2)
 	granted := total <= max(limit, charge.units)
-	charge.ceilingGranted = granted && m.counterIsHealthy()
+	charge.ceilingGranted = granted && m.throttle.counterIsHealthy()
 	switch {
 	case granted:
 		c.lease.tokens = max(0, c.lease.tokens-charge.units)
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -79,7 +79,7 @@
 	if !ok {
 		return 0, pending
 	}
-	m.adaptCallShare(reply.Outcome, m.host.Now()-call.sentAt)
+	m.throttle.adapt(reply.Outcome, m.host.Now()-call.sentAt)
 	if isSemaphoreName(call.name) {
 		return call.requestID(), m.handleSemaphoreReply(c, call, reply)
 	}
--- a/policy/quota/callshare.go
+++ b/policy/quota/callthrottle.go
@@ -23,25 +23,35 @@
 	callShareIncrease = 0.01
 )
 
-// adaptCallShare adapts the share of requests that call the counter, by AIMD. All gateways share the counter,
-// so its delay shows the sum of their calls.
-func (m *Manager) adaptCallShare(outcome model.Outcome, delay time.Duration) {
+// callThrottle adapts the share of the requests with central buckets or permits that call the counter to what
+// the counter can take, by AIMD. All gateways share the counter, so its delay shows the sum of their calls.
+type callThrottle struct {
+	share   float64
+	timeout time.Duration // of a call
+}
+
+func newCallThrottle(timeout time.Duration) callThrottle {
+	return callThrottle{share: 1, timeout: timeout}
+}
+
+// adapt takes the outcome and the delay of a call.
+func (throttle *callThrottle) adapt(outcome model.Outcome, delay time.Duration) {
 	switch {
 	case outcome == model.Failed: // an error reply is no sign of load
 	case outcome != model.Succeeded:
-		m.callShare = max(minCallShare, m.callShare*callShareFactorOnLoss)
-	case delay > m.config.CounterTimeout/2:
-		m.callShare = max(minCallShare, m.callShare*callShareFactorOnDelay)
+		throttle.share = max(minCallShare, throttle.share*callShareFactorOnLoss)
+	case delay > throttle.timeout/2:
+		throttle.share = max(minCallShare, throttle.share*callShareFactorOnDelay)
 	default:
-		m.callShare = min(1, m.callShare+callShareIncrease/m.callShare)
+		throttle.share = min(1, throttle.share+callShareIncrease/throttle.share)
 	}
 }
 
 // counterIsHealthy reports whether the counter replies to enough calls for ceilings to rely on its grants.
-func (m *Manager) counterIsHealthy() bool { return m.callShare >= minHealthyCallShare }
+func (throttle *callThrottle) counterIsHealthy() bool { return throttle.share >= minHealthyCallShare }
 
-// counterHasSpareCalls reports whether nearly all requests call the counter.
-func (m *Manager) counterHasSpareCalls() bool { return m.callShare >= spareCallShare }
+// hasSpareCalls reports whether nearly all requests call the counter.
+func (throttle *callThrottle) hasSpareCalls() bool { return throttle.share >= spareCallShare }
 
 // shouldCallForTokens decides whether a request of a central bucket calls the counter. Where over-quota
 // requests gain more than they cost, a guess does nearly as well as a call, so that these leave the calls to
@@ -51,9 +61,9 @@
 	case !m.config.SharedCounter:
 		return false
 	case !charge.customer.hasCeiling() && charge.plan.OverQuotaWeight > charge.plan.OverQuotaCost:
-		return m.rng.Float64() <= 2*m.callShare-1
+		return m.rng.Float64() <= 2*m.throttle.share-1
 	}
-	return m.rng.Float64() <= m.callShare
+	return m.rng.Float64() <= m.throttle.share
 }
 
 // shouldCallForPermit decides whether a request calls the counter for a permit. Where calls are scarce, the
@@ -65,8 +75,8 @@
 	wrong := min(probability, costOfAdmitting)
 	stake := charge.units * charge.plan.Price * charge.priorityWeight * wrong
 	m.meanPermitStake += grantGain * (stake - m.meanPermitStake)
-	if charge.plan.Rate > 0 || m.counterHasSpareCalls() {
-		return m.counterHasSpareCalls()
+	if charge.plan.Rate > 0 || m.throttle.hasSpareCalls() {
+		return m.throttle.hasSpareCalls()
 	}
-	return m.rng.Float64()*m.meanPermitStake <= m.callShare*stake
+	return m.rng.Float64()*m.meanPermitStake <= m.throttle.share*stake
 }
--- a/policy/quota/callshare_test.go
+++ b/policy/quota/callthrottle_test.go
@@ -23,10 +23,10 @@
 		{"error reply", model.Failed, 5 * ms, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newCentralGateway(t)
-			g.manager.callShare = 0.5
-			g.manager.adaptCallShare(c.outcome, c.delay)
-			if got := g.manager.callShare; got < 0.5 != c.less || got > 0.5 != c.more {
+			throttle := newCallThrottle(50 * ms)
+			throttle.share = 0.5
+			throttle.adapt(c.outcome, c.delay)
+			if got := throttle.share; got < 0.5 != c.less || got > 0.5 != c.more {
 				t.Errorf("share %v after 0.5", got)
 			}
 		})
--- a/policy/quota/ceiling.go
+++ b/policy/quota/ceiling.go
@@ -25,5 +25,5 @@
 	refilled := c.ceiling.tokens + charge.plan.CeilingRate/span*(now-c.ceiling.updatedAt).Seconds()
 	c.ceiling.tokens = min(charge.plan.CeilingBurst/span, refilled)
 	c.ceiling.updatedAt = now
-	return c.ceiling.tokens >= charge.units && !(c.central && m.counterIsHealthy())
+	return c.ceiling.tokens >= charge.units && !(c.central && m.throttle.counterIsHealthy())
 }
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// AttemptEnded accounts for the end of an attempt. Release follows once it is decided how the request goes
-// on.
+// AttemptEnded accounts for the end of an attempt. The caller decides how the request goes on, then calls
+// Release.
 func (m *Manager) AttemptEnded(charge *Charge, outcome model.Outcome) {
 	charge.attempted = charge.attempted || outcome != model.NotSent
 	charge.attemptsInFlight--
@@ -102,8 +102,8 @@
 	m.Release(charge)
 }
 
-// Release returns the units of a request that ended without an attempt, and the permits that no attempt
-// needs.
+// Release returns the units of a request that finished before anything of it was sent, and the permits that
+// no attempt needs.
 func (m *Manager) Release(charge *Charge) {
 	m.refundTokens(charge)
 	m.releasePermits(charge)
--- a/policy/quota/doc.go
+++ b/policy/quota/doc.go
@@ -15,11 +15,12 @@
 //
 // # Central token buckets
 //
-// A customer whose burst holds less than two requests for each of its gateways has a central token bucket:
-// leases would lie idle, and each gateway sees too few of its requests to estimate the level. The number on
-// the counter is the usage, less what the rate has refilled since the window of its name began, and a request
-// claims its units with one add as it arrives. A claim that finds too few tokens remains as a reservation of
-// the next refill: the client's retry uses it, and it is returned if no retry arrives.
+// A customer whose burst holds less than one of the largest requests for each of its gateways has a central
+// token bucket: leases would lie idle, and each gateway sees too few of its requests to estimate the level.
+// The number on the counter is the usage since the window of its name began; the level is the burst and what
+// the rate has refilled since then, less that usage. A request claims its units with one add as it arrives. A
+// claim that finds too few tokens remains as a reservation of the next refill: the client's retry uses it,
+// and it is returned if no retry arrives.
 //
 // A large number of gateways has more requests than the counter can take calls. The share of the requests
 // that call follows the delay of the counter by additive increase and multiplicative decrease (AIMD). The
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -48,7 +48,7 @@
 	customerOrder []*customer // in the order of their first requests
 	nextIdleCheck int         // index in customerOrder
 
-	callShare       float64 // share of the requests with central buckets or permits that call the counter
+	throttle        callThrottle
 	counterFailures int     // failed calls for leases in a row
 	meanPermitStake float64 // mean weight at stake in a decision without a permit; see shouldCallForPermit
 }
@@ -62,7 +62,7 @@
 		rng:       rng,
 		plans:     make(map[string]*planState, len(plans)),
 		customers: map[string]*customer{},
-		callShare: 1,
+		throttle:  newCallThrottle(config.CounterTimeout),
 	}
 	for _, plan := range plans {
 		// A smaller bucket could never admit the largest request.
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// permitWindowDeadlines is the window of a permit name in longest deadlines, so that few attempts outlast
-	// it.
+	// permitWindowDeadlines is the window of a permit name in longest deadlines: few attempts outlast it.
 	permitWindowDeadlines = 4
 	// minPermitWindow is the shortest window of a permit name.
 	minPermitWindow = 4 * time.Second
