--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -10,8 +10,6 @@
 	// overfillTolerance is the share of the burst that a bucket may seem to hold in excess before its total
 	// is corrected.
 	overfillTolerance = 0.5
-	// maxCarriedBursts bounds, in bursts, the deficit that a window hands on to the next.
-	maxCarriedBursts = 1.5
 	// negligibleTokens is the rounding error of the counter's totals, which have seven digits, in units.
 	negligibleTokens = 1e-6
 )
@@ -160,26 +158,12 @@
 	return granted
 }
 
-// bucketCovers reports whether the bucket held the units of a claim, and corrects its total on the counter:
-// where the window has just begun, where the bucket has overflowed, and where the claim is not kept as a
-// reservation.
+// bucketCovers reports whether the bucket held the units of a claim, and corrects its total on the counter
+// where it is wrong or the claim is not kept as a reservation.
 func (m *Manager) bucketCovers(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
-	window := c.windowAt(call.sentAt, c.bucket.window)
-	refilled := m.refilledTokens(c, window)
-	usedBefore := total - call.claim
-	level := c.plan.Burst + refilled - usedBefore
-	correction := 0.0
-	switch {
-	case usedBefore-call.adjustment < negligibleTokens:
-		// It is the first claim of the window, or the counter has lost its numbers.
-		level = c.plan.Burst
-		correction = refilled
-		m.readPreviousWindow(c, window)
-	case level > c.plan.Burst*(1+overfillTolerance):
-		correction = level - c.plan.Burst
-	}
+	level, correction := m.levelBeforeClaim(call, total)
 	c.lease.estimatedTokens = min(level, c.plan.Burst)
 	covered := c.lease.estimatedTokens >= min(charge.units, c.plan.Burst)
 	if !covered {
@@ -196,38 +180,27 @@
 	return covered
 }
 
-// refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
-func (m *Manager) refilledTokens(c *customer, window int64) float64 {
-	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.window).Seconds()
-}
-
-// readPreviousWindow calls for the final usage of the window before the given one: the total of a new name
-// starts at 0, which stands for a full bucket.
-func (m *Manager) readPreviousWindow(c *customer, window int64) {
-	if !c.hasCeiling() {
-		m.call(c, pendingCall{name: c.bucketNameOf(window - 1), readsPreviousWindow: true}, c.bucket.window)
+// levelBeforeClaim returns the level of the bucket before a claim, by the total that the claim has returned,
+// and what has to be added to that total: where the window has just begun or the bucket has overflowed, the
+// total is below the usage that stands for a full bucket.
+func (m *Manager) levelBeforeClaim(call pendingCall, total float64) (level, correction float64) {
+	c := call.charge.customer
+	window := c.windowAt(call.sentAt, c.bucket.window)
+	refilled := m.refilledTokens(c, window)
+	usedBefore := total - call.claim
+	if usedBefore-call.adjustment < negligibleTokens {
+		// It is the first claim of the window, or the counter has lost its numbers.
+		m.readPreviousWindow(c, window)
+		return c.plan.Burst, refilled
 	}
-}
-
-// handleCorrectionReply takes the reply to a call that was made for no request. The deficit of the previous
-// window is carried over into the present one. A correction that another gateway has made too, from the same
-// total, is reverted; the other's, which came first, remains.
-func (m *Manager) handleCorrectionReply(c *customer, call pendingCall, total float64) {
-	remoteAdds := total - call.correctedTotal - call.adjustment
-	isLargeCorrection := call.correctedTotal > 0 && call.adjustment > c.plan.Burst/2
-	switch {
-	case call.readsPreviousWindow:
-		m.carryDeficit(c, total)
-	case isLargeCorrection && remoteAdds > call.adjustment/2:
-		m.call(c, pendingCall{name: call.name, adjustment: -call.adjustment}, c.bucket.window)
+	level = c.plan.Burst + refilled - usedBefore
+	if level > c.plan.Burst*(1+overfillTolerance) {
+		return level, level - c.plan.Burst
 	}
+	return level, 0
 }
 
-// carryDeficit adds the deficit of the previous window, by its final usage, to the usage of the present one.
-func (m *Manager) carryDeficit(c *customer, previousUsage float64) {
-	window := c.windowAt(m.host.Now(), c.bucket.window)
-	deficit := min(previousUsage-m.refilledTokens(c, window-1), maxCarriedBursts*c.plan.Burst)
-	if previousUsage > 0 && deficit > 0 {
-		m.call(c, pendingCall{name: c.bucketNameOf(window), adjustment: deficit}, c.bucket.window)
-	}
+// refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
+func (m *Manager) refilledTokens(c *customer, window int64) float64 {
+	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.window).Seconds()
 }
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -53,10 +53,10 @@
 // MayDispatch reports whether the limit on concurrent attempts and the ceiling let an attempt of the request
 // start now.
 func (m *Manager) MayDispatch(charge *Charge) bool {
-	if charge.plan.MaxConcurrency > 0 && charge.permits == 0 {
-		if charge.customer.attemptsInFlight >= m.concurrencyShare(charge.customer) {
-			return false
-		}
+	c := charge.customer
+	needsShare := charge.plan.MaxConcurrency > 0 && charge.permits == 0
+	if needsShare && c.attemptsInFlight >= m.concurrencyShare(c) {
+		return false
 	}
 	return charge.dispatched || m.ceilingAllows(charge)
 }
--- a/policy/quota/decision.go
+++ b/policy/quota/decision.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// minRate bounds the wait for a refill at a tiny rate, in units a second.
+const minRate = 0.01
+
 // Verdict is the kind of a decision on a request.
 type Verdict uint8
 
--- /dev/null
+++ b/policy/quota/leasecalls.go
@@ -0,0 +1,120 @@
+package quota
+
+import (
+	"math"
+	"time"
+
+	"lemontack/policy/model"
+)
+
+const (
+	// exhaustedCallInterval is the time between two calls for a customer whose tokens are used up.
+	exhaustedCallInterval = 250 * time.Millisecond
+	// callsPerCounterTimeout bounds the calls for one customer's leases in one counter timeout.
+	callsPerCounterTimeout = 8
+	// maxBackoffDoublings bounds the backoff after failed calls in a row, in doublings of the counter
+	// timeout.
+	maxBackoffDoublings = 4
+	// minReplyInterval is the shortest time between two totals that a usage rate is computed over, in
+	// seconds.
+	minReplyInterval = 0.01
+	// usageRateDecay is the rate at which older usage loses its weight in the remote usage rate, per second.
+	usageRateDecay = 2.0
+)
+
+// callForLease calls the counter to add unreported units and a new lease. At most one such call of a customer
+// is in flight.
+func (m *Manager) callForLease(c *customer, leaseTokens float64) {
+	now := m.host.Now()
+	if !m.config.SharedCounter || c.central || c.lease.callInFlight || now < c.lease.nextCallAt {
+		return
+	}
+	if window := c.windowAt(now, counterWindowLength); window != c.counterWindow {
+		c.counterWindow = window
+		c.lease.lastTotal = 0
+	}
+	c.lease.callInFlight = true
+	c.lease.pendingAdd = c.unreported + leaseTokens
+	c.lease.pendingTokens = leaseTokens
+	c.unreported = 0
+	m.host.CallCounter(Call{Name: c.bucketName(), Add: c.lease.pendingAdd, TTL: maxCounterNameTTL})
+}
+
+// handleLeaseReply takes the reply to a call for a lease.
+func (m *Manager) handleLeaseReply(c *customer, reply Reply) {
+	c.lease.callInFlight = false
+	m.refreshLease(c)
+	if reply.Outcome != model.Succeeded {
+		m.handleLeaseFailure(c, reply.Outcome)
+		return
+	}
+	m.counterFailures = 0
+	c.lease.counterSilent = false
+	c.recordTotal(reply.Total, m.host.Now())
+	c.extendLease(max(0, min(c.lease.pendingTokens, c.lease.estimatedTokens/float64(c.gatewaySpan))))
+	c.unreported -= c.lease.pendingTokens // it is in the total already
+	m.scheduleNextCall(c)
+}
+
+// recordTotal updates the estimate of the token bucket: what other gateways have added since the last total
+// is usage.
+func (c *customer) recordTotal(total float64, now time.Duration) {
+	remoteUsage := total - c.lease.pendingAdd - c.lease.lastTotal
+	if remoteUsage < -c.plan.Burst {
+		remoteUsage = 0 // the counter has lost its numbers: the total says nothing new
+	}
+	if c.lease.lastReplyAt == 0 { // the first total holds all usage since its window began
+		c.lease.estimatedAt = time.Duration(c.counterWindow)*counterWindowLength - c.windowOffset
+		unused := c.plan.Burst - c.lease.lastTotal - c.lease.pendingAdd
+		c.lease.estimatedTokens = unused + c.lease.pendingTokens - c.unreported
+	} else {
+		c.recordRemoteUsage(remoteUsage, now)
+	}
+	refilled := c.plan.Rate * (now - c.lease.estimatedAt).Seconds()
+	tokens := min(c.maxTokens(), c.lease.estimatedTokens+refilled-remoteUsage)
+	// Over-quota requests take no tokens from the true bucket, so the estimated deficit is bounded.
+	c.lease.estimatedTokens = max(-c.plan.Burst/2, tokens)
+	c.lease.estimatedAt = now
+	c.lease.lastTotal = total
+	c.lease.lastReplyAt = now
+}
+
+// recordRemoteUsage updates the rate at which the other gateways use units, an exponential moving average.
+func (c *customer) recordRemoteUsage(usage float64, now time.Duration) {
+	elapsed := max((now - c.lease.lastReplyAt).Seconds(), minReplyInterval)
+	weight := 1 - math.Exp(-usageRateDecay*elapsed)
+	c.lease.remoteUsageRate += (max(0, usage)/elapsed - c.lease.remoteUsageRate) * weight
+}
+
+// scheduleNextCall sets when the next call for a lease may follow a reply.
+func (m *Manager) scheduleNextCall(c *customer) {
+	interval := m.config.CounterTimeout / callsPerCounterTimeout
+	if c.lease.tokens < 1 {
+		interval = exhaustedCallInterval
+	}
+	c.lease.nextCallAt = m.host.Now() + interval
+}
+
+// handleLeaseFailure takes the failure of a call for a lease. Until the next total the lease grows at the
+// gateway's share of the rate, and calls back off exponentially with jitter. An error reply is no silence:
+// the amount was added, and the next total will include it.
+func (m *Manager) handleLeaseFailure(c *customer, outcome model.Outcome) {
+	now := m.host.Now()
+	if outcome == model.Failed {
+		c.lease.lastTotal += c.lease.pendingAdd
+		c.unreported -= c.lease.pendingTokens
+		c.lease.nextCallAt = now
+		return
+	}
+	if outcome.NotExecuted() { // else it may have been added, and then looks like remote usage once
+		c.unreported += c.lease.pendingAdd - c.lease.pendingTokens
+	}
+	m.counterFailures++
+	if !c.lease.counterSilent {
+		c.extendLease(max(0, c.availableTokens(now)) / float64(c.gatewaySpan))
+		c.lease.counterSilent = true
+	}
+	backoff := m.config.CounterTimeout << min(m.counterFailures, maxBackoffDoublings)
+	jitter := time.Duration(m.rng.Int64N(int64(backoff)))
+	c.lease.nextCallAt = now + backoff + jitter
+}
