--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// crowd is many gateways over one fleet and one counter, driven by one table of events.
-type crowd struct {
+// cluster is several gateways with the same endpoints and one counter.
+type cluster struct {
 	rigs   []*rig
 	totals map[string]float64
-	silent bool // the counter answers nothing
+	counterSilent bool // calls of the counter time out
 }
 
-func newCrowd(t *testing.T, n int, set Settings, servers ...Endpoint) *crowd {
+func newCluster(t *testing.T, n int, set Settings, servers ...Endpoint) *cluster {
 	t.Helper()
-	c := &crowd{totals: map[string]float64{}}
+	c := &cluster{totals: map[string]float64{}}
 	for i := range n {
 		set.Index, set.GatewayCount = i, n
 		g, err := New(set, uint64(i+1))
@@ -29,13 +29,13 @@
 	return c
 }
 
-// tell gives one gateway an event, answers its calls, and returns what it sent.
-func (c *crowd) tell(r *rig, ev Event) []Send {
+// tell gives one gateway an event, replies to its calls of the counter, and returns what it sent.
+func (c *cluster) tell(r *rig, ev Event) []Send {
 	acts := r.tell(ev)
 	sends := only[Send](acts)
 	for _, call := range only[IncrementCounter](acts) {
 		reply := CounterReply{Name: call.Name, Outcome: TimedOut}
-		if !c.silent {
+		if !c.counterSilent {
 			c.totals[call.Name] += call.Add
 			reply.Outcome, reply.Total = Succeeded, c.totals[call.Name]
 		}
@@ -45,7 +45,7 @@
 }
 
 // arrive brings one request to a gateway.
-func (c *crowd) arrive(r *rig, id int, class, plan string) []Send {
+func (c *cluster) arrive(r *rig, id int, class, plan string) []Send {
 	return c.tell(r, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Customer: "c", Units: 1,
 		Deadline: r.now + 2*time.Second, GatewaySpan: len(c.rigs)}})
 }
@@ -55,8 +55,8 @@
 func TestFirstRequestsAtAllGatewaysSumToTheBurst(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
 		for _, silent := range []bool{false, true} {
-			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-			c.silent = silent
+			c := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+			c.counterSilent = silent
 			sent := 0
 			for i := range 2 * max(n, 20) { // all of them twice at one moment, a few gateways more often
 				r := c.rigs[i%n]
@@ -81,13 +81,13 @@
 func TestCeilingHoldsOverAllGateways(t *testing.T) {
 	for _, n := range []int{1, 3, 20} { // the requests of such a customer arrive at no more gateways than half its burst
 		for _, silent := range []bool{false, true} {
-			c := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-			c.silent = silent
+			c := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+			c.counterSilent = silent
 			sent, id := 0, 0
 			for step := range 300 { // 3 s, all restarted in the middle
 				if step == 150 {
-					fresh := newCrowd(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-					fresh.silent, fresh.totals = silent, c.totals
+					fresh := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+					fresh.counterSilent, fresh.totals = silent, c.totals
 					for i, r := range fresh.rigs {
 						r.now = c.rigs[i].now
 					}
@@ -119,7 +119,7 @@
 // A cold server gets in the sum what it can take, also where it is the only one and all gateways have just started.
 func TestColdServerHoldsInTheSum(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
-		c := newCrowd(t, n, settings())
+		c := newCluster(t, n, settings())
 		sent, id := 0, 0
 		for _, r := range c.rigs {
 			c.tell(r, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
@@ -150,7 +150,7 @@
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
-		c := newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		c := newCluster(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		for _, r := range c.rigs {
 			r.now = time.Minute + 19*37*ms // some gateways have their turn
 			r.g.window = 100
--- a/policy/permits_test.go
+++ b/policy/permits_test.go
@@ -6,11 +6,11 @@
 )
 
 // permitFleet is gateways of a customer with a limit of two concurrent attempts.
-func permitFleet(t *testing.T, n int) *crowd {
+func permitFleet(t *testing.T, n int) *cluster {
 	t.Helper()
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, MaxConcurrency: 2, OverQuotaCost: 2})
-	return newCrowd(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	return newCluster(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 }
 
 // The gateways together hold a limit on concurrent attempts, and an attempt that ends lets one start at any other gateway.
--- a/policy/quietday_test.go
+++ b/policy/quietday_test.go
@@ -111,7 +111,7 @@
 	for i := range endpoints {
 		endpoints[i] = Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving}
 	}
-	c := newCrowd(t, n, set, endpoints...)
+	c := newCluster(t, n, set, endpoints...)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	buckets, referenceBuckets := map[string]*tokenBucket{}, map[string]*tokenBucket{}
 	demands := drawDemands(rng, n, set.Plans)
