--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -8,8 +8,8 @@
 
 // cluster is several gateways with the same endpoints and one counter.
 type cluster struct {
-	rigs   []*rig
-	totals map[string]float64
+	rigs          []*rig
+	totals        map[string]float64
 	counterSilent bool // calls of the counter time out
 }
 
