--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -77,7 +77,6 @@
 	if !r.dispatched {
 		r.dispatched = true
 		g.retryBudget.fill(g.balancer.InitialAttempts())
-		r.customer.ceilingTokens -= r.Units
 	}
 	a := &attempt{
 		Attempt:         balancer.Attempt{Endpoint: endpoint},
@@ -86,12 +85,9 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.attemptsInFlight++
-	r.customer.attemptsInFlight++
 	g.limiter.Acquire(g.now)
 	g.balancer.AttemptStarted(g.now, &a.Attempt)
-	if r.permits > 0 && r.attemptsInFlight > r.permits {
-		g.adjustPermits(r, r.attemptsInFlight)
-	}
+	g.quota.AttemptStarted(&r.charge)
 	g.emit(Send{ID: r.ID, Endpoint: endpoint.ID, AttemptDeadline: g.attemptDeadline(r)})
 }
 
@@ -160,7 +156,7 @@
 	switch {
 	case r.finished:
 	case ev.RequestFinished:
-		r.settleUnits(ev.SettledUnits)
+		g.quota.Settle(&r.charge, ev.SettledUnits)
 		g.finish(r)
 	case r.attemptsInFlight > 0:
 	case !g.mayRetry(r) || r.Deadline-g.now < r.class.latency.Expected(0)+2*g.tickInterval:
@@ -173,17 +169,15 @@
 		g.retryBudget.spend()
 		g.enqueue(r)
 	}
-	g.refundTokens(r)
-	g.releasePermits(r)
+	g.quota.Release(&r.charge)
 }
 
 // endAttempt marks an attempt as ended, and lets limiter and balancer learn from it.
 func (g *Gateway) endAttempt(r *request, a *attempt, ev AttemptEnded) {
 	a.ended = true
 	a.mayHaveExecuted = !ev.Outcome.NotExecuted()
-	r.attempted = r.attempted || ev.Outcome != NotSent
 	r.attemptsInFlight--
-	r.customer.attemptsInFlight--
+	g.quota.AttemptEnded(&r.charge, ev.Outcome)
 	g.balancer.AttemptEnded(&a.Attempt)
 	if !a.overdue {
 		g.limiter.Release()
@@ -213,17 +207,3 @@
 		g.balancer.RecordFailure(g.now, endpoint)
 	}
 }
-
-// settleUnits corrects what the request was charged by the true units, where its plan has them from the
-// answer.
-func (r *request) settleUnits(settled float64) {
-	if !r.plan.SettledByReply || settled <= 0 {
-		return
-	}
-	if r.leaseCharged {
-		r.customer.lease -= settled - r.Units
-	}
-	if r.leaseCharged && r.customer.central || r.claimCharged {
-		r.customer.unreported += settled - r.Units
-	}
-}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -57,13 +57,5 @@
 	if g.now >= r.Deadline {
 		return false
 	}
-	if r.plan.MaxConcurrency > 0 && r.permits == 0 && !g.concurrencyAllows(r.customer) {
-		return false
-	}
-	return r.dispatched || g.ceilingAllows(r)
-}
-
-// concurrencyAllows reports whether this gateway's share of the concurrency quota allows another attempt.
-func (g *Gateway) concurrencyAllows(c *customer) bool {
-	return c.attemptsInFlight < g.concurrencyShare(c)
+	return g.quota.MayDispatch(&r.charge)
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -9,6 +9,7 @@
 	"lemontack/policy/latency"
 	"lemontack/policy/limiter"
 	"lemontack/policy/queue"
+	"lemontack/policy/quota"
 )
 
 const (
@@ -42,7 +43,7 @@
 	maxDeadline         time.Duration // longest of a class
 
 	classes map[string]*classState
-	plans   map[string]*planState
+	quota   *quota.Manager
 
 	requests       map[RequestID]*request // all that have no final answer, or have attempts in flight
 	activeRequests []*request             // the same, in the order of arrival
@@ -51,13 +52,6 @@
 	balancer       *balancer.Balancer
 	latency        *latency.Overall
 	retryBudget    retryBudget
-
-	customers        map[string]*customer
-	customerOrder    []*customer // in the order of their first requests
-	nextIdleCheck    int         // index in customerOrder of the next one to check for idleness
-	counterCallShare float64     // share, of the requests that may call the counter, that do
-	counterFailures  int         // consecutive failures of calls
-	meanPermitStake  float64     // of the requests that a permit may be asked for
 }
 
 // New returns a gateway. Equal settings, seeds and events lead to equal actions. The error says which setting
@@ -69,15 +63,12 @@
 	settings.setMinimums()
 	overall := &latency.Overall{}
 	g := &Gateway{
-		settings:         settings,
-		rng:              rand.New(rand.NewPCG(seed, seed^seedMix)),
-		tickInterval:     settings.tickInterval(),
-		classes:          map[string]*classState{},
-		plans:            map[string]*planState{},
-		requests:         map[RequestID]*request{},
-		latency:          overall,
-		customers:        map[string]*customer{},
-		counterCallShare: 1,
+		settings:     settings,
+		rng:          rand.New(rand.NewPCG(seed, seed^seedMix)),
+		tickInterval: settings.tickInterval(),
+		classes:      map[string]*classState{},
+		requests:     map[RequestID]*request{},
+		latency:      overall,
 	}
 	g.limiter = limiter.New(overall, g.tickInterval)
 	for _, class := range settings.Classes {
@@ -87,11 +78,8 @@
 		g.maxLatencyObjective = max(g.maxLatencyObjective, class.LatencyObjective)
 		g.maxDeadline = max(g.maxDeadline, class.Deadline)
 	}
-	for _, plan := range settings.Plans {
-		plan.Burst = max(plan.Burst, settings.MaxUnits, 1) // a smaller bucket would never admit a request
-		g.plans[plan.Name] = newPlanState(plan)
-	}
 	g.balancer = balancer.New(g.balancerConfig(), g.rng, overall)
+	g.quota = quota.NewManager(g.quotaConfig(), settings.Plans, g.rng, quotaHost{g})
 	return g, nil
 }
 
@@ -189,9 +177,7 @@
 	}
 	g.limiter.EndRoundIfDue(g.now, len(g.balancer.Serving()), g.balancer.GatewaysPerEndpoint())
 	g.activeRequests = slices.DeleteFunc(g.activeRequests, g.tickRequest)
-	for range (len(g.customerOrder) + ticksPerObjective - 1) / ticksPerObjective {
-		g.reclaimIdle()
-	}
+	g.quota.Tick()
 }
 
 // tickRequest does what is due for one request, and reports whether the request is over and has been
@@ -208,3 +194,8 @@
 	delete(g.requests, r.ID)
 	return true
 }
+
+// meanAnswerTime returns the mean latency of answers, at least one tick.
+func (g *Gateway) meanAnswerTime() time.Duration {
+	return max(g.latency.Duration(), g.tickInterval)
+}
--- a/policy/request.go
+++ b/policy/request.go
@@ -6,6 +6,7 @@
 	"lemontack/policy/balancer"
 	"lemontack/policy/latency"
 	"lemontack/policy/limiter"
+	"lemontack/policy/quota"
 )
 
 // classState is a class, with what this gateway has learned of it.
@@ -19,14 +20,10 @@
 type request struct {
 	Request
 	class           *classState
-	plan            *planState
-	customer        *customer
+	charge          quota.Charge // its account with the quotas
+	plan            *Plan
 	arrived         time.Duration
-	overQuota       bool // admitted beyond the quota
-	leaseCharged    bool // its units were taken from the lease
-	ceilingGranted  bool // the counter granted its units within the ceiling
-	claimCharged    bool // its units were claimed at the counter; they go to the lease if it is not sent
-	attempted       bool // at least one attempt has ended otherwise than NotSent
+	overQuota       bool // admitted although it is over its quota
 	queued          bool // in the queue
 	dispatched      bool // its first attempt has started
 	finished        bool // it has its final answer, or its client has disconnected
@@ -35,8 +32,6 @@
 	attempts        []*attempt
 	// attemptsInFlight counts the attempts that have not ended, overdue ones too.
 	attemptsInFlight int
-	permits          int // permits that it holds
-	permitName       string
 }
 
 // attempt is one attempt of a request.
@@ -53,7 +48,6 @@
 	r := &request{
 		Request: arrival,
 		class:   g.classes[arrival.Class],
-		plan:    g.plans[arrival.Plan],
 		arrived: g.now,
 	}
 	g.setDefaults(r)
@@ -61,52 +55,27 @@
 		g.emit(Reject{ID: r.ID, RetryAfter: min(r.class.LatencyObjective, g.settings.MaxRetryAfter)})
 		return
 	}
-	r.customer = g.customerFor(r)
+	g.openCharge(r)
 	g.requests[r.ID] = r
 	g.activeRequests = append(g.activeRequests, r)
-	g.checkQuota(r)
+	g.resolveQuota(r, g.quota.Admit(&r.charge))
 	if !r.dispatched && !r.finished {
 		g.expireIfLate(r) // its deadline may come before the next tick
 	}
 }
 
-// setDefaults makes a request of an unknown class or plan one that can be decided on: non-idempotent, with
-// its deadline as the latency objective, and without quotas.
+// setDefaults makes a request of an unknown class one that can be decided on: non-idempotent, with its
+// deadline as the latency objective.
 func (g *Gateway) setDefaults(r *request) {
 	if r.class == nil {
 		objective := max(r.Deadline-g.now, time.Millisecond)
 		r.class = g.newClassState(Class{Name: r.Class, LatencyObjective: objective})
 	}
-	if r.plan == nil {
-		r.plan = newPlanState(Plan{Name: r.Plan, Price: 1})
-	}
 	if r.Units <= 0 {
 		r.Units = 1
 	}
 }
 
-// resolveQuota goes on with a request once it is known whether it is inside its customer's quota.
-func (g *Gateway) resolveQuota(r *request, inside bool) {
-	if !inside {
-		if r.plan.OverQuotaWeight <= r.plan.OverQuotaCost || g.saturated() {
-			g.reject(r, g.quotaRetryAfter(r))
-			return
-		}
-		r.overQuota = true // earns more than it costs, and takes no capacity from requests inside quotas
-	}
-	if inside && r.plan.MaxConcurrency > 0 {
-		g.acquirePermit(r)
-		return
-	}
-	g.enqueueAdmitted(r)
-}
-
-// enqueueAdmitted queues a request that its quotas admit.
-func (g *Gateway) enqueueAdmitted(r *request) {
-	g.enqueue(r)
-	g.dispatch()
-}
-
 // expireIfLate ends a request that waits and, by the latency of its class, can no longer be answered by its
 // deadline. One that will only miss its latency objective is queued again at the priority of a late answer,
 // if that earns anything.
@@ -166,8 +135,7 @@
 		g.dequeue(r)
 	}
 	r.finished = true
-	g.refundTokens(r)
-	g.releasePermits(r)
+	g.quota.Finish(&r.charge)
 	if !g.settings.MayCancel || r.streaming {
 		return
 	}
