--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -18,7 +18,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
 	"lemontack/internal/standin"
 )
 
@@ -148,7 +147,7 @@
 	*standins
 	dir      string
 	backends []*standin.Backend
-	targets  []ingress.Target
+	targets  []standin.Target
 	direct   string // address of a further backend, on no list
 	spare    *standin.Backend
 	ingress  []*realIngress
@@ -334,7 +333,7 @@
 	if f.standins, err = startStandins(ctx, r.watch, r.compareShape()); err != nil {
 		return err
 	}
-	if _, err := f.discovery.tell(order{Do: "list", Targets: asStandin(f.targets)}); err != nil {
+	if _, err := f.discovery.tell(order{Do: "list", Targets: f.targets}); err != nil {
 		return err
 	}
 	for me := range r.Real {
@@ -385,7 +384,7 @@
 			break
 		}
 		f.backends = append(f.backends, b)
-		f.targets = append(f.targets, ingress.Target{UID: fmt.Sprintf("s-%06d", i), Endpoint: ln.Addr().String(),
+		f.targets = append(f.targets, standin.Target{UID: fmt.Sprintf("s-%06d", i), Endpoint: ln.Addr().String(),
 			Zone: zoneName(i), Model: "m1", Group: i / 16, State: "SERVING", Capacity: 1})
 	}
 	return nil
--- a/internal/scale/driven.go
+++ b/internal/scale/driven.go
@@ -11,8 +11,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"lemontack/internal/ingress"
 )
 
 const (
@@ -108,7 +106,7 @@
 		idle = idle.plus(h.drive(ctx, idleSpan, part(warmBudget)))
 		ticks = merged(ticks, rec.take())
 		for k := 0; k < changesDriven && ctx.Err() == nil; k++ {
-			h.told(ingress.Fleet{Rev: int64(k), Targets: []ingress.Target{back.toggled(k)}})
+			h.told(newChange(int64(k), back.toggled(k)))
 		}
 		changes = merged(changes, rec.take())
 	}
@@ -195,7 +193,7 @@
 		return err
 	}
 	defer d.stop()
-	if _, err := d.tell(order{Do: "list", Targets: asStandin(back.targets())}); err != nil {
+	if _, err := d.tell(order{Do: "list", Targets: back.targets()}); err != nil {
 		return err
 	}
 	from, err := d.tell(order{Do: "report"})
@@ -205,7 +203,7 @@
 	var taken []listTaken
 	for end := time.Now().Add(listEnough); len(taken) < listSamples && (len(taken) == 0 || time.Now().Before(end)); {
 		limit, cancel := context.WithTimeout(ctx, listWait)
-		l, warning := takeList(limit, ingress.Config{Discovery: d.addr, Settings: set})
+		l, warning := takeList(limit, clientConfig{discoveryAddr: d.addr, settings: set})
 		cancel()
 		if l.entries == 0 {
 			if ctx.Err() != nil {
@@ -252,20 +250,20 @@
 
 // takeList starts the real client and waits for its first whole list; when ctx ends without one it returns what the
 // client said instead.
-func takeList(ctx context.Context, cfg ingress.Config) (listTaken, string) {
+func takeList(ctx context.Context, cfg clientConfig) (listTaken, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var said lastLine
-	lists := make(chan ingress.Fleet)
-	post := func(ev any) {
-		if f, ok := ev.(ingress.Fleet); ok && f.All {
+	lists := make(chan endpointUpdate)
+	post := func(ev clientEvent) {
+		if update, ok := ev.(endpointUpdate); ok && update.isSnapshot() {
 			select {
-			case lists <- f:
+			case lists <- update:
 			case <-ctx.Done():
 			}
 		}
 	}
-	parts := ingress.NewParts(cfg, post, slog.New(slog.NewTextHandler(&said, &slog.HandlerOptions{ReplaceAttr: undated})))
+	clients := newControlClients(cfg, post, slog.New(slog.NewTextHandler(&said, &slog.HandlerOptions{ReplaceAttr: undated})))
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -273,12 +271,12 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		parts.Run(ctx)
+		clients.run(ctx)
 	}()
 	var l listTaken
 	select {
-	case f := <-lists:
-		l = listTaken{entries: len(f.Targets), took: time.Since(began), processor: used(wholeProcess) - processor}
+	case list := <-lists:
+		l = listTaken{entries: list.size(), took: time.Since(began), processor: used(wholeProcess) - processor}
 		runtime.ReadMemStats(&after)
 		l.allocated = after.TotalAlloc - before.TotalAlloc
 	case <-ctx.Done():
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -10,7 +10,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
 	"lemontack/internal/standin"
 )
 
@@ -46,17 +45,9 @@
 	s.counter.stop()
 }
 
-func asStandin(targets []ingress.Target) []standin.Target {
-	list := make([]standin.Target, len(targets))
-	for i, t := range targets {
-		list[i] = standin.Target(t)
-	}
-	return list
-}
-
 // change tells discovery of a change, and returns its version and time.
-func (s *standins) change(targets ...ingress.Target) (listed, error) {
-	r, err := s.discovery.tell(order{Do: "change", Targets: asStandin(targets)})
+func (s *standins) change(targets ...standin.Target) (listed, error) {
+	r, err := s.discovery.tell(order{Do: "change", Targets: targets})
 	return listed{r.Rev, r.At}, err
 }
 
@@ -89,12 +80,12 @@
 
 func (f *fleet) begin(ctx context.Context, seed uint64) error {
 	targets := f.back.targets()
-	if _, err := f.discovery.tell(order{Do: "list", Targets: asStandin(targets)}); err != nil {
+	if _, err := f.discovery.tell(order{Do: "list", Targets: targets}); err != nil {
 		return err
 	}
-	known := ingress.Fleet{}
+	var cached endpointUpdate
 	if f.shape.Asked {
-		known = ingress.Fleet{Rev: 1, All: true, Targets: targets}
+		cached = newSnapshot(1, targets)
 	}
 	f.state = heapInUse()
 	log := slog.New(slog.DiscardHandler)
@@ -103,9 +94,9 @@
 		if err != nil {
 			return err
 		}
-		h.goLive(f.discovery.addr, f.counter.addr, known, log)
+		h.goLive(f.discovery.addr, f.counter.addr, cached, log)
 		if f.shape.Asked {
-			h.fleet(h.parts.Known(known))
+			h.fleet(h.clients.applyCached(cached))
 		}
 		f.hollows = append(f.hollows, h)
 		f.running.Go(func() { h.Live(ctx) })
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/standin"
 	"lemontack/policy"
 )
 
@@ -62,15 +62,15 @@
 	actions  []policy.Action
 	tally    Tally
 	held     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
-	kept     *ingress.Membership                   // on a driven clock; live it is the client's
+	kept     endpointSubset                        // on a driven clock; live it is the client's
 	sharers  float64
 	log      []listed
 
-	totals map[string]float64 // the counter, on a driven clock
-	parts  *ingress.Parts     // live
-	events chan any
-	ended  chan struct{}
-	start  time.Time
+	totals  map[string]float64 // the counter, on a driven clock
+	clients controlClients     // live
+	events  chan clientEvent
+	ended   chan struct{}
+	start   time.Time
 }
 
 type request struct {
@@ -106,7 +106,7 @@
 	n     int // attempt
 	end   policy.AttemptEnded
 	reply policy.CounterReply
-	call  ingress.Call
+	call  counterCall
 }
 
 // agenda is a heap of what is due, the earliest first.
@@ -141,18 +141,18 @@
 	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
 		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
 		totals: map[string]float64{}, held: map[policy.EndpointID]policy.Endpoint{},
-		kept: ingress.NewMembership(set, slog.New(slog.DiscardHandler))}, nil
+		kept: newEndpointSubset(set)}, nil
 }
 
 // Known hands over the list that a configuration brings.
-func (h *Hollow) Known(targets []ingress.Target) {
-	h.told(ingress.Fleet{All: true, Targets: targets})
+func (h *Hollow) Known(targets []standin.Target) {
+	h.told(newSnapshot(0, targets))
 }
 
 // told hands over what is kept of a list or a change.
-func (h *Hollow) told(f ingress.Fleet) {
-	if f = h.kept.Take(f); f.All || len(f.Targets) > 0 {
-		h.fleet(f)
+func (h *Hollow) told(u endpointUpdate) {
+	if u = h.kept.apply(u); u.isSnapshot() || u.size() > 0 {
+		h.fleet(u)
 	}
 }
 
@@ -214,7 +214,7 @@
 	case callReply:
 		h.tell(it.reply)
 	case callLate:
-		if reply, ok := it.call.Late(); ok {
+		if reply, ok := it.call.expire(); ok {
 			h.tell(reply)
 		}
 	}
@@ -346,8 +346,8 @@
 
 func (h *Hollow) call(a policy.IncrementCounter) {
 	h.tally.Calls++
-	if h.parts != nil {
-		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.Count(a)})
+	if h.totals == nil {
+		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.clients.increment(a)})
 		return
 	}
 	h.totals[a.Name] += a.Add
@@ -355,9 +355,9 @@
 		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.totals[a.Name]}})
 }
 
-func (h *Hollow) fleet(f ingress.Fleet) {
-	ev := f.Changed()
-	h.sharers = f.Sharers
+func (h *Hollow) fleet(u endpointUpdate) {
+	ev := u.event()
+	h.sharers = ev.GatewaysPerEndpoint
 	if h.set.PollEndpoints {
 		if ev.Snapshot {
 			clear(h.held)
@@ -370,21 +370,21 @@
 	}
 	h.tell(ev)
 	h.flush()
-	h.log = append(h.log, listed{f.Rev, time.Now()})
+	h.log = append(h.log, listed{u.revision(), time.Now()})
 }
 
 // goLive connects a hollow ingress with discovery and the counter; Live then runs it.
-func (h *Hollow) goLive(discovery, counter string, known ingress.Fleet, log *slog.Logger) {
+func (h *Hollow) goLive(discovery, counter string, cached endpointUpdate, log *slog.Logger) {
 	h.start = time.Now()
 	h.now = time.Duration(h.start.UnixNano())
-	h.events, h.ended = make(chan any, hollowEvents), make(chan struct{})
-	cfg := ingress.Config{Discovery: discovery, Counter: counter, Known: known, Settings: h.set}
-	h.parts = ingress.NewParts(cfg, h.post, log)
+	h.events, h.ended = make(chan clientEvent, hollowEvents), make(chan struct{})
+	cfg := clientConfig{discoveryAddr: discovery, counterAddr: counter, cached: cached, settings: h.set}
+	h.clients = newControlClients(cfg, h.post, log)
 	h.totals = nil
 }
 
 // post tells the ingress's goroutine; after its end nothing is told any more.
-func (h *Hollow) post(ev any) {
+func (h *Hollow) post(ev clientEvent) {
 	select {
 	case h.events <- ev:
 	case <-h.ended:
@@ -394,7 +394,7 @@
 // ask lets the ingress's goroutine run do, and waits for it.
 func (h *Hollow) ask(ctx context.Context, do func()) error {
 	done := make(chan struct{})
-	h.post(func() { do(); close(done) })
+	h.post(task(func() { do(); close(done) }))
 	select {
 	case <-done:
 		return nil
@@ -414,7 +414,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		h.parts.Run(ctx)
+		h.clients.run(ctx)
 	}()
 	h.loop(ctx)
 	close(h.ended)
@@ -435,7 +435,7 @@
 			return
 		case ev := <-h.events:
 			h.now = h.clock()
-			h.hear(ev)
+			ev.deliver(h)
 		case <-timer.C:
 		}
 		h.now = h.clock()
@@ -449,16 +449,16 @@
 	}
 }
 
-func (h *Hollow) hear(ev any) {
-	switch ev := ev.(type) {
-	case func():
-		ev()
-	case ingress.Fleet:
-		h.fleet(ev)
-	default:
-		if reply, ok := ingress.Counted(ev); ok {
-			h.tell(reply)
-			h.flush()
-		}
+// task is what the ingress's goroutine does between events for the owner of the fleet.
+type task func()
+
+func (t task) deliver(*Hollow) { t() }
+
+func (u endpointUpdate) deliver(h *Hollow) { h.fleet(u) }
+
+func (r counterResult) deliver(h *Hollow) {
+	if reply, ok := r.reply(); ok {
+		h.tell(reply)
+		h.flush()
 	}
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -19,7 +19,6 @@
 	"testing"
 	"time"
 
-	"lemontack/internal/ingress"
 	"lemontack/internal/standin"
 	"lemontack/policy"
 )
@@ -367,7 +366,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := ingress.Config{Discovery: strings.TrimPrefix(refusing.URL, "http://"), Settings: set}
+	cfg := clientConfig{discoveryAddr: strings.TrimPrefix(refusing.URL, "http://"), settings: set}
 	if l, said := takeList(ctx, cfg); l.entries != 0 || !strings.Contains(said, "503") {
 		t.Errorf("no list: %d entries, %q", l.entries, said)
 	}
@@ -375,7 +374,7 @@
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
 	}))
 	defer listing.Close()
-	cfg.Discovery = strings.TrimPrefix(listing.URL, "http://")
+	cfg.discoveryAddr = strings.TrimPrefix(listing.URL, "http://")
 	if l, said := takeList(t.Context(), cfg); l.entries != 1 {
 		t.Errorf("a list of one: %d entries, %q", l.entries, said)
 	}
