--- /dev/null
+++ b/internal/subsetcompare/fleet.go
@@ -0,0 +1,89 @@
+package subsetcompare
+
+import (
+	"cmp"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+)
+
+// Zones is the number of zones of a simulated fleet.
+const Zones = 9
+
+// ZoneName returns the name of a zone in lists of endpoints.
+func ZoneName(zone int) string { return "z" + strconv.Itoa(zone) }
+
+// RoundRobinZones assigns the zones to the gateways in turn. It is one value of Plan.Zone, as are the results of
+// ContiguousZones and RandomZones: a gateway does not know how the indices of the others follow their zones.
+func RoundRobinZones(gateway int) int { return gateway % Zones }
+
+// ContiguousZones assigns each zone to a range of consecutive indices of n gateways.
+func ContiguousZones(n int) func(gateway int) int {
+	return func(gateway int) int { return gateway * Zones / n }
+}
+
+// RandomZones assigns a zone to each gateway by a hash of its index and a seed.
+func RandomZones(seed uint64) func(gateway int) int {
+	return func(gateway int) int { return int(mixBits(mixBits(seed)+uint64(gateway)) >> 32 % Zones) }
+}
+
+// Backend is a simulated server.
+type Backend struct {
+	ID   string
+	Hash uint64 // of the id; backends of one cell share both, so that a subset keeps cells together
+	Zone int
+}
+
+// Backends returns n backends in cells of the given size. A cell lies in one zone.
+func Backends(n, cellSize int, seed uint64) []Backend {
+	fleet := make([]Backend, n)
+	for i := range fleet {
+		fleet[i] = backend(i, cellSize, seed)
+	}
+	return fleet
+}
+
+func backend(i, cellSize int, seed uint64) Backend {
+	cell := i / cellSize
+	id := strconv.FormatUint(seed, 36) + "-" + strconv.Itoa(cell)
+	return Backend{ID: id, Hash: ringHash(id), Zone: cell % Zones}
+}
+
+// Replace returns a copy of the fleet in which a share of the backends, drawn from the seed, has new ids in the same
+// zones, and reports which ones.
+func Replace(fleet []Backend, share float64, seed uint64) (next []Backend, replaced []bool) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	next, replaced = slices.Clone(fleet), make([]bool, len(fleet))
+	for _, i := range rng.Perm(len(fleet))[:int(math.Round(share*float64(len(fleet))))] {
+		next[i], replaced[i] = backend(i, 1, seed), true
+		next[i].Zone = fleet[i].Zone
+	}
+	return next, replaced
+}
+
+// ringHash is the hash that subset.Subset places an id by: FNV-1a, then mixBits. Package subset does not export it; a
+// test compares the subsets that follow from both.
+func ringHash(id string) uint64 {
+	h := uint64(14695981039346656037)
+	for i := range len(id) {
+		h = (h ^ uint64(id[i])) * 1099511628211
+	}
+	return mixBits(h)
+}
+
+// mixBits spreads differences in any bit of h over all bits.
+func mixBits(h uint64) uint64 {
+	h = (h ^ h>>32) * 0xd6e8feb86659fd93
+	return (h ^ h>>32) * 0xd6e8feb86659fd93
+}
+
+// indicesByHash returns the indices of the backends in the order of their hashes.
+func indicesByHash(fleet []Backend) []int32 {
+	order := make([]int32, len(fleet))
+	for i := range order {
+		order[i] = int32(i)
+	}
+	slices.SortFunc(order, func(a, b int32) int { return cmp.Compare(fleet[a].Hash, fleet[b].Hash) })
+	return order
+}
