--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -25,15 +25,15 @@
 var errInterrupted = errors.New("interrupted")
 
 func main() {
-	if name, ok := scale.RoleAsked(); ok { // one of the run's own children
-		if err := scale.PlayRole(name, os.Stdin, os.Stdout); err != nil {
+	if name, ok := scale.StandInRole(); ok { // one of the run's own children
+		if err := scale.RunStandIn(name, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "scalerun:", err)
 			os.Exit(exitFailed)
 		}
 		return
 	}
 	var options scale.Options
-	parser, err := parser(&options)
+	parser, err := newParser(&options)
 	if err == nil {
 		_, err = parser.Parse(os.Args[1:])
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func parser(options *scale.Options) (*kong.Kong, error) {
+func newParser(options *scale.Options) (*kong.Kong, error) {
 	return kong.New(options, kong.Name("scalerun"), kong.Description("Measures what an ingress, discovery and the counter"+
 		" cost by the size of the fleet, on this machine alone, in under 10 minutes."),
 		kong.Vars{"sweeps": strings.Join(scale.Sweeps(), ",")})
@@ -57,7 +57,7 @@
 
 // run measures, and writes the tables and the file also where it is interrupted.
 func run(options scale.Options, tables, progress io.Writer) error {
-	r, err := scale.Start(options, progress)
+	r, err := scale.NewRun(options, progress)
 	if err != nil {
 		return err
 	}
@@ -71,6 +71,6 @@
 		signal.Stop(signals) // a second one ends it at once
 		cancel(errInterrupted)
 	}()
-	report, err := r.Do(ctx)
+	report, err := r.Measure(ctx)
 	return errors.Join(err, report.Write(tables), report.Save(options.JSON))
 }
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -23,7 +23,7 @@
 
 // The test's own binary plays the program and its children.
 func TestMain(m *testing.M) {
-	_, role := scale.RoleAsked()
+	_, role := scale.StandInRole()
 	if _, ok := os.LookupEnv(asProgram); ok || role {
 		main()
 		os.Exit(0)
@@ -53,7 +53,7 @@
 		{[]string{"more"}, "unexpected argument", nil},
 	} {
 		var o scale.Options
-		p, err := parser(&o)
+		p, err := newParser(&o)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/client.go
+++ b/internal/scale/client.go
@@ -21,56 +21,56 @@
 )
 
 const (
-	dialTime   = time.Second
-	answerTime = 4 * time.Second // beyond the longest deadline: the connection is given up
+	dialTimeout  = time.Second
+	replyTimeout = 4 * time.Second // beyond the longest deadline: the connection is given up
 )
 
-// clients send drawn requests to one address, each at its time whether or not the others have answers, on connections
+// loadGenerator send drawn requests to one address, each at its time whether or not the others have answers, on connections
 // that they keep.
-type clients struct {
-	addr     string
-	number   int // part of the requests' ids
-	served   atomic.Uint64
-	refused  atomic.Uint64
-	failed   atomic.Uint64
-	wrong    atomic.Uint64 // served with a value made for another request
-	mu       sync.Mutex
-	idle     []*clientConn
-	open     map[*clientConn]bool
-	beyond   *hdrhistogram.Histogram // time of the served ones, less the backend's work
-	failure  string                  // the last one
-	requests uint64
+type loadGenerator struct {
+	addr         string
+	index        int // part of the requests' ids
+	served       atomic.Uint64
+	rejected     atomic.Uint64
+	failed       atomic.Uint64
+	mismatched   atomic.Uint64 // served with a value made for another request
+	mu           sync.Mutex
+	idle         []*generatorConn
+	open         map[*generatorConn]bool
+	addedLatency *hdrhistogram.Histogram // time of the served ones, less the backend's work
+	lastError    string                  // the last one
+	sent         uint64
 }
 
-type clientConn struct {
+type generatorConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func newClients(addr string, number int) *clients {
-	return &clients{addr: addr, number: number, open: map[*clientConn]bool{}, beyond: newHistogram()}
+func newLoadGenerator(addr string, number int) *loadGenerator {
+	return &loadGenerator{addr: addr, index: number, open: map[*generatorConn]bool{}, addedLatency: newHistogram()}
 }
 
-// play sends requests at the rate until ctx ends or the time is over, and returns when all have ended.
-func (c *clients) play(ctx context.Context, rng *rand.Rand, tenants []tenant, rate float64, d, work time.Duration) {
+// run sends requests at the rate until ctx ends or the time is over, and returns when all have ended.
+func (c *loadGenerator) run(ctx context.Context, rng *rand.Rand, tenants []tenant, rate float64, d, work time.Duration) {
 	var out sync.WaitGroup
 	defer out.Wait()
 	began := time.Now()
 	for due := time.Duration(0); ; {
 		due += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if due > d || pause(ctx, time.Until(began.Add(due))) != nil {
+		if due > d || sleep(ctx, time.Until(began.Add(due))) != nil {
 			return
 		}
-		c.requests++
-		command, id := c.command(draw(rng, tenants, 0))
+		c.sent++
+		command, id := c.nextCommand(drawRequest(rng, tenants, 0))
 		at := began.Add(due)
-		out.Go(func() { c.count(c.ask(ctx, command), id, at, work) })
+		out.Go(func() { c.recordReply(c.call(ctx, command), id, at, work) })
 	}
 }
 
-// command is a request as a client writes it, with its id.
-func (c *clients) command(q policy.Request) ([]byte, string) {
-	verb, id := "Q.ASK", fmt.Sprintf("%08x%08x", c.number, c.requests)
+// nextCommand is a request as a client writes it, with its id.
+func (c *loadGenerator) nextCommand(q policy.Request) ([]byte, string) {
+	verb, id := "Q.ASK", fmt.Sprintf("%08x%08x", c.index, c.sent)
 	words := []string{q.Customer, id, fmt.Sprintf("c=%s,t=%s,d=%d,units=%v,spread=%d,first=%d", q.Class, q.Plan,
 		q.Deadline.Milliseconds(), q.Units, q.GatewaySpan, q.FirstGateway)}
 	if q.Class == "order" {
@@ -83,28 +83,28 @@
 	return b, id
 }
 
-func (c *clients) count(answer string, id string, at time.Time, work time.Duration) {
+func (c *loadGenerator) recordReply(answer string, id string, at time.Time, work time.Duration) {
 	switch {
 	case answer == id:
 		c.served.Add(1)
 		c.mu.Lock()
-		c.beyond.RecordValue(int64(min(max(time.Since(at)-work, 1), longestTime))) // always within its bounds
+		c.addedLatency.RecordValue(int64(min(max(time.Since(at)-work, 1), maxRecordedTime))) // always within its bounds
 		c.mu.Unlock()
 	case strings.HasPrefix(answer, "-BUSY"):
-		c.refused.Add(1)
+		c.rejected.Add(1)
 	case strings.HasPrefix(answer, "-"):
 		c.failed.Add(1)
 		c.mu.Lock()
-		c.failure = answer[1:]
+		c.lastError = answer[1:]
 		c.mu.Unlock()
 	default:
-		c.wrong.Add(1)
+		c.mismatched.Add(1)
 	}
 }
 
-// ask sends one command and returns the value, or an error line.
-func (c *clients) ask(ctx context.Context, command []byte) string {
-	if nc := c.kept(); nc != nil {
+// call sends one command and returns the value, or an error line.
+func (c *loadGenerator) call(ctx context.Context, command []byte) string {
+	if nc := c.takeIdle(); nc != nil {
 		answer, err := c.exchange(nc, command)
 		if err == nil {
 			return answer
@@ -126,8 +126,8 @@
 }
 
 // exchange writes a command and reads its answer; a connection on which that went well is kept.
-func (c *clients) exchange(nc *clientConn, command []byte) (string, error) {
-	nc.SetDeadline(time.Now().Add(answerTime))
+func (c *loadGenerator) exchange(nc *generatorConn, command []byte) (string, error) {
+	nc.SetDeadline(time.Now().Add(replyTimeout))
 	_, err := nc.Write(command)
 	answer := ""
 	if err == nil {
@@ -144,8 +144,8 @@
 	return answer, nil
 }
 
-// kept is a connection that was used before, if one is free.
-func (c *clients) kept() *clientConn {
+// takeIdle is a connection that was used before, if one is free.
+func (c *loadGenerator) takeIdle() *generatorConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := len(c.idle)
@@ -157,20 +157,20 @@
 	return nc
 }
 
-func (c *clients) dial(ctx context.Context) (*clientConn, error) {
-	d := net.Dialer{Timeout: dialTime}
+func (c *loadGenerator) dial(ctx context.Context) (*generatorConn, error) {
+	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", c.addr)
 	if err != nil {
 		return nil, err
 	}
-	nc := &clientConn{raw, bufio.NewReader(raw)}
+	nc := &generatorConn{raw, bufio.NewReader(raw)}
 	c.mu.Lock()
 	c.open[nc] = true
 	c.mu.Unlock()
 	return nc, nil
 }
 
-func (c *clients) close() {
+func (c *loadGenerator) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.open {
@@ -178,7 +178,7 @@
 	}
 }
 
-const longestReply = 64 << 10 // the protocol's bound of a value
+const maxValueLength = 64 << 10 // the protocol's bound of a value
 
 // readReply reads a value, an array's first one, or a line that begins with + or -.
 func readReply(in *bufio.Reader) (string, error) {
@@ -198,7 +198,7 @@
 		return "", fmt.Errorf("answer %q: %w", line, err)
 	case line[0] == '$' && n < 0:
 		return "-null", nil
-	case line[0] == '$' && n <= longestReply:
+	case line[0] == '$' && n <= maxValueLength:
 		b := make([]byte, n+2)
 		_, err := io.ReadFull(in, b)
 		return string(b[:n]), err
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-const offLine = 0.2 // share of its value by which a point may lie off the line
+const maxDeviation = 0.2 // share of its value by which a point may lie off the line
 
 // Fit is a line through a figure's points, by least squares.
 type Fit struct {
@@ -25,11 +25,11 @@
 	Off       []string `json:"does_not_fit,omitempty"`
 }
 
-const fewestPoints = 3 // through two there always is a line
+const minFitPoints = 3 // through two there always is a line
 
 // fitLine fits y against x, and names the points that lie off by more than their share.
 func fitLine(x, y []float64) (Fit, bool) {
-	if len(x) < fewestPoints {
+	if len(x) < minFitPoints {
 		return Fit{}, false
 	}
 	f := Fit{Points: len(x)}
@@ -48,8 +48,8 @@
 		}
 		squares += off * off
 		shares += min(share*share, 1e12)
-		if math.Abs(share) > offLine {
-			f.Off = append(f.Off, fmt.Sprintf("%s: %.4g, the line says %.4g", number(x[i]), y[i], line))
+		if math.Abs(share) > maxDeviation {
+			f.Off = append(f.Off, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], line))
 		}
 	}
 	f.Residual, f.Relative = math.Sqrt(squares/float64(len(x))), math.Sqrt(shares/float64(len(x)))
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -14,105 +14,105 @@
 )
 
 const (
-	startWait     = 15 * time.Second // for the lists and watches of a fleet that starts
-	pollEvery     = 50 * time.Millisecond
-	askedPerSec   = 100             // calls a second of a discovery that has to be asked
-	askedPatience = 2 * time.Second // of its callers
+	startTimeout         = 15 * time.Second // for the lists and watches of a fleet that starts
+	pollInterval         = 50 * time.Millisecond
+	polledCallsPerSecond = 100             // calls a second of a discovery that has to be asked
+	polledQueueTimeout   = 2 * time.Second // of its callers
 )
 
-// standins are discovery and the counter, in processes of their own.
-type standins struct{ discovery, counter *role }
+// standIns are discovery and the counter, in processes of their own.
+type standIns struct{ discovery, counter *standInProcess }
 
-func startStandins(ctx context.Context, w *watcher, s Shape) (*standins, error) {
+func startStandIns(ctx context.Context, w *resourceMonitor, s FleetShape) (*standIns, error) {
 	var cfg standin.DiscoveryConfig
-	if s.Asked {
-		cfg.CallsPerSecond, cfg.Patience = askedPerSec, askedPatience
+	if s.Polled {
+		cfg.CallsPerSecond, cfg.Patience = polledCallsPerSecond, polledQueueTimeout
 	}
-	d, err := startRole(ctx, w, theDiscovery, order{Discovery: cfg})
+	d, err := startStandIn(ctx, w, roleDiscovery, standInCommand{Discovery: cfg})
 	if err != nil {
 		return nil, err
 	}
-	c, err := startRole(ctx, w, theCounter, order{})
+	c, err := startStandIn(ctx, w, roleCounter, standInCommand{})
 	if err != nil {
 		d.stop()
 		return nil, err
 	}
-	return &standins{d, c}, nil
+	return &standIns{d, c}, nil
 }
 
-func (s *standins) stop() {
+func (s *standIns) stop() {
 	s.discovery.stop()
 	s.counter.stop()
 }
 
-// change tells discovery of a change, and returns its version and time.
-func (s *standins) change(targets ...standin.Target) (listed, error) {
-	r, err := s.discovery.tell(order{Do: "change", Targets: targets})
-	return listed{r.Rev, r.At}, err
+// applyChange tells discovery of a change, and returns its version and time.
+func (s *standIns) applyChange(targets ...standin.Target) (appliedRevision, error) {
+	r, err := s.discovery.call(standInCommand{Do: "change", Targets: targets})
+	return appliedRevision{r.Revision, r.AppliedAt}, err
 }
 
-// fleet is many hollow ingresses, live.
-type fleet struct {
-	*standins
-	shape   Shape
-	back    *Backends
-	rec     *Recorder
-	hollows []*Hollow
-	stopped context.CancelFunc
-	running sync.WaitGroup
-	state   uint64 // bytes of heap and stacks before the ingresses
+// liveFleet is many hollow ingresses, live.
+type liveFleet struct {
+	*standIns
+	shape          FleetShape
+	backends       *BackendModel
+	recorder       *Recorder
+	hollows        []*HollowIngress
+	cancel         context.CancelFunc
+	running        sync.WaitGroup
+	baselineMemory uint64 // bytes of heap and stacks before the ingresses
 }
 
-// startFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
-func startFleet(ctx context.Context, w *watcher, s Shape, back *Backends, seed uint64) (*fleet, error) {
-	parts, err := startStandins(ctx, w, s)
+// startLiveFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
+func startLiveFleet(ctx context.Context, w *resourceMonitor, s FleetShape, back *BackendModel, seed uint64) (*liveFleet, error) {
+	parts, err := startStandIns(ctx, w, s)
 	if err != nil {
 		return nil, err
 	}
 	life, stop := context.WithCancel(ctx)
-	f := &fleet{standins: parts, shape: s, back: back, rec: NewRecorder(), stopped: stop}
-	if err := f.begin(life, seed); err != nil {
+	f := &liveFleet{standIns: parts, shape: s, backends: back, recorder: NewRecorder(), cancel: stop}
+	if err := f.start(life, seed); err != nil {
 		f.stop()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *fleet) begin(ctx context.Context, seed uint64) error {
-	targets := f.back.targets()
-	if _, err := f.discovery.tell(order{Do: "list", Targets: targets}); err != nil {
+func (f *liveFleet) start(ctx context.Context, seed uint64) error {
+	targets := f.backends.targets()
+	if _, err := f.discovery.call(standInCommand{Do: "list", Targets: targets}); err != nil {
 		return err
 	}
 	var cached endpointUpdate
-	if f.shape.Asked {
+	if f.shape.Polled {
 		cached = newSnapshot(1, targets)
 	}
-	f.state = heapInUse()
+	f.baselineMemory = memoryInUse()
 	log := slog.New(slog.DiscardHandler)
 	for me := range f.shape.Ingresses {
-		h, err := NewHollow(f.shape, me, f.back, f.rec, seed)
+		h, err := NewHollowIngress(f.shape, me, f.backends, f.recorder, seed)
 		if err != nil {
 			return err
 		}
-		h.goLive(f.discovery.addr, f.counter.addr, cached, log)
-		if f.shape.Asked {
-			h.fleet(h.clients.applyCached(cached))
+		h.connect(f.discovery.addr, f.counter.addr, cached, log)
+		if f.shape.Polled {
+			h.deliverUpdate(h.clients.applyCached(cached))
 		}
 		f.hollows = append(f.hollows, h)
-		f.running.Go(func() { h.Live(ctx) })
+		f.running.Go(func() { h.Run(ctx) })
 	}
-	return f.ready(ctx)
+	return f.waitReady(ctx)
 }
 
-// ready waits for the watches of all, and for their lists.
-func (f *fleet) ready(ctx context.Context) error {
-	for limit := time.Now().Add(startWait); ; {
-		r, err := f.discovery.tell(order{Do: "report"})
+// waitReady waits for the watches of all, and for their lists.
+func (f *liveFleet) waitReady(ctx context.Context) error {
+	for limit := time.Now().Add(startTimeout); ; {
+		r, err := f.discovery.call(standInCommand{Do: "report"})
 		if err != nil {
 			return err
 		}
 		lists := 0
-		if err := f.each(ctx, func(h *Hollow) { lists += min(1, len(h.log)) }); err != nil {
+		if err := f.forEach(ctx, func(h *HollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
 			return err
 		}
 		if r.Discovery.OpenWatches >= len(f.hollows) && lists == len(f.hollows) {
@@ -120,31 +120,31 @@
 		}
 		if time.Now().After(limit) {
 			return fmt.Errorf("%d of %d ingresses have a list, %d a watch after %v", lists, len(f.hollows),
-				r.Discovery.OpenWatches, startWait)
+				r.Discovery.OpenWatches, startTimeout)
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-func (f *fleet) stop() {
-	f.stopped()
+func (f *liveFleet) stop() {
+	f.cancel()
 	f.running.Wait()
-	f.standins.stop()
+	f.standIns.stop()
 }
 
-// each lets every ingress's own goroutine run do, one after another.
-func (f *fleet) each(ctx context.Context, do func(*Hollow)) error {
+// forEach lets every ingress's own goroutine run do, one after another.
+func (f *liveFleet) forEach(ctx context.Context, do func(*HollowIngress)) error {
 	for _, h := range f.hollows {
-		if err := h.ask(ctx, func() { do(h) }); err != nil {
+		if err := h.do(ctx, func() { do(h) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -156,101 +156,101 @@
 // snapshot is what all roles have used and done so far.
 type snapshot struct {
 	at                 time.Time
-	processor          time.Duration
+	cpuTime            time.Duration
 	tally              Tally
-	discovery, counter RoleReport
+	discovery, counter StandInReply
 }
 
-func (f *fleet) snap(ctx context.Context) (snapshot, error) {
-	s := snapshot{at: time.Now(), processor: used(wholeProcess)}
-	err := f.each(ctx, func(h *Hollow) { s.tally = s.tally.plus(h.tally) })
+func (f *liveFleet) takeSnapshot(ctx context.Context) (snapshot, error) {
+	s := snapshot{at: time.Now(), cpuTime: cpuTime(wholeProcess)}
+	err := f.forEach(ctx, func(h *HollowIngress) { s.tally = s.tally.plus(h.tally) })
 	if err != nil {
 		return s, err
 	}
-	if s.discovery, err = f.discovery.tell(order{Do: "report"}); err != nil {
+	if s.discovery, err = f.discovery.call(standInCommand{Do: "report"}); err != nil {
 		return s, err
 	}
-	s.counter, err = f.counter.tell(order{Do: "report"})
+	s.counter, err = f.counter.call(standInCommand{Do: "report"})
 	return s, err
 }
 
-// span is what happened between two snapshots.
-type span struct {
-	seconds                       float64
-	processor                     time.Duration // of this process: the ingresses
-	tally                         Tally
-	discoveryCPU, counterCPU      time.Duration
-	calls, counterIn, counterOut  float64
-	objects, lists, discoveryByte float64
+// usage is what happened between two snapshots.
+type usage struct {
+	seconds                                           float64
+	cpuTime                                           time.Duration // of this process: the ingresses
+	tally                                             Tally
+	discoveryCPUTime, counterCPUTime                  time.Duration
+	counterCalls, counterIn, counterOut               float64
+	discoveryMessages, discoveryLists, discoveryBytes float64
 }
 
-func (s snapshot) since(t snapshot) span {
-	return span{seconds: s.at.Sub(t.at).Seconds(), processor: s.processor - t.processor, tally: s.tally.minus(t.tally),
-		discoveryCPU: s.discovery.Processor - t.discovery.Processor, counterCPU: s.counter.Processor - t.counter.Processor,
-		calls:         float64(s.counter.Counter.Calls - t.counter.Counter.Calls),
-		counterIn:     float64(s.counter.Counter.BytesIn - t.counter.Counter.BytesIn),
-		counterOut:    float64(s.counter.Counter.BytesOut - t.counter.Counter.BytesOut),
-		objects:       float64(s.discovery.Discovery.Objects - t.discovery.Discovery.Objects),
-		lists:         float64(s.discovery.Discovery.Lists - t.discovery.Discovery.Lists),
-		discoveryByte: float64(s.discovery.Discovery.Bytes - t.discovery.Discovery.Bytes)}
+func (s snapshot) usageSince(t snapshot) usage {
+	return usage{seconds: s.at.Sub(t.at).Seconds(), cpuTime: s.cpuTime - t.cpuTime, tally: s.tally.minus(t.tally),
+		discoveryCPUTime: s.discovery.CPUTime - t.discovery.CPUTime, counterCPUTime: s.counter.CPUTime - t.counter.CPUTime,
+		counterCalls:      float64(s.counter.Counter.Calls - t.counter.Counter.Calls),
+		counterIn:         float64(s.counter.Counter.BytesIn - t.counter.Counter.BytesIn),
+		counterOut:        float64(s.counter.Counter.BytesOut - t.counter.Counter.BytesOut),
+		discoveryMessages: float64(s.discovery.Discovery.Objects - t.discovery.Discovery.Objects),
+		discoveryLists:    float64(s.discovery.Discovery.Lists - t.discovery.Discovery.Lists),
+		discoveryBytes:    float64(s.discovery.Discovery.Bytes - t.discovery.Discovery.Bytes)}
 }
 
-// during measures while do runs.
-func (f *fleet) during(ctx context.Context, do func() error) (span, error) {
-	from, err := f.snap(ctx)
+// measure measures while do runs.
+func (f *liveFleet) measure(ctx context.Context, do func() error) (usage, error) {
+	from, err := f.takeSnapshot(ctx)
 	if err != nil {
-		return span{}, err
+		return usage{}, err
 	}
 	if err := do(); err != nil {
-		return span{}, err
+		return usage{}, err
 	}
-	to, err := f.snap(ctx)
-	return to.since(from), err
+	to, err := f.takeSnapshot(ctx)
+	return to.usageSince(from), err
 }
 
-func (f *fleet) setRate(ctx context.Context, rate float64) error {
-	return f.each(ctx, func(h *Hollow) { h.setRate(rate) })
+func (f *liveFleet) setRate(ctx context.Context, rate float64) error {
+	return f.forEach(ctx, func(h *HollowIngress) { h.setRate(rate) })
 }
 
-// inForce says how long changes took: to each ingress, and until the last one had them. Some may be missing.
-func (f *fleet) inForce(ctx context.Context, changes []listed) (each, last *hdrhistogram.Histogram, missing int, err error) {
+// propagation says how long changes took: to each ingress, and until the last one had them. Some may be missing.
+func (f *liveFleet) propagation(ctx context.Context, changes []appliedRevision) (each, last *hdrhistogram.Histogram, missing int, err error) {
 	each, last = newHistogram(), newHistogram()
-	logs := make([][]listed, 0, len(f.hollows))
-	if err := f.each(ctx, func(h *Hollow) { logs = append(logs, append([]listed{}, h.log...)) }); err != nil {
+	logs := make([][]appliedRevision, 0, len(f.hollows))
+	if err := f.forEach(ctx, func(h *HollowIngress) { logs = append(logs, append([]appliedRevision{}, h.appliedRevisions...)) }); err != nil {
 		return nil, nil, 0, err
 	}
 	for _, c := range changes {
 		slowest, all := time.Duration(0), true
 		for _, log := range logs {
-			took, ok := heard(log, c)
+			took, ok := delayUntilApplied(log, c)
 			if !ok {
 				missing++
 				all = false
 				continue
 			}
 			slowest = max(slowest, took)
-			each.RecordValue(int64(min(max(took, 1), longestTime))) // always within its bounds
+			each.RecordValue(int64(min(max(took, 1), maxRecordedTime))) // always within its bounds
 		}
 		if all {
-			last.RecordValue(int64(min(max(slowest, 1), longestTime)))
+			last.RecordValue(int64(min(max(slowest, 1), maxRecordedTime)))
 		}
 	}
 	return each, last, missing, nil
 }
 
-// heard is how long after the change the first list came that holds it.
-func heard(log []listed, c listed) (time.Duration, bool) {
+// delayUntilApplied is how long after the change the first list came that holds it.
+func delayUntilApplied(log []appliedRevision, c appliedRevision) (time.Duration, bool) {
 	for _, l := range log {
-		if l.rev >= c.rev {
+		if l.revision >= c.revision {
 			return l.at.Sub(c.at), true
 		}
 	}
 	return 0, false
 }
 
-// bytesEach is the state of one ingress: heap and stacks, with those of its two clients.
-func (f *fleet) bytesEach() float64 {
-	now := heapInUse()
+// memoryPerIngress is the state of one ingress: heap and stacks, with those of its two clients.
+func (f *liveFleet) memoryPerIngress() float64 {
+	now := memoryInUse()
 	runtime.KeepAlive(f)
-	return max(0, float64(now)-float64(f.state)) / float64(len(f.hollows))
+	return max(0, float64(now)-float64(f.baselineMemory)) / float64(len(f.hollows))
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -13,114 +13,114 @@
 )
 
 const (
-	hollowEvents = 256
-	mostLate     = 250 * time.Millisecond // behind its own clock, an ingress goes on from now and leaves out what was due
-	replyAfter   = 500 * time.Microsecond // of the counter, on a driven clock
-	drivenStart  = 500_000 * time.Hour    // a driven clock begins then, so that a start of 0 is long ago
-	overdue      = 8 * time.Millisecond   // after a request's time, without an answer
+	eventQueueLength = 256
+	maxLateness      = 250 * time.Millisecond // behind its own clock, an ingress goes on from now and leaves out what was due
+	counterLatency   = 500 * time.Microsecond // of the counter, on a driven clock
+	simulatedStart   = 500_000 * time.Hour    // a driven clock begins then, so that a start of 0 is long ago
+	replyGracePeriod = 8 * time.Millisecond   // after a request's time, without an answer
 )
 
 // Tally counts what a hollow ingress did.
 type Tally struct {
-	Requests, Served, Refused, Failed, Unanswered uint64
-	Sends, Calls, Ticks, Changes, Lists           uint64
-	Skipped                                       uint64 // arrivals that a busy machine would have played too late
+	Requests, Served, Rejected, Failed, Unanswered          uint64
+	Attempts, CounterCalls, TimerEvents, Changes, Snapshots uint64
+	Skipped                                                 uint64 // arrivals that a busy machine would have played too late
 }
 
 func (t Tally) minus(u Tally) Tally {
-	return Tally{t.Requests - u.Requests, t.Served - u.Served, t.Refused - u.Refused, t.Failed - u.Failed,
-		t.Unanswered - u.Unanswered, t.Sends - u.Sends, t.Calls - u.Calls, t.Ticks - u.Ticks, t.Changes - u.Changes,
-		t.Lists - u.Lists, t.Skipped - u.Skipped}
+	return Tally{t.Requests - u.Requests, t.Served - u.Served, t.Rejected - u.Rejected, t.Failed - u.Failed,
+		t.Unanswered - u.Unanswered, t.Attempts - u.Attempts, t.CounterCalls - u.CounterCalls, t.TimerEvents - u.TimerEvents, t.Changes - u.Changes,
+		t.Snapshots - u.Snapshots, t.Skipped - u.Skipped}
 }
 
 func (t Tally) plus(u Tally) Tally { return t.minus(Tally{}.minus(u)) }
 
-// listed is a list or a change that came to be in force.
-type listed struct {
-	rev int64
-	at  time.Time
+// appliedRevision is a list or a change that came to be in force.
+type appliedRevision struct {
+	revision int64
+	at       time.Time
 }
 
-// Hollow is an ingress without clients and backends: the real module, with arrivals and answers drawn. On a driven
+// HollowIngress is an ingress without clients and backends: the real module, with arrivals and answers drawn. On a driven
 // clock its counter is a table; live it talks to discovery and a counter as a real one does. One goroutine owns it.
-type Hollow struct {
-	me       int
-	set      policy.Settings
-	mod      *policy.Gateway
-	rng      *rand.Rand
-	back     *Backends
-	rec      *Recorder
-	tenants  []tenant
-	rate     float64 // requests a second; 0: none come
-	arriving bool
-	now      time.Duration
-	began    time.Time // of the event in hand
-	due      agenda
-	open     map[policy.RequestID]*request
-	last     policy.RequestID
-	queue    []policy.Event
-	actions  []policy.Action
-	tally    Tally
-	held     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
-	kept     endpointSubset                        // on a driven clock; live it is the client's
-	sharers  float64
-	log      []listed
-
-	totals  map[string]float64 // the counter, on a driven clock
-	clients controlClients     // live
-	events  chan clientEvent
-	ended   chan struct{}
-	start   time.Time
+type HollowIngress struct {
+	index               int
+	settings            policy.Settings
+	gateway             *policy.Gateway
+	rng                 *rand.Rand
+	backends            *BackendModel
+	recorder            *Recorder
+	tenants             []tenant
+	requestRate         float64 // requests a second; 0: none come
+	arrivalScheduled    bool
+	now                 time.Duration
+	eventStart          time.Time // of the event in hand
+	timers              timerHeap
+	requests            map[policy.RequestID]*request
+	lastRequestID       policy.RequestID
+	queuedEvents        []policy.Event
+	actions             []policy.Action
+	tally               Tally
+	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
+	subset              endpointSubset                        // on a driven clock; live it is the client's
+	gatewaysPerEndpoint float64
+	appliedRevisions    []appliedRevision
+
+	counterTotals map[string]float64 // the counter, on a driven clock
+	clients       controlClients     // live
+	events        chan clientEvent
+	done          chan struct{}
+	startedAt     time.Time
 }
 
 type request struct {
 	arrived  time.Duration
 	attempts []attempt
-	out      int
-	final    bool
+	inFlight int
+	answered bool
 }
 
 type attempt struct {
-	server policy.EndpointID
-	sent   time.Duration
-	holds  bool // a place at the backend
-	ended  bool
+	endpoint  policy.EndpointID
+	sentAt    time.Duration
+	holdsSlot bool // a place at the backend
+	ended     bool
 }
 
-// what is due on a hollow ingress's clock.
-type what uint8
+// timerKind is due on a hollow ingress's clock.
+type timerKind uint8
 
 const (
-	nextArrival what = iota
-	attemptEnd
-	giveUp
-	tick
-	callLate
-	callReply
+	arrivalTimer timerKind = iota
+	attemptTimer
+	clientTimer
+	policyTimer
+	counterTimeoutTimer
+	counterReplyTimer
 )
 
-type item struct {
-	at    time.Duration
-	what  what
-	id    policy.RequestID
-	n     int // attempt
-	end   policy.AttemptEnded
-	reply policy.CounterReply
-	call  counterCall
+type timer struct {
+	at        time.Duration
+	kind      timerKind
+	requestID policy.RequestID
+	attempt   int // attempt
+	outcome   policy.AttemptEnded
+	reply     policy.CounterReply
+	call      counterCall
 }
 
-// agenda is a heap of what is due, the earliest first.
-type agenda []*item
+// timerHeap is a heap of what is due, the earliest first.
+type timerHeap []*timer
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
 
 // Push is for container/heap.
-func (a *agenda) Push(x any) { *a = append(*a, x.(*item)) }
+func (a *timerHeap) Push(x any) { *a = append(*a, x.(*timer)) }
 
 // Pop is for container/heap.
-func (a *agenda) Pop() any {
+func (a *timerHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -128,9 +128,9 @@
 	return last
 }
 
-// NewHollow returns the ingress of that number, on a driven clock.
-func NewHollow(s Shape, me int, back *Backends, rec *Recorder, seed uint64) (*Hollow, error) {
-	set, err := s.parsed(me)
+// NewHollowIngress returns the ingress of that number, on a driven clock.
+func NewHollowIngress(s FleetShape, me int, back *BackendModel, rec *Recorder, seed uint64) (*HollowIngress, error) {
+	set, err := s.policySettings(me)
 	if err != nil {
 		return nil, err
 	}
@@ -138,313 +138,313 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
-		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
-		totals: map[string]float64{}, held: map[policy.EndpointID]policy.Endpoint{},
-		kept: newEndpointSubset(set)}, nil
+	return &HollowIngress{index: me, settings: set, gateway: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), backends: back, recorder: rec,
+		tenants: s.tenantsOf(me), now: simulatedStart, requests: map[policy.RequestID]*request{},
+		counterTotals: map[string]float64{}, cachedEndpoints: map[policy.EndpointID]policy.Endpoint{},
+		subset: newEndpointSubset(set)}, nil
 }
 
-// Known hands over the list that a configuration brings.
-func (h *Hollow) Known(targets []standin.Target) {
-	h.told(newSnapshot(0, targets))
+// LoadEndpoints hands over the list that a configuration brings.
+func (h *HollowIngress) LoadEndpoints(targets []standin.Target) {
+	h.applyUpdate(newSnapshot(0, targets))
 }
 
-// told hands over what is kept of a list or a change.
-func (h *Hollow) told(u endpointUpdate) {
-	if u = h.kept.apply(u); u.isSnapshot() || u.size() > 0 {
-		h.fleet(u)
+// applyUpdate hands over what is kept of a list or a change.
+func (h *HollowIngress) applyUpdate(u endpointUpdate) {
+	if u = h.subset.apply(u); u.isSnapshot() || u.size() > 0 {
+		h.deliverUpdate(u)
 	}
 }
 
-func (h *Hollow) schedule(after time.Duration, it item) {
+func (h *HollowIngress) schedule(after time.Duration, it timer) {
 	it.at = h.now + after
-	heap.Push(&h.due, &it)
+	heap.Push(&h.timers, &it)
 }
 
 // setRate begins or ends the arrivals.
-func (h *Hollow) setRate(rate float64) {
-	h.rate = rate
-	if rate > 0 && !h.arriving {
-		h.arriving = true
-		h.schedule(h.gap(), item{what: nextArrival})
+func (h *HollowIngress) setRate(rate float64) {
+	h.requestRate = rate
+	if rate > 0 && !h.arrivalScheduled {
+		h.arrivalScheduled = true
+		h.schedule(h.interarrivalTime(), timer{kind: arrivalTimer})
 	}
 }
 
-func (h *Hollow) gap() time.Duration {
-	return time.Duration(h.rng.ExpFloat64() / h.rate * float64(time.Second))
+func (h *HollowIngress) interarrivalTime() time.Duration {
+	return time.Duration(h.rng.ExpFloat64() / h.requestRate * float64(time.Second))
 }
 
-// Drive plays what is due, without waiting, until the clock has advanced so far or more says no.
-func (h *Hollow) Drive(span time.Duration, more func() bool) {
+// Advance plays what is due, without waiting, until the clock has advanced so far or more says no.
+func (h *HollowIngress) Advance(span time.Duration, more func() bool) {
 	end := h.now + span
-	for len(h.due) > 0 && h.due[0].at <= end && more() {
-		it := heap.Pop(&h.due).(*item)
+	for len(h.timers) > 0 && h.timers[0].at <= end && more() {
+		it := heap.Pop(&h.timers).(*timer)
 		h.now = it.at
-		h.ring(it)
+		h.fire(it)
 	}
-	if len(h.due) == 0 || h.due[0].at > end {
+	if len(h.timers) == 0 || h.timers[0].at > end {
 		h.now = end
 	}
 }
 
-func (h *Hollow) ring(it *item) {
-	switch it.what {
-	case nextArrival:
-		h.arriving = h.rate > 0
+func (h *HollowIngress) fire(it *timer) {
+	switch it.kind {
+	case arrivalTimer:
+		h.arrivalScheduled = h.requestRate > 0
 		switch {
-		case !h.arriving:
-		case h.now-it.at > mostLate:
+		case !h.arrivalScheduled:
+		case h.now-it.at > maxLateness:
 			h.tally.Skipped++
-			h.schedule(h.gap(), item{what: nextArrival})
+			h.schedule(h.interarrivalTime(), timer{kind: arrivalTimer})
 		default:
 			h.arrive(it.at)
-			heap.Push(&h.due, &item{at: it.at + h.gap(), what: nextArrival})
+			heap.Push(&h.timers, &timer{at: it.at + h.interarrivalTime(), kind: arrivalTimer})
 		}
-	case attemptEnd:
-		h.end(it.id, it.n, it.end)
-	case giveUp:
-		if r := h.open[it.id]; r != nil && !r.final {
+	case attemptTimer:
+		h.endAttempt(it.requestID, it.attempt, it.outcome)
+	case clientTimer:
+		if r := h.requests[it.requestID]; r != nil && !r.answered {
 			h.tally.Unanswered++
-			r.final = true
-			h.tell(policy.ClientDisconnected{ID: it.id})
-			h.forget(it.id, r)
+			r.answered = true
+			h.enqueue(policy.ClientDisconnected{ID: it.requestID})
+			h.removeIfDone(it.requestID, r)
 		}
-	case tick:
-		h.tell(policy.TimerFired{})
-	case callReply:
-		h.tell(it.reply)
-	case callLate:
+	case policyTimer:
+		h.enqueue(policy.TimerFired{})
+	case counterReplyTimer:
+		h.enqueue(it.reply)
+	case counterTimeoutTimer:
 		if reply, ok := it.call.expire(); ok {
-			h.tell(reply)
+			h.enqueue(reply)
 		}
 	}
-	h.flush()
+	h.handleQueued()
 }
 
-func (h *Hollow) arrive(due time.Duration) {
-	q := draw(h.rng, h.tenants, due)
-	h.last++
-	q.ID = h.last
-	h.open[q.ID] = &request{arrived: due}
+func (h *HollowIngress) arrive(due time.Duration) {
+	q := drawRequest(h.rng, h.tenants, due)
+	h.lastRequestID++
+	q.ID = h.lastRequestID
+	h.requests[q.ID] = &request{arrived: due}
 	h.tally.Requests++
-	h.tell(policy.Arrival{Request: q})
-	heap.Push(&h.due, &item{at: q.Deadline + overdue, what: giveUp, id: q.ID})
+	h.enqueue(policy.Arrival{Request: q})
+	heap.Push(&h.timers, &timer{at: q.Deadline + replyGracePeriod, kind: clientTimer, requestID: q.ID})
 }
 
-func (h *Hollow) tell(ev policy.Event) { h.queue = append(h.queue, ev) }
+func (h *HollowIngress) enqueue(ev policy.Event) { h.queuedEvents = append(h.queuedEvents, ev) }
 
-// flush hands over what is queued and carries out the actions, which may queue more.
-func (h *Hollow) flush() {
-	for i := 0; i < len(h.queue); i++ {
-		h.began = time.Now()
-		h.actions = h.mod.Handle(h.now, h.queue[i], h.actions[:0])
-		h.rec.add(h.me, h.count(h.queue[i]), time.Since(h.began))
+// handleQueued hands over what is queued and carries out the actions, which may queue more.
+func (h *HollowIngress) handleQueued() {
+	for i := 0; i < len(h.queuedEvents); i++ {
+		h.eventStart = time.Now()
+		h.actions = h.gateway.Handle(h.now, h.queuedEvents[i], h.actions[:0])
+		h.recorder.record(h.index, h.countEvent(h.queuedEvents[i]), time.Since(h.eventStart))
 		for _, a := range h.actions {
-			h.act(a)
+			h.perform(a)
 		}
 	}
-	clear(h.queue)
-	h.queue = h.queue[:0]
+	clear(h.queuedEvents)
+	h.queuedEvents = h.queuedEvents[:0]
 }
 
-// count adds the event to the tally and says what its time is about.
-func (h *Hollow) count(ev policy.Event) kind {
+// countEvent adds the event to the tally and says what its time is about.
+func (h *HollowIngress) countEvent(ev policy.Event) metric {
 	switch ev := ev.(type) {
 	case policy.Arrival:
-		return handleArrival
+		return metricArrival
 	case policy.CounterReply:
-		return handleReply
+		return metricCounterReply
 	case policy.TimerFired:
-		h.tally.Ticks++
-		return handleTick
+		h.tally.TimerEvents++
+		return metricTimer
 	case policy.EndpointsChanged:
 		if ev.Snapshot {
-			h.tally.Lists++
-			return handleList
+			h.tally.Snapshots++
+			return metricSnapshot
 		}
 		h.tally.Changes++
-		return handleChange
+		return metricChange
 	}
-	return handleAnswer
+	return metricAttemptEnd
 }
 
-func (h *Hollow) act(a policy.Action) {
+func (h *HollowIngress) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		h.send(a)
+		h.startAttempt(a)
 	case policy.Cancel:
-		h.end(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
+		h.endAttempt(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
 	case policy.Reject:
-		h.answer(a.ID, &h.tally.Refused)
+		h.finishRequest(a.ID, &h.tally.Rejected)
 	case policy.Fail:
-		h.answer(a.ID, &h.tally.Failed)
+		h.finishRequest(a.ID, &h.tally.Failed)
 	case policy.SetTimer:
-		h.schedule(a.After, item{what: tick})
+		h.schedule(a.After, timer{kind: policyTimer})
 	case policy.IncrementCounter:
-		h.call(a)
+		h.incrementCounter(a)
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
-		ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.sharers}
-		for _, s := range h.held {
+		ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
+		for _, s := range h.cachedEndpoints {
 			ev.Endpoints = append(ev.Endpoints, s)
 		}
-		h.tell(ev)
+		h.enqueue(ev)
 	}
 }
 
-func (h *Hollow) send(a policy.Send) {
-	r := h.open[a.ID]
+func (h *HollowIngress) startAttempt(a policy.Send) {
+	r := h.requests[a.ID]
 	if r == nil {
 		return
 	}
 	if len(r.attempts) == 0 {
-		h.rec.add(h.me, addedLatency, h.now-r.arrived+time.Since(h.began))
+		h.recorder.record(h.index, metricAddedLatency, h.now-r.arrived+time.Since(h.eventStart))
 	}
-	h.tally.Sends++
-	took, end := h.back.begin(a.Endpoint, h.now, h.rng)
-	r.attempts = append(r.attempts, attempt{server: a.Endpoint, sent: h.now, holds: end.Outcome == policy.Succeeded})
-	r.out++
+	h.tally.Attempts++
+	took, end := h.backends.startAttempt(a.Endpoint, h.now, h.rng)
+	r.attempts = append(r.attempts, attempt{endpoint: a.Endpoint, sentAt: h.now, holdsSlot: end.Outcome == policy.Succeeded})
+	r.inFlight++
 	if a.AttemptDeadline > 0 && h.now+took > a.AttemptDeadline {
 		took, end = max(0, a.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
-	h.schedule(took, item{what: attemptEnd, id: a.ID, n: len(r.attempts) - 1, end: end})
+	h.schedule(took, timer{kind: attemptTimer, requestID: a.ID, attempt: len(r.attempts) - 1, outcome: end})
 }
 
-// end tells the module how an attempt ended, once.
-func (h *Hollow) end(id policy.RequestID, n int, ev policy.AttemptEnded) {
-	r := h.open[id]
+// endAttempt tells the module how an attempt ended, once.
+func (h *HollowIngress) endAttempt(id policy.RequestID, n int, ev policy.AttemptEnded) {
+	r := h.requests[id]
 	if r == nil || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
 	a := &r.attempts[n]
 	a.ended = true
-	r.out--
-	if a.holds {
-		h.back.finish(a.server)
+	r.inFlight--
+	if a.holdsSlot {
+		h.backends.finishAttempt(a.endpoint)
 	}
-	if ev.Outcome == policy.Succeeded && !r.final {
-		r.final = true
+	if ev.Outcome == policy.Succeeded && !r.answered {
+		r.answered = true
 		h.tally.Served++
 	}
-	ev.ID, ev.Attempt, ev.Endpoint, ev.Latency, ev.RequestFinished = id, n, a.server, h.now-a.sent, r.final
-	h.tell(ev)
-	h.forget(id, r)
+	ev.ID, ev.Attempt, ev.Endpoint, ev.Latency, ev.RequestFinished = id, n, a.endpoint, h.now-a.sentAt, r.answered
+	h.enqueue(ev)
+	h.removeIfDone(id, r)
 }
 
-func (h *Hollow) answer(id policy.RequestID, n *uint64) {
-	if r := h.open[id]; r != nil && !r.final {
+func (h *HollowIngress) finishRequest(id policy.RequestID, n *uint64) {
+	if r := h.requests[id]; r != nil && !r.answered {
 		*n++
-		r.final = true
-		h.forget(id, r)
+		r.answered = true
+		h.removeIfDone(id, r)
 	}
 }
 
-func (h *Hollow) forget(id policy.RequestID, r *request) {
-	if r.final && r.out == 0 {
-		delete(h.open, id)
+func (h *HollowIngress) removeIfDone(id policy.RequestID, r *request) {
+	if r.answered && r.inFlight == 0 {
+		delete(h.requests, id)
 	}
 }
 
-func (h *Hollow) call(a policy.IncrementCounter) {
-	h.tally.Calls++
-	if h.totals == nil {
-		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.clients.increment(a)})
+func (h *HollowIngress) incrementCounter(a policy.IncrementCounter) {
+	h.tally.CounterCalls++
+	if h.counterTotals == nil {
+		h.schedule(h.settings.CounterTimeout, timer{kind: counterTimeoutTimer, call: h.clients.increment(a)})
 		return
 	}
-	h.totals[a.Name] += a.Add
-	h.schedule(replyAfter, item{what: callReply,
-		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.totals[a.Name]}})
+	h.counterTotals[a.Name] += a.Add
+	h.schedule(counterLatency, timer{kind: counterReplyTimer,
+		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.counterTotals[a.Name]}})
 }
 
-func (h *Hollow) fleet(u endpointUpdate) {
+func (h *HollowIngress) deliverUpdate(u endpointUpdate) {
 	ev := u.event()
-	h.sharers = ev.GatewaysPerEndpoint
-	if h.set.PollEndpoints {
+	h.gatewaysPerEndpoint = ev.GatewaysPerEndpoint
+	if h.settings.PollEndpoints {
 		if ev.Snapshot {
-			clear(h.held)
+			clear(h.cachedEndpoints)
 		}
 		for _, s := range ev.Endpoints {
-			if h.held[s.ID] = s; s.State == policy.Removed {
-				delete(h.held, s.ID)
+			if h.cachedEndpoints[s.ID] = s; s.State == policy.Removed {
+				delete(h.cachedEndpoints, s.ID)
 			}
 		}
 	}
-	h.tell(ev)
-	h.flush()
-	h.log = append(h.log, listed{u.revision(), time.Now()})
+	h.enqueue(ev)
+	h.handleQueued()
+	h.appliedRevisions = append(h.appliedRevisions, appliedRevision{u.revision(), time.Now()})
 }
 
-// goLive connects a hollow ingress with discovery and the counter; Live then runs it.
-func (h *Hollow) goLive(discovery, counter string, cached endpointUpdate, log *slog.Logger) {
-	h.start = time.Now()
-	h.now = time.Duration(h.start.UnixNano())
-	h.events, h.ended = make(chan clientEvent, hollowEvents), make(chan struct{})
-	cfg := clientConfig{discoveryAddr: discovery, counterAddr: counter, cached: cached, settings: h.set}
+// connect connects a hollow ingress with discovery and the counter; Live then runs it.
+func (h *HollowIngress) connect(discovery, counter string, cached endpointUpdate, log *slog.Logger) {
+	h.startedAt = time.Now()
+	h.now = time.Duration(h.startedAt.UnixNano())
+	h.events, h.done = make(chan clientEvent, eventQueueLength), make(chan struct{})
+	cfg := clientConfig{discoveryAddr: discovery, counterAddr: counter, cached: cached, settings: h.settings}
 	h.clients = newControlClients(cfg, h.post, log)
-	h.totals = nil
+	h.counterTotals = nil
 }
 
 // post tells the ingress's goroutine; after its end nothing is told any more.
-func (h *Hollow) post(ev clientEvent) {
+func (h *HollowIngress) post(ev clientEvent) {
 	select {
 	case h.events <- ev:
-	case <-h.ended:
+	case <-h.done:
 	}
 }
 
-// ask lets the ingress's goroutine run do, and waits for it.
-func (h *Hollow) ask(ctx context.Context, do func()) error {
+// do lets the ingress's goroutine run do, and waits for it.
+func (h *HollowIngress) do(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	h.post(task(func() { do(); close(done) }))
 	select {
 	case <-done:
 		return nil
-	case <-h.ended:
-		return fmt.Errorf("hollow ingress %d has ended", h.me)
+	case <-h.done:
+		return fmt.Errorf("hollow ingress %d has ended", h.index)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (h *Hollow) clock() time.Duration {
-	return time.Duration(h.start.UnixNano()) + time.Since(h.start)
+func (h *HollowIngress) wallClock() time.Duration {
+	return time.Duration(h.startedAt.UnixNano()) + time.Since(h.startedAt)
 }
 
-// Live runs the ingress in real time until ctx ends, and returns once its connections are closed.
-func (h *Hollow) Live(ctx context.Context) {
+// Run runs the ingress in real time until ctx ends, and returns once its connections are closed.
+func (h *HollowIngress) Run(ctx context.Context) {
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		h.clients.run(ctx)
 	}()
-	h.loop(ctx)
-	close(h.ended)
+	h.eventLoop(ctx)
+	close(h.done)
 	<-over
 }
 
-func (h *Hollow) loop(ctx context.Context) {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+func (h *HollowIngress) eventLoop(ctx context.Context) {
+	wakeUp := time.NewTimer(0)
+	defer wakeUp.Stop()
 	for {
 		wait := time.Hour
-		if len(h.due) > 0 {
-			wait = h.due[0].at - h.clock()
+		if len(h.timers) > 0 {
+			wait = h.timers[0].at - h.wallClock()
 		}
-		timer.Reset(wait)
+		wakeUp.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-h.events:
-			h.now = h.clock()
+			h.now = h.wallClock()
 			ev.deliver(h)
-		case <-timer.C:
+		case <-wakeUp.C:
 		}
-		h.now = h.clock()
-		for len(h.due) > 0 && h.due[0].at <= h.now {
-			it := heap.Pop(&h.due).(*item)
-			if it.what == nextArrival {
-				h.rec.add(h.me, lateness, h.now-it.at)
+		h.now = h.wallClock()
+		for len(h.timers) > 0 && h.timers[0].at <= h.now {
+			it := heap.Pop(&h.timers).(*timer)
+			if it.kind == arrivalTimer {
+				h.recorder.record(h.index, metricLateness, h.now-it.at)
 			}
-			h.ring(it)
+			h.fire(it)
 		}
 	}
 }
@@ -452,13 +452,13 @@
 // task is what the ingress's goroutine does between events for the owner of the fleet.
 type task func()
 
-func (t task) deliver(*Hollow) { t() }
+func (t task) deliver(*HollowIngress) { t() }
 
-func (u endpointUpdate) deliver(h *Hollow) { h.fleet(u) }
+func (u endpointUpdate) deliver(h *HollowIngress) { h.deliverUpdate(u) }
 
-func (r counterResult) deliver(h *Hollow) {
+func (r counterResult) deliver(h *HollowIngress) {
 	if reply, ok := r.reply(); ok {
-		h.tell(reply)
-		h.flush()
+		h.enqueue(reply)
+		h.handleQueued()
 	}
 }
--- a/internal/scale/ingressparts.go
+++ b/internal/scale/ingressparts.go
@@ -96,7 +96,7 @@
 func (c counterCall) expire() (policy.CounterReply, bool) { return c.call.Late() }
 
 // clientEvent is an endpointUpdate or a counterResult.
-type clientEvent interface{ deliver(*Hollow) }
+type clientEvent interface{ deliver(*HollowIngress) }
 
 // counterResult is what the counter's client posts of a call.
 type counterResult struct{ event any }
--- a/internal/scale/live.go
+++ b/internal/scale/live.go
@@ -11,188 +11,188 @@
 )
 
 const (
-	settleTime    = 2 * time.Second // until windows, blocks and connections have found their size
-	loadTime      = 5 * time.Second
-	idleTime      = 2500 * time.Millisecond
-	changeTime    = 4 * time.Second
-	tailTime      = time.Second            // for the last of the changes
-	fewChanges    = 10                     // made one by one
-	changeSpace   = 200 * time.Millisecond // between them
-	bornLateness  = 5 * time.Millisecond   // of half of the arrivals: beyond, the machine is too small for the fleet
-	busyLateness  = 20 * time.Millisecond  // of 1 arrival in 100: the times measured then tell of the machine too
-	bornSkipped   = 0.01                   // of the arrivals that are left out as too late: the same
-	bornShare     = 0.6                    // of the machine's processor time that the ingresses take: the same
-	changingFleet = 100                    // ingresses, while changes come faster
-	changingMost  = 300                    // the largest fleet that is asked about, or has to ask for, single changes
-	zoneFleet     = 60
-	zoneBackends  = 40 // in each of the zones
+	settleDuration       = 2 * time.Second // until windows, blocks and connections have found their size
+	loadDuration         = 5 * time.Second
+	idleDuration         = 2500 * time.Millisecond
+	changeDuration       = 4 * time.Second
+	lastChangeWait       = time.Second            // for the last of the changes
+	singleChanges        = 10                     // made one by one
+	changeInterval       = 200 * time.Millisecond // between them
+	maxMedianLateness    = 5 * time.Millisecond   // of half of the arrivals: beyond, the machine is too small for the fleet
+	maxP99Lateness       = 20 * time.Millisecond  // of 1 arrival in 100: the times measured then tell of the machine too
+	maxSkippedShare      = 0.01                   // of the arrivals that are left out as too late: the same
+	maxCPUShare          = 0.6                    // of the machine's processor time that the ingresses take: the same
+	changeRateFleet      = 100                    // ingresses, while changes come faster
+	maxSingleChangeFleet = 300                    // the largest fleet that is asked about, or has to ask for, single changes
+	zoneSweepIngresses   = 60
+	backendsPerZone      = 40 // in each of the zones
 )
 
-func (r *Run) ingressesSweep() []job {
+func (r *Run) ingressJobs() []job {
 	var list []job
 	for _, n := range r.Ingresses {
-		list = append(list, job{Point{Sweep: "ingresses", Label: number(float64(n)), Against: "ingresses", Size: float64(n)},
-			20 * time.Second, func(ctx context.Context, p *Point) error { return r.ingressesPoint(ctx, p, n) }})
+		list = append(list, job{Point{Sweep: "ingresses", Label: formatNumber(float64(n)), Against: "ingresses", Size: float64(n)},
+			20 * time.Second, func(ctx context.Context, p *Point) error { return r.measureIngresses(ctx, p, n) }})
 	}
 	return list
 }
 
-// ingressesPoint measures a live fleet of hollow ingresses, idle, under load and while the list changes.
-func (r *Run) ingressesPoint(ctx context.Context, p *Point, n int) error {
-	if r.full {
+// measureIngresses measures a live fleet of hollow ingresses, idle, under load and while the list changes.
+func (r *Run) measureIngresses(ctx context.Context, p *Point, n int) error {
+	if r.saturated {
 		p.Against = ""
-		p.note("left out: the machine does not bear the fleet before it")
+		p.addNote("left out: the machine does not bear the fleet before it")
 		return nil
 	}
-	shape := Shape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
-	f, err := startFleet(ctx, r.watch, shape, NewBackends(liveBackends, r.LiveRate*float64(n), meanWork, false), r.Seed)
+	shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
+	f, err := startLiveFleet(ctx, r.monitor, shape, NewBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false), r.Seed)
 	if err != nil {
 		return err
 	}
 	defer f.stop()
-	idle, err := f.during(ctx, func() error { return pause(ctx, r.shortened(idleTime)) })
+	idle, err := f.measure(ctx, func() error { return sleep(ctx, r.scaled(idleDuration)) })
 	if err != nil {
 		return err
 	}
 	if err := f.setRate(ctx, r.LiveRate); err != nil {
 		return err
 	}
-	if err := pause(ctx, r.shortened(settleTime)); err != nil {
+	if err := sleep(ctx, r.scaled(settleDuration)); err != nil {
 		return err
 	}
-	f.rec.take()
-	load, err := f.during(ctx, func() error { return pause(ctx, r.shortened(loadTime)) })
+	f.recorder.drain()
+	load, err := f.measure(ctx, func() error { return sleep(ctx, r.scaled(loadDuration)) })
 	if err != nil {
 		return err
 	}
-	times := f.rec.take()
-	p.add(theIngress, "state, with list and tenants", "KB", f.bytesEach()/(1<<10), 1)
+	times := f.recorder.drain()
+	p.add(roleIngress, "state, with list and tenants", "KB", f.memoryPerIngress()/(1<<10), 1)
 	if err := f.setRate(ctx, 0); err != nil {
 		return err
 	}
-	idleFigures(p, idle, n)
-	loadFigures(p, load, n)
-	p.times(theIngress, "arrival handled", "µs", time.Microsecond, times[handleArrival], 50)
-	p.times(theIngress, "added, no socket (p99)", "ms", time.Millisecond, times[addedLatency], 99)
-	if err := f.states(p); err != nil {
+	addIdleFigures(p, idle, n)
+	addLoadFigures(p, load, n)
+	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
+	p.addHistogram(roleIngress, "added, no socket (p99)", "ms", time.Millisecond, times[metricAddedLatency], 99)
+	if err := f.addStateFigures(p); err != nil {
 		return err
 	}
-	r.bearing(p, load, times[lateness], n)
-	return r.changeFigures(ctx, p, f, changeSpace, fewChanges)
+	r.checkSaturation(p, load, times[metricLateness], n)
+	return r.addChangeFigures(ctx, p, f, changeInterval, singleChanges)
 }
 
-// bearing ends the sweep at a fleet that is too large for the machine. Single late arrivals tell of other programs.
-func (r *Run) bearing(p *Point, load span, late *hdrhistogram.Histogram, n int) {
-	share := load.processor.Seconds() / load.seconds / float64(r.report.Machine.Cores)
-	p.tell(theRun, "ingresses, of the machine's cores", "%", 100*share)
-	p.tell(theRun, "lateness (p50)", "ms", float64(late.ValueAtQuantile(50))/1e6)
-	p.tell(theRun, "lateness (p99)", "ms", float64(late.ValueAtQuantile(99))/1e6)
+// checkSaturation ends the sweep at a fleet that is too large for the machine. Single late arrivals tell of other programs.
+func (r *Run) checkSaturation(p *Point, load usage, late *hdrhistogram.Histogram, n int) {
+	share := load.cpuTime.Seconds() / load.seconds / float64(r.report.Machine.Cores)
+	p.addUnfitted(roleRun, "ingresses, of the machine's cores", "%", 100*share)
+	p.addUnfitted(roleRun, "lateness (p50)", "ms", float64(late.ValueAtQuantile(50))/1e6)
+	p.addUnfitted(roleRun, "lateness (p99)", "ms", float64(late.ValueAtQuantile(99))/1e6)
 	half := time.Duration(late.ValueAtQuantile(50)).Round(time.Millisecond / 10)
 	skipped := float64(load.tally.Skipped) / max(1, float64(load.tally.Skipped+load.tally.Requests))
-	p.tell(theRun, "arrivals left out", "%", 100*skipped)
-	if last := time.Duration(late.ValueAtQuantile(99)).Round(time.Millisecond); last > busyLateness {
-		p.note("the machine was busy: 1 in 100 arrivals was handled over %v late, which shows in the time added and, since"+
+	p.addUnfitted(roleRun, "arrivals left out", "%", 100*skipped)
+	if last := time.Duration(late.ValueAtQuantile(99)).Round(time.Millisecond); last > maxP99Lateness {
+		p.addNote("the machine was busy: 1 in 100 arrivals was handled over %v late, which shows in the time added and, since"+
 			" the counter's answers come late as well, in the calls", last)
 	}
-	if half <= bornLateness && share <= bornShare && skipped <= bornSkipped {
+	if half <= maxMedianLateness && share <= maxCPUShare && skipped <= maxSkippedShare {
 		return
 	}
-	r.full = true
+	r.saturated = true
 	p.Against = ""
-	p.note("the machine does not bear %d ingresses: half of the arrivals are handled over %v late, %.1f%% are left out,"+
+	p.addNote("the machine does not bear %d ingresses: half of the arrivals are handled over %v late, %.1f%% are left out,"+
 		" %.0f%% of its cores are taken; not in the slopes", n, half, 100*skipped, 100*share)
 }
 
-// idleFigures are those of an ingress without requests.
-func idleFigures(p *Point, s span, n int) {
+// addIdleFigures are those of an ingress without requests.
+func addIdleFigures(p *Point, s usage, n int) {
 	each := s.seconds * float64(n)
-	p.add(theIngress, "idle second", "ms", s.processor.Seconds()*1000/each, s.tally.Ticks)
-	p.add(theDiscovery, "idle second", "ms", s.discoveryCPU.Seconds()*1000/s.seconds, 1)
-	p.add(theDiscovery, "idle: bytes a second", "bytes", s.discoveryByte/s.seconds, 1)
-	p.add(theCounter, "idle second", "ms", s.counterCPU.Seconds()*1000/s.seconds, 1)
+	p.add(roleIngress, "idle second", "ms", s.cpuTime.Seconds()*1000/each, s.tally.TimerEvents)
+	p.add(roleDiscovery, "idle second", "ms", s.discoveryCPUTime.Seconds()*1000/s.seconds, 1)
+	p.add(roleDiscovery, "idle: bytes a second", "bytes", s.discoveryBytes/s.seconds, 1)
+	p.add(roleCounter, "idle second", "ms", s.counterCPUTime.Seconds()*1000/s.seconds, 1)
 }
 
-// loadFigures are those of requests in a live fleet.
-func loadFigures(p *Point, s span, n int) {
+// addLoadFigures are those of requests in a live fleet.
+func addLoadFigures(p *Point, s usage, n int) {
 	requests := max(1, float64(s.tally.Requests))
 	each := s.seconds * float64(n)
-	p.add(theIngress, "request, all of the hollow ingress", "µs", s.processor.Seconds()*1e6/requests, s.tally.Requests)
-	p.tell(theIngress, "requests a second, each", "", requests/each)
-	p.add(theIngress, counterCalls, "", float64(s.tally.Calls)/requests, s.tally.Requests)
-	p.add(theIngress, "counter bytes a second, each", "bytes", (s.counterIn+s.counterOut)/each, uint64(s.calls))
-	p.tell(theIngress, "attempts for a request", "", float64(s.tally.Sends)/requests)
-	p.tell(theIngress, "refused", "%", 100*float64(s.tally.Refused)/requests)
-	p.tell(theIngress, "not answered", "", float64(s.tally.Unanswered))
-	p.add(theCounter, "calls a second", "", s.calls/s.seconds, uint64(s.calls))
-	p.add(theCounter, "bytes a second", "KB", (s.counterIn+s.counterOut)/s.seconds/(1<<10), uint64(s.calls))
-	p.add(theCounter, "busy, of a core", "%", 100*s.counterCPU.Seconds()/s.seconds, uint64(s.calls))
-	p.tell(theCounter, "a call", "µs", s.counterCPU.Seconds()*1e6/max(1, s.calls))
+	p.add(roleIngress, "request, all of the hollow ingress", "µs", s.cpuTime.Seconds()*1e6/requests, s.tally.Requests)
+	p.addUnfitted(roleIngress, "requests a second, each", "", requests/each)
+	p.add(roleIngress, figureCounterCalls, "", float64(s.tally.CounterCalls)/requests, s.tally.Requests)
+	p.add(roleIngress, "counter bytes a second, each", "bytes", (s.counterIn+s.counterOut)/each, uint64(s.counterCalls))
+	p.addUnfitted(roleIngress, "attempts for a request", "", float64(s.tally.Attempts)/requests)
+	p.addUnfitted(roleIngress, "refused", "%", 100*float64(s.tally.Rejected)/requests)
+	p.addUnfitted(roleIngress, "not answered", "", float64(s.tally.Unanswered))
+	p.add(roleCounter, "calls a second", "", s.counterCalls/s.seconds, uint64(s.counterCalls))
+	p.add(roleCounter, "bytes a second", "KB", (s.counterIn+s.counterOut)/s.seconds/(1<<10), uint64(s.counterCalls))
+	p.add(roleCounter, "busy, of a core", "%", 100*s.counterCPUTime.Seconds()/s.seconds, uint64(s.counterCalls))
+	p.addUnfitted(roleCounter, "a call", "µs", s.counterCPUTime.Seconds()*1e6/max(1, s.counterCalls))
 }
 
-// states are those of the stand-ins.
-func (f *fleet) states(p *Point) error {
-	for name, r := range map[string]*role{theDiscovery: f.discovery, theCounter: f.counter} {
-		report, err := r.tell(order{Do: "heap"})
+// addStateFigures are those of the stand-ins.
+func (f *liveFleet) addStateFigures(p *Point) error {
+	for name, r := range map[string]*standInProcess{roleDiscovery: f.discovery, roleCounter: f.counter} {
+		report, err := r.call(standInCommand{Do: "heap"})
 		if err != nil {
 			return err
 		}
 		p.add(name, "state", "MB", float64(report.Heap)/(1<<20), 1)
-		if name == theCounter {
+		if name == roleCounter {
 			p.add(name, "names", "", float64(report.Counter.Names), 1)
 		}
 	}
 	return nil
 }
 
-// changeFigures makes changes so far apart and waits until they are in force.
-func (r *Run) changeFigures(ctx context.Context, p *Point, f *fleet, space time.Duration, n int) error {
-	var made []listed
+// addChangeFigures makes changes so far apart and waits until they are in force.
+func (r *Run) addChangeFigures(ctx context.Context, p *Point, f *liveFleet, space time.Duration, n int) error {
+	var made []appliedRevision
 	late := 0
-	s, err := f.during(ctx, func() error {
+	s, err := f.measure(ctx, func() error {
 		began := time.Now()
 		for i := range n {
 			due := began.Add(time.Duration(i) * space)
-			if err := pause(ctx, time.Until(due)); err != nil {
+			if err := sleep(ctx, time.Until(due)); err != nil {
 				return err
 			}
 			if time.Since(due) > space {
 				late++
 			}
-			c, err := f.change(f.back.toggled(i))
+			c, err := f.applyChange(f.backends.toggleDraining(i))
 			if err != nil {
 				return err
 			}
 			made = append(made, c)
 		}
-		return pause(ctx, tailTime)
+		return sleep(ctx, lastChangeWait)
 	})
 	if err != nil {
 		return err
 	}
-	each, last, missing, err := f.inForce(ctx, made)
+	each, last, missing, err := f.propagation(ctx, made)
 	if err != nil {
 		return err
 	}
 	changes, ingresses := float64(len(made)), float64(len(f.hollows))
-	p.times(theIngress, "change in force, each (p50)", "ms", time.Millisecond, each, 50)
-	p.times(theIngress, "change in force everywhere (p50)", "ms", time.Millisecond, last, 50)
-	p.tell(theIngress, "change in force everywhere (worst)", "ms", float64(last.Max())/1e6)
-	p.tell(theIngress, "changes missed", "", float64(missing))
-	p.add(theDiscovery, "a change: bytes", "bytes", s.discoveryByte/changes, uint64(n))
-	p.add(theDiscovery, "a change: messages", "", s.objects/changes, uint64(n))
-	p.add(theDiscovery, "while changing: bytes a second", "KB", s.discoveryByte/s.seconds/(1<<10), uint64(n))
-	p.add(theDiscovery, "while changing: of a core", "%", 100*s.discoveryCPU.Seconds()/s.seconds, uint64(n))
-	busy := s.processor.Seconds() * 1000 / s.seconds / ingresses
-	p.add(theIngress, "while changing: processor a second, each", "ms", busy, uint64(n))
+	p.addHistogram(roleIngress, "change in force, each (p50)", "ms", time.Millisecond, each, 50)
+	p.addHistogram(roleIngress, "change in force everywhere (p50)", "ms", time.Millisecond, last, 50)
+	p.addUnfitted(roleIngress, "change in force everywhere (worst)", "ms", float64(last.Max())/1e6)
+	p.addUnfitted(roleIngress, "changes missed", "", float64(missing))
+	p.add(roleDiscovery, "a change: bytes", "bytes", s.discoveryBytes/changes, uint64(n))
+	p.add(roleDiscovery, "a change: messages", "", s.discoveryMessages/changes, uint64(n))
+	p.add(roleDiscovery, "while changing: bytes a second", "KB", s.discoveryBytes/s.seconds/(1<<10), uint64(n))
+	p.add(roleDiscovery, "while changing: of a core", "%", 100*s.discoveryCPUTime.Seconds()/s.seconds, uint64(n))
+	busy := s.cpuTime.Seconds() * 1000 / s.seconds / ingresses
+	p.add(roleIngress, "while changing: processor a second, each", "ms", busy, uint64(n))
 	if late > 0 {
-		p.note("%d of %d changes were made later than meant", late, n)
+		p.addNote("%d of %d changes were made later than meant", late, n)
 	}
 	return nil
 }
 
-// changesSweep is, for lists that are pushed and such that are asked for, changes one by one by the size of the fleet,
+// changeJobs is, for lists that are pushed and such that are asked for, changes one by one by the size of the fleet,
 // then more and more changes a second.
-func (r *Run) changesSweep() []job {
+func (r *Run) changeJobs() []job {
 	var list []job
 	for _, asked := range []bool{false, true} {
 		how := "pushed"
@@ -200,45 +200,45 @@
 			how = "asked"
 		}
 		for _, n := range r.Ingresses {
-			if n <= changingMost && asked { // those that are pushed are part of the sweep of ingresses
-				list = append(list, r.changesJob("single changes, "+how, "ingresses", float64(n), n, asked, changeSpace))
+			if n <= maxSingleChangeFleet && asked { // those that are pushed are part of the sweep of ingresses
+				list = append(list, r.changeJob("single changes, "+how, "ingresses", float64(n), n, asked, changeInterval))
 			}
 		}
 		for _, rate := range r.Changes {
-			n := min(changingFleet, r.Ingresses[len(r.Ingresses)-1])
-			list = append(list, r.changesJob(fmt.Sprintf("changes a second, %s, %d ingresses", how, n), "changes a second",
+			n := min(changeRateFleet, r.Ingresses[len(r.Ingresses)-1])
+			list = append(list, r.changeJob(fmt.Sprintf("changes a second, %s, %d ingresses", how, n), "changes a second",
 				rate, n, asked, time.Duration(float64(time.Second)/rate)))
 		}
 	}
 	return list
 }
 
-func (r *Run) changesJob(sweep, against string, size float64, n int, asked bool, space time.Duration) job {
-	return job{Point{Sweep: sweep, Label: number(size), Against: against, Size: size}, 15 * time.Second,
+func (r *Run) changeJob(sweep, against string, size float64, n int, asked bool, space time.Duration) job {
+	return job{Point{Sweep: sweep, Label: formatNumber(size), Against: against, Size: size}, 15 * time.Second,
 		func(ctx context.Context, p *Point) error {
-			shape := Shape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate, Asked: asked}
-			back := NewBackends(liveBackends, r.LiveRate*float64(n), meanWork, false)
-			f, err := startFleet(ctx, r.watch, shape, back, r.Seed)
+			shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate, Polled: asked}
+			back := NewBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
+			f, err := startLiveFleet(ctx, r.monitor, shape, back, r.Seed)
 			if err != nil {
 				return err
 			}
 			defer f.stop()
-			return r.changeFigures(ctx, p, f, space, max(3, int(r.shortened(changeTime)/space)))
+			return r.addChangeFigures(ctx, p, f, space, max(3, int(r.scaled(changeDuration)/space)))
 		}}
 }
 
-func (r *Run) zoneSweep() []job {
-	n := min(zoneFleet, r.Ingresses[len(r.Ingresses)-1])
-	point := Point{Sweep: fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zones, n, zones*zoneBackends),
+func (r *Run) zoneJobs() []job {
+	n := min(zoneSweepIngresses, r.Ingresses[len(r.Ingresses)-1])
+	point := Point{Sweep: fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zones, n, zones*backendsPerZone),
 		Label: "before, lost, back"}
-	return []job{{point, 25 * time.Second, func(ctx context.Context, p *Point) error { return r.zonePoint(ctx, p, n) }}}
+	return []job{{point, 25 * time.Second, func(ctx context.Context, p *Point) error { return r.measureZoneLoss(ctx, p, n) }}}
 }
 
-// zonePoint takes a zone away under load and brings it back cold.
-func (r *Run) zonePoint(ctx context.Context, p *Point, n int) error {
+// measureZoneLoss takes a zone away under load and brings it back cold.
+func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
 	load := r.LiveRate * float64(n)
-	back := NewBackends(zones*zoneBackends, load, meanWork, false)
-	f, err := startFleet(ctx, r.watch, Shape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}, back, r.Seed)
+	back := NewBackendModel(zones*backendsPerZone, load, meanServiceTime, false)
+	f, err := startLiveFleet(ctx, r.monitor, FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}, back, r.Seed)
 	if err != nil {
 		return err
 	}
@@ -246,107 +246,107 @@
 	if err := f.setRate(ctx, r.LiveRate); err != nil {
 		return err
 	}
-	if err := pause(ctx, settleTime); err != nil {
+	if err := sleep(ctx, settleDuration); err != nil {
 		return err
 	}
-	if _, err := r.zonePhase(ctx, p, f, "before", loadTime, nil); err != nil {
+	if _, err := r.measureZonePhase(ctx, p, f, "before", loadDuration, nil); err != nil {
 		return err
 	}
-	lost, err := r.zonePhase(ctx, p, f, "lost", loadTime, func() []standin.Target { return back.zone(true) })
+	lost, err := r.measureZonePhase(ctx, p, f, "lost", loadDuration, func() []standin.Target { return back.setLastZoneRemoved(true) })
 	if err != nil {
 		return err
 	}
-	restored, err := r.zonePhase(ctx, p, f, "back", warmAfter, func() []standin.Target { return back.zone(false) })
+	restored, err := r.measureZonePhase(ctx, p, f, "back", slowStartWindow, func() []standin.Target { return back.setLastZoneRemoved(false) })
 	if err != nil {
 		return err
 	}
-	for i, c := range []listed{lost, restored} {
-		each, last, missing, err := f.inForce(ctx, []listed{c})
+	for i, c := range []appliedRevision{lost, restored} {
+		each, last, missing, err := f.propagation(ctx, []appliedRevision{c})
 		if err != nil {
 			return err
 		}
 		what := []string{"lost", "back"}[i]
-		p.times(theIngress, what+": in force, each (p50)", "ms", time.Millisecond, each, 50)
-		p.times(theIngress, what+": in force everywhere", "ms", time.Millisecond, last, 100)
-		p.tell(theIngress, what+": missed", "", float64(missing))
+		p.addHistogram(roleIngress, what+": in force, each (p50)", "ms", time.Millisecond, each, 50)
+		p.addHistogram(roleIngress, what+": in force everywhere", "ms", time.Millisecond, last, 100)
+		p.addUnfitted(roleIngress, what+": missed", "", float64(missing))
 	}
-	most, budget := back.coldest()
-	p.tell(theIngress, fmt.Sprintf("back: most attempts at one cold backend within %v", fallSpan), "", float64(most))
-	p.tell(theIngress, "back: what such a one bears when it starts", "", budget)
+	most, budget := back.maxColdAttempts()
+	p.addUnfitted(roleIngress, fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartSpan), "", float64(most))
+	p.addUnfitted(roleIngress, "back: what such a one bears when it starts", "", budget)
 	return nil
 }
 
-// zone takes the last zone away or brings it back cold, and returns what discovery tells of it.
-func (b *Backends) zone(lost bool) []standin.Target {
+// setLastZoneRemoved takes the last zone away or brings it back cold, and returns what discovery tells of it.
+func (b *BackendModel) setLastZoneRemoved(lost bool) []standin.Target {
 	var list []standin.Target
-	for i := zones - 1; i < len(b.list); i += zones {
-		m, state := &b.list[i], "DELETED"
+	for i := zones - 1; i < len(b.backends); i += zones {
+		m, state := &b.backends[i], "DELETED"
 		if !lost {
 			state = "SERVING"
-			m.started.Store(time.Now().Truncate(time.Millisecond).UnixNano())
+			m.startedAt.Store(time.Now().Truncate(time.Millisecond).UnixNano())
 		}
-		m.gone.Store(lost)
+		m.removed.Store(lost)
 		list = append(list, b.target(i, state))
 	}
 	return list
 }
 
-// coldest is the most attempts that a cold backend got within the fall span, and what it bears at its start.
-func (b *Backends) coldest() (int, float64) {
+// maxColdAttempts is the most attempts that a cold backend got within the fall span, and what it bears at its start.
+func (b *BackendModel) maxColdAttempts() (int, float64) {
 	most := 0
-	for i := range b.list {
-		m := &b.list[i]
+	for i := range b.backends {
+		m := &b.backends[i]
 		m.mu.Lock()
-		most = max(most, mostWithin(m.cold, fallSpan))
+		most = max(most, maxWithinWindow(m.coldAttempts, slowStartSpan))
 		m.mu.Unlock()
 	}
-	return most, b.fallBudget(meanWork)
+	return most, b.coldAttemptLimit(meanServiceTime)
 }
 
-// zonePhase makes a change, measures for a while, and says how the load lay on the backends that were there.
-func (r *Run) zonePhase(ctx context.Context, p *Point, f *fleet, name string, d time.Duration,
-	change func() []standin.Target) (listed, error) {
-	before := f.back.sent()
-	f.rec.take()
-	var made listed
-	s, err := f.during(ctx, func() error {
+// measureZonePhase makes a change, measures for a while, and says how the load lay on the backends that were there.
+func (r *Run) measureZonePhase(ctx context.Context, p *Point, f *liveFleet, name string, d time.Duration,
+	change func() []standin.Target) (appliedRevision, error) {
+	before := f.backends.attemptCounts()
+	f.recorder.drain()
+	var made appliedRevision
+	s, err := f.measure(ctx, func() error {
 		if change != nil {
 			var err error
-			if made, err = f.change(change()...); err != nil {
+			if made, err = f.applyChange(change()...); err != nil {
 				return err
 			}
 		}
-		return pause(ctx, d)
+		return sleep(ctx, d)
 	})
 	if err != nil {
 		return made, err
 	}
 	busiest, sum, n := 0.0, 0.0, 0.0
-	for i, sent := range f.back.sent() {
-		if f.back.list[i].gone.Load() {
+	for i, sent := range f.backends.attemptCounts() {
+		if f.backends.backends[i].removed.Load() {
 			continue
 		}
 		rate := float64(sent-before[i]) / s.seconds
 		busiest, sum, n = max(busiest, rate), sum+rate, n+1
 	}
 	requests := max(1, float64(s.tally.Requests))
-	p.tell("backends", name+": attempts a second, mean", "", sum/max(1, n))
-	p.tell("backends", name+": attempts a second, busiest", "", busiest)
-	p.tell(theIngress, name+": served", "%", 100*float64(s.tally.Served)/requests)
-	p.tell(theIngress, name+": refused", "%", 100*float64(s.tally.Refused)/requests)
-	p.tell(theIngress, name+": failed or not answered", "%", 100*float64(s.tally.Failed+s.tally.Unanswered)/requests)
-	p.times(theIngress, name+": added, no socket (p99)", "ms", time.Millisecond, f.rec.take()[addedLatency], 99)
-	p.tell(theDiscovery, name+": messages", "", s.objects)
-	p.tell(theDiscovery, name+": bytes", "KB", s.discoveryByte/(1<<10))
-	p.tell(theIngress, name+": processor a second, each", "ms", s.processor.Seconds()*1000/s.seconds/float64(len(f.hollows)))
-	p.tell(theCounter, name+": calls a second", "", s.calls/s.seconds)
+	p.addUnfitted("backends", name+": attempts a second, mean", "", sum/max(1, n))
+	p.addUnfitted("backends", name+": attempts a second, busiest", "", busiest)
+	p.addUnfitted(roleIngress, name+": served", "%", 100*float64(s.tally.Served)/requests)
+	p.addUnfitted(roleIngress, name+": refused", "%", 100*float64(s.tally.Rejected)/requests)
+	p.addUnfitted(roleIngress, name+": failed or not answered", "%", 100*float64(s.tally.Failed+s.tally.Unanswered)/requests)
+	p.addHistogram(roleIngress, name+": added, no socket (p99)", "ms", time.Millisecond, f.recorder.drain()[metricAddedLatency], 99)
+	p.addUnfitted(roleDiscovery, name+": messages", "", s.discoveryMessages)
+	p.addUnfitted(roleDiscovery, name+": bytes", "KB", s.discoveryBytes/(1<<10))
+	p.addUnfitted(roleIngress, name+": processor a second, each", "ms", s.cpuTime.Seconds()*1000/s.seconds/float64(len(f.hollows)))
+	p.addUnfitted(roleCounter, name+": calls a second", "", s.counterCalls/s.seconds)
 	return made, nil
 }
 
-func (b *Backends) sent() []uint64 {
-	list := make([]uint64, len(b.list))
-	for i := range b.list {
-		list[i] = b.list[i].sends.Load()
+func (b *BackendModel) attemptCounts() []uint64 {
+	list := make([]uint64, len(b.backends))
+	for i := range b.backends {
+		list[i] = b.backends[i].attempts.Load()
 	}
 	return list
 }
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	memoryPart    = 0.5 // of the machine, that a run may use at most
-	mostProcesses = 300 // and processes
-	ticksASecond  = 100 // of the processor times in /proc
-	sampleEvery   = 250 * time.Millisecond
+	maxMemoryShare      = 0.5 // of the machine, that a run may use at most
+	maxProcesses        = 300 // and processes
+	clockTicksPerSecond = 100 // of the processor times in /proc
+	sampleInterval      = 250 * time.Millisecond
 
 	// What a run is reckoned with before it starts, in bytes; the sampler holds it to the bound while it runs.
-	baseBytes       = 200 << 20
-	hollowBytes     = 400 << 10
-	perTenantBytes  = 700
-	perBackendBytes = 700  // in each module
-	listBytes       = 2500 // for each backend once: modelled, in discovery, as text on its way
-	realBytes       = 60 << 20
+	baseBytes        = 200 << 20
+	hollowBytes      = 400 << 10
+	tenantBytes      = 700
+	backendBytes     = 700  // in each module
+	listEntryBytes   = 2500 // for each backend once: modelled, in discovery, as text on its way
+	realIngressBytes = 60 << 20
 
 	hollowDescriptors = 6 // four for the counter, one or two for discovery
 	spareDescriptors  = 500
@@ -43,8 +43,8 @@
 	Load        string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: what else it was doing
 }
 
-func machine() (Machine, error) {
-	total, err := procField("/proc/meminfo", "MemTotal:")
+func describeMachine() (Machine, error) {
+	total, err := readProcField("/proc/meminfo", "MemTotal:")
 	if err != nil {
 		return Machine{}, err
 	}
@@ -58,8 +58,8 @@
 		Descriptors: open.Cur, Load: strings.Join(load[:min(3, len(load))], " ")}, err
 }
 
-// procField reads a figure in kB, as bytes.
-func procField(path, name string) (uint64, error) {
+// readProcField reads a figure in kB, as bytes.
+func readProcField(path, name string) (uint64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -77,16 +77,16 @@
 	return 0, fmt.Errorf("%s has no %s", path, name)
 }
 
-func resident(pid int) uint64 {
-	n, err := procField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+func residentMemory(pid int) uint64 {
+	n, err := readProcField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 	if err != nil { // it has ended
 		return 0
 	}
 	return n
 }
 
-// processorTime of another process, user and system, in steps of 10 ms.
-func processorTime(pid int) (time.Duration, error) {
+// processCPUTime of another process, user and system, in steps of 10 ms.
+func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
@@ -104,7 +104,7 @@
 		}
 		sum += n
 	}
-	return time.Duration(sum) * time.Second / ticksASecond, nil
+	return time.Duration(sum) * time.Second / clockTicksPerSecond, nil
 }
 
 const (
@@ -112,8 +112,8 @@
 	thisThread   = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
 )
 
-// used is the processor time so far, user and system.
-func used(who int) time.Duration {
+// cpuTime is the processor time so far, user and system.
+func cpuTime(who int) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
 		return 0
@@ -121,91 +121,93 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapInUse is what is in use after a collection, in bytes.
-func heapInUse() uint64 {
+// memoryInUse is what is in use after a collection, in bytes.
+func memoryInUse() uint64 {
 	debug.FreeOSMemory()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc + m.StackInuse
 }
 
-// reckon says whether the run that is asked for keeps within the bounds, before anything is started.
-func reckon(o Options, m Machine) error {
-	if n := 1 + roleProcesses + o.Real; n > mostProcesses {
-		return fmt.Errorf("%d processes are asked for, %d at most", n, mostProcesses)
+// checkResources says whether the run that is asked for keeps within the bounds, before anything is started.
+func checkResources(o Options, m Machine) error {
+	if n := 1 + standInProcesses + o.Real; n > maxProcesses {
+		return fmt.Errorf("%d processes are asked for, %d at most", n, maxProcesses)
 	}
 	need := 0.0
 	take := func(bytes float64) { need = max(need, bytes) }
 	for _, n := range o.Backends {
-		take(baseBytes + float64(n)*(listBytes+2*perBackendBytes))
+		take(baseBytes + float64(n)*(listEntryBytes+2*backendBytes))
 	}
 	most := 0
 	for _, n := range o.Ingresses {
 		most = max(most, n)
 	}
-	one := hollowBytes + float64(liveTenants)*perTenantBytes + float64(liveBackends)*perBackendBytes
-	take(baseBytes + float64(most)*one + float64(o.Real)*realBytes)
+	one := hollowBytes + float64(liveTenants)*tenantBytes + float64(liveBackends)*backendBytes
+	take(baseBytes + float64(most)*one + float64(o.Real)*realIngressBytes)
 	if n := uint64(most*hollowDescriptors + spareDescriptors); m.Descriptors > 0 && n > m.Descriptors {
 		return fmt.Errorf("about %d descriptors are asked for, a process may hold %d here", n, m.Descriptors)
 	}
 	for _, n := range o.Tenants {
-		take(baseBytes + float64(n)*2*perTenantBytes)
+		take(baseBytes + float64(n)*2*tenantBytes)
 	}
-	if bound := memoryPart * float64(m.Memory); need > bound {
-		return fmt.Errorf("about %s are asked for, half of the machine's memory is %s", mega(need), mega(bound))
+	if bound := maxMemoryShare * float64(m.Memory); need > bound {
+		return fmt.Errorf("about %s are asked for, half of the machine's memory is %s", formatMegabytes(need), formatMegabytes(bound))
 	}
 	return nil
 }
 
-func mega(bytes float64) string { return fmt.Sprintf("%.0f MB", bytes/(1<<20)) }
+func formatMegabytes(bytes float64) string { return fmt.Sprintf("%.0f MB", bytes/(1<<20)) }
 
-// Used is what a run took of its machine.
-type Used struct {
+// ResourceUsage is what a run took of its machine.
+type ResourceUsage struct {
 	PeakMemory    uint64  `json:"peak_memory_bytes"` // of all its processes, by samples
 	PeakProcesses int     `json:"peak_processes"`
-	Processor     float64 `json:"processor_s"` // of this process
-	Wall          float64 `json:"wall_s"`
+	CPUSeconds    float64 `json:"processor_s"` // of this process
+	WallSeconds   float64 `json:"wall_s"`
 }
 
-// watcher samples what the run uses, and ends it where that is more than the bound.
-type watcher struct {
-	mu    sync.Mutex
-	pids  map[int]bool
-	peak  uint64
-	procs int
+// resourceMonitor samples what the run uses, and ends it where that is more than the bound.
+type resourceMonitor struct {
+	mu            sync.Mutex
+	pids          map[int]bool
+	peakMemory    uint64
+	peakProcesses int
 }
 
-func newWatcher() *watcher { return &watcher{pids: map[int]bool{os.Getpid(): true}} }
+func newResourceMonitor() *resourceMonitor {
+	return &resourceMonitor{pids: map[int]bool{os.Getpid(): true}}
+}
 
-func (w *watcher) started(pid int) {
+func (w *resourceMonitor) addProcess(pid int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pids[pid] = true
-	w.procs = max(w.procs, len(w.pids))
+	w.peakProcesses = max(w.peakProcesses, len(w.pids))
 }
 
-func (w *watcher) ended(pid int) {
+func (w *resourceMonitor) removeProcess(pid int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.pids, pid)
 }
 
-func (w *watcher) sample() uint64 {
+func (w *resourceMonitor) sample() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum := uint64(0)
 	for pid := range w.pids {
-		sum += resident(pid)
+		sum += residentMemory(pid)
 	}
-	w.peak, w.procs = max(w.peak, sum), max(w.procs, len(w.pids))
+	w.peakMemory, w.peakProcesses = max(w.peakMemory, sum), max(w.peakProcesses, len(w.pids))
 	return sum
 }
 
 // run samples until ctx ends; more than the bound stops the run.
-func (w *watcher) run(ctx context.Context, bound uint64, stop func(error)) {
-	for t := time.NewTicker(sampleEvery); ; {
+func (w *resourceMonitor) run(ctx context.Context, bound uint64, stop func(error)) {
+	for t := time.NewTicker(sampleInterval); ; {
 		if sum := w.sample(); sum > bound {
-			stop(fmt.Errorf("stopped at %s: over half of the machine's memory", mega(float64(sum))))
+			stop(fmt.Errorf("stopped at %s: over half of the machine's memory", formatMegabytes(float64(sum))))
 			return
 		}
 		select {
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -7,66 +7,66 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// kind is what a histogram is about.
-type kind int
+// metric is what a histogram is about.
+type metric int
 
 // Processor time of the module by event, then what requests wait.
 const (
-	handleArrival kind = iota
-	handleAnswer
-	handleReply // of the counter
-	handleChange
-	handleList
-	handleTick
-	addedLatency // from the arrival to the first attempt
-	lateness     // of a hollow ingress behind its own clock
-	kinds
+	metricArrival metric = iota
+	metricAttemptEnd
+	metricCounterReply // of the counter
+	metricChange
+	metricSnapshot
+	metricTimer
+	metricAddedLatency // from the arrival to the first attempt
+	metricLateness     // of a hollow ingress behind its own clock
+	metricCount
 )
 
 const (
-	recorderParts = 8 // so that hundreds of ingresses seldom wait for one another
-	longestTime   = 60 * time.Second
-	digits        = 2 // that a histogram tells apart: 1%
+	recorderShards    = 8 // so that hundreds of ingresses seldom wait for one another
+	maxRecordedTime   = 60 * time.Second
+	significantDigits = 2 // that a histogram tells apart: 1%
 )
 
 // Recorder holds histograms of times, in ns, of many hollow ingresses.
 type Recorder struct {
-	parts [recorderParts]struct {
+	shards [recorderShards]struct {
 		mu    sync.Mutex
-		kinds [kinds]*hdrhistogram.Histogram
+		kinds [metricCount]*hdrhistogram.Histogram
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(longestTime), digits)
+	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
 // NewRecorder returns an empty one.
 func NewRecorder() *Recorder {
 	r := &Recorder{}
-	for i := range r.parts {
-		for k := range r.parts[i].kinds {
-			r.parts[i].kinds[k] = newHistogram()
+	for i := range r.shards {
+		for k := range r.shards[i].kinds {
+			r.shards[i].kinds[k] = newHistogram()
 		}
 	}
 	return r
 }
 
-func (r *Recorder) add(who int, k kind, d time.Duration) {
-	p := &r.parts[who%recorderParts]
+func (r *Recorder) record(who int, k metric, d time.Duration) {
+	p := &r.shards[who%recorderShards]
 	p.mu.Lock()
-	p.kinds[k].RecordValue(int64(min(max(d, 1), longestTime))) // always within its bounds
+	p.kinds[k].RecordValue(int64(min(max(d, 1), maxRecordedTime))) // always within its bounds
 	p.mu.Unlock()
 }
 
-// take returns what was recorded since the last call.
-func (r *Recorder) take() [kinds]*hdrhistogram.Histogram {
-	var sum [kinds]*hdrhistogram.Histogram
+// drain returns what was recorded since the last call.
+func (r *Recorder) drain() [metricCount]*hdrhistogram.Histogram {
+	var sum [metricCount]*hdrhistogram.Histogram
 	for k := range sum {
 		sum[k] = newHistogram()
 	}
-	for i := range r.parts {
-		p := &r.parts[i]
+	for i := range r.shards {
+		p := &r.shards[i]
 		p.mu.Lock()
 		for k, h := range p.kinds {
 			sum[k].Merge(h)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -14,25 +14,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-const format = "hitchspring-scale/1"
+const reportFormat = "hitchspring-scale/1"
 
 // Report is all that a run has to tell.
 type Report struct {
-	Format  string    `json:"format"`
-	Date    time.Time `json:"date"`
-	Seed    uint64    `json:"seed"`
-	Commit  string    `json:"commit,omitempty"`
-	Flags   Options   `json:"flags"`
-	Machine Machine   `json:"machine"`
-	Ended   string    `json:"ended"` // whole, or why not
-	Notes   []string  `json:"notes"`
-	Points  []*Point  `json:"points"`
-	Fits    []Fit     `json:"fits"`
-	Used    Used      `json:"used"`
+	Format  string        `json:"format"`
+	Date    time.Time     `json:"date"`
+	Seed    uint64        `json:"seed"`
+	Commit  string        `json:"commit,omitempty"`
+	Flags   Options       `json:"flags"`
+	Machine Machine       `json:"machine"`
+	Ended   string        `json:"ended"` // whole, or why not
+	Notes   []string      `json:"notes"`
+	Points  []*Point      `json:"points"`
+	Fits    []Fit         `json:"fits"`
+	Used    ResourceUsage `json:"used"`
 }
 
-// readings are what the figures stand for, for all runs.
-func readings() []string {
+// reportNotes are what the figures stand for, for all runs.
+func reportNotes() []string {
 	return []string{
 		"sweeps of backends and tenants: one ingress at a time on a driven clock, with no socket but for the list",
 		"other sweeps: hollow ingresses in real time, with the real clients of discovery and the counter",
@@ -56,13 +56,13 @@
 
 // Figure is one measured value.
 type Figure struct {
-	Role    string       `json:"role"`
-	Name    string       `json:"name"`
-	Unit    string       `json:"unit"`
-	Value   float64      `json:"value"`
-	Samples uint64       `json:"samples,omitempty"`
-	Shares  *Percentiles `json:"percentiles,omitempty"`
-	NoFit   bool         `json:"-"` // it tells of the run, not of a cost
+	Role        string       `json:"role"`
+	Name        string       `json:"name"`
+	Unit        string       `json:"unit"`
+	Value       float64      `json:"value"`
+	Samples     uint64       `json:"samples,omitempty"`
+	Percentiles *Percentiles `json:"percentiles,omitempty"`
+	NoFit       bool         `json:"-"` // it tells of the run, not of a cost
 }
 
 // Percentiles are a histogram's, in the figure's unit.
@@ -77,41 +77,43 @@
 
 // Roles.
 const (
-	theIngress   = "ingress"
-	theDiscovery = "discovery"
-	theCounter   = "counter"
-	theRun       = "run"
+	roleIngress   = "ingress"
+	roleDiscovery = "discovery"
+	roleCounter   = "counter"
+	roleRun       = "run"
 )
 
 // Figures that more than one sweep has.
-const counterCalls = "counter calls for a request"
+const figureCounterCalls = "counter calls for a request"
 
 func (p *Point) add(role, name, unit string, value float64, samples uint64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, Samples: samples})
 }
 
-// tell adds a figure that no line is sought for.
-func (p *Point) tell(role, name, unit string, value float64) {
+// addUnfitted adds a figure that no line is sought for.
+func (p *Point) addUnfitted(role, name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, NoFit: true})
 }
 
-// unfit keeps a figure out of the slopes.
-func (p *Point) unfit(name string) {
+// excludeFromFit keeps a figure out of the slopes.
+func (p *Point) excludeFromFit(name string) {
 	for i := range p.Figures {
 		p.Figures[i].NoFit = p.Figures[i].NoFit || p.Figures[i].Name == name
 	}
 }
 
-func (p *Point) note(form string, args ...any) { p.Notes = append(p.Notes, fmt.Sprintf(form, args...)) }
+func (p *Point) addNote(form string, args ...any) {
+	p.Notes = append(p.Notes, fmt.Sprintf(form, args...))
+}
 
-// times adds a histogram of ns with one of its quantiles as the value, in a unit of so many ns.
-func (p *Point) times(role, name, unit string, per time.Duration, h *hdrhistogram.Histogram, quantile float64) {
+// addHistogram adds a histogram of ns with one of its quantiles as the value, in a unit of so many ns.
+func (p *Point) addHistogram(role, name, unit string, per time.Duration, h *hdrhistogram.Histogram, quantile float64) {
 	if h.TotalCount() == 0 {
 		return
 	}
 	q := func(v float64) float64 { return float64(h.ValueAtQuantile(v)) / float64(per) }
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: q(quantile),
-		Samples: uint64(h.TotalCount()), Shares: &Percentiles{q(50), q(90), q(99), q(99.9),
+		Samples: uint64(h.TotalCount()), Percentiles: &Percentiles{q(50), q(90), q(99), q(99.9),
 			float64(h.Max()) / float64(per), h.Mean() / float64(per)}})
 }
 
@@ -123,10 +125,10 @@
 	return p.Figures[i], true
 }
 
-// number writes a figure for people: thousands apart where it is large, three digits where it is not.
-func number(v float64) string {
+// formatNumber writes a figure for people: thousands apart where it is large, three digits where it is not.
+func formatNumber(v float64) string {
 	if v < 0 {
-		return "-" + number(-v)
+		return "-" + formatNumber(-v)
 	}
 	if v >= 999.5 {
 		s := strconv.FormatFloat(v, 'f', 0, 64)
@@ -146,7 +148,7 @@
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(form string, args ...any) { fmt.Fprintf(out, form+"\n", args...) } // Flush tells of errors
 	line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.Go, r.Machine.Cores,
-		mega(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
+		formatMegabytes(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
 	for _, n := range r.Notes {
 		line("- %s", n)
 	}
@@ -159,7 +161,7 @@
 		from = to
 	}
 	if len(r.Fits) > 0 {
-		line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*offLine)
+		line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxDeviation)
 		line("sweep\trole\tfigure\tunit\tslope per 1,000\tat 0\tR2\tresidual\trelative\toff")
 	}
 	for _, f := range r.Fits {
@@ -167,11 +169,11 @@
 		if len(f.Off) > 0 {
 			off = fmt.Sprintf("%d of %d do not fit a line", len(f.Off), f.Points)
 		}
-		line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit, number(1000*f.Slope),
-			number(f.Intercept), f.R2, number(f.Residual), 100*f.Relative, off)
+		line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit, formatNumber(1000*f.Slope),
+			formatNumber(f.Intercept), f.R2, formatNumber(f.Residual), 100*f.Relative, off)
 	}
 	line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		mega(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.Processor, r.Used.Wall)
+		formatMegabytes(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.CPUSeconds, r.Used.WallSeconds)
 	if err := out.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
@@ -206,7 +208,7 @@
 			}
 			cell := "-"
 			if f, ok := p.find(k.role, k.name); ok {
-				cell = number(f.Value)
+				cell = formatNumber(f.Value)
 			}
 			cells += "\t" + cell
 		}
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -17,47 +17,47 @@
 )
 
 const (
-	roleProcesses = 2               // discovery and the counter, each in a process of its own so that it can be measured
-	roleVariable  = "SCALE_ROLE"    // set for a process that plays a stand-in
-	goodbye       = 2 * time.Second // for a child's end before it is killed
+	standInProcesses = 2               // discovery and the counter, each in a process of its own so that it can be measured
+	roleEnvVariable  = "SCALE_ROLE"    // set for a process that plays a stand-in
+	exitTimeout      = 2 * time.Second // for a child's end before it is killed
 )
 
-// order is what a run tells a stand-in's process, one JSON object after another on its standard input.
-type order struct {
+// standInCommand is what a run tells a stand-in's process, one JSON object after another on its standard input.
+type standInCommand struct {
 	Do        string                  `json:"do"` // serve, list, change, report
 	Discovery standin.DiscoveryConfig `json:"discovery,omitzero"`
 	Counter   standin.CounterConfig   `json:"counter,omitzero"`
 	Targets   []standin.Target        `json:"targets,omitempty"`
 }
 
-// RoleReport is what it answers to each.
-type RoleReport struct {
+// StandInReply is what it answers to each.
+type StandInReply struct {
 	Addr      string                 `json:"addr,omitempty"`
 	Error     string                 `json:"error,omitempty"`
-	Rev       int64                  `json:"rev,omitempty"`
-	At        time.Time              `json:"at"` // of a change
+	Revision  int64                  `json:"rev,omitempty"`
+	AppliedAt time.Time              `json:"at"` // of a change
 	Discovery standin.DiscoveryStats `json:"discovery,omitzero"`
 	Counter   standin.CounterStats   `json:"counter,omitzero"`
-	Processor time.Duration          `json:"processor"`
+	CPUTime   time.Duration          `json:"processor"`
 	Heap      uint64                 `json:"heap,omitempty"`
 }
 
-// RoleAsked says which stand-in this process is to play, if any.
-func RoleAsked() (string, bool) { return os.LookupEnv(roleVariable) }
+// StandInRole says which stand-in this process is to play, if any.
+func StandInRole() (string, bool) { return os.LookupEnv(roleEnvVariable) }
 
-// PlayRole serves as a stand-in until the input ends: the run that started it is over then, however it ended.
-func PlayRole(name string, in io.Reader, out io.Writer) error {
-	p := &player{}
+// RunStandIn serves as a stand-in until the input ends: the run that started it is over then, however it ended.
+func RunStandIn(name string, in io.Reader, out io.Writer) error {
+	p := &standInServer{}
 	defer p.close()
 	answers := json.NewEncoder(out)
 	for orders := json.NewDecoder(in); ; {
-		var o order
+		var o standInCommand
 		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("order: %w", err)
 		}
-		report, err := p.obey(name, o)
+		report, err := p.execute(name, o)
 		if err != nil {
 			report.Error = err.Error()
 		}
@@ -67,14 +67,14 @@
 	}
 }
 
-// player is a stand-in in a process of its own; one of the two is set.
-type player struct {
+// standInServer is a stand-in in a process of its own; one of the two is set.
+type standInServer struct {
 	discovery *standin.Discovery
 	counter   *standin.Counter
 }
 
-func (p *player) obey(name string, o order) (RoleReport, error) {
-	var report RoleReport
+func (p *standInServer) execute(name string, o standInCommand) (StandInReply, error) {
+	var report StandInReply
 	switch {
 	case o.Do == "serve":
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,12 +92,12 @@
 	case o.Do == "list" && p.discovery != nil:
 		p.discovery.SetList(o.Targets)
 	case o.Do == "change" && p.discovery != nil:
-		report.At = time.Now()
-		report.Rev = p.discovery.Change(o.Targets...)
+		report.AppliedAt = time.Now()
+		report.Revision = p.discovery.Change(o.Targets...)
 	case o.Do == "report" || o.Do == "heap":
-		report.Processor = used(wholeProcess)
+		report.CPUTime = cpuTime(wholeProcess)
 		if o.Do == "heap" {
-			report.Heap = heapInUse()
+			report.Heap = memoryInUse()
 		}
 		if p.discovery != nil {
 			report.Discovery = p.discovery.Stats()
@@ -111,7 +111,7 @@
 	return report, nil
 }
 
-func (p *player) close() {
+func (p *standInServer) close() {
 	if p.discovery != nil {
 		p.discovery.Close()
 	}
@@ -120,33 +120,33 @@
 	}
 }
 
-// child is a process that the run started, with all that this one starts: they end with the run.
-type child struct {
-	cmd   *exec.Cmd
-	watch *watcher
-	over  chan struct{}
-	err   error // of its end
+// childProcess is a process that the run started, with all that this one starts: they end with the run.
+type childProcess struct {
+	cmd     *exec.Cmd
+	monitor *resourceMonitor
+	exited  chan struct{}
+	err     error // of its end
 }
 
-func startChild(ctx context.Context, w *watcher, cmd func(context.Context) *exec.Cmd) (*child, error) {
-	c := &child{cmd: cmd(ctx), watch: w, over: make(chan struct{})}
+func startChild(ctx context.Context, w *resourceMonitor, cmd func(context.Context) *exec.Cmd) (*childProcess, error) {
+	c := &childProcess{cmd: cmd(ctx), monitor: w, exited: make(chan struct{})}
 	// Ctrl-C is for the run, which ends it; if the run itself is killed, so is the child.
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	c.cmd.Cancel = c.kill
-	c.cmd.WaitDelay = goodbye
+	c.cmd.WaitDelay = exitTimeout
 	if err := c.cmd.Start(); err != nil {
 		return nil, err
 	}
-	w.started(c.cmd.Process.Pid)
+	w.addProcess(c.cmd.Process.Pid)
 	go func() {
-		defer close(c.over)
+		defer close(c.exited)
 		c.err = c.cmd.Wait()
-		w.ended(c.cmd.Process.Pid)
+		w.removeProcess(c.cmd.Process.Pid)
 	}()
 	return c, nil
 }
 
-func (c *child) kill() error {
+func (c *childProcess) kill() error {
 	err := syscall.Kill(-c.cmd.Process.Pid, syscall.SIGKILL)
 	if errors.Is(err, syscall.ESRCH) {
 		return os.ErrProcessDone
@@ -154,36 +154,36 @@
 	return err
 }
 
-// await returns once it has ended, killed if that takes longer than the limit.
-func (c *child) await(limit time.Duration) {
+// waitOrKill returns once it has ended, killed if that takes longer than the limit.
+func (c *childProcess) waitOrKill(limit time.Duration) {
 	select {
-	case <-c.over:
+	case <-c.exited:
 	case <-time.After(limit):
 		c.kill() // what it says is seen by its end
-		<-c.over
+		<-c.exited
 	}
 }
 
-// role is a stand-in's process, as the run sees it.
-type role struct {
-	*child
+// standInProcess is a stand-in's process, as the run sees it.
+type standInProcess struct {
+	*childProcess
 	addr string
 	mu   sync.Mutex
 	in   io.WriteCloser
 	out  *json.Decoder
 }
 
-func startRole(ctx context.Context, w *watcher, name string, serve order) (*role, error) {
+func startStandIn(ctx context.Context, w *resourceMonitor, name string, serve standInCommand) (*standInProcess, error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	r := &role{}
+	r := &standInProcess{}
 	var out io.ReadCloser
 	var pipes error
-	r.child, err = startChild(ctx, w, func(ctx context.Context) *exec.Cmd {
+	r.childProcess, err = startChild(ctx, w, func(ctx context.Context) *exec.Cmd {
 		cmd := exec.CommandContext(ctx, exe)
-		cmd.Env = append(os.Environ(), roleVariable+"="+name)
+		cmd.Env = append(os.Environ(), roleEnvVariable+"="+name)
 		var e1, e2 error
 		r.in, e1 = cmd.StdinPipe()
 		out, e2 = cmd.StdoutPipe()
@@ -195,7 +195,7 @@
 	}
 	r.out = json.NewDecoder(out)
 	serve.Do = "serve"
-	report, err := r.tell(serve)
+	report, err := r.call(serve)
 	if err != nil {
 		r.stop()
 		return nil, fmt.Errorf("starting %s: %w", name, err)
@@ -204,10 +204,10 @@
 	return r, nil
 }
 
-func (r *role) tell(o order) (RoleReport, error) {
+func (r *standInProcess) call(o standInCommand) (StandInReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var report RoleReport
+	var report StandInReply
 	if err := json.NewEncoder(r.in).Encode(o); err != nil {
 		return report, fmt.Errorf("stand-in: %w", err)
 	}
@@ -221,10 +221,10 @@
 }
 
 // stop ends it by the end of its input.
-func (r *role) stop() {
+func (r *standInProcess) stop() {
 	if r == nil {
 		return
 	}
 	r.in.Close()
-	r.await(goodbye)
+	r.waitOrKill(exitTimeout)
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	liveTenants  = 300 // of each hollow ingress that is live
-	liveBackends = 200 // but in the sweep of backends: what a request costs in the module grows with them
-	meanWork     = 20 * time.Millisecond
-	shutdownTime = 5 * time.Second // of the time bound, for the report
+	liveTenants     = 300 // of each hollow ingress that is live
+	liveBackends    = 200 // but in the sweep of backends: what a request costs in the module grows with them
+	meanServiceTime = 20 * time.Millisecond
+	reportReserve   = 5 * time.Second // of the time bound, for the report
 )
 
 // Sweeps are all that there are, in their order.
@@ -42,15 +42,15 @@
 	Quick     bool      `help:"Small sizes and short points, to try the run: about a minute." json:"quick"`
 }
 
-// quickened is the run of small sizes.
-func (o Options) quickened() Options {
+// withQuickSizes is the run of small sizes.
+func (o Options) withQuickSizes() Options {
 	o.Backends, o.Ingresses, o.Tenants = []int{200, 1000, 5000}, []int{5, 10, 20}, []int{100, 300, 1000}
 	o.Changes, o.Real, o.Minutes = []float64{1, 10, 50}, min(o.Real, 2), min(o.Minutes, 3)
 	return o
 }
 
-// check says in one line what can't be run.
-func (o Options) check() error {
+// validate says in one line what can't be run.
+func (o Options) validate() error {
 	sizes := []struct {
 		name string
 		list []int
@@ -79,43 +79,43 @@
 // Run is one run of the sweeps.
 type Run struct {
 	Options
-	progress io.Writer
-	watch    *watcher
-	report   *Report
-	end      time.Time
-	full     bool // the machine bears no larger fleet
+	progress  io.Writer
+	monitor   *resourceMonitor
+	report    *Report
+	deadline  time.Time
+	saturated bool // the machine bears no larger fleet
 }
 
 // job is one point of a sweep, still to be measured.
 type job struct {
-	point Point
-	need  time.Duration // about
-	do    func(context.Context, *Point) error
+	point    Point
+	duration time.Duration // about
+	measure  func(context.Context, *Point) error
 }
 
-// Start checks what is asked for, and does nothing yet.
-func Start(o Options, progress io.Writer) (*Run, error) {
+// NewRun checks what is asked for, and does nothing yet.
+func NewRun(o Options, progress io.Writer) (*Run, error) {
 	if o.Quick {
-		o = o.quickened()
+		o = o.withQuickSizes()
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	m, err := machine()
+	m, err := describeMachine()
 	if err != nil {
 		return nil, err
 	}
-	if err := reckon(o, m); err != nil {
+	if err := checkResources(o, m); err != nil {
 		return nil, err
 	}
-	r := &Run{Options: o, progress: progress, watch: newWatcher(),
-		report: &Report{Format: format, Date: time.Now().UTC(), Seed: o.Seed, Commit: commit(), Flags: o, Machine: m,
-			Notes: readings()}}
+	r := &Run{Options: o, progress: progress, monitor: newResourceMonitor(),
+		report: &Report{Format: reportFormat, Date: time.Now().UTC(), Seed: o.Seed, Commit: sourceRevision(), Flags: o, Machine: m,
+			Notes: reportNotes()}}
 	return r, nil
 }
 
-// commit is that of the code, if the build or the folder tell it.
-func commit() string {
+// sourceRevision is that of the code, if the build or the folder tell it.
+func sourceRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
@@ -130,41 +130,41 @@
 	return strings.TrimSpace(string(out))
 }
 
-var errFailed = errors.New("points failed")
+var errPointsFailed = errors.New("points failed")
 
-// Do measures all points, one after another. The report holds what has been measured, also where it ends early; the
+// Measure measures all points, one after another. The report holds what has been measured, also where it ends early; the
 // error says why in one line.
-func (r *Run) Do(ctx context.Context) (*Report, error) {
+func (r *Run) Measure(ctx context.Context) (*Report, error) {
 	began := time.Now()
-	r.end = began.Add(time.Duration(r.Minutes * float64(time.Minute)))
+	r.deadline = began.Add(time.Duration(r.Minutes * float64(time.Minute)))
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	ctx, cancel := context.WithDeadlineCause(ctx, r.end.Add(-shutdownTime), errors.New("the time is up"))
+	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errors.New("the time is up"))
 	defer cancel()
 	watched := make(chan struct{})
 	life, over := context.WithCancel(context.Background())
 	go func() {
 		defer close(watched)
-		r.watch.run(life, uint64(memoryPart*float64(r.report.Machine.Memory)), stop)
+		r.monitor.run(life, uint64(maxMemoryShare*float64(r.report.Machine.Memory)), stop)
 	}()
-	failed := r.points(ctx)
-	r.watch.sample()
+	failed := r.measurePoints(ctx)
+	r.monitor.sample()
 	over()
 	<-watched
 	r.report.Ended = "whole"
 	err := context.Cause(ctx)
 	if err == nil && failed > 0 {
-		err = fmt.Errorf("%d %w", failed, errFailed)
+		err = fmt.Errorf("%d %w", failed, errPointsFailed)
 	}
 	if err != nil {
 		r.report.Ended = "partial: " + err.Error()
 	}
 	r.report.Fits = fits(r.report.Points)
-	r.report.Used = Used{r.watch.peak, r.watch.procs, used(wholeProcess).Seconds(), time.Since(began).Seconds()}
+	r.report.Used = ResourceUsage{r.monitor.peakMemory, r.monitor.peakProcesses, cpuTime(wholeProcess).Seconds(), time.Since(began).Seconds()}
 	return r.report, err
 }
 
-func (r *Run) points(ctx context.Context) (failed int) {
+func (r *Run) measurePoints(ctx context.Context) (failed int) {
 	jobs := r.jobs()
 	for i, j := range jobs {
 		p := j.point
@@ -173,14 +173,14 @@
 		case ctx.Err() != nil:
 			p.Skipped = context.Cause(ctx).Error()
 			continue
-		case time.Until(r.end)-shutdownTime < j.need:
+		case time.Until(r.deadline)-reportReserve < j.duration:
 			p.Skipped = "no time is left for it"
-			r.say("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.Skipped)
+			r.logProgress("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.Skipped)
 			continue
 		}
-		r.say("[%d/%d] %s %s", i+1, len(jobs), p.Sweep, p.Label)
+		r.logProgress("[%d/%d] %s %s", i+1, len(jobs), p.Sweep, p.Label)
 		began := time.Now()
-		err := j.do(ctx, &p)
+		err := j.measure(ctx, &p)
 		p.Seconds = time.Since(began).Seconds()
 		if err != nil && ctx.Err() != nil {
 			p.Notes = append(p.Notes, "cut short: "+context.Cause(ctx).Error())
@@ -188,21 +188,21 @@
 		} else if err != nil {
 			failed++
 			p.Skipped = "failed: " + err.Error()
-			r.say("  %s", p.Skipped)
+			r.logProgress("  %s", p.Skipped)
 		}
 		for _, n := range p.Notes {
-			r.say("  %s", n)
+			r.logProgress("  %s", n)
 		}
 	}
 	return failed
 }
 
-func (r *Run) say(form string, args ...any) {
+func (r *Run) logProgress(form string, args ...any) {
 	fmt.Fprintf(r.progress, form+"\n", args...) // progress that can't be shown stops nothing
 }
 
-// shortened is how long a point may take: less in a quick run.
-func (r *Run) shortened(d time.Duration) time.Duration {
+// scaled is how long a point may take: less in a quick run.
+func (r *Run) scaled(d time.Duration) time.Duration {
 	if r.Quick {
 		return d / 4
 	}
@@ -211,8 +211,8 @@
 
 // jobs are all points, in the order of the sweeps.
 func (r *Run) jobs() []job {
-	sweeps := map[string]func() []job{"backends": r.backendsSweep, "ingresses": r.ingressesSweep,
-		"tenants": r.tenantsSweep, "changes": r.changesSweep, "zone": r.zoneSweep, "compare": r.compareSweep}
+	sweeps := map[string]func() []job{"backends": r.backendJobs, "ingresses": r.ingressJobs,
+		"tenants": r.tenantJobs, "changes": r.changeJobs, "zone": r.zoneJobs, "compare": r.compareJobs}
 	var list []job
 	for _, name := range Sweeps() {
 		if slices.Contains(r.Sweep, name) {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -25,8 +25,8 @@
 
 // The stand-ins of a live fleet are this program again.
 func TestMain(m *testing.M) {
-	if name, ok := RoleAsked(); ok {
-		if err := PlayRole(name, os.Stdin, os.Stdout); err != nil {
+	if name, ok := StandInRole(); ok {
+		if err := RunStandIn(name, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -77,8 +77,8 @@
 	var points []*Point
 	for i, against := range []string{"backends", "backends", "backends", ""} {
 		p := &Point{Sweep: "s", Against: against, Size: float64(i)}
-		p.add(theIngress, "cost", "µs", 10+2*float64(i), 1)
-		p.tell(theRun, "played", "", float64(i))
+		p.add(roleIngress, "cost", "µs", 10+2*float64(i), 1)
+		p.addUnfitted(roleRun, "played", "", float64(i))
 		points = append(points, p)
 	}
 	points[3].Figures[0].Value = 1e6 // cut short: it is no point of the line
@@ -106,12 +106,12 @@
 	} {
 		o := options()
 		change(&o)
-		if err := o.check(); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := o.validate(); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("error %v, want one line with %q", err, want)
 		}
 	}
 	o := options()
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		t.Errorf("a run that can be made: %v", err)
 	}
 }
@@ -134,7 +134,7 @@
 	} {
 		o := options()
 		c.change(&o)
-		err := reckon(o, c.m)
+		err := checkResources(o, c.m)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
@@ -143,24 +143,24 @@
 
 // Over the bound the watcher ends the run with one line.
 func TestWatcherHoldsTheBound(t *testing.T) {
-	w, said := newWatcher(), make(chan error, 1)
+	w, said := newResourceMonitor(), make(chan error, 1)
 	w.run(t.Context(), 1, func(err error) { said <- err })
 	if err := <-said; !strings.Contains(err.Error(), "half of the machine's memory") {
 		t.Errorf("stopped with %v", err)
 	}
-	if w.peak == 0 || w.procs != 1 {
-		t.Errorf("peak %d bytes, %d processes; want some and 1", w.peak, w.procs)
+	if w.peakMemory == 0 || w.peakProcesses != 1 {
+		t.Errorf("peak %d bytes, %d processes; want some and 1", w.peakMemory, w.peakProcesses)
 	}
 }
 
 // All ingresses agree on which tenants share which set, and real settings hold what the plans say.
 func TestShape(t *testing.T) {
-	s := Shape{Ingresses: 7, Tenants: 50, Rate: 100}
+	s := FleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
 	seen := map[string]int{}
 	spread := map[string]tenant{}
 	for me := range s.Ingresses {
 		for _, tn := range s.tenantsOf(me) {
-			if back := (me - tn.first + s.Ingresses) % s.Ingresses; back >= tn.spread {
+			if back := (me - tn.firstGateway + s.Ingresses) % s.Ingresses; back >= tn.gatewaySpan {
 				t.Fatalf("tenant %+v at ingress %d, out of its set", tn, me)
 			}
 			if old, ok := spread[tn.id]; ok && old != tn {
@@ -171,38 +171,38 @@
 		}
 	}
 	for id, n := range seen {
-		if n != spread[id].spread {
-			t.Errorf("tenant %s comes through %d ingresses, its set has %d", id, n, spread[id].spread)
+		if n != spread[id].gatewaySpan {
+			t.Errorf("tenant %s comes through %d ingresses, its set has %d", id, n, spread[id].gatewaySpan)
 		}
 	}
-	set, err := s.parsed(3)
+	set, err := s.policySettings(3)
 	if err != nil || set.Index != 3 || set.GatewayCount != 7 || len(set.Plans) != len(plans) || !set.SharedCounter || set.PollEndpoints {
 		t.Errorf("settings %+v, %v", set, err)
 	}
-	s.Asked = true
-	if set, err = s.parsed(0); err != nil || !set.PollEndpoints {
+	s.Polled = true
+	if set, err = s.policySettings(0); err != nil || !set.PollEndpoints {
 		t.Errorf("asked: settings %+v, %v", set, err)
 	}
 }
 
 // drivenRun plays so many requests at each of two ingresses before 20 backends, and lets all of them end.
-func drivenRun(t *testing.T, requests uint64) ([]Tally, *Backends, *Recorder) {
+func drivenRun(t *testing.T, requests uint64) ([]Tally, *BackendModel, *Recorder) {
 	t.Helper()
-	s := Shape{Ingresses: 2, Tenants: 30, Rate: 200}
-	back, rec := NewBackends(20, 400, meanWork, false), NewRecorder()
+	s := FleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
+	back, rec := NewBackendModel(20, 400, meanServiceTime, false), NewRecorder()
 	var list []Tally
 	for me := range s.Ingresses {
-		h, err := NewHollow(s, me, back, rec, 7)
+		h, err := NewHollowIngress(s, me, back, rec, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Known(back.targets())
+		h.LoadEndpoints(back.targets())
 		h.setRate(s.Rate)
-		h.Drive(time.Hour, func() bool { return h.tally.Requests < requests })
+		h.Advance(time.Hour, func() bool { return h.tally.Requests < requests })
 		h.setRate(0)
-		h.Drive(5*time.Second, func() bool { return true })
-		if len(h.open) > 0 {
-			t.Errorf("ingress %d: %d requests are still open", me, len(h.open))
+		h.Advance(5*time.Second, func() bool { return true })
+		if len(h.requests) > 0 {
+			t.Errorf("ingress %d: %d requests are still open", me, len(h.requests))
 		}
 		list = append(list, h.tally)
 	}
@@ -215,26 +215,26 @@
 	list, back, rec := drivenRun(t, requests)
 	sends := uint64(0)
 	for me, c := range list {
-		if c.Requests != requests || c.Served+c.Refused+c.Failed+c.Unanswered != requests {
+		if c.Requests != requests || c.Served+c.Rejected+c.Failed+c.Unanswered != requests {
 			t.Errorf("ingress %d: %+v: the ends are not those of %d requests", me, c, requests)
 		}
-		if c.Served < requests*9/10 || c.Calls == 0 || c.Lists != 1 {
+		if c.Served < requests*9/10 || c.CounterCalls == 0 || c.Snapshots != 1 {
 			t.Errorf("ingress %d: %+v: want nearly all served, some calls, one list", me, c)
 		}
-		sends += c.Sends
+		sends += c.Attempts
 	}
 	got := uint64(0)
-	for i := range back.list {
-		got += back.list[i].sends.Load()
-		if n := back.list[i].inFlight.Load(); n != 0 {
+	for i := range back.backends {
+		got += back.backends[i].attempts.Load()
+		if n := back.backends[i].inFlight.Load(); n != 0 {
 			t.Errorf("backend %d: %d in flight after the end", i, n)
 		}
 	}
 	if got != sends {
 		t.Errorf("%d attempts at the backends, %d were sent", got, sends)
 	}
-	times := rec.take()
-	if n := times[handleArrival].TotalCount(); n != 2*requests {
+	times := rec.drain()
+	if n := times[metricArrival].TotalCount(); n != 2*requests {
 		t.Errorf("%d times of arrivals, want %d", n, 2*requests)
 	}
 	again, _, _ := drivenRun(t, requests)
@@ -250,18 +250,18 @@
 	for _, c := range []struct {
 		late     time.Duration
 		requests uint64
-	}{{0, 1}, {mostLate, 1}, {mostLate + 1, 0}, {time.Hour, 0}} {
-		back := NewBackends(5, 10, meanWork, false)
-		h, err := NewHollow(Shape{Ingresses: 1, Tenants: 5, Rate: 10}, 0, back, NewRecorder(), 1)
+	}{{0, 1}, {maxLateness, 1}, {maxLateness + 1, 0}, {time.Hour, 0}} {
+		back := NewBackendModel(5, 10, meanServiceTime, false)
+		h, err := NewHollowIngress(FleetShape{Ingresses: 1, Tenants: 5, Rate: 10}, 0, back, NewRecorder(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Known(back.targets())
-		h.rate = 10
+		h.LoadEndpoints(back.targets())
+		h.requestRate = 10
 		due := h.now
 		h.now += c.late
-		h.ring(&item{at: due, what: nextArrival})
-		if h.tally.Requests != c.requests || h.tally.Skipped != 1-c.requests || !h.arriving {
+		h.fire(&timer{at: due, kind: arrivalTimer})
+		if h.tally.Requests != c.requests || h.tally.Skipped != 1-c.requests || !h.arrivalScheduled {
 			t.Errorf("%v late: %+v, want %d requests, the others left out", c.late, h.tally, c.requests)
 		}
 	}
@@ -269,12 +269,12 @@
 
 // A modelled backend turns away what finds no place, is slower for all that it holds, and cold ones bear less.
 func TestBackends(t *testing.T) {
-	b := NewBackends(2, 1, meanWork, false)
-	b.slots, b.work = 4, func(*rand.Rand) time.Duration { return meanWork }
+	b := NewBackendModel(2, 1, meanServiceTime, false)
+	b.slots, b.serviceTime = 4, func(*rand.Rand) time.Duration { return meanServiceTime }
 	rng := rand.New(rand.NewPCG(1, 1))
 	full := func(id policy.EndpointID) (n int, last time.Duration) {
 		for ; n < 1000; n++ {
-			took, end := b.begin(id, drivenStart, rng)
+			took, end := b.startAttempt(id, simulatedStart, rng)
 			if end.Outcome == policy.Rejected {
 				break
 			}
@@ -283,16 +283,16 @@
 		return n, last
 	}
 	warm, slowest := full("s-000000")
-	if warm != 4*(1+queueOfSlots) || slowest != meanWork*(1+queueOfSlots) {
-		t.Errorf("a warm one holds %d, the last takes %v; want %d and %v", warm, slowest, 4*(1+queueOfSlots),
-			meanWork*(1+queueOfSlots))
+	if warm != 4*(1+queuedPerSlot) || slowest != meanServiceTime*(1+queuedPerSlot) {
+		t.Errorf("a warm one holds %d, the last takes %v; want %d and %v", warm, slowest, 4*(1+queuedPerSlot),
+			meanServiceTime*(1+queuedPerSlot))
 	}
-	b.list[1].started.Store(int64(drivenStart))
+	b.backends[1].startedAt.Store(int64(simulatedStart))
 	if cold, _ := full("s-000001"); cold >= warm || cold == 0 {
 		t.Errorf("a cold one holds %d, a warm one %d", cold, warm)
 	}
-	b.list[0].gone.Store(true)
-	if _, end := b.begin("s-000000", drivenStart, rng); end.Outcome != policy.ConnectFailed {
+	b.backends[0].removed.Store(true)
+	if _, end := b.startAttempt("s-000000", simulatedStart, rng); end.Outcome != policy.ConnectFailed {
 		t.Errorf("one that is gone: %v", end.Outcome)
 	}
 }
@@ -304,7 +304,7 @@
 		want  int
 	}{{nil, 0}, {[]time.Duration{s}, 1}, {[]time.Duration{0, s / 2, s, 3 * s / 2}, 2},
 		{[]time.Duration{0, 1, 2, 9 * s}, 3}} {
-		if got := mostWithin(c.times, s); got != c.want {
+		if got := maxWithinWindow(c.times, s); got != c.want {
 			t.Errorf("%v: %d within a second, want %d", c.times, got, c.want)
 		}
 	}
@@ -313,18 +313,18 @@
 // A live fleet has its lists, a change comes to be in force at all, and no child is left at the end.
 func TestLiveFleet(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		w := newWatcher()
-		s := Shape{Ingresses: 3, Tenants: 30, Rate: 50, Asked: asked}
-		f, err := startFleet(t.Context(), w, s, NewBackends(20, 150, meanWork, false), 1)
+		w := newResourceMonitor()
+		s := FleetShape{Ingresses: 3, Tenants: 30, Rate: 50, Polled: asked}
+		f, err := startLiveFleet(t.Context(), w, s, NewBackendModel(20, 150, meanServiceTime, false), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := f.setRate(t.Context(), 50); err != nil {
 			t.Fatal(err)
 		}
-		var made []listed
+		var made []appliedRevision
 		for i := range 3 {
-			c, err := f.change(f.back.toggled(i))
+			c, err := f.applyChange(f.backends.toggleDraining(i))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,20 +332,20 @@
 		}
 		for missing := 1; missing > 0; {
 			var err error
-			if _, _, missing, err = f.inForce(t.Context(), made); err != nil {
+			if _, _, missing, err = f.propagation(t.Context(), made); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for served, calls := uint64(0), 0; served < 20 || calls == 0; {
-			now, err := f.snap(t.Context())
+			now, err := f.takeSnapshot(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			served, calls = now.tally.Served, now.counter.Counter.Calls
 		}
 		f.stop()
-		if len(w.pids) != 1 || w.procs != 1+roleProcesses {
-			t.Errorf("asked %v: processes left %v, at most %d", asked, w.pids, w.procs)
+		if len(w.pids) != 1 || w.peakProcesses != 1+standInProcesses {
+			t.Errorf("asked %v: processes left %v, at most %d", asked, w.pids, w.peakProcesses)
 		}
 	}
 }
@@ -362,36 +362,36 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer refusing.Close()
-	set, err := Shape{Ingresses: 1, Tenants: 1, Rate: 1}.parsed(0)
+	set, err := FleetShape{Ingresses: 1, Tenants: 1, Rate: 1}.policySettings(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := clientConfig{discoveryAddr: strings.TrimPrefix(refusing.URL, "http://"), settings: set}
-	if l, said := takeList(ctx, cfg); l.entries != 0 || !strings.Contains(said, "503") {
-		t.Errorf("no list: %d entries, %q", l.entries, said)
+	if l, said := fetchList(ctx, cfg); l.endpoints != 0 || !strings.Contains(said, "503") {
+		t.Errorf("no list: %d entries, %q", l.endpoints, said)
 	}
 	listing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
 	}))
 	defer listing.Close()
 	cfg.discoveryAddr = strings.TrimPrefix(listing.URL, "http://")
-	if l, said := takeList(t.Context(), cfg); l.entries != 1 {
-		t.Errorf("a list of one: %d entries, %q", l.entries, said)
+	if l, said := fetchList(t.Context(), cfg); l.endpoints != 1 {
+		t.Errorf("a list of one: %d entries, %q", l.endpoints, said)
 	}
 }
 
 // The file is whole, and the tables name what was skipped and what does not fit a line.
 func TestReport(t *testing.T) {
-	r := &Report{Format: format, Seed: 3, Ended: "whole"}
+	r := &Report{Format: reportFormat, Seed: 3, Ended: "whole"}
 	for i := range 4 {
-		p := &Point{Sweep: "backends", Label: number(float64(1000 * i)), Against: "backends", Size: float64(i)}
-		p.add(theIngress, "cost", "µs", float64(i*i), 9)
+		p := &Point{Sweep: "backends", Label: formatNumber(float64(1000 * i)), Against: "backends", Size: float64(i)}
+		p.add(roleIngress, "cost", "µs", float64(i*i), 9)
 		h := newHistogram()
 		h.RecordValue(int64(time.Millisecond))
-		p.times(theIngress, "wait", "ms", time.Millisecond, h, 50)
+		p.addHistogram(roleIngress, "wait", "ms", time.Millisecond, h, 50)
 		r.Points = append(r.Points, p)
 	}
-	r.Points[1].note("list not taken")
+	r.Points[1].addNote("list not taken")
 	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", Skipped: "no time is left for it"})
 	r.Fits = fits(r.Points)
 	var text bytes.Buffer
@@ -413,10 +413,10 @@
 		t.Fatal(err)
 	}
 	var back Report
-	if err := json.Unmarshal(file, &back); err != nil || back.Format != format || len(back.Points) != 5 {
+	if err := json.Unmarshal(file, &back); err != nil || back.Format != reportFormat || len(back.Points) != 5 {
 		t.Errorf("read back: %v, %+v", err, back)
 	}
-	if s := back.Points[0].Figures[1].Shares; s == nil || math.Abs(s.P99-1) > 0.02 {
+	if s := back.Points[0].Figures[1].Percentiles; s == nil || math.Abs(s.P99-1) > 0.02 {
 		t.Errorf("percentiles %+v, want 1 ms", s)
 	}
 }
@@ -449,14 +449,14 @@
 		}
 		b := standin.NewBackend(cfg)
 		go b.Serve(ln)
-		cl := newClients(ln.Addr().String(), 1)
-		tenants := Shape{Ingresses: 1, Tenants: 5, Rate: 100}.tenantsOf(0)
-		cl.play(t.Context(), rand.New(rand.NewPCG(1, 1)), tenants, 1000, 50*time.Millisecond, 0)
+		cl := newLoadGenerator(ln.Addr().String(), 1)
+		tenants := FleetShape{Ingresses: 1, Tenants: 5, Rate: 100}.tenantsOf(0)
+		cl.run(t.Context(), rand.New(rand.NewPCG(1, 1)), tenants, 1000, 50*time.Millisecond, 0)
 		cl.close()
 		b.Close()
-		good, bad := cl.served.Load(), cl.wrong.Load()
-		if cl.requests == 0 || good+bad != cl.requests || spoilt && good > 0 || !spoilt && bad > 0 {
-			t.Errorf("spoilt %v: %d requests, %d served, %d wrong", spoilt, cl.requests, good, bad)
+		good, bad := cl.served.Load(), cl.mismatched.Load()
+		if cl.sent == 0 || good+bad != cl.sent || spoilt && good > 0 || !spoilt && bad > 0 {
+			t.Errorf("spoilt %v: %d requests, %d served, %d wrong", spoilt, cl.sent, good, bad)
 		}
 		if odd := b.Stats().Odd; odd > 0 {
 			t.Errorf("%d commands in a form that no client sends", odd)
@@ -467,17 +467,17 @@
 // Ratios are of the figures that both kinds have.
 func TestRatios(t *testing.T) {
 	var real, hollow, p Point
-	real.add(theIngress, requestCost, "µs", 200, 1)
-	real.add(theIngress, idleCost, "ms", 0, 1)
-	real.add(theIngress, "only real", "", 3, 1)
-	hollow.add(theIngress, requestCost, "µs", 50, 1)
-	hollow.add(theIngress, idleCost, "ms", 5, 1)
-	if err := ratios(&p, &real, &hollow); err != nil || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
+	real.add(roleIngress, figureRequestCost, "µs", 200, 1)
+	real.add(roleIngress, figureIdleCost, "ms", 0, 1)
+	real.add(roleIngress, "only real", "", 3, 1)
+	hollow.add(roleIngress, figureRequestCost, "µs", 50, 1)
+	hollow.add(roleIngress, figureIdleCost, "ms", 5, 1)
+	if err := addRatios(&p, &real, &hollow); err != nil || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
 		t.Errorf("%+v, %v; want one ratio of 0.25", p.Figures, err)
 	}
 	real.Skipped = "failed"
 	p = Point{}
-	if err := ratios(&p, &real, &hollow); err != nil || p.Skipped == "" || len(p.Figures) > 0 {
+	if err := addRatios(&p, &real, &hollow); err != nil || p.Skipped == "" || len(p.Figures) > 0 {
 		t.Errorf("%+v, %v; a ratio to what was not measured", p, err)
 	}
 }
@@ -485,7 +485,7 @@
 func TestNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 7: "7", 0.1234: "0.123", 999.6: "1,000", 999.4: "999", 1000: "1,000",
 		200000: "200,000", -1234567: "-1,234,567"} {
-		if got := number(v); got != want {
+		if got := formatNumber(v); got != want {
 			t.Errorf("%v is written %q, want %q", v, got, want)
 		}
 	}
