--- /dev/null
+++ b/internal/scale/backend_model_test.go
@@ -0,0 +1,60 @@
+package scale
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"lemontack/policy"
+)
+
+func TestModelledBackendRejectsWhatItCannotQueue(t *testing.T) {
+	m := NewBackendModel(2, 1, meanServiceTime, false)
+	m.slots, m.serviceTime = 4, func(*rand.Rand) time.Duration { return meanServiceTime }
+	rng := rand.New(rand.NewPCG(1, 1))
+	fill := func(i int) (held int, slowest time.Duration) {
+		for ; held < 1000; held++ {
+			latency, end := m.startAttempt(policy.EndpointID(endpointID(i)), simulatedStart, rng)
+			if end.Outcome == policy.Rejected {
+				break
+			}
+			slowest = latency
+		}
+		return held, slowest
+	}
+	warm, slowest := fill(0)
+	if want := 4 * (1 + queuedPerSlot); warm != want || slowest != meanServiceTime*(1+queuedPerSlot) {
+		t.Errorf("a warm one holds %d, the last takes %v; want %d and %v", warm, slowest, want,
+			meanServiceTime*(1+queuedPerSlot))
+	}
+	m.backends[1].startedAt.Store(int64(simulatedStart))
+	if cold, _ := fill(1); cold >= warm || cold == 0 {
+		t.Errorf("a cold one holds %d, a warm one %d", cold, warm)
+	}
+}
+
+func TestAttemptAtARemovedBackendFailsToConnect(t *testing.T) {
+	m := NewBackendModel(2, 1, meanServiceTime, false)
+	m.backends[0].removed.Store(true)
+	rng := rand.New(rand.NewPCG(1, 1))
+	if _, end := m.startAttempt("s-000000", simulatedStart, rng); end.Outcome != policy.ConnectFailed {
+		t.Errorf("outcome %v", end.Outcome)
+	}
+}
+
+func TestMaxWithinWindowCountsTheFullestWindow(t *testing.T) {
+	const second = time.Second
+	for _, c := range []struct {
+		times []time.Duration
+		want  int
+	}{
+		{nil, 0},
+		{[]time.Duration{second}, 1},
+		{[]time.Duration{0, second / 2, second, 3 * second / 2}, 2},
+		{[]time.Duration{0, 1, 2, 9 * second}, 3},
+	} {
+		if got := maxWithinWindow(c.times, second); got != c.want {
+			t.Errorf("%v: %d within a second, want %d", c.times, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scale/compare_test.go
@@ -0,0 +1,35 @@
+package scale
+
+import "testing"
+
+// comparedPoints returns a real and a hollow point with one figure that can be related, and others that cannot.
+func comparedPoints() (realPoint, hollowPoint *Point) {
+	realPoint, hollowPoint = &Point{}, &Point{}
+	realPoint.addFigure(roleIngress, figureRequestCost, "µs", 200, 1)
+	realPoint.addFigure(roleIngress, figureIdleCost, "ms", 0, 1)
+	realPoint.addFigure(roleIngress, "only real", "", 3, 1)
+	hollowPoint.addFigure(roleIngress, figureRequestCost, "µs", 50, 1)
+	hollowPoint.addFigure(roleIngress, figureIdleCost, "ms", 5, 1)
+	return realPoint, hollowPoint
+}
+
+func TestRatiosAreOfFiguresThatBothPointsHave(t *testing.T) {
+	var p Point
+	addRatios(&p, new(Point), new(Point))
+	if p.Skipped != "" || len(p.Figures) > 0 {
+		t.Errorf("%+v; ratios of no figures", p)
+	}
+	realPoint, hollowPoint := comparedPoints()
+	if addRatios(&p, realPoint, hollowPoint); p.Skipped != "" || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
+		t.Errorf("%+v; want one ratio of 0.25", p)
+	}
+}
+
+func TestRatiosAreSkippedIfAPointWasNotMeasured(t *testing.T) {
+	var p Point
+	realPoint, hollowPoint := comparedPoints()
+	realPoint.Skipped = "failed"
+	if addRatios(&p, realPoint, hollowPoint); p.Skipped == "" || len(p.Figures) > 0 {
+		t.Errorf("%+v; a ratio to what was not measured", p)
+	}
+}
--- /dev/null
+++ b/internal/scale/driven_sweeps.go
@@ -0,0 +1,203 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"time"
+)
+
+// Limits of the sweeps on a simulated clock. A part of a point ends at its span of simulated time or at its limit of
+// real time, whichever comes first.
+const (
+	warmUpSpan       = 20 * time.Second // simulated, before requests are measured
+	warmUpTimeLimit  = 3 * time.Second
+	measureSpan      = 60 * time.Second // simulated, of the requests measured
+	measureTimeLimit = 8 * time.Second
+	idleSpan         = 10 * time.Second // simulated, without requests
+	drainSpan        = 5 * time.Second  // simulated, for the requests in flight to end
+
+	sampledIngresses    = 3  // of the fleet, evenly over its indices
+	drivenChanges       = 50 // of endpoints, for each of them
+	eventsPerClockCheck = 8  // so that reading the real clock costs little
+)
+
+// whileTimeLeft returns a function that is true until a time limit is over or ctx ends.
+func whileTimeLeft(ctx context.Context, limit time.Duration) func() bool {
+	end, calls := time.Now().Add(limit), 0
+	return func() bool {
+		calls++
+		return calls%eventsPerClockCheck != 0 || time.Now().Before(end) && ctx.Err() == nil
+	}
+}
+
+// drivenUsage is what ingresses used and did on a simulated clock.
+type drivenUsage struct {
+	span      time.Duration // simulated
+	threadCPU time.Duration // of the thread that the ingress ran on, which leaves out most of the garbage collector's
+	tally     Tally
+}
+
+// measure lets a hollow ingress run like Advance and measures it.
+func (h *HollowIngress) measure(ctx context.Context, span, limit time.Duration) drivenUsage {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	start, cpuBefore, tallyBefore := h.now, cpuTime(currentThread), h.tally
+	h.Advance(span, whileTimeLeft(ctx, limit))
+	return drivenUsage{
+		span:      h.now - start,
+		threadCPU: cpuTime(currentThread) - cpuBefore,
+		tally:     h.tally.minus(tallyBefore),
+	}
+}
+
+// coreShare returns the share of a core that the ingress takes.
+func (u drivenUsage) coreShare() float64 { return u.threadCPU.Seconds() / max(1e-9, u.span.Seconds()) }
+
+func (u drivenUsage) plus(v drivenUsage) drivenUsage {
+	return drivenUsage{u.span + v.span, u.threadCPU + v.threadCPU, u.tally.plus(v.tally)}
+}
+
+func (r *Run) backendJobs() []job {
+	var jobs []job
+	for _, n := range r.Backends {
+		jobs = append(jobs, job{
+			point:    Point{Sweep: "backends", Label: formatNumber(float64(n)), Against: "backends", Size: float64(n)},
+			duration: 15 * time.Second,
+			measure:  func(ctx context.Context, p *Point) error { return r.measureBackends(ctx, p, n) },
+		})
+	}
+	return jobs
+}
+
+// measureBackends measures some ingresses of the whole fleet, one after another, in front of n backends.
+func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
+	shape := FleetShape{Ingresses: r.Fleet, Tenants: liveTenants, Rate: r.Rate}
+	backends := NewBackendModel(n, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	if err := r.addListFigures(ctx, p, shape, backends); err != nil {
+		return err
+	}
+	targets, recorder := backends.targets(), NewRecorder()
+	var load, idle drivenUsage
+	loadTimes, idleTimes, changeTimes := newHistograms(), newHistograms(), newHistograms()
+	ingresses := min(sampledIngresses, r.Fleet)
+	timeLimit := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
+	for i := range ingresses {
+		h, err := NewHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
+		if err != nil {
+			return err
+		}
+		memoryBefore := memoryInUse()
+		h.LoadEndpoints(targets)
+		if i == 0 {
+			p.addFigure(roleIngress, "state of the module's list", "MB", toMB(memoryGrowth(memoryBefore)), 1)
+		}
+		h.setRate(r.Rate)
+		h.Advance(warmUpSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
+		warmUpTimes := recorder.drain()
+		if i == 0 {
+			p.addHistogram(roleIngress, "list handled", "ms", time.Millisecond, warmUpTimes[metricSnapshot], 50)
+		}
+		load = load.plus(h.measure(ctx, measureSpan, timeLimit(measureTimeLimit)))
+		loadTimes.merge(recorder.drain())
+		h.setRate(0)
+		h.Advance(drainSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
+		recorder.drain()
+		idle = idle.plus(h.measure(ctx, idleSpan, timeLimit(warmUpTimeLimit)))
+		idleTimes.merge(recorder.drain())
+		for change := 0; change < drivenChanges && ctx.Err() == nil; change++ {
+			h.applyUpdate(newChange(int64(change), backends.toggleDraining(change)))
+		}
+		changeTimes.merge(recorder.drain())
+	}
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	r.addRequestFigures(p, load, loadTimes)
+	// The more backends there are, the fewer requests are played and the larger is the part of the calls that take the
+	// first lease of a tenant.
+	p.excludeFromFit(figureCounterCalls)
+	p.addHistogram(roleIngress, "change handled", "µs", time.Microsecond, changeTimes[metricChange], 50)
+	addModuleIdleFigure(p, idle, idleTimes)
+	return nil
+}
+
+// addRequestFigures adds the figures of requests on a simulated clock.
+func (r *Run) addRequestFigures(p *Point, u drivenUsage, times histograms) {
+	requests := float64(u.tally.Requests)
+	if requests == 0 {
+		p.addNote("no request was played in its time")
+		return
+	}
+	handled := 0.0
+	for _, m := range []metric{metricArrival, metricAttemptEnd, metricCounterReply} {
+		handled += times[m].Mean() * float64(times[m].TotalCount())
+	}
+	p.addFigure(roleIngress, "request, in the module", "µs", handled/1000/requests, u.tally.Requests)
+	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
+	p.addHistogram(roleIngress, "answer handled", "µs", time.Microsecond, times[metricAttemptEnd], 50)
+	p.addHistogram(roleIngress, "tick handled", "µs", time.Microsecond, times[metricTimer], 50)
+	p.addFigure(roleIngress, fmt.Sprintf("core at %s requests a second", formatNumber(r.Rate)), "%",
+		100*u.coreShare(), u.tally.Requests)
+	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, times[metricAddedLatency], 99)
+	p.addFigure(roleIngress, figureCounterCalls, "", float64(u.tally.CounterCalls)/requests, u.tally.Requests)
+	p.addUnfitted(roleIngress, figureAttempts, "", float64(u.tally.Attempts)/requests)
+	p.addUnfitted(roleIngress, "refused", "%", 100*float64(u.tally.Rejected)/requests)
+	p.addUnfitted(roleIngress, "not answered", "", float64(u.tally.Unanswered))
+	p.addUnfitted(roleRun, "requests played", "", requests)
+}
+
+// addModuleIdleFigure adds the processor time of an idle second, from the times of the timer events: the thread's own
+// clock moves in steps that are too coarse for so little.
+func addModuleIdleFigure(p *Point, u drivenUsage, times histograms) {
+	eventMS := float64(times[metricTimer].ValueAtQuantile(50)) / 1e6
+	eventsPerSecond := float64(u.tally.TimerEvents) / max(1e-9, u.span.Seconds())
+	p.addFigure(roleIngress, "idle second, in the module", "ms", eventMS*eventsPerSecond, u.tally.TimerEvents)
+}
+
+func (r *Run) tenantJobs() []job {
+	var jobs []job
+	for _, n := range r.Tenants {
+		jobs = append(jobs, job{
+			point:    Point{Sweep: "tenants of an ingress", Label: formatNumber(float64(n)), Against: "tenants"},
+			duration: 10 * time.Second,
+			measure:  func(ctx context.Context, p *Point) error { return r.measureTenants(ctx, p, n) },
+		})
+	}
+	return jobs
+}
+
+// measureTenants measures one ingress of the whole fleet with about n tenants.
+func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
+	shape := FleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
+	backends := NewBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	recorder := NewRecorder()
+	h, err := NewHollowIngress(shape, r.Fleet/2, backends, recorder, r.Seed)
+	if err != nil {
+		return err
+	}
+	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
+	h.LoadEndpoints(backends.targets())
+	memoryBefore := memoryInUse()
+	h.setRate(r.Rate)
+	h.Advance(warmUpSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
+	recorder.drain()
+	load := h.measure(ctx, 2*measureSpan, r.scaled(measureTimeLimit))
+	loadTimes := recorder.drain()
+	h.setRate(0)
+	h.Advance(drainSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
+	recorder.drain()
+	idle := h.measure(ctx, idleSpan, r.scaled(warmUpTimeLimit))
+	idleTimes := recorder.drain()
+	h.clearCounterTable() // its memory is the counter's, not the ingress's
+	memory := memoryGrowth(memoryBefore)
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	p.addUnfitted(roleIngress, "tenants", "", p.Size)
+	p.addFigure(roleIngress, "state of the tenants", "MB", toMB(memory), 1)
+	p.addUnfitted(roleIngress, "state of a tenant", "bytes", memory/float64(len(h.tenants)))
+	r.addRequestFigures(p, load, loadTimes)
+	addModuleIdleFigure(p, idle, idleTimes)
+	return nil
+}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -7,9 +7,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-const maxDeviation = 0.2 // share of its value by which a point may lie off the line
+const (
+	minFitPoints     = 3    // there is a line through any two
+	maxDeviation     = 0.2  // of a point from its line, as a share of its value
+	maxSquaredShare  = 1e12 // of a deviation, so that values of almost 0 do not make the mean infinite
+	slopeTableFactor = 1000 // the tables show slopes per so many
+)
 
-// Fit is a line through a figure's points, by least squares.
+// Fit is a line through the points of a figure, by least squares.
 type Fit struct {
 	Sweep     string   `json:"sweep"`
 	Role      string   `json:"role"`
@@ -20,14 +25,12 @@
 	Slope     float64  `json:"slope"`
 	Intercept float64  `json:"intercept"`
 	R2        float64  `json:"r2"`
-	Residual  float64  `json:"residual"`          // root of the mean square, in the figure's unit
-	Relative  float64  `json:"relative_residual"` // the same of each point's share of its value
-	Off       []string `json:"does_not_fit,omitempty"`
+	Residual  float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
+	Relative  float64  `json:"relative_residual"`      // the same for deviations as shares of the values
+	Outliers  []string `json:"does_not_fit,omitempty"` // points that lie off the line by more than maxDeviation
 }
 
-const minFitPoints = 3 // through two there always is a line
-
-// fitLine fits y against x, and names the points that lie off by more than their share.
+// fitLine fits y against x. It returns false where there are too few points or no line.
 func fitLine(x, y []float64) (Fit, bool) {
 	if len(x) < minFitPoints {
 		return Fit{}, false
@@ -38,45 +41,53 @@
 	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are the same
 		f.R2 = 1
 	}
-	squares, shares := 0.0, 0.0
+	squares, shareSquares := 0.0, 0.0
 	for i := range x {
-		line := f.Intercept + f.Slope*x[i]
-		off := y[i] - line
-		share := 0.0
-		if off != 0 {
-			share = off / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
+		predicted := f.Intercept + f.Slope*x[i]
+		deviation, share := y[i]-predicted, 0.0
+		if deviation != 0 {
+			share = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
 		}
-		squares += off * off
-		shares += min(share*share, 1e12)
+		squares += deviation * deviation
+		shareSquares += min(share*share, maxSquaredShare)
 		if math.Abs(share) > maxDeviation {
-			f.Off = append(f.Off, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], line))
+			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], predicted))
 		}
 	}
-	f.Residual, f.Relative = math.Sqrt(squares/float64(len(x))), math.Sqrt(shares/float64(len(x)))
+	f.Residual = math.Sqrt(squares / float64(len(x)))
+	f.Relative = math.Sqrt(shareSquares / float64(len(x)))
 	ok := !math.IsNaN(f.Slope) && !math.IsNaN(f.Intercept) && !math.IsInf(f.Slope, 0)
 	return f, ok
 }
 
-// fits puts a line through each figure that a sweep has at three points or more.
+// series is the values of a figure by the size of the points.
+type series struct{ sizes, values []float64 }
+
+// fits returns a line for each figure that a sweep has at enough points, in the order in which the figures come first.
 func fits(points []*Point) []Fit {
 	type key struct{ sweep, role, name, unit, against string }
-	var order []key
-	xs, ys := map[key][]float64{}, map[key][]float64{}
+	var keys []key
+	seriesOf := map[key]*series{}
 	for _, p := range points {
 		for _, f := range p.Figures {
 			if p.Against == "" || f.NoFit {
 				continue
 			}
 			k := key{p.Sweep, f.Role, f.Name, f.Unit, p.Against}
-			if xs[k] == nil {
-				order = append(order, k)
+			s := seriesOf[k]
+			if s == nil {
+				s = &series{}
+				seriesOf[k] = s
+				keys = append(keys, k)
 			}
-			xs[k], ys[k] = append(xs[k], p.Size), append(ys[k], f.Value)
+			s.sizes = append(s.sizes, p.Size)
+			s.values = append(s.values, f.Value)
 		}
 	}
 	var list []Fit
-	for _, k := range order {
-		if f, ok := fitLine(xs[k], ys[k]); ok {
+	for _, k := range keys {
+		s := seriesOf[k]
+		if f, ok := fitLine(s.sizes, s.values); ok {
 			f.Sweep, f.Role, f.Figure, f.Unit, f.Against = k.sweep, k.role, k.name, k.unit, k.against
 			list = append(list, f)
 		}
--- /dev/null
+++ b/internal/scale/hollow_live.go
@@ -0,0 +1,127 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+)
+
+const (
+	eventQueueLength = 256       // events posted to a hollow ingress that its goroutine has not taken yet
+	maxIdleWait      = time.Hour // of the event loop where no timer is set
+)
+
+// errIngressEnded says that a hollow ingress no longer runs.
+var errIngressEnded = errors.New("hollow ingress has ended")
+
+// liveConnection is what a hollow ingress has beyond the simulated one: real time and real clients.
+type liveConnection struct {
+	clients   controlClients
+	events    chan clientEvent
+	done      chan struct{} // closed once the event loop has ended
+	startedAt time.Time
+}
+
+// clientEvent is what the goroutine of a hollow ingress receives: an endpointUpdate, a counterResult or a task.
+type clientEvent interface{ deliver(*HollowIngress) }
+
+func (u endpointUpdate) deliver(h *HollowIngress) { h.deliverUpdate(u) }
+
+func (r counterResult) deliver(h *HollowIngress) {
+	if reply, ok := r.reply(); ok {
+		h.enqueue(reply)
+		h.handleQueued()
+	}
+}
+
+// task is a function that runs on the goroutine of a hollow ingress.
+type task func()
+
+func (t task) deliver(*HollowIngress) { t() }
+
+// connect prepares an ingress for real time, with clients of discovery and of the counter. Run then runs it.
+func (h *HollowIngress) connect(discoveryAddr, counterAddr string, cached endpointUpdate, log *slog.Logger) {
+	h.live = &liveConnection{
+		events:    make(chan clientEvent, eventQueueLength),
+		done:      make(chan struct{}),
+		startedAt: time.Now(),
+	}
+	h.now = time.Duration(h.live.startedAt.UnixNano())
+	h.counterTable = nil
+	config := clientConfig{discoveryAddr: discoveryAddr, counterAddr: counterAddr, cached: cached, settings: h.settings}
+	h.live.clients = newControlClients(config, h.live.post, log)
+}
+
+// post passes an event to the goroutine of the ingress; once that has ended the event is dropped.
+func (l *liveConnection) post(event clientEvent) {
+	select {
+	case l.events <- event:
+	case <-l.done:
+	}
+}
+
+// do runs f on the goroutine of a connected ingress and waits for its end.
+func (h *HollowIngress) do(ctx context.Context, f func()) error {
+	finished := make(chan struct{})
+	h.live.post(task(func() { f(); close(finished) }))
+	select {
+	case <-finished:
+		return nil
+	case <-h.live.done:
+		return fmt.Errorf("ingress %d: %w", h.index, errIngressEnded)
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// clock returns Unix time that does not jump with the system's clock.
+func (l *liveConnection) clock() time.Duration {
+	return time.Duration(l.startedAt.UnixNano()) + time.Since(l.startedAt)
+}
+
+// Run runs a connected ingress in real time until ctx ends, and returns once its connections are closed.
+func (h *HollowIngress) Run(ctx context.Context) {
+	clientsEnded := make(chan struct{})
+	go func() { // ends with ctx; Run waits for it
+		defer close(clientsEnded)
+		h.live.clients.run(ctx)
+	}()
+	h.eventLoop(ctx)
+	close(h.live.done) // so that clients that are posting can end
+	<-clientsEnded
+}
+
+func (h *HollowIngress) eventLoop(ctx context.Context) {
+	wakeUp := time.NewTimer(0)
+	defer wakeUp.Stop()
+	for {
+		wait := maxIdleWait
+		if h.timers.Len() > 0 {
+			wait = h.timers.Min().at - h.live.clock()
+		}
+		wakeUp.Reset(wait)
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-h.live.events:
+			h.now = h.live.clock()
+			event.deliver(h)
+		case <-wakeUp.C:
+		}
+		h.now = h.live.clock()
+		h.fireDue()
+	}
+}
+
+// fireDue fires the timers that were due when the loop looked at the clock, and records how late arrivals are.
+func (h *HollowIngress) fireDue() {
+	for h.timerDueBy(h.now) {
+		t := h.timers.Pop()
+		if t.kind == arrivalTimer {
+			h.recorder.record(h.index, metricLateness, h.now-t.at)
+		}
+		h.fire(t)
+	}
+}
--- /dev/null
+++ b/internal/scale/hollow_test.go
@@ -0,0 +1,99 @@
+package scale
+
+import (
+	"testing"
+	"time"
+)
+
+// drivenRun plays a number of requests at each of two ingresses in front of 20 backends, and lets all of them end.
+func drivenRun(t *testing.T, requests uint64) ([]Tally, *BackendModel, *Recorder) {
+	t.Helper()
+	shape := FleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
+	backends, recorder := NewBackendModel(20, 400, meanServiceTime, false), NewRecorder()
+	var tallies []Tally
+	for index := range shape.Ingresses {
+		h, err := NewHollowIngress(shape, index, backends, recorder, 7)
+		if err != nil {
+			t.Fatal(err)
+		}
+		h.LoadEndpoints(backends.targets())
+		h.setRate(shape.Rate)
+		h.Advance(time.Hour, func() bool { return h.tally.Requests < requests })
+		h.setRate(0)
+		h.Advance(5*time.Second, func() bool { return true })
+		if len(h.requests) > 0 {
+			t.Errorf("ingress %d: %d requests are still open", index, len(h.requests))
+		}
+		tallies = append(tallies, h.tally)
+	}
+	return tallies, backends, recorder
+}
+
+func TestDrivenRunEndsEachRequestOnce(t *testing.T) {
+	const requests = 600
+	tallies, backends, recorder := drivenRun(t, requests)
+	sent := uint64(0)
+	for index, c := range tallies {
+		if c.Requests != requests || c.Served+c.Rejected+c.Failed+c.Unanswered != requests {
+			t.Errorf("ingress %d: %+v: the ends are not those of %d requests", index, c, requests)
+		}
+		if c.Served < requests*9/10 || c.CounterCalls == 0 || c.Snapshots != 1 {
+			t.Errorf("ingress %d: %+v: want nearly all served, some calls, one list", index, c)
+		}
+		sent += c.Attempts
+	}
+	received := uint64(0)
+	for i := range backends.backends {
+		received += backends.backends[i].attempts.Load()
+		if n := backends.backends[i].inFlight.Load(); n != 0 {
+			t.Errorf("backend %d: %d in flight after the end", i, n)
+		}
+	}
+	if received != sent {
+		t.Errorf("%d attempts at the backends, %d were sent", received, sent)
+	}
+	times := recorder.drain()
+	if n := times[metricArrival].TotalCount(); n != 2*requests {
+		t.Errorf("%d times of arrivals, want %d", n, 2*requests)
+	}
+}
+
+func TestDrivenRunIsTheSameForTheSameSeed(t *testing.T) {
+	const requests = 600
+	first, _, _ := drivenRun(t, requests)
+	second, _, _ := drivenRun(t, requests)
+	for index := range first {
+		if second[index] != first[index] {
+			t.Errorf("ingress %d: %+v, then %+v of the same seed", index, first[index], second[index])
+		}
+	}
+}
+
+func TestArrivalIsSkippedIfTooLate(t *testing.T) {
+	for _, c := range []struct {
+		lateness time.Duration
+		requests uint64
+	}{
+		{0, 1},
+		{maxLateness, 1},
+		{maxLateness + 1, 0},
+		{time.Hour, 0},
+	} {
+		t.Run(c.lateness.String(), func(t *testing.T) {
+			backends := NewBackendModel(5, 10, meanServiceTime, false)
+			shape := FleetShape{Ingresses: 1, Tenants: 5, Rate: 10}
+			h, err := NewHollowIngress(shape, 0, backends, NewRecorder(), 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			h.LoadEndpoints(backends.targets())
+			h.requestRate = 10
+			due := h.now
+			h.now += c.lateness
+			h.fire(&timer{at: due, kind: arrivalTimer})
+			if h.tally.Requests != c.requests || h.tally.Skipped != 1-c.requests || !h.arrivalScheduled {
+				t.Errorf("%+v, want %d requests, the others skipped", h.tally, c.requests)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/scale/hollow_timers.go
@@ -0,0 +1,107 @@
+package scale
+
+import (
+	"time"
+
+	"lemontack/policy"
+)
+
+// maxLateness is how far an arrival may be behind the clock of its ingress. One that is later is skipped, so that a
+// machine that cannot keep up does not play an ever longer backlog.
+const maxLateness = 250 * time.Millisecond
+
+// timerKind says what a timer of a hollow ingress stands for.
+type timerKind uint8
+
+const (
+	arrivalTimer        timerKind = iota // the next request arrives
+	attemptTimer                         // an attempt ends at its backend
+	clientTimer                          // a client gives up
+	policyTimer                          // the decision module asked for it
+	counterTimeoutTimer                  // a call of the counter has had its time; live only
+	counterReplyTimer                    // the simulated counter replies
+)
+
+// timer is something due on the clock of a hollow ingress. Which of the fields after kind are set follows from kind.
+type timer struct {
+	at        time.Duration
+	kind      timerKind
+	requestID policy.RequestID    // of attemptTimer and clientTimer
+	attempt   int                 // of attemptTimer
+	outcome   policy.AttemptEnded // of attemptTimer
+	reply     policy.CounterReply // of counterReplyTimer
+	call      counterCall         // of counterTimeoutTimer
+}
+
+func earlierTimer(a, b *timer) bool { return a.at < b.at }
+
+func (h *HollowIngress) schedule(after time.Duration, t timer) {
+	t.at = h.now + after
+	h.timers.Push(&t)
+}
+
+// Advance runs what is due, without waiting, until the clock has advanced by span or proceed returns false.
+func (h *HollowIngress) Advance(span time.Duration, proceed func() bool) {
+	end := h.now + span
+	for h.timerDueBy(end) && proceed() {
+		t := h.timers.Pop()
+		h.now = t.at
+		h.fire(t)
+	}
+	if !h.timerDueBy(end) {
+		h.now = end
+	}
+}
+
+func (h *HollowIngress) timerDueBy(end time.Duration) bool {
+	return h.timers.Len() > 0 && h.timers.Min().at <= end
+}
+
+// fire handles a timer that is due, and all events that follow from it.
+func (h *HollowIngress) fire(t *timer) {
+	switch t.kind {
+	case arrivalTimer:
+		h.fireArrival(t.at)
+	case attemptTimer:
+		h.endAttempt(t.requestID, t.attempt, t.outcome)
+	case clientTimer:
+		h.disconnectClient(t.requestID)
+	case policyTimer:
+		h.enqueue(policy.TimerFired{})
+	case counterReplyTimer:
+		h.enqueue(t.reply)
+	case counterTimeoutTimer:
+		if reply, ok := t.call.expire(); ok {
+			h.enqueue(reply)
+		}
+	}
+	h.handleQueued()
+}
+
+// fireArrival lets the request arrive that was due at a time, and schedules the next one.
+func (h *HollowIngress) fireArrival(due time.Duration) {
+	h.arrivalScheduled = h.requestRate > 0
+	switch {
+	case !h.arrivalScheduled:
+	case h.now-due > maxLateness:
+		h.tally.Skipped++
+		h.schedule(h.interarrivalTime(), timer{kind: arrivalTimer})
+	default:
+		h.arrive(due)
+		h.timers.Push(&timer{at: due + h.interarrivalTime(), kind: arrivalTimer})
+	}
+}
+
+// setRate sets the rate of arrivals, in requests a second; 0 ends them.
+func (h *HollowIngress) setRate(rate float64) {
+	h.requestRate = rate
+	if rate > 0 && !h.arrivalScheduled {
+		h.arrivalScheduled = true
+		h.schedule(h.interarrivalTime(), timer{kind: arrivalTimer})
+	}
+}
+
+// interarrivalTime draws the time between two arrivals of a Poisson process.
+func (h *HollowIngress) interarrivalTime() time.Duration {
+	return time.Duration(h.rng.ExpFloat64() / h.requestRate * float64(time.Second))
+}
--- a/internal/scale/ingressparts.go
+++ b/internal/scale/ingress_parts.go
@@ -95,9 +95,6 @@
 // expire ends the call at its timeout; it returns false where the call has had its reply.
 func (c counterCall) expire() (policy.CounterReply, bool) { return c.call.Late() }
 
-// clientEvent is an endpointUpdate or a counterResult.
-type clientEvent interface{ deliver(*HollowIngress) }
-
 // counterResult is what the counter's client posts of a call.
 type counterResult struct{ event any }
 
--- /dev/null
+++ b/internal/scale/list_fetch.go
@@ -0,0 +1,172 @@
+package scale
+
+import (
+	"context"
+	"log/slog"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	listTimeout         = 8 * time.Second // for a list to arrive
+	maxListSamples      = 5               // fetches of one list
+	maxListSamplingTime = 2 * time.Second // after which no further fetch begins
+)
+
+// listFetch is what a complete endpoint list cost an ingress.
+type listFetch struct {
+	endpoints int // that the ingress kept; 0: the list did not arrive
+	duration  time.Duration
+	cpuTime   time.Duration // of this process
+	allocated uint64        // bytes
+}
+
+// addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
+// arrive is a finding and no error; the decision module then gets it as a configuration would bring it.
+func (r *Run) addListFigures(ctx context.Context, p *Point, shape FleetShape, backends *BackendModel) error {
+	settings, err := shape.policySettings(0)
+	if err != nil {
+		return err
+	}
+	discovery, err := startStandIn(ctx, r.monitor, roleDiscovery, standInCommand{})
+	if err != nil {
+		return err
+	}
+	defer discovery.stop()
+	if _, err := discovery.call(standInCommand{Action: actionSetList, Targets: backends.targets()}); err != nil {
+		return err
+	}
+	before, err := discovery.call(standInCommand{Action: actionReport})
+	if err != nil {
+		return err
+	}
+	fetches, err := fetchLists(ctx, p, clientConfig{discoveryAddr: discovery.addr, settings: settings})
+	if err != nil {
+		return err
+	}
+	after, err := discovery.call(standInCommand{Action: actionReportMemory})
+	if err != nil {
+		return err
+	}
+	p.addFigure(roleDiscovery, "state", "MB", toMB(float64(after.Memory)), 1)
+	p.addUnfitted(roleIngress, "list taken", "of 1", float64(min(1, len(fetches))))
+	if len(fetches) == 0 {
+		return nil
+	}
+	addFetchFigures(p, fetches)
+	count := uint64(len(fetches))
+	bytes := float64(after.Discovery.Bytes - before.Discovery.Bytes)
+	cpuTime := after.CPUTime - before.CPUTime
+	p.addFigure(roleDiscovery, "list: bytes", "MB", toMB(bytes/float64(count)), count)
+	p.addFigure(roleDiscovery, "list: processor", "ms", cpuTime.Seconds()*1000/float64(count), count)
+	return nil
+}
+
+// fetchLists fetches a list several times. Where it does not arrive in time, a note of the point says why.
+func fetchLists(ctx context.Context, p *Point, config clientConfig) ([]listFetch, error) {
+	var fetches []listFetch
+	end := time.Now().Add(maxListSamplingTime)
+	for len(fetches) < maxListSamples && (len(fetches) == 0 || time.Now().Before(end)) {
+		fetchCtx, cancel := context.WithTimeout(ctx, listTimeout)
+		fetch, warning := fetchList(fetchCtx, config)
+		cancel()
+		if fetch.endpoints == 0 {
+			if ctx.Err() != nil {
+				return nil, ctx.Err()
+			}
+			p.addNote("list not taken within %v: %s", listTimeout, warning)
+			break
+		}
+		fetches = append(fetches, fetch)
+	}
+	return fetches, nil
+}
+
+// addFetchFigures adds the medians of the fetches, of which there is at least one.
+func addFetchFigures(p *Point, fetches []listFetch) {
+	addMedian := func(name, unit string, value func(listFetch) float64) {
+		var values []float64
+		for _, f := range fetches {
+			values = append(values, value(f))
+		}
+		slices.Sort(values)
+		p.addFigure(roleIngress, "list taken: "+name, unit, values[len(values)/2], uint64(len(fetches)))
+	}
+	addMedian("processor", "ms", func(f listFetch) float64 { return f.cpuTime.Seconds() * 1000 })
+	addMedian("time", "ms", func(f listFetch) float64 { return f.duration.Seconds() * 1000 })
+	addMedian("allocated", "MB", func(f listFetch) float64 { return toMB(float64(f.allocated)) })
+	p.addUnfitted(roleIngress, "list taken: held", "backends", float64(fetches[0].endpoints))
+}
+
+// fetchList starts the real client and waits for its first complete list. Where ctx ends before that, it returns what
+// the client logged last.
+func fetchList(ctx context.Context, config clientConfig) (listFetch, string) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var logged lastLogLine
+	log := slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{ReplaceAttr: dropTimeAndLevel}))
+	lists := make(chan endpointUpdate)
+	post := func(event clientEvent) {
+		if update, ok := event.(endpointUpdate); ok && update.isSnapshot() {
+			select {
+			case lists <- update:
+			case <-ctx.Done():
+			}
+		}
+	}
+	clients := newControlClients(config, post, log)
+	runtime.GC()
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	start, cpuBefore := time.Now(), cpuTime(wholeProcess)
+	clientsEnded := make(chan struct{})
+	go func() { // ends with ctx; fetchList waits for it
+		defer close(clientsEnded)
+		clients.run(ctx)
+	}()
+	var fetch listFetch
+	select {
+	case list := <-lists:
+		fetch = listFetch{
+			endpoints: list.size(),
+			duration:  time.Since(start),
+			cpuTime:   cpuTime(wholeProcess) - cpuBefore,
+		}
+		runtime.ReadMemStats(&after)
+		fetch.allocated = after.TotalAlloc - before.TotalAlloc
+	case <-ctx.Done():
+	}
+	cancel()
+	<-clientsEnded
+	return fetch, logged.line()
+}
+
+// lastLogLine is a writer that keeps the last line written.
+type lastLogLine struct {
+	mu   sync.Mutex // guards text
+	text string
+}
+
+func (l *lastLogLine) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.text = strings.TrimSpace(string(p))
+	return len(p), nil
+}
+
+func (l *lastLogLine) line() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text
+}
+
+// dropTimeAndLevel is for slog.HandlerOptions: a log line in a note of a point needs neither.
+func dropTimeAndLevel(_ []string, attr slog.Attr) slog.Attr {
+	if attr.Key == slog.TimeKey || attr.Key == slog.LevelKey {
+		return slog.Attr{}
+	}
+	return attr
+}
--- /dev/null
+++ b/internal/scale/list_fetch_test.go
@@ -0,0 +1,47 @@
+package scale
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+)
+
+// fetchConfig returns the configuration of an ingress whose discovery is the given handler.
+func fetchConfig(t *testing.T, handler http.HandlerFunc) clientConfig {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	settings, err := FleetShape{Ingresses: 1, Tenants: 1, Rate: 1}.policySettings(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return clientConfig{discoveryAddr: strings.TrimPrefix(server.URL, "http://"), settings: settings}
+}
+
+func TestFetchListReturnsTheLogOfAClientWithoutAList(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	var calls atomic.Int32
+	config := fetchConfig(t, func(w http.ResponseWriter, _ *http.Request) {
+		if calls.Add(1) > 1 { // the first failure has been logged by then
+			cancel()
+		}
+		w.WriteHeader(http.StatusServiceUnavailable)
+	})
+	if fetch, logged := fetchList(ctx, config); fetch.endpoints != 0 || !strings.Contains(logged, "503") {
+		t.Errorf("no list: %d entries, %q", fetch.endpoints, logged)
+	}
+}
+
+func TestFetchListCountsTheEndpointsOfAList(t *testing.T) {
+	config := fetchConfig(t, func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
+	})
+	if fetch, logged := fetchList(t.Context(), config); fetch.endpoints != 1 {
+		t.Errorf("a list of one: %d entries, %q", fetch.endpoints, logged)
+	}
+}
--- /dev/null
+++ b/internal/scale/live_fleet.go
@@ -0,0 +1,252 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"runtime"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	startTimeout = 15 * time.Second // for the lists and watches of a fleet that starts
+	pollInterval = 50 * time.Millisecond
+)
+
+// errNotReady says that what was started did not become ready in its time.
+var errNotReady = errors.New("not ready")
+
+// liveFleet is many hollow ingresses in real time, with discovery and the counter in processes of their own.
+type liveFleet struct {
+	*standIns
+	shape          FleetShape
+	backends       *BackendModel
+	recorder       *Recorder
+	ingresses      []*HollowIngress
+	cancel         context.CancelFunc // ends the ingresses
+	running        sync.WaitGroup     // a goroutine for each ingress
+	baselineMemory uint64             // bytes in use before the ingresses
+}
+
+// startLiveFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
+// The owner calls stop, which waits for all that was started.
+func startLiveFleet(ctx context.Context, monitor *resourceMonitor, shape FleetShape, backends *BackendModel,
+	seed uint64) (*liveFleet, error) {
+	services, err := startStandIns(ctx, monitor, shape)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	f := &liveFleet{standIns: services, shape: shape, backends: backends, recorder: NewRecorder(), cancel: cancel}
+	if err := f.start(ctx, seed); err != nil {
+		f.stop()
+		return nil, err
+	}
+	return f, nil
+}
+
+func (f *liveFleet) start(ctx context.Context, seed uint64) error {
+	targets := f.backends.targets()
+	if err := f.setList(targets); err != nil {
+		return err
+	}
+	var cached endpointUpdate
+	if f.shape.Polled {
+		cached = newSnapshot(1, targets)
+	}
+	f.baselineMemory = memoryInUse()
+	log := slog.New(slog.DiscardHandler)
+	for index := range f.shape.Ingresses {
+		h, err := NewHollowIngress(f.shape, index, f.backends, f.recorder, seed)
+		if err != nil {
+			return err
+		}
+		h.connect(f.discovery.addr, f.counter.addr, cached, log)
+		if f.shape.Polled {
+			h.deliverUpdate(h.live.clients.applyCached(cached))
+		}
+		f.ingresses = append(f.ingresses, h)
+		f.running.Go(func() { h.Run(ctx) }) // ends with ctx; stop waits for it
+	}
+	return f.waitReady(ctx)
+}
+
+// waitReady waits until each ingress has a list and an open watch.
+func (f *liveFleet) waitReady(ctx context.Context) error {
+	for deadline := time.Now().Add(startTimeout); ; {
+		reply, err := f.discovery.call(standInCommand{Action: actionReport})
+		if err != nil {
+			return err
+		}
+		lists, watches := 0, reply.Discovery.OpenWatches
+		if err := f.forEach(ctx, func(h *HollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
+			return err
+		}
+		if watches >= len(f.ingresses) && lists == len(f.ingresses) {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d of %d ingresses have a list, %d a watch: %w after %v", lists, len(f.ingresses), watches,
+				errNotReady, startTimeout)
+		}
+		if err := sleep(ctx, pollInterval); err != nil {
+			return err
+		}
+	}
+}
+
+func (f *liveFleet) stop() {
+	f.cancel()
+	f.running.Wait()
+	f.standIns.stop()
+}
+
+// forEach runs a function on the goroutine of each ingress, one after another.
+func (f *liveFleet) forEach(ctx context.Context, do func(*HollowIngress)) error {
+	for _, h := range f.ingresses {
+		if err := h.do(ctx, func() { do(h) }); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// setRate sets the rate of arrivals at each ingress, in requests a second.
+func (f *liveFleet) setRate(ctx context.Context, rate float64) error {
+	return f.forEach(ctx, func(h *HollowIngress) { h.setRate(rate) })
+}
+
+// memoryPerIngress returns the bytes of heap and stacks of one ingress with its two clients.
+func (f *liveFleet) memoryPerIngress() float64 {
+	growth := memoryGrowth(f.baselineMemory)
+	runtime.KeepAlive(f)
+	return growth / float64(len(f.ingresses))
+}
+
+// sleep waits for a time, and returns the error of ctx if that ends before.
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+		return nil
+	}
+}
+
+// snapshot is what a fleet and its stand-ins have used and done so far.
+type snapshot struct {
+	at                 time.Time
+	cpuTime            time.Duration // of this process: the ingresses
+	tally              Tally         // of all ingresses
+	discovery, counter StandInReply
+}
+
+func (f *liveFleet) takeSnapshot(ctx context.Context) (snapshot, error) {
+	s := snapshot{at: time.Now(), cpuTime: cpuTime(wholeProcess)}
+	err := f.forEach(ctx, func(h *HollowIngress) { s.tally = s.tally.plus(h.tally) })
+	if err != nil {
+		return s, err
+	}
+	if s.discovery, err = f.discovery.call(standInCommand{Action: actionReport}); err != nil {
+		return s, err
+	}
+	s.counter, err = f.counter.call(standInCommand{Action: actionReport})
+	return s, err
+}
+
+// usage is what a fleet and its stand-ins used and did between two snapshots.
+type usage struct {
+	seconds           float64
+	cpuTime           time.Duration // of this process: the ingresses
+	tally             Tally         // of all ingresses
+	discoveryCPUTime  time.Duration
+	discoveryMessages float64 // lists and changes written
+	discoveryBytes    float64
+	counterCPUTime    time.Duration
+	counterCalls      float64
+	counterBytes      float64 // in both directions
+}
+
+func (s snapshot) usageSince(earlier snapshot) usage {
+	return usage{
+		seconds:           s.at.Sub(earlier.at).Seconds(),
+		cpuTime:           s.cpuTime - earlier.cpuTime,
+		tally:             s.tally.minus(earlier.tally),
+		discoveryCPUTime:  s.discovery.CPUTime - earlier.discovery.CPUTime,
+		discoveryMessages: float64(s.discovery.Discovery.Objects - earlier.discovery.Discovery.Objects),
+		discoveryBytes:    float64(s.discovery.Discovery.Bytes - earlier.discovery.Discovery.Bytes),
+		counterCPUTime:    s.counter.CPUTime - earlier.counter.CPUTime,
+		counterCalls:      float64(s.counter.Counter.Calls - earlier.counter.Counter.Calls),
+		counterBytes: float64(s.counter.Counter.BytesIn - earlier.counter.Counter.BytesIn +
+			s.counter.Counter.BytesOut - earlier.counter.Counter.BytesOut),
+	}
+}
+
+// measure returns what was used while do ran.
+func (f *liveFleet) measure(ctx context.Context, do func() error) (usage, error) {
+	before, err := f.takeSnapshot(ctx)
+	if err != nil {
+		return usage{}, err
+	}
+	if err := do(); err != nil {
+		return usage{}, err
+	}
+	after, err := f.takeSnapshot(ctx)
+	return after.usageSince(before), err
+}
+
+// measureFor returns what was used in a time.
+func (f *liveFleet) measureFor(ctx context.Context, d time.Duration) (usage, error) {
+	return f.measure(ctx, func() error { return sleep(ctx, d) })
+}
+
+// propagation says how long changes of endpoints took to reach the ingresses.
+type propagation struct {
+	perIngress *hdrhistogram.Histogram // each change at each ingress
+	fleetWide  *hdrhistogram.Histogram // each change until the last ingress had it
+	missing    int                     // pairs of a change and an ingress that it has not reached
+}
+
+// propagationOf returns how long the changes took.
+func (f *liveFleet) propagationOf(ctx context.Context, changes []appliedRevision) (propagation, error) {
+	result := propagation{perIngress: newHistogram(), fleetWide: newHistogram()}
+	logs := make([][]appliedRevision, 0, len(f.ingresses))
+	err := f.forEach(ctx, func(h *HollowIngress) {
+		logs = append(logs, append([]appliedRevision{}, h.appliedRevisions...))
+	})
+	if err != nil {
+		return result, err
+	}
+	for _, change := range changes {
+		slowest, complete := time.Duration(0), true
+		for _, applied := range logs {
+			delay, ok := delayUntilApplied(applied, change)
+			if !ok {
+				result.missing++
+				complete = false
+				continue
+			}
+			slowest = max(slowest, delay)
+			recordTime(result.perIngress, delay)
+		}
+		if complete {
+			recordTime(result.fleetWide, slowest)
+		}
+	}
+	return result, nil
+}
+
+// delayUntilApplied returns the time from a change to the first revision in the log that contains it, and false where
+// there is none.
+func delayUntilApplied(applied []appliedRevision, change appliedRevision) (time.Duration, bool) {
+	for _, a := range applied {
+		if a.revision >= change.revision {
+			return a.at.Sub(change.at), true
+		}
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/scale/load_generator_test.go
@@ -0,0 +1,73 @@
+package scale
+
+import (
+	"math/rand/v2"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lemontack/internal/resp"
+	"lemontack/internal/standin"
+)
+
+func TestReadReplyTakesAReplyToItsEnd(t *testing.T) {
+	for _, c := range []struct {
+		text string
+		want reply
+	}{
+		{"$2\r\nab\r\n", reply{replyValue, "ab"}},
+		{"*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nx=1\r\n", reply{replyValue, "ab"}},
+		{"-BUSY 20\r\n", reply{replyError, "BUSY 20"}},
+		{"+PONG\r\n", reply{replySimple, "PONG"}},
+		{"$-1\r\n", reply{replyNull, ""}},
+	} {
+		var in resp.FrameBuffer
+		got, err := readReply(&in, strings.NewReader(c.text).Read)
+		if left := len(in.Buffered()); err != nil || got != c.want || left > 0 {
+			t.Errorf("%q: %+v, %v, %d bytes left; want %+v", c.text, got, err, left, c.want)
+		}
+	}
+}
+
+func TestReadReplyFailsOnWhatIsNoReply(t *testing.T) {
+	for _, text := range []string{"$2\r\na", "\r\n", "*0\r\n", "$99999\r\n", "hello\r\n"} {
+		var in resp.FrameBuffer
+		if got, err := readReply(&in, strings.NewReader(text).Read); err == nil {
+			t.Errorf("%q: %+v, want an error", text, got)
+		}
+	}
+}
+
+func TestLoadGeneratorCountsServedAndMismatchedReplies(t *testing.T) {
+	for name, value := range map[string]func([]string) string{
+		"own values":     nil,
+		"another's ones": func([]string) string { return "another's" },
+	} {
+		t.Run(name, func(t *testing.T) {
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			backend := standin.NewBackend(standin.BackendConfig{Reports: true, Value: value})
+			var serving sync.WaitGroup
+			serving.Go(func() { backend.Serve(listener) })
+			t.Cleanup(func() { backend.Close(); serving.Wait() })
+			g := newLoadGenerator(listener.Addr().String(), 1)
+			t.Cleanup(g.close)
+			tenants := FleetShape{Ingresses: 1, Tenants: 5, Rate: 100}.tenantsOf(0)
+			g.run(t.Context(), rand.New(rand.NewPCG(1, 1)), tenants, 1000, 50*time.Millisecond, 0)
+			served, mismatched := g.served.Load(), g.mismatched.Load()
+			if g.sent == 0 || served+mismatched != g.sent {
+				t.Errorf("%d requests, %d served, %d mismatched", g.sent, served, mismatched)
+			}
+			if value == nil && mismatched > 0 || value != nil && served > 0 {
+				t.Errorf("%d served, %d mismatched", served, mismatched)
+			}
+			if n := backend.Stats().Odd; n > 0 {
+				t.Errorf("%d commands in a form that no client sends", n)
+			}
+		})
+	}
+}
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -2,219 +2,136 @@
 
 import (
 	"bufio"
-	"context"
+	"errors"
 	"fmt"
 	"os"
 	"runtime"
 	"runtime/debug"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 )
 
-const (
-	maxMemoryShare      = 0.5 // of the machine, that a run may use at most
-	maxProcesses        = 300 // and processes
-	clockTicksPerSecond = 100 // of the processor times in /proc
-	sampleInterval      = 250 * time.Millisecond
-
-	// What a run is reckoned with before it starts, in bytes; the sampler holds it to the bound while it runs.
-	baseBytes        = 200 << 20
-	hollowBytes      = 400 << 10
-	tenantBytes      = 700
-	backendBytes     = 700  // in each module
-	listEntryBytes   = 2500 // for each backend once: modelled, in discovery, as text on its way
-	realIngressBytes = 60 << 20
+// clockTicksPerSecond is the unit of processor times in /proc; Linux has the same one on all machines.
+const clockTicksPerSecond = 100
 
-	hollowDescriptors = 6 // four for the counter, one or two for discovery
-	spareDescriptors  = 500
-)
+// errProcFormat says that a file under /proc does not hold what was looked for.
+var errProcFormat = errors.New("unexpected content")
 
-// Machine is where a run was made.
+// Machine describes where a run was made.
 type Machine struct {
-	Cores  int    `json:"cores"`
-	Memory uint64 `json:"memory_bytes"`
-	Go     string `json:"go"`
-	OS     string `json:"os"`
-
+	Cores       int    `json:"cores"`
+	Memory      uint64 `json:"memory_bytes"`
+	Go          string `json:"go"` // version
+	OS          string `json:"os"`
 	Descriptors uint64 `json:"descriptors"` // that a process may hold; 0: not known
 	Load        string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: what else it was doing
 }
 
 func describeMachine() (Machine, error) {
-	total, err := readProcField("/proc/meminfo", "MemTotal:")
+	memory, err := readProcField("/proc/meminfo", "MemTotal:")
 	if err != nil {
 		return Machine{}, err
 	}
-	var open syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &open); err != nil {
+	var descriptors syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
 		return Machine{}, fmt.Errorf("descriptors: %w", err)
 	}
-	text, err := os.ReadFile("/proc/loadavg")
-	load := strings.Fields(string(text))
-	return Machine{Cores: runtime.NumCPU(), Memory: total, Go: runtime.Version(), OS: runtime.GOOS + "/" + runtime.GOARCH,
-		Descriptors: open.Cur, Load: strings.Join(load[:min(3, len(load))], " ")}, err
+	loadText, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return Machine{}, fmt.Errorf("load: %w", err)
+	}
+	load := strings.Fields(string(loadText))
+	return Machine{
+		Cores:       runtime.NumCPU(),
+		Memory:      memory,
+		Go:          runtime.Version(),
+		OS:          runtime.GOOS + "/" + runtime.GOARCH,
+		Descriptors: descriptors.Cur,
+		Load:        strings.Join(load[:min(3, len(load))], " "),
+	}, nil
 }
 
-// readProcField reads a figure in kB, as bytes.
+// readProcField reads a field that a file under /proc gives in kB, and returns it in bytes.
 func readProcField(path, name string) (uint64, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
-		if text, ok := strings.CutPrefix(in.Text(), name); ok {
-			kb, err := strconv.ParseUint(strings.TrimSpace(strings.TrimSuffix(text, "kB")), 10, 64)
-			if err != nil {
-				return 0, fmt.Errorf("%s: %s %w", path, name, err)
-			}
-			return kb << 10, nil
+	defer file.Close()
+	lines := bufio.NewScanner(file)
+	for lines.Scan() {
+		text, ok := strings.CutPrefix(lines.Text(), name)
+		if !ok {
+			continue
 		}
+		kilobytes, err := strconv.ParseUint(strings.TrimSpace(strings.TrimSuffix(text, "kB")), 10, 64)
+		if err != nil {
+			return 0, fmt.Errorf("%s: %s %w", path, name, err)
+		}
+		return kilobytes << 10, nil
 	}
-	return 0, fmt.Errorf("%s has no %s", path, name)
+	return 0, fmt.Errorf("%s: %w: no %s", path, errProcFormat, name)
 }
 
+// residentMemory returns the bytes that a process has in memory; 0 if it has ended.
 func residentMemory(pid int) uint64 {
-	n, err := readProcField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
-	if err != nil { // it has ended
+	bytes, err := readProcField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+	if err != nil {
 		return 0
 	}
-	return n
+	return bytes
 }
 
-// processCPUTime of another process, user and system, in steps of 10 ms.
+// processCPUTime returns the user and system time of another process, in steps of 10 ms.
 func processCPUTime(pid int) (time.Duration, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	const firstField, fields = 11, 2 // utime and stime, counted from behind the name
+	path := fmt.Sprintf("/proc/%d/stat", pid)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
-	_, rest, ok := strings.Cut(string(text), ") ") // the name may have spaces
-	fields := strings.Fields(rest)
-	if !ok || len(fields) < 13 {
-		return 0, fmt.Errorf("process %d: no times in its stat", pid)
+	_, rest, ok := strings.Cut(string(text), ") ") // the name before it may have spaces
+	values := strings.Fields(rest)
+	if !ok || len(values) < firstField+fields {
+		return 0, fmt.Errorf("%s: %w: no times", path, errProcFormat)
 	}
-	sum := 0
-	for _, f := range fields[11:13] {
-		n, err := strconv.Atoi(f)
+	ticks := 0
+	for _, value := range values[firstField : firstField+fields] {
+		n, err := strconv.Atoi(value)
 		if err != nil {
-			return 0, fmt.Errorf("process %d: %w", pid, err)
+			return 0, fmt.Errorf("%s: %w", path, err)
 		}
-		sum += n
+		ticks += n
 	}
-	return time.Duration(sum) * time.Second / clockTicksPerSecond, nil
+	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
 
+// cpuScope says whose processor time cpuTime returns.
+type cpuScope int
+
 const (
-	wholeProcess = syscall.RUSAGE_SELF
-	thisThread   = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
+	wholeProcess  cpuScope = syscall.RUSAGE_SELF
+	currentThread cpuScope = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
 )
 
-// cpuTime is the processor time so far, user and system.
-func cpuTime(who int) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(who, &u); err != nil {
+// cpuTime returns the user and system time that this process or thread has used so far.
+func cpuTime(scope cpuScope) time.Duration {
+	var used syscall.Rusage
+	if err := syscall.Getrusage(int(scope), &used); err != nil { // not for these scopes
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// memoryInUse is what is in use after a collection, in bytes.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() uint64 {
 	debug.FreeOSMemory()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc + m.StackInuse
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc + stats.StackInuse
 }
 
-// checkResources says whether the run that is asked for keeps within the bounds, before anything is started.
-func checkResources(o Options, m Machine) error {
-	if n := 1 + standInProcesses + o.Real; n > maxProcesses {
-		return fmt.Errorf("%d processes are asked for, %d at most", n, maxProcesses)
-	}
-	need := 0.0
-	take := func(bytes float64) { need = max(need, bytes) }
-	for _, n := range o.Backends {
-		take(baseBytes + float64(n)*(listEntryBytes+2*backendBytes))
-	}
-	most := 0
-	for _, n := range o.Ingresses {
-		most = max(most, n)
-	}
-	one := hollowBytes + float64(liveTenants)*tenantBytes + float64(liveBackends)*backendBytes
-	take(baseBytes + float64(most)*one + float64(o.Real)*realIngressBytes)
-	if n := uint64(most*hollowDescriptors + spareDescriptors); m.Descriptors > 0 && n > m.Descriptors {
-		return fmt.Errorf("about %d descriptors are asked for, a process may hold %d here", n, m.Descriptors)
-	}
-	for _, n := range o.Tenants {
-		take(baseBytes + float64(n)*2*tenantBytes)
-	}
-	if bound := maxMemoryShare * float64(m.Memory); need > bound {
-		return fmt.Errorf("about %s are asked for, half of the machine's memory is %s", formatMegabytes(need), formatMegabytes(bound))
-	}
-	return nil
-}
-
-func formatMegabytes(bytes float64) string { return fmt.Sprintf("%.0f MB", bytes/(1<<20)) }
-
-// ResourceUsage is what a run took of its machine.
-type ResourceUsage struct {
-	PeakMemory    uint64  `json:"peak_memory_bytes"` // of all its processes, by samples
-	PeakProcesses int     `json:"peak_processes"`
-	CPUSeconds    float64 `json:"processor_s"` // of this process
-	WallSeconds   float64 `json:"wall_s"`
-}
-
-// resourceMonitor samples what the run uses, and ends it where that is more than the bound.
-type resourceMonitor struct {
-	mu            sync.Mutex
-	pids          map[int]bool
-	peakMemory    uint64
-	peakProcesses int
-}
-
-func newResourceMonitor() *resourceMonitor {
-	return &resourceMonitor{pids: map[int]bool{os.Getpid(): true}}
-}
-
-func (w *resourceMonitor) addProcess(pid int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pids[pid] = true
-	w.peakProcesses = max(w.peakProcesses, len(w.pids))
-}
-
-func (w *resourceMonitor) removeProcess(pid int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.pids, pid)
-}
-
-func (w *resourceMonitor) sample() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	sum := uint64(0)
-	for pid := range w.pids {
-		sum += residentMemory(pid)
-	}
-	w.peakMemory, w.peakProcesses = max(w.peakMemory, sum), max(w.peakProcesses, len(w.pids))
-	return sum
-}
-
-// run samples until ctx ends; more than the bound stops the run.
-func (w *resourceMonitor) run(ctx context.Context, bound uint64, stop func(error)) {
-	for t := time.NewTicker(sampleInterval); ; {
-		if sum := w.sample(); sum > bound {
-			stop(fmt.Errorf("stopped at %s: over half of the machine's memory", formatMegabytes(float64(sum))))
-			return
-		}
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return
-		case <-t.C:
-		}
-	}
-}
+// memoryGrowth returns by how many bytes memoryInUse is larger than it was; 0 if it is not.
+func memoryGrowth(before uint64) float64 { return max(0, float64(memoryInUse())-float64(before)) }
--- /dev/null
+++ b/internal/scale/real_fleet.go
@@ -0,0 +1,303 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"lemontack/internal/standin"
+)
+
+const (
+	readyTimeout    = 15 * time.Second // for a real ingress to answer
+	shutdownTimeout = 5 * time.Second  // from SIGTERM on: longer than any deadline of a request
+
+	ingressPackage   = "lemontack/cmd/ingress"
+	configVariable   = "ROUTER_CONFIG" // names the configuration file of an ingress
+	temporaryPattern = "scalerun-"     // of the run's temporary directory
+)
+
+// Limits in the configuration of a real ingress.
+const (
+	realIngressCores    = 2
+	realIngressMemoryMB = 256
+	realIngressSockets  = 4096
+)
+
+var (
+	errIngressExited = errors.New("the ingress ended")
+	errNoReplies     = errors.New("the backend answers nothing")
+)
+
+// realFleet is a few processes of the real ingress between stand-ins of all that they talk to. Its zero value can be
+// stopped.
+type realFleet struct {
+	*standIns     // nil before they are started
+	directory     string
+	ingresses     []*realIngress
+	backends      []*standin.Backend
+	targets       []standin.Target // the same as endpoints
+	directBackend *standin.Backend // a further one, in no list
+	directAddr    string
+	serving       sync.WaitGroup // a goroutine for each backend
+}
+
+type realIngress struct {
+	*childProcess
+	addr   string
+	stderr bytes.Buffer // read after its end
+}
+
+// ingressConfig is the configuration file of an ingress.
+type ingressConfig struct {
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Counter   string          `json:"counter"`
+	Seed      string          `json:"seed"` // hexadecimal
+	Settings  json.RawMessage `json:"settings"`
+	Limits    ingressLimits   `json:"limits"`
+}
+
+type ingressLimits struct {
+	Cores    int `json:"cores"`
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"`
+}
+
+// startRealFleet starts backends, discovery, the counter and the ingresses, and waits until these answer. Whatever it
+// returns, the owner of f stops that.
+func (r *Run) startRealFleet(ctx context.Context, f *realFleet) error {
+	var err error
+	if f.directory, err = os.MkdirTemp("", temporaryPattern); err != nil {
+		return err
+	}
+	binary := r.Binary
+	if binary == "" {
+		if binary, err = buildIngress(ctx, r.monitor, f.directory); err != nil {
+			return err
+		}
+	}
+	if err := f.startBackends(); err != nil {
+		return err
+	}
+	if f.standIns, err = startStandIns(ctx, r.monitor, r.compareShape()); err != nil {
+		return err
+	}
+	if err := f.setList(f.targets); err != nil {
+		return err
+	}
+	for index := range r.Real {
+		ingress, err := r.startRealIngress(ctx, f, binary, index)
+		if err != nil {
+			return err
+		}
+		f.ingresses = append(f.ingresses, ingress)
+	}
+	for _, ingress := range f.ingresses {
+		if err := ingress.waitReady(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// buildIngress builds the ingress into a directory and returns the path of the binary.
+func buildIngress(ctx context.Context, monitor *resourceMonitor, directory string) (string, error) {
+	path := filepath.Join(directory, "ingress")
+	var output bytes.Buffer
+	build, err := startChild(ctx, monitor, func(ctx context.Context) *exec.Cmd {
+		cmd := exec.CommandContext(ctx, "go", "build", "-o", path, ingressPackage)
+		cmd.Stdout, cmd.Stderr = &output, &output
+		return cmd
+	})
+	if err == nil {
+		<-build.exited
+		err = build.err
+	}
+	if err != nil {
+		firstLine, _, _ := strings.Cut(strings.TrimSpace(output.String()), "\n")
+		return "", fmt.Errorf("building the ingress (--binary names one that is built): %w: %s", err, firstLine)
+	}
+	return path, nil
+}
+
+// startBackends starts the backends of the list and one that is called directly. stop ends their goroutines.
+func (f *realFleet) startBackends() error {
+	for i := range liveBackends {
+		backend, addr, err := f.startBackend(i)
+		if err != nil {
+			return err
+		}
+		f.backends = append(f.backends, backend)
+		f.targets = append(f.targets, newTarget(i, addr, stateServing))
+	}
+	var err error
+	f.directBackend, f.directAddr, err = f.startBackend(liveBackends)
+	return err
+}
+
+func (f *realFleet) startBackend(index int) (*standin.Backend, string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, "", fmt.Errorf("backends: %w", err)
+	}
+	backend := standin.NewBackend(standin.BackendConfig{Slots: compareBackendSlots, Reports: true, Seed: uint64(index),
+		Work: func(*rand.Rand) time.Duration { return compareServiceTime }})
+	f.serving.Go(func() { backend.Serve(listener) }) // an error shows in the requests
+	return backend, listener.Addr().String(), nil
+}
+
+// startRealIngress writes a configuration and starts a process with it.
+func (r *Run) startRealIngress(ctx context.Context, f *realFleet, binary string, index int) (*realIngress, error) {
+	settings, err := r.compareShape().settingsJSON(index)
+	if err != nil {
+		return nil, err
+	}
+	ingress := &realIngress{}
+	if ingress.addr, err = unusedAddr(); err != nil {
+		return nil, err
+	}
+	config, err := json.Marshal(ingressConfig{
+		Listen:    ingress.addr,
+		Discovery: f.discovery.addr,
+		Counter:   f.counter.addr,
+		Seed:      fmt.Sprintf("%x", r.Seed+uint64(index)),
+		Settings:  settings,
+		Limits:    ingressLimits{Cores: realIngressCores, MemoryMB: realIngressMemoryMB, Sockets: realIngressSockets},
+	})
+	if err != nil {
+		return nil, fmt.Errorf("configuration of the ingress: %w", err)
+	}
+	path := filepath.Join(f.directory, fmt.Sprintf("ingress-%d.json", index))
+	if err := os.WriteFile(path, config, 0o600); err != nil {
+		return nil, err
+	}
+	ingress.childProcess, err = startChild(ctx, r.monitor, func(ctx context.Context) *exec.Cmd {
+		cmd := exec.CommandContext(ctx, binary)
+		cmd.Env = append(os.Environ(), configVariable+"="+path)
+		cmd.Stderr = &ingress.stderr
+		return cmd
+	})
+	if err != nil {
+		return nil, fmt.Errorf("starting the ingress: %w", err)
+	}
+	return ingress, nil
+}
+
+// unusedAddr returns a loopback address that nobody listens at just now.
+func unusedAddr() (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer listener.Close()
+	return listener.Addr().String(), nil
+}
+
+// waitReady waits until the ingress answers PING, as a client does.
+func (i *realIngress) waitReady(ctx context.Context) error {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
+		select {
+		case <-i.exited: // err is nil after exit code 0
+			return fmt.Errorf("%w: %v: %s", errIngressExited, i.err, lastLineOf(i.stderr.String()))
+		default:
+		}
+		if i.answersPing(ctx) {
+			return nil
+		}
+		if err := sleep(ctx, pollInterval); err != nil {
+			return err
+		}
+	}
+	return fmt.Errorf("the ingress is %w after %v", errNotReady, readyTimeout)
+}
+
+func (i *realIngress) answersPing(ctx context.Context) bool {
+	client := newLoadGenerator(i.addr, 0)
+	defer client.close()
+	answer, err := client.call(ctx, []byte("*1\r\n$4\r\nPING\r\n"))
+	return err == nil && answer == reply{replySimple, "PONG"}
+}
+
+func lastLineOf(text string) string {
+	lines := strings.Split(strings.TrimSpace(text), "\n")
+	return lines[len(lines)-1]
+}
+
+// stop ends the ingresses as an operator does, and then all that they talk to.
+func (f *realFleet) stop() {
+	for _, ingress := range f.ingresses {
+		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has ended
+	}
+	for _, ingress := range f.ingresses {
+		ingress.waitOrKill(shutdownTimeout)
+	}
+	if f.standIns != nil {
+		f.standIns.stop()
+	}
+	for _, backend := range f.backends {
+		backend.Close()
+	}
+	if f.directBackend != nil {
+		f.directBackend.Close()
+	}
+	f.serving.Wait()
+	if f.directory != "" {
+		os.RemoveAll(f.directory) // what remains lies among the system's temporary files
+	}
+}
+
+// realCounters is what real ingresses, the clients and the stand-ins have done so far.
+type realCounters struct {
+	requests, rejected, failed, mismatched float64
+	cpuTime                                time.Duration // of the ingresses
+	counterCalls                           int
+	attempts                               []uint64 // at each backend
+	backendConnections                     float64
+}
+
+func (f *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
+	var c realCounters
+	for _, g := range generators {
+		c.requests += float64(g.sent)
+		c.rejected += float64(g.rejected.Load())
+		c.failed += float64(g.failed.Load())
+		c.mismatched += float64(g.mismatched.Load())
+	}
+	for _, backend := range f.backends {
+		stats := backend.Stats()
+		c.attempts = append(c.attempts, uint64(stats.Attempts))
+		c.backendConnections += float64(stats.Conns)
+	}
+	var err error
+	if c.cpuTime, err = f.cpuTime(); err != nil {
+		return c, err
+	}
+	counter, err := f.counter.call(standInCommand{Action: actionReport})
+	c.counterCalls = counter.Counter.Calls
+	return c, err
+}
+
+// cpuTime returns the processor time of all ingresses so far.
+func (f *realFleet) cpuTime() (time.Duration, error) {
+	var sum time.Duration
+	for _, ingress := range f.ingresses {
+		d, err := processCPUTime(ingress.pid())
+		if err != nil {
+			return 0, err
+		}
+		sum += d
+	}
+	return sum, nil
+}
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -7,33 +7,45 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metric is what a histogram is about.
+// metric says what a histogram of times is about.
 type metric int
 
-// Processor time of the module by event, then what requests wait.
 const (
+	// Processor time of the decision module for an event.
 	metricArrival metric = iota
 	metricAttemptEnd
-	metricCounterReply // of the counter
+	metricCounterReply
 	metricChange
 	metricSnapshot
 	metricTimer
-	metricAddedLatency // from the arrival to the first attempt
-	metricLateness     // of a hollow ingress behind its own clock
+
+	metricAddedLatency // of a request, from its arrival to its first attempt
+	metricLateness     // of an arrival, behind the clock of its ingress
+
 	metricCount
 )
 
 const (
 	recorderShards    = 8 // so that hundreds of ingresses seldom wait for one another
 	maxRecordedTime   = 60 * time.Second
-	significantDigits = 2 // that a histogram tells apart: 1%
+	significantDigits = 2 // of a histogram: errors of at most 1%
 )
 
-// Recorder holds histograms of times, in ns, of many hollow ingresses.
-type Recorder struct {
-	shards [recorderShards]struct {
-		mu    sync.Mutex
-		kinds [metricCount]*hdrhistogram.Histogram
+// histograms holds a histogram of times in ns for each metric.
+type histograms [metricCount]*hdrhistogram.Histogram
+
+func newHistograms() histograms {
+	var h histograms
+	for m := range h {
+		h[m] = newHistogram()
+	}
+	return h
+}
+
+// merge adds what other has recorded; other stays as it is.
+func (h *histograms) merge(other histograms) {
+	for m := range h {
+		h[m].Merge(other[m])
 	}
 }
 
@@ -41,38 +53,47 @@
 	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
-// NewRecorder returns an empty one.
+// recordTime adds a time to a histogram of newHistogram; one outside its bounds counts as the nearest bound.
+func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
+	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
+}
+
+// Recorder gathers times of many hollow ingresses. It is safe for concurrent use.
+type Recorder struct {
+	shards [recorderShards]struct {
+		mu         sync.Mutex // guards histograms
+		histograms histograms
+	}
+}
+
+// NewRecorder returns a recorder without times.
 func NewRecorder() *Recorder {
 	r := &Recorder{}
 	for i := range r.shards {
-		for k := range r.shards[i].kinds {
-			r.shards[i].kinds[k] = newHistogram()
-		}
+		r.shards[i].histograms = newHistograms()
 	}
 	return r
 }
 
-func (r *Recorder) record(who int, k metric, d time.Duration) {
-	p := &r.shards[who%recorderShards]
-	p.mu.Lock()
-	p.kinds[k].RecordValue(int64(min(max(d, 1), maxRecordedTime))) // always within its bounds
-	p.mu.Unlock()
+// record adds a time of one ingress.
+func (r *Recorder) record(ingress int, m metric, d time.Duration) {
+	shard := &r.shards[ingress%recorderShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	recordTime(shard.histograms[m], d)
 }
 
 // drain returns what was recorded since the last call.
-func (r *Recorder) drain() [metricCount]*hdrhistogram.Histogram {
-	var sum [metricCount]*hdrhistogram.Histogram
-	for k := range sum {
-		sum[k] = newHistogram()
-	}
+func (r *Recorder) drain() histograms {
+	sum := newHistograms()
 	for i := range r.shards {
-		p := &r.shards[i]
-		p.mu.Lock()
-		for k, h := range p.kinds {
-			sum[k].Merge(h)
+		shard := &r.shards[i]
+		shard.mu.Lock()
+		sum.merge(shard.histograms)
+		for _, h := range shard.histograms {
 			h.Reset()
 		}
-		p.mu.Unlock()
+		shard.mu.Unlock()
 	}
 	return sum
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -3,20 +3,18 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 	"slices"
-	"strconv"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-const reportFormat = "hitchspring-scale/1"
+// reportFormat names the form of the report file. Reports that were written before have another name in its place;
+// nothing reads those.
+const reportFormat = "lemontack-scale/1"
 
-// Report is all that a run has to tell.
+// Report is what a run has measured. Its keys in the file stay as they are, for scripts that read them.
 type Report struct {
 	Format  string        `json:"format"`
 	Date    time.Time     `json:"date"`
@@ -24,14 +22,14 @@
 	Commit  string        `json:"commit,omitempty"`
 	Flags   Options       `json:"flags"`
 	Machine Machine       `json:"machine"`
-	Ended   string        `json:"ended"` // whole, or why not
+	Ended   string        `json:"ended"` // whole, or partial and why
 	Notes   []string      `json:"notes"`
 	Points  []*Point      `json:"points"`
 	Fits    []Fit         `json:"fits"`
 	Used    ResourceUsage `json:"used"`
 }
 
-// reportNotes are what the figures stand for, for all runs.
+// reportNotes say how the figures of any run are to be read.
 func reportNotes() []string {
 	return []string{
 		"sweeps of backends and tenants: one ingress at a time on a driven clock, with no socket but for the list",
@@ -42,13 +40,13 @@
 	}
 }
 
-// Point is one size of a sweep.
+// Point is the measurement of one size of a sweep.
 type Point struct {
 	Sweep   string   `json:"sweep"`
 	Label   string   `json:"label"`
-	Against string   `json:"against,omitempty"` // what its size is; empty: not for a fit
+	Against string   `json:"against,omitempty"` // what Size counts; empty: not for a fit
 	Size    float64  `json:"size"`
-	Seconds float64  `json:"seconds"`
+	Seconds float64  `json:"seconds"`           // that the measurement took
 	Skipped string   `json:"skipped,omitempty"` // why it has no figures
 	Notes   []string `json:"notes,omitempty"`
 	Figures []Figure `json:"figures,omitempty"`
@@ -62,10 +60,10 @@
 	Value       float64      `json:"value"`
 	Samples     uint64       `json:"samples,omitempty"`
 	Percentiles *Percentiles `json:"percentiles,omitempty"`
-	NoFit       bool         `json:"-"` // it tells of the run, not of a cost
+	NoFit       bool         `json:"-"` // the figure describes the run and is no cost: no line is fitted
 }
 
-// Percentiles are a histogram's, in the figure's unit.
+// Percentiles are those of a histogram, in the unit of its figure.
 type Percentiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -75,46 +73,66 @@
 	Mean float64 `json:"mean"`
 }
 
-// Roles.
+// Roles are what a figure is about: programs, or the run itself. Those of the stand-ins also name their processes.
 const (
 	roleIngress   = "ingress"
 	roleDiscovery = "discovery"
 	roleCounter   = "counter"
+	roleBackends  = "backends"
 	roleRun       = "run"
 )
 
-// Figures that more than one sweep has.
-const figureCounterCalls = "counter calls for a request"
+// Names of figures that more than one sweep has.
+const (
+	figureCounterCalls = "counter calls for a request"
+	figureAttempts     = "attempts for a request"
+	figureAddedLatency = "added, no socket (p99)"
+)
 
-func (p *Point) add(role, name, unit string, value float64, samples uint64) {
+// addFigure adds a cost, which a line may be fitted to.
+func (p *Point) addFigure(role, name, unit string, value float64, samples uint64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, Samples: samples})
 }
 
-// addUnfitted adds a figure that no line is sought for.
+// addUnfitted adds a figure that no line is fitted to.
 func (p *Point) addUnfitted(role, name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, NoFit: true})
 }
 
-// excludeFromFit keeps a figure out of the slopes.
+// excludeFromFit turns a figure that was added into one that no line is fitted to.
 func (p *Point) excludeFromFit(name string) {
 	for i := range p.Figures {
 		p.Figures[i].NoFit = p.Figures[i].NoFit || p.Figures[i].Name == name
 	}
 }
 
-func (p *Point) addNote(form string, args ...any) {
-	p.Notes = append(p.Notes, fmt.Sprintf(form, args...))
+func (p *Point) addNote(format string, args ...any) {
+	p.Notes = append(p.Notes, fmt.Sprintf(format, args...))
 }
 
-// addHistogram adds a histogram of ns with one of its quantiles as the value, in a unit of so many ns.
-func (p *Point) addHistogram(role, name, unit string, per time.Duration, h *hdrhistogram.Histogram, quantile float64) {
+// addHistogram adds a histogram of times in ns, with one of its quantiles (0 to 100) as the value of the figure. The
+// name of the unit is given with its length.
+func (p *Point) addHistogram(role, name, unit string, unitLength time.Duration, h *hdrhistogram.Histogram,
+	quantile float64) {
 	if h.TotalCount() == 0 {
 		return
 	}
-	q := func(v float64) float64 { return float64(h.ValueAtQuantile(v)) / float64(per) }
-	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: q(quantile),
-		Samples: uint64(h.TotalCount()), Percentiles: &Percentiles{q(50), q(90), q(99), q(99.9),
-			float64(h.Max()) / float64(per), h.Mean() / float64(per)}})
+	at := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / float64(unitLength) }
+	p.Figures = append(p.Figures, Figure{
+		Role:    role,
+		Name:    name,
+		Unit:    unit,
+		Value:   at(quantile),
+		Samples: uint64(h.TotalCount()),
+		Percentiles: &Percentiles{
+			P50:  at(50),
+			P90:  at(90),
+			P99:  at(99),
+			P999: at(99.9),
+			Max:  float64(h.Max()) / float64(unitLength),
+			Mean: h.Mean() / float64(unitLength),
+		},
+	})
 }
 
 func (p *Point) find(role, name string) (Figure, bool) {
@@ -125,106 +143,15 @@
 	return p.Figures[i], true
 }
 
-// formatNumber writes a figure for people: thousands apart where it is large, three digits where it is not.
-func formatNumber(v float64) string {
-	if v < 0 {
-		return "-" + formatNumber(-v)
-	}
-	if v >= 999.5 {
-		s := strconv.FormatFloat(v, 'f', 0, 64)
-		for i := len(s) - 3; i > 0; i -= 3 {
-			s = s[:i] + "," + s[i:]
-		}
-		return s
-	}
-	if v == float64(int(v)) {
-		return strconv.Itoa(int(v))
-	}
-	return strconv.FormatFloat(v, 'g', 3, 64)
-}
-
-// Write prints the tables.
-func (r *Report) Write(w io.Writer) error {
-	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	line := func(form string, args ...any) { fmt.Fprintf(out, form+"\n", args...) } // Flush tells of errors
-	line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.Go, r.Machine.Cores,
-		formatMegabytes(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
-	for _, n := range r.Notes {
-		line("- %s", n)
-	}
-	for from := 0; from < len(r.Points); {
-		to := from
-		for to < len(r.Points) && r.Points[to].Sweep == r.Points[from].Sweep {
-			to++
-		}
-		writeSweep(line, r.Points[from:to])
-		from = to
-	}
-	if len(r.Fits) > 0 {
-		line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxDeviation)
-		line("sweep\trole\tfigure\tunit\tslope per 1,000\tat 0\tR2\tresidual\trelative\toff")
-	}
-	for _, f := range r.Fits {
-		off := "-"
-		if len(f.Off) > 0 {
-			off = fmt.Sprintf("%d of %d do not fit a line", len(f.Off), f.Points)
-		}
-		line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit, formatNumber(1000*f.Slope),
-			formatNumber(f.Intercept), f.R2, formatNumber(f.Residual), 100*f.Relative, off)
-	}
-	line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		formatMegabytes(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.CPUSeconds, r.Used.WallSeconds)
-	if err := out.Flush(); err != nil {
-		return fmt.Errorf("table: %w", err)
-	}
-	return nil
+// quantileMS returns a quantile (0 to 100) of a histogram of times in ns, in milliseconds.
+func quantileMS(h *hdrhistogram.Histogram, quantile float64) float64 {
+	return float64(h.ValueAtQuantile(quantile)) / float64(time.Millisecond)
 }
 
-// writeSweep prints one table: a row for each figure, a column for each point.
-func writeSweep(line func(string, ...any), points []*Point) {
-	line("\n%s", strings.ToUpper(points[0].Sweep))
-	type row struct{ role, name, unit string }
-	var rows []row
-	head := "role\tfigure\tunit"
-	for _, p := range points {
-		if p.Skipped != "" {
-			continue
-		}
-		head += "\t" + p.Label
-		for _, f := range p.Figures {
-			if k := (row{f.Role, f.Name, f.Unit}); !slices.Contains(rows, k) {
-				rows = append(rows, k)
-			}
-		}
-	}
-	if len(rows) > 0 {
-		line("%s", head)
-	}
-	for _, k := range rows {
-		cells := k.role + "\t" + k.name + "\t" + k.unit
-		for _, p := range points {
-			if p.Skipped != "" {
-				continue
-			}
-			cell := "-"
-			if f, ok := p.find(k.role, k.name); ok {
-				cell = formatNumber(f.Value)
-			}
-			cells += "\t" + cell
-		}
-		line("%s", cells)
-	}
-	for _, p := range points {
-		if p.Skipped != "" {
-			line("%s: skipped, %s", p.Label, p.Skipped)
-		}
-		for _, n := range p.Notes {
-			line("%s: %s", p.Label, n)
-		}
-	}
-}
+func toKB(bytes float64) float64 { return bytes / (1 << 10) }
+func toMB(bytes float64) float64 { return bytes / (1 << 20) }
 
-// Save writes the file whole or not at all.
+// Save writes the report to a file. The file is complete or is not written at all.
 func (r *Report) Save(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- /dev/null
+++ b/internal/scale/report_test.go
@@ -0,0 +1,69 @@
+package scale
+
+import (
+	"bytes"
+	"encoding/json"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// sampleReport returns a report with four points of a sweep whose costs are no line, and one that was skipped.
+func sampleReport() *Report {
+	r := &Report{Format: reportFormat, Seed: 3, Ended: "whole"}
+	for i := range 4 {
+		p := &Point{Sweep: "backends", Label: formatNumber(float64(1000 * i)), Against: "backends", Size: float64(i)}
+		p.addFigure(roleIngress, "cost", "µs", float64(i*i), 9)
+		h := newHistogram()
+		recordTime(h, time.Millisecond)
+		p.addHistogram(roleIngress, "wait", "ms", time.Millisecond, h, 50)
+		r.Points = append(r.Points, p)
+	}
+	r.Points[1].addNote("list not taken")
+	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", Skipped: "no time is left for it"})
+	r.Fits = fits(r.Points)
+	return r
+}
+
+func TestTablesNameSkippedPointsNotesAndOutliers(t *testing.T) {
+	var text bytes.Buffer
+	if err := sampleReport().Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"seed 3", "3,000", "1,000: list not taken", "lost: skipped, no time",
+		"3 of 4 do not fit a line"} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("the tables do not say %q:\n%s", want, text.String())
+		}
+	}
+}
+
+func TestSavedReportCanBeReadBack(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "scale.json")
+	if err := sampleReport().Save(path); err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Report
+	if err := json.Unmarshal(file, &got); err != nil || got.Format != reportFormat || len(got.Points) != 5 {
+		t.Errorf("read back: %v, %+v", err, got)
+	}
+	if p := got.Points[0].Figures[1].Percentiles; p == nil || math.Abs(p.P99-1) > 0.02 {
+		t.Errorf("percentiles %+v, want 1 ms", p)
+	}
+}
+
+func TestFormatNumber(t *testing.T) {
+	for v, want := range map[float64]string{0: "0", 7: "7", 0.1234: "0.123", 999.6: "1,000", 999.4: "999", 1000: "1,000",
+		200000: "200,000", -1234567: "-1,234,567"} {
+		if got := formatNumber(v); got != want {
+			t.Errorf("%v is written %q, want %q", v, got, want)
+		}
+	}
+}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,87 +13,36 @@
 )
 
 const (
-	liveTenants     = 300 // of each hollow ingress that is live
-	liveBackends    = 200 // but in the sweep of backends: what a request costs in the module grows with them
-	meanServiceTime = 20 * time.Millisecond
-	reportReserve   = 5 * time.Second // of the time bound, for the report
+	liveTenants     = 300                   // of each hollow ingress that is live
+	liveBackends    = 200                   // except in their own sweep: a request costs more the more there are
+	meanServiceTime = 20 * time.Millisecond // of a request at a backend
+	reportReserve   = 5 * time.Second       // of the run's time, for the report
+	quickDivisor    = 4                     // of the time of each point in a quick run
 )
 
-// Sweeps are all that there are, in their order.
-func Sweeps() []string {
-	return []string{"backends", "ingresses", "tenants", "changes", "zone", "compare"}
-}
-
-// Options are what a run is asked for; the tags are for the command line, where sweeps stands for all Sweeps.
-type Options struct {
-	Sweep     []string  `help:"Sweeps to run, of ${enum}." enum:"${sweeps}" default:"${sweeps}" json:"sweep"`
-	Seed      uint64    `help:"Seed of all that is drawn." default:"1" json:"seed"`
-	JSON      string    `help:"File for all figures." name:"json" default:"scale.json" json:"json"`
-	Minutes   float64   `help:"Bound of the run; what is left then is skipped." default:"9" json:"minutes"`
-	Backends  []int     `help:"Numbers of backends." default:"200,1000,5000,20000,60000,200000" json:"backends"`
-	Ingresses []int     `help:"Numbers of live ingresses." default:"10,30,100,200,300,500,800" json:"ingresses"`
-	Tenants   []int     `help:"Tenants of one ingress." default:"100,300,1000,3000,10000,30000" json:"tenants"`
-	Changes   []float64 `help:"Changes a second." default:"1,10,50" json:"changes"`
-	Fleet     int       `help:"Ingresses of the fleet where one is measured alone." default:"6400" json:"fleet"`
-	Rate      float64   `help:"Requests a second of one ingress." default:"328" json:"rate"`
-	LiveRate  float64   `help:"The same where many are live at once." default:"100" json:"live_rate"`
-	Real      int       `help:"Real processes to compare with hollow ones." default:"3" json:"real"`
-	Binary    string    `help:"A built ingress; else the run builds one." type:"existingfile" optional:"" json:"binary"`
-	Quick     bool      `help:"Small sizes and short points, to try the run: about a minute." json:"quick"`
-}
-
-// withQuickSizes is the run of small sizes.
-func (o Options) withQuickSizes() Options {
-	o.Backends, o.Ingresses, o.Tenants = []int{200, 1000, 5000}, []int{5, 10, 20}, []int{100, 300, 1000}
-	o.Changes, o.Real, o.Minutes = []float64{1, 10, 50}, min(o.Real, 2), min(o.Minutes, 3)
-	return o
-}
-
-// validate says in one line what can't be run.
-func (o Options) validate() error {
-	sizes := []struct {
-		name string
-		list []int
-		most int
-	}{{"backends", o.Backends, 1 << 21}, {"ingresses", o.Ingresses, 1 << 14}, {"tenants", o.Tenants, 1 << 21},
-		{"fleet", []int{o.Fleet}, 1 << 14}, {"real", []int{o.Real}, 1 << 14}}
-	for _, s := range sizes {
-		if len(s.list) == 0 || slices.Min(s.list) < 1 || slices.Max(s.list) > s.most {
-			return fmt.Errorf("--%s: sizes from 1 to %d are wanted", s.name, s.most)
-		}
-	}
-	if len(o.Changes) == 0 || !(slices.Min(o.Changes) > 0) || !(slices.Max(o.Changes) <= 1000) {
-		return errors.New("--changes: over 0 and up to 1000 a second are wanted")
-	}
-	for name, rate := range map[string]float64{"rate": o.Rate, "live-rate": o.LiveRate} {
-		if !(rate > 0 && rate <= 1e5) {
-			return fmt.Errorf("--%s: over 0 and up to 100000 a second are wanted", name)
-		}
-	}
-	if !(o.Minutes > 0 && o.Minutes < 10) {
-		return errors.New("--minutes: over 0 and under 10 are wanted")
-	}
-	return nil
-}
+var (
+	errTimeUp       = errors.New("the time is up")
+	errPointsFailed = errors.New("points failed")
+)
 
-// Run is one run of the sweeps.
+// Run is one run of the sweeps. It belongs to the goroutine that calls Measure.
 type Run struct {
 	Options
 	progress  io.Writer
 	monitor   *resourceMonitor
 	report    *Report
 	deadline  time.Time
-	saturated bool // the machine bears no larger fleet
+	saturated bool // the machine does not bear a larger live fleet
 }
 
-// job is one point of a sweep, still to be measured.
+// job is one point of a sweep that is still to be measured.
 type job struct {
-	point    Point
+	point    Point         // without figures
 	duration time.Duration // about
 	measure  func(context.Context, *Point) error
 }
 
-// NewRun checks what is asked for, and does nothing yet.
+// NewRun checks the options and returns a run that has not started anything. Its progress is written line by line.
 func NewRun(o Options, progress io.Writer) (*Run, error) {
 	if o.Quick {
 		o = o.withQuickSizes()
@@ -101,25 +50,35 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	m, err := describeMachine()
+	machine, err := describeMachine()
 	if err != nil {
 		return nil, err
 	}
-	if err := checkResources(o, m); err != nil {
+	if err := checkResources(o, machine); err != nil {
 		return nil, err
 	}
-	r := &Run{Options: o, progress: progress, monitor: newResourceMonitor(),
-		report: &Report{Format: reportFormat, Date: time.Now().UTC(), Seed: o.Seed, Commit: sourceRevision(), Flags: o, Machine: m,
-			Notes: reportNotes()}}
-	return r, nil
+	return &Run{
+		Options:  o,
+		progress: progress,
+		monitor:  newResourceMonitor(),
+		report: &Report{
+			Format:  reportFormat,
+			Date:    time.Now().UTC(),
+			Seed:    o.Seed,
+			Commit:  sourceRevision(),
+			Flags:   o,
+			Machine: machine,
+			Notes:   reportNotes(),
+		},
+	}, nil
 }
 
-// sourceRevision is that of the code, if the build or the folder tell it.
+// sourceRevision returns the commit of the code, from the build or from the working directory; empty if neither has it.
 func sourceRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				return setting.Value
 			}
 		}
 	}
@@ -130,27 +89,19 @@
 	return strings.TrimSpace(string(out))
 }
 
-var errPointsFailed = errors.New("points failed")
-
-// Measure measures all points, one after another. The report holds what has been measured, also where it ends early; the
-// error says why in one line.
+// Measure measures all points, one after another. The report holds what has been measured, also where the run ends
+// early; the error then says why in one line.
 func (r *Run) Measure(ctx context.Context) (*Report, error) {
-	began := time.Now()
-	r.deadline = began.Add(time.Duration(r.Minutes * float64(time.Minute)))
+	start := time.Now()
+	r.deadline = start.Add(time.Duration(r.Minutes * float64(time.Minute)))
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errors.New("the time is up"))
+	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errTimeUp)
 	defer cancel()
-	watched := make(chan struct{})
-	life, over := context.WithCancel(context.Background())
-	go func() {
-		defer close(watched)
-		r.monitor.run(life, uint64(maxMemoryShare*float64(r.report.Machine.Memory)), stop)
-	}()
+	stopMonitor := r.startMonitor(stop)
 	failed := r.measurePoints(ctx)
 	r.monitor.sample()
-	over()
-	<-watched
+	stopMonitor()
 	r.report.Ended = "whole"
 	err := context.Cause(ctx)
 	if err == nil && failed > 0 {
@@ -160,64 +111,100 @@
 		r.report.Ended = "partial: " + err.Error()
 	}
 	r.report.Fits = fits(r.report.Points)
-	r.report.Used = ResourceUsage{r.monitor.peakMemory, r.monitor.peakProcesses, cpuTime(wholeProcess).Seconds(), time.Since(began).Seconds()}
+	r.report.Used = ResourceUsage{
+		PeakMemory:    r.monitor.peakMemory,
+		PeakProcesses: r.monitor.peakProcesses,
+		CPUSeconds:    cpuTime(wholeProcess).Seconds(),
+		WallSeconds:   time.Since(start).Seconds(),
+	}
 	return r.report, err
 }
 
+// startMonitor starts the goroutine of the resource monitor, and returns a function that ends it and waits for it.
+func (r *Run) startMonitor(stopRun func(error)) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background()) // beyond the run's: its children end after that
+	ended := make(chan struct{})
+	go func() { // stop ends it and waits for it
+		defer close(ended)
+		r.monitor.run(ctx, uint64(maxMemoryShare*float64(r.report.Machine.Memory)), stopRun)
+	}()
+	return func() {
+		cancel()
+		<-ended
+	}
+}
+
+// measurePoints measures all points and returns how many failed for another reason than the end of the run.
 func (r *Run) measurePoints(ctx context.Context) (failed int) {
 	jobs := r.jobs()
 	for i, j := range jobs {
 		p := j.point
 		r.report.Points = append(r.report.Points, &p)
-		switch {
-		case ctx.Err() != nil:
+		if ctx.Err() != nil {
 			p.Skipped = context.Cause(ctx).Error()
 			continue
-		case time.Until(r.deadline)-reportReserve < j.duration:
+		}
+		if time.Until(r.deadline)-reportReserve < j.duration {
 			p.Skipped = "no time is left for it"
 			r.logProgress("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.Skipped)
 			continue
 		}
 		r.logProgress("[%d/%d] %s %s", i+1, len(jobs), p.Sweep, p.Label)
-		began := time.Now()
-		err := j.measure(ctx, &p)
-		p.Seconds = time.Since(began).Seconds()
-		if err != nil && ctx.Err() != nil {
-			p.Notes = append(p.Notes, "cut short: "+context.Cause(ctx).Error())
-			p.Against = ""
-		} else if err != nil {
+		if !r.measurePoint(ctx, j, &p) {
 			failed++
-			p.Skipped = "failed: " + err.Error()
-			r.logProgress("  %s", p.Skipped)
-		}
-		for _, n := range p.Notes {
-			r.logProgress("  %s", n)
 		}
 	}
 	return failed
 }
 
-func (r *Run) logProgress(form string, args ...any) {
-	fmt.Fprintf(r.progress, form+"\n", args...) // progress that can't be shown stops nothing
+// measurePoint measures one point. It returns false if that failed while the run went on.
+func (r *Run) measurePoint(ctx context.Context, j job, p *Point) bool {
+	start := time.Now()
+	err := j.measure(ctx, p)
+	p.Seconds = time.Since(start).Seconds()
+	failed := err != nil && ctx.Err() == nil
+	switch {
+	case failed:
+		p.Skipped = "failed: " + err.Error()
+		r.logProgress("  %s", p.Skipped)
+	case err != nil:
+		p.addNote("cut short: %s", context.Cause(ctx))
+		p.Against = ""
+	}
+	for _, note := range p.Notes {
+		r.logProgress("  %s", note)
+	}
+	return !failed
 }
 
-// scaled is how long a point may take: less in a quick run.
+// logProgress writes a line of progress. One that cannot be written stops nothing.
+func (r *Run) logProgress(format string, args ...any) {
+	fmt.Fprintf(r.progress, format+"\n", args...)
+}
+
+// scaled returns how long a part of a point takes in this run, of its time in a complete one.
 func (r *Run) scaled(d time.Duration) time.Duration {
 	if r.Quick {
-		return d / 4
+		return d / quickDivisor
 	}
 	return d
 }
 
-// jobs are all points, in the order of the sweeps.
+// jobs returns all points of the sweeps that are asked for, in the order of Sweeps.
 func (r *Run) jobs() []job {
-	sweeps := map[string]func() []job{"backends": r.backendJobs, "ingresses": r.ingressJobs,
-		"tenants": r.tenantJobs, "changes": r.changeJobs, "zone": r.zoneJobs, "compare": r.compareJobs}
-	var list []job
+	jobsOf := map[string]func() []job{
+		backendsSweep:  r.backendJobs,
+		ingressesSweep: r.ingressJobs,
+		tenantsSweep:   r.tenantJobs,
+		changesSweep:   r.changeJobs,
+		zoneSweep:      r.zoneJobs,
+		compareSweep:   r.compareJobs,
+	}
+	var jobs []job
 	for _, name := range Sweeps() {
 		if slices.Contains(r.Sweep, name) {
-			list = append(list, sweeps[name]()...)
+			jobs = append(jobs, jobsOf[name]()...)
 		}
 	}
-	return list
+	return jobs
 }
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -1,10 +1,6 @@
-// Package scale measures what an ingress costs by the size of its fleet: hundreds of hollow ingresses in one process
-// (the real decision module, the real discovery and counter code, drawn arrivals and answers), beside a few real ones
-// that are compared with them.
 package scale
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -14,129 +10,132 @@
 )
 
 const (
-	zones              = 9
-	meanUnits          = 1.5 // one or two units each, as likely
-	maxRequestUnits    = 2
-	quotaMargin        = 2.0 // a plan's rate, in the demand of one of its tenants
-	burstDuration      = 20  // of the rate, that a store holds
-	lookupFraction     = 0.7 // of the requests; the others are orders
-	slowStartMinWeight = 0.2
+	zones = 9 // of backends and of ingresses
+
+	maxRequestUnits = 2   // units that a request asks for: from 1 on, all equally likely
+	meanUnits       = 1.5 // of a request
+	lookupShare     = 0.7 // of the requests; the others are orders
+
+	quotaMargin  = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
+	minPlanRate  = 0.1 // units a second
+	burstSeconds = 20  // burst of a plan, in seconds of its rate
+)
+
+// Classes of requests.
+const (
+	lookupClass    = "lookup"
+	lookupDeadline = time.Second
+	orderClass     = "order"
+	orderDeadline  = 2 * time.Second
+)
+
+// Backends that have just started.
+const (
+	slowStartMinWeight = 0.2 // share of the full speed at the start
 	slowStartWindow    = 10 * time.Second
-	slowStartMultiple  = 2.0
+	slowStartMultiple  = 2.0 // attempts that a cold backend bears, in multiples of what it serves
 	slowStartSpan      = time.Second
-	connectTimeout     = 250 * time.Millisecond
 )
 
-// plans are the shares of the tenants, and through how many ingresses one of them comes.
-var plans = [...]struct {
-	name   string
-	share  float64
-	spread int
-	sparse bool // the burst holds one large request for each ingress
-}{{"solo", 0.3, 1, false}, {"team", 0.5, 4, false}, {"wide", 0.2, 32, true}}
+const connectTimeout = 250 * time.Millisecond // for a connection to a backend
+
+// tenantPlan is a plan that tenants have.
+type tenantPlan struct {
+	name        string
+	share       float64 // of the tenants
+	gatewaySpan int     // ingresses that one tenant comes through; fewer where the fleet is smaller
+	smallBurst  bool    // the burst holds one large request for each ingress, which needs a central token bucket
+}
+
+var plans = [...]tenantPlan{
+	{name: "solo", share: 0.3, gatewaySpan: 1},
+	{name: "team", share: 0.5, gatewaySpan: 4},
+	{name: "wide", share: 0.2, gatewaySpan: 32, smallBurst: true},
+}
 
-// FleetShape is the fleet as one ingress sees it; the settings of hollow and real ingresses follow from it alone.
+// FleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
 type FleetShape struct {
 	Ingresses int
 	Tenants   int     // of one ingress, about
-	Rate      float64 // requests a second of one ingress, for which the quotas are sized
-	Polled    bool    // the list has to be asked for, else it is pushed
+	Rate      float64 // requests a second of one ingress, which the quotas are made for
+	Polled    bool    // ingresses fetch the endpoint list; else it is pushed
 }
 
-func zoneName(i int) string { return fmt.Sprint("z", i%zones) }
-
-type object = map[string]any
-
-// settings is the settings object of one ingress, as a configuration holds it.
-func (s FleetShape) settings(me int) ([]byte, error) {
-	mode := "automatic"
-	if s.Polled {
-		mode = "subscribe"
-	}
-	us := func(d time.Duration) int64 { return d.Microseconds() }
-	text, err := json.Marshal(object{"me": me, "replicasOfMe": s.Ingresses, "myZone": zoneName(me), "registryMode": mode,
-		"classes": []object{
-			{"name": "lookup", "value": 1, "objectiveUs": us(200 * time.Millisecond), "deadlineUs": us(time.Second),
-				"lateShare": 0.3, "effect": "read_like"},
-			{"name": "order", "value": 3, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(2 * time.Second),
-				"lateShare": 0.3, "effect": "non_idempotent"}},
-		"contracts":  s.planSettings(),
-		"familyInfo": object{"counterTimeoutUs": us(100 * time.Millisecond), "maxUnits": maxRequestUnits, "sharedCounter": true},
-		"permissions": object{"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(connectTimeout), "maxOpen": 20000,
-			"maxAttempts": 3, "maxRetryAfterUs": us(time.Second), "mayCancel": true, "parallelTries": true,
-			"retryAfter": true},
-		"prices": object{"crossZone": 0, "handshake": 0.02},
-		"invariants": object{"coldFrom": slowStartMinWeight, "warmAfterUs": us(slowStartWindow), "fallMultiple": slowStartMultiple,
-			"fallUs": us(slowStartSpan), "drainGraceUs": us(time.Second)}})
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return text, nil
-}
+func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
 
-func (s FleetShape) policySettings(me int) (policy.Settings, error) {
-	text, err := s.settings(me)
+// policySettings returns the settings of one ingress as its decision module takes them.
+func (s FleetShape) policySettings(index int) (policy.Settings, error) {
+	text, err := s.settingsJSON(index)
 	if err != nil {
 		return policy.Settings{}, err
 	}
-	set, _, err := wire.ParseSettings(text)
+	settings, _, err := wire.ParseSettings(text)
 	if err != nil {
 		return policy.Settings{}, err
 	}
-	return *set, nil
+	return *settings, nil
 }
 
-// planSettings are the plans with quotas that hold what their tenants ask for.
-func (s FleetShape) planSettings() []object {
-	var list []object
-	for i, p := range plans {
-		spread := min(p.spread, s.Ingresses)
-		perTenant := s.Rate * p.share * meanUnits * float64(spread) / float64(max(1, s.tenantsPerFirst(i)*spread))
-		rate := max(0.1, quotaMargin*perTenant)
-		burst := max(burstDuration*rate, 3*float64(spread)*maxRequestUnits)
-		if p.sparse {
-			burst = float64(spread) * maxRequestUnits
+// planSettings returns the plans, with quotas that hold what their tenants ask for.
+func (s FleetShape) planSettings() []planSettings {
+	var list []planSettings
+	for i, plan := range plans {
+		span := s.gatewaySpan(plan)
+		tenants := s.tenantsPerFirstGateway(plan) * span // of the plan, at one ingress
+		demand := s.Rate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
+		rate := max(minPlanRate, quotaMargin*demand)
+		burst := max(burstSeconds*rate, 3*float64(span)*maxRequestUnits)
+		if plan.smallBurst {
+			burst = float64(span) * maxRequestUnits
 		}
-		list = append(list, object{"name": p.name, "price": float64(i + 1), "refill": rate, "burst": burst})
+		list = append(list, planSettings{Name: plan.name, Price: float64(i + 1), Refill: rate, Burst: burst})
 	}
 	return list
 }
 
-// tenantsPerFirst is how many tenants of a plan have their set begin at the same ingress.
-func (s FleetShape) tenantsPerFirst(plan int) int {
-	spread := min(plans[plan].spread, s.Ingresses)
-	return max(1, int(float64(s.Tenants)*plans[plan].share/float64(spread)+0.5))
+func (s FleetShape) gatewaySpan(plan tenantPlan) int { return min(plan.gatewaySpan, s.Ingresses) }
+
+// tenantsPerFirstGateway returns how many tenants of a plan have the same first gateway.
+func (s FleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
+	return max(1, int(float64(s.Tenants)*plan.share/float64(s.gatewaySpan(plan))+0.5))
 }
 
-// tenant is a customer with its set of ingresses.
+// tenant is a customer, with the ingresses that it comes through: gatewaySpan of them from firstGateway on.
 type tenant struct {
 	id, plan                  string
 	gatewaySpan, firstGateway int
 }
 
-// tenantsOf lists the tenants that come through one ingress; all ingresses agree on who shares whom.
-func (s FleetShape) tenantsOf(me int) []tenant {
+// tenantsOf returns the tenants that come through one ingress. All ingresses agree on which tenants they share.
+func (s FleetShape) tenantsOf(index int) []tenant {
 	var list []tenant
-	for i, p := range plans {
-		spread := min(p.spread, s.Ingresses)
-		for back := range spread {
-			first := (me - back + s.Ingresses) % s.Ingresses
-			for k := range s.tenantsPerFirst(i) {
-				id := fmt.Sprintf("%016x", i<<30|first<<16|k)
-				list = append(list, tenant{id, p.name, spread, first})
+	for planIndex, plan := range plans {
+		span := s.gatewaySpan(plan)
+		for offset := range span {
+			first := (index - offset + s.Ingresses) % s.Ingresses
+			for number := range s.tenantsPerFirstGateway(plan) {
+				id := fmt.Sprintf("%016x", planIndex<<30|first<<16|number)
+				list = append(list, tenant{id, plan.name, span, first})
 			}
 		}
 	}
 	return list
 }
 
-// drawRequest is a request of one of the tenants; plans have the share of the requests that they have of the tenants.
+// drawRequest draws a request of one of the tenants. All tenants send equally much.
 func drawRequest(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
 	t := tenants[rng.IntN(len(tenants))]
-	r := policy.Request{Class: "order", Plan: t.plan, Customer: t.id, GatewaySpan: t.gatewaySpan, FirstGateway: t.firstGateway,
-		Units: float64(1 + rng.IntN(maxRequestUnits)), Deadline: now + 2*time.Second}
-	if rng.Float64() < lookupFraction {
-		r.Class, r.Deadline = "lookup", now+time.Second
+	request := policy.Request{
+		Class:        orderClass,
+		Plan:         t.plan,
+		Customer:     t.id,
+		GatewaySpan:  t.gatewaySpan,
+		FirstGateway: t.firstGateway,
+		Units:        float64(1 + rng.IntN(maxRequestUnits)),
+		Deadline:     now + orderDeadline,
+	}
+	if rng.Float64() < lookupShare {
+		request.Class, request.Deadline = lookupClass, now+lookupDeadline
 	}
-	return r
+	return request
 }
--- /dev/null
+++ b/internal/scale/tables.go
@@ -0,0 +1,122 @@
+package scale
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+)
+
+// tableWriter writes lines whose cells, which tabs separate, it aligns. Flush returns the first error.
+type tableWriter struct{ *tabwriter.Writer }
+
+func (w tableWriter) line(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
+
+// Write writes the report as tables for people.
+func (r *Report) Write(out io.Writer) error {
+	w := tableWriter{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
+	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.Go, r.Machine.Cores,
+		formatMegabytes(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
+	for _, note := range r.Notes {
+		w.line("- %s", note)
+	}
+	for start := 0; start < len(r.Points); {
+		end := start
+		for end < len(r.Points) && r.Points[end].Sweep == r.Points[start].Sweep {
+			end++
+		}
+		w.writeSweep(r.Points[start:end])
+		start = end
+	}
+	if len(r.Fits) > 0 {
+		w.writeFits(r.Fits)
+	}
+	w.line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
+		formatMegabytes(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.CPUSeconds, r.Used.WallSeconds)
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("table: %w", err)
+	}
+	return nil
+}
+
+// writeSweep writes the table of one sweep: a row for each figure, a column for each point.
+func (w tableWriter) writeSweep(points []*Point) {
+	w.line("\n%s", strings.ToUpper(points[0].Sweep))
+	var measured []*Point
+	for _, p := range points {
+		if p.Skipped == "" {
+			measured = append(measured, p)
+		}
+	}
+	w.writeFigures(measured)
+	for _, p := range points {
+		if p.Skipped != "" {
+			w.line("%s: skipped, %s", p.Label, p.Skipped)
+		}
+		for _, note := range p.Notes {
+			w.line("%s: %s", p.Label, note)
+		}
+	}
+}
+
+func (w tableWriter) writeFigures(points []*Point) {
+	type row struct{ role, name, unit string }
+	var rows []row
+	header := []string{"role", "figure", "unit"}
+	for _, p := range points {
+		header = append(header, p.Label)
+		for _, f := range p.Figures {
+			if r := (row{f.Role, f.Name, f.Unit}); !slices.Contains(rows, r) {
+				rows = append(rows, r)
+			}
+		}
+	}
+	if len(rows) > 0 {
+		w.line("%s", strings.Join(header, "\t"))
+	}
+	for _, r := range rows {
+		cells := []string{r.role, r.name, r.unit}
+		for _, p := range points {
+			cell := "-"
+			if f, ok := p.find(r.role, r.name); ok {
+				cell = formatNumber(f.Value)
+			}
+			cells = append(cells, cell)
+		}
+		w.line("%s", strings.Join(cells, "\t"))
+	}
+}
+
+func (w tableWriter) writeFits(fits []Fit) {
+	w.line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxDeviation)
+	w.line("sweep\trole\tfigure\tunit\tslope per %s\tat 0\tR2\tresidual\trelative\toff", formatNumber(slopeTableFactor))
+	for _, f := range fits {
+		outliers := "-"
+		if len(f.Outliers) > 0 {
+			outliers = fmt.Sprintf("%d of %d do not fit a line", len(f.Outliers), f.Points)
+		}
+		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit,
+			formatNumber(slopeTableFactor*f.Slope), formatNumber(f.Intercept), f.R2, formatNumber(f.Residual),
+			100*f.Relative, outliers)
+	}
+}
+
+// formatNumber formats a figure for people: commas between thousands where it is large, three digits where it is not.
+func formatNumber(v float64) string {
+	if v < 0 {
+		return "-" + formatNumber(-v)
+	}
+	if v >= 999.5 {
+		s := strconv.FormatFloat(v, 'f', 0, 64)
+		for i := len(s) - 3; i > 0; i -= 3 {
+			s = s[:i] + "," + s[i:]
+		}
+		return s
+	}
+	if v == float64(int(v)) {
+		return strconv.Itoa(int(v))
+	}
+	return strconv.FormatFloat(v, 'g', 3, 64)
+}
--- /dev/null
+++ b/internal/scale/tally.go
@@ -0,0 +1,36 @@
+package scale
+
+// Tally counts what a hollow ingress has done. Each request has one end: it is served, rejected, failed or unanswered.
+type Tally struct {
+	Requests   uint64
+	Served     uint64
+	Rejected   uint64
+	Failed     uint64
+	Unanswered uint64 // the client gave up
+
+	Attempts     uint64 // sent to backends
+	CounterCalls uint64
+	TimerEvents  uint64 // of the decision module
+	Changes      uint64 // of endpoints
+	Snapshots    uint64 // of the endpoint list
+
+	Skipped uint64 // arrivals that a busy machine would have played too late
+}
+
+func (t Tally) minus(u Tally) Tally {
+	return Tally{
+		Requests:     t.Requests - u.Requests,
+		Served:       t.Served - u.Served,
+		Rejected:     t.Rejected - u.Rejected,
+		Failed:       t.Failed - u.Failed,
+		Unanswered:   t.Unanswered - u.Unanswered,
+		Attempts:     t.Attempts - u.Attempts,
+		CounterCalls: t.CounterCalls - u.CounterCalls,
+		TimerEvents:  t.TimerEvents - u.TimerEvents,
+		Changes:      t.Changes - u.Changes,
+		Snapshots:    t.Snapshots - u.Snapshots,
+		Skipped:      t.Skipped - u.Skipped,
+	}
+}
+
+func (t Tally) plus(u Tally) Tally { return t.minus(Tally{}.minus(u)) }
--- /dev/null
+++ b/internal/scale/zone_sweep.go
@@ -0,0 +1,118 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"lemontack/internal/standin"
+)
+
+const (
+	zoneSweepIngresses = 60
+	backendsPerZone    = 40
+)
+
+func (r *Run) zoneJobs() []job {
+	n := min(zoneSweepIngresses, r.Ingresses[len(r.Ingresses)-1])
+	sweep := fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zones, n, zones*backendsPerZone)
+	return []job{{
+		point:    Point{Sweep: sweep, Label: "before, lost, back"},
+		duration: 25 * time.Second,
+		measure:  func(ctx context.Context, p *Point) error { return r.measureZoneLoss(ctx, p, n) },
+	}}
+}
+
+// measureZoneLoss takes all backends of a zone away under load, and then brings them back cold.
+func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
+	backends := NewBackendModel(zones*backendsPerZone, r.LiveRate*float64(n), meanServiceTime, false)
+	shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
+	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
+	if err != nil {
+		return err
+	}
+	defer f.stop()
+	if err := f.setRate(ctx, r.LiveRate); err != nil {
+		return err
+	}
+	if err := sleep(ctx, settleDuration); err != nil {
+		return err
+	}
+	if _, err := f.measureZonePhase(ctx, p, "before", loadDuration, nil); err != nil {
+		return err
+	}
+	removed, err := f.measureZonePhase(ctx, p, "lost", loadDuration, backends.removeLastZone)
+	if err != nil {
+		return err
+	}
+	restored, err := f.measureZonePhase(ctx, p, "back", slowStartWindow, backends.restoreLastZone)
+	if err != nil {
+		return err
+	}
+	if err := f.addPropagationFigures(ctx, p, "lost", removed); err != nil {
+		return err
+	}
+	if err := f.addPropagationFigures(ctx, p, "back", restored); err != nil {
+		return err
+	}
+	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartSpan)
+	p.addUnfitted(roleIngress, name, "", float64(backends.maxColdAttempts()))
+	p.addUnfitted(roleIngress, "back: what such a one bears when it starts", "", backends.coldAttemptLimit(meanServiceTime))
+	return nil
+}
+
+// addPropagationFigures adds how long a change took to reach the ingresses.
+func (f *liveFleet) addPropagationFigures(ctx context.Context, p *Point, phase string, change appliedRevision) error {
+	reached, err := f.propagationOf(ctx, []appliedRevision{change})
+	if err != nil {
+		return err
+	}
+	p.addHistogram(roleIngress, phase+": in force, each (p50)", "ms", time.Millisecond, reached.perIngress, 50)
+	p.addHistogram(roleIngress, phase+": in force everywhere", "ms", time.Millisecond, reached.fleetWide, 100)
+	p.addUnfitted(roleIngress, phase+": missed", "", float64(reached.missing))
+	return nil
+}
+
+// measureZonePhase makes a change, if there is one, measures the time after it, and adds how the load was spread over
+// the backends that are up.
+func (f *liveFleet) measureZonePhase(ctx context.Context, p *Point, phase string, d time.Duration,
+	change func() []standin.Target) (appliedRevision, error) {
+	attemptsBefore := f.backends.attemptCounts()
+	f.recorder.drain()
+	var applied appliedRevision
+	u, err := f.measure(ctx, func() error {
+		if change != nil {
+			var err error
+			if applied, err = f.applyChange(change()...); err != nil {
+				return err
+			}
+		}
+		return sleep(ctx, d)
+	})
+	if err != nil {
+		return applied, err
+	}
+	busiest, sum, up := 0.0, 0.0, 0.0
+	for i, attempts := range f.backends.attemptCounts() {
+		if f.backends.backends[i].removed.Load() {
+			continue
+		}
+		rate := float64(attempts-attemptsBefore[i]) / u.seconds
+		busiest, sum, up = max(busiest, rate), sum+rate, up+1
+	}
+	requests := max(1, float64(u.tally.Requests))
+	p.addUnfitted(roleBackends, phase+": attempts a second, mean", "", sum/max(1, up))
+	p.addUnfitted(roleBackends, phase+": attempts a second, busiest", "", busiest)
+	p.addUnfitted(roleIngress, phase+": served", "%", 100*float64(u.tally.Served)/requests)
+	p.addUnfitted(roleIngress, phase+": refused", "%", 100*float64(u.tally.Rejected)/requests)
+	lost := float64(u.tally.Failed + u.tally.Unanswered)
+	p.addUnfitted(roleIngress, phase+": failed or not answered", "%", 100*lost/requests)
+	addedLatency := f.recorder.drain()[metricAddedLatency]
+	p.addHistogram(roleIngress, phase+": "+figureAddedLatency, "ms", time.Millisecond, addedLatency, 99)
+	p.addUnfitted(roleDiscovery, phase+": messages", "", u.discoveryMessages)
+	p.addUnfitted(roleDiscovery, phase+": bytes", "KB", toKB(u.discoveryBytes))
+	ingressMS := u.cpuTime.Seconds() * 1000 / u.seconds / float64(len(f.ingresses))
+	p.addUnfitted(roleIngress, phase+": processor a second, each", "ms", ingressMS)
+	p.addUnfitted(roleCounter, phase+": calls a second", "", u.counterCalls/u.seconds)
+	return applied, nil
+}
