--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -17,42 +17,52 @@
 	"lemontack/internal/scale"
 )
 
+// Exit codes other than 0.
 const (
 	exitFailed      = 1
-	exitInterrupted = 130 // as shells have it: 128 and the number of the signal
+	exitInterrupted = 130 // as of shells: 128 and the number of SIGINT
 )
 
 var errInterrupted = errors.New("interrupted")
 
 func main() {
-	if name, ok := scale.StandInRole(); ok { // one of the run's own children
-		if err := scale.RunStandIn(name, os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "scalerun:", err)
-			os.Exit(exitFailed)
+	if role, ok := scale.StandInRole(); ok { // the run has started this process
+		if err := scale.RunStandIn(role, os.Stdin, os.Stdout); err != nil {
+			exitWith(err)
 		}
 		return
 	}
-	var options scale.Options
-	parser, err := newParser(&options)
-	if err == nil {
-		_, err = parser.Parse(os.Args[1:])
+	options, err := parseOptions(os.Args[1:])
+	if err != nil {
+		exitWith(err)
 	}
-	if err == nil {
-		err = run(options, os.Stdout, os.Stderr)
+	if err := run(options, os.Stdout, os.Stderr); err != nil {
+		exitWith(err)
 	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "scalerun:", strings.ReplaceAll(err.Error(), "\n", "; "))
-		if errors.Is(err, errInterrupted) {
-			os.Exit(exitInterrupted)
-		}
-		os.Exit(exitFailed)
+}
+
+// exitWith ends the program with the error in one line.
+func exitWith(err error) {
+	fmt.Fprintln(os.Stderr, "scalerun:", strings.ReplaceAll(err.Error(), "\n", "; "))
+	if errors.Is(err, errInterrupted) {
+		os.Exit(exitInterrupted)
 	}
+	os.Exit(exitFailed)
 }
 
-func newParser(options *scale.Options) (*kong.Kong, error) {
-	return kong.New(options, kong.Name("scalerun"), kong.Description("Measures what an ingress, discovery and the counter"+
-		" cost by the size of the fleet, on this machine alone, in under 10 minutes."),
+// parseOptions reads the command line.
+func parseOptions(args []string) (scale.Options, error) {
+	var options scale.Options
+	parser, err := kong.New(&options,
+		kong.Name("scalerun"),
+		kong.Description("Measures what an ingress, discovery and the counter cost by the size of the fleet, on this"+
+			" machine alone, in under 10 minutes."),
 		kong.Vars{"sweeps": strings.Join(scale.Sweeps(), ",")})
+	if err != nil {
+		return options, err
+	}
+	_, err = parser.Parse(args)
+	return options, err
 }
 
 // run measures, and writes the tables and the file also where it is interrupted.
@@ -61,16 +71,31 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithCancelCause(context.Background())
-	defer cancel(nil)
+	ctx, stop := interruptible(context.Background())
+	defer stop()
+	report, err := r.Measure(ctx)
+	return errors.Join(err, report.Write(tables), report.Save(options.JSON))
+}
+
+// interruptible returns a context that the first SIGINT or SIGTERM ends with errInterrupted; a second signal ends the
+// program at once. stop releases what it takes.
+func interruptible(parent context.Context) (ctx context.Context, stop func()) {
+	ctx, cancel := context.WithCancelCause(parent)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
-	defer signal.Stop(signals)
-	go func() {
-		<-signals
-		signal.Stop(signals) // a second one ends it at once
-		cancel(errInterrupted)
+	ended := make(chan struct{})
+	go func() { // ends with ctx; stop waits for it
+		defer close(ended)
+		select {
+		case <-signals:
+			signal.Stop(signals)
+			cancel(errInterrupted)
+		case <-ctx.Done():
+		}
 	}()
-	report, err := r.Measure(ctx)
-	return errors.Join(err, report.Write(tables), report.Save(options.JSON))
+	return ctx, func() {
+		signal.Stop(signals)
+		cancel(nil)
+		<-ended
+	}
 }
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -19,23 +19,24 @@
 	"lemontack/internal/scale"
 )
 
-const asProgram = "SCALERUN_TEST_MAIN"
+// programVariable is set for a process that is to be the program in place of the tests.
+const programVariable = "SCALERUN_TEST_MAIN"
 
-// The test's own binary plays the program and its children.
+// TestMain lets the test binary run as the program and as the processes that it starts.
 func TestMain(m *testing.M) {
 	_, role := scale.StandInRole()
-	if _, ok := os.LookupEnv(asProgram); ok || role {
+	if _, ok := os.LookupEnv(programVariable); ok || role {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-func TestFlags(t *testing.T) {
+func TestParseOptionsTakesFlagsAndNamesInvalidOnes(t *testing.T) {
 	for _, c := range []struct {
-		args []string
-		want string // of the error
-		ok   func(scale.Options) bool
+		args      []string
+		wantError string // a part of it; empty: none
+		ok        func(scale.Options) bool
 	}{
 		{nil, "", func(o scale.Options) bool {
 			return slices.Equal(o.Sweep, scale.Sweeps()) && o.JSON == "scale.json" && o.Minutes == 9 &&
@@ -52,35 +53,37 @@
 		{[]string{"--binary", "/nowhere/at/all"}, "--binary", nil},
 		{[]string{"more"}, "unexpected argument", nil},
 	} {
-		var o scale.Options
-		p, err := newParser(&o)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, err = p.Parse(c.args)
-		switch {
-		case c.want == "" && (err != nil || !c.ok(o)):
-			t.Errorf("%q: %+v, %v", c.args, o, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%q: error %v, want one line with %q", c.args, err, c.want)
-		}
+		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
+			o, err := parseOptions(c.args)
+			if c.wantError == "" {
+				if err != nil || !c.ok(o) {
+					t.Errorf("%+v, %v", o, err)
+				}
+				return
+			}
+			if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line with %q", err, c.wantError)
+			}
+		})
 	}
 }
 
-// program starts scalerun with these flags.
+// program returns a command that runs scalerun with these flags, in an empty directory.
 func program(t *testing.T, args ...string) *exec.Cmd {
+	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), exe, args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), programVariable+"=1")
 	cmd.Dir = t.TempDir()
 	return cmd
 }
 
-// childrenOf lists the processes that this one has started and not yet waited for.
+// childrenOf returns the processes that a process has started and not yet waited for.
 func childrenOf(t *testing.T, pid int) []int {
+	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
 		t.Fatal(err)
@@ -105,58 +108,61 @@
 	return list
 }
 
-// Ctrl-C ends all that was started, leaves what was measured, and says so in one line.
-func TestInterrupt(t *testing.T) {
+func TestInterruptedRunEndsItsProcessesAndLeavesAReport(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
-		cmd := program(t, "--sweep", "ingresses", "--ingresses", "3", "--live-rate", "20", "--json", "part.json")
-		var tables bytes.Buffer
-		cmd.Stdout = &tables
-		progress, err := cmd.StderrPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		in := bufio.NewReader(progress)
-		if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "[1/1] ingresses 3") {
-			t.Fatalf("progress %q, %v", line, err)
-		}
-		var children []int
-		for len(children) < 2 { // discovery and the counter
-			children = childrenOf(t, cmd.Process.Pid)
-			time.Sleep(time.Millisecond)
-		}
-		if err := cmd.Process.Signal(sig); err != nil {
-			t.Fatal(err)
-		}
-		rest, _ := io.ReadAll(in)
-		var end *exec.ExitError
-		if err := cmd.Wait(); !errors.As(err, &end) || end.ExitCode() != exitInterrupted {
-			t.Errorf("%v: ended with %v, want code %d", sig, err, exitInterrupted)
-		}
-		lines := strings.Split(strings.TrimSpace(string(rest)), "\n")
-		if last := lines[len(lines)-1]; last != "scalerun: interrupted" {
-			t.Errorf("%v: last line %q", sig, last)
-		}
-		for _, pid := range children {
-			if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-				t.Errorf("%v: process %d is left: %v", sig, pid, err)
-			}
-		}
-		text, err := os.ReadFile(filepath.Join(cmd.Dir, "part.json"))
-		var report scale.Report
-		if err == nil {
-			err = json.Unmarshal(text, &report)
-		}
-		if err != nil || !strings.Contains(report.Ended, "interrupted") || !strings.Contains(tables.String(), "partial") {
-			t.Errorf("%v: report %q, %v; tables %q", sig, report.Ended, err, tables.String())
+		t.Run(sig.String(), func(t *testing.T) { testInterrupt(t, sig) })
+	}
+}
+
+func testInterrupt(t *testing.T, sig syscall.Signal) {
+	t.Helper()
+	cmd := program(t, "--sweep", "ingresses", "--ingresses", "3", "--live-rate", "20", "--json", "part.json")
+	var tables bytes.Buffer
+	cmd.Stdout = &tables
+	progress, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	lines := bufio.NewReader(progress)
+	if line, err := lines.ReadString('\n'); err != nil || !strings.HasPrefix(line, "[1/1] ingresses 3") {
+		t.Fatalf("progress %q, %v", line, err)
+	}
+	var children []int
+	for len(children) < 2 { // discovery and the counter
+		children = childrenOf(t, cmd.Process.Pid)
+		time.Sleep(time.Millisecond)
+	}
+	if err := cmd.Process.Signal(sig); err != nil {
+		t.Fatal(err)
+	}
+	rest, _ := io.ReadAll(lines)
+	var exit *exec.ExitError
+	if err := cmd.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitInterrupted {
+		t.Errorf("ended with %v, want code %d", err, exitInterrupted)
+	}
+	said := strings.Split(strings.TrimSpace(string(rest)), "\n")
+	if last := said[len(said)-1]; last != "scalerun: interrupted" {
+		t.Errorf("last line %q", last)
+	}
+	for _, pid := range children {
+		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
+			t.Errorf("process %d is left: %v", pid, err)
 		}
 	}
+	text, err := os.ReadFile(filepath.Join(cmd.Dir, "part.json"))
+	var report scale.Report
+	if err == nil {
+		err = json.Unmarshal(text, &report)
+	}
+	if err != nil || !strings.Contains(report.Ended, "interrupted") || !strings.Contains(tables.String(), "partial") {
+		t.Errorf("report %q, %v; tables %q", report.Ended, err, tables.String())
+	}
 }
 
-// What can't be run is one line and nothing else.
-func TestRefusal(t *testing.T) {
+func TestRunOutOfBoundsEndsWithOneLine(t *testing.T) {
 	for want, args := range map[string][]string{
 		"scalerun: 503 processes are asked for, 300 at most":  {"--real", "500"},
 		"scalerun: --minutes: over 0 and under 10 are wanted": {"--minutes", "60"},
@@ -168,8 +174,7 @@
 	}
 }
 
-// The ingress itself stays free of the modules that the scale run is made with.
-func TestIngressStaysFree(t *testing.T) {
+func TestIngressDoesNotImportTheScaleRun(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "lemontack/cmd/ingress",
 		"lemontack/cmd/simadapter").CombinedOutput()
 	if err != nil {
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -30,10 +30,10 @@
 	stateDeleted  = "DELETED"
 )
 
-// BackendModel is the backends of a fleet without sockets. What one answers follows from how many requests it has in
+// backendModel is the backends of a fleet without sockets. What one answers follows from how many requests it has in
 // flight and how warm it is, so that the choice among them matters as it does for real ones. All hollow ingresses of
 // the process share the model; it is safe for concurrent use.
-type BackendModel struct {
+type backendModel struct {
 	slots          float64                        // requests that a warm backend works on at once
 	remoteInFlight float64                        // mean number, at each, of requests of ingresses outside this process
 	serviceTime    func(*rand.Rand) time.Duration // of one request where none is queued
@@ -51,11 +51,11 @@
 	coldAttempts []time.Duration // times of the attempts that came during warm-up
 }
 
-// NewBackendModel returns n backends with as many slots as keep half of them busy under a load, in requests a second,
+// newBackendModel returns n backends with as many slots as keep half of them busy under a load, in requests a second,
 // of a mean service time. remote says that ingresses outside this process send the load: their requests count as in
 // flight too.
-func NewBackendModel(n int, load float64, meanServiceTime time.Duration, remote bool) *BackendModel {
-	m := &BackendModel{
+func newBackendModel(n int, load float64, meanServiceTime time.Duration, remote bool) *backendModel {
+	m := &backendModel{
 		serviceTime: func(rng *rand.Rand) time.Duration {
 			return time.Duration((0.5 + 0.5*rng.ExpFloat64()) * float64(meanServiceTime))
 		},
@@ -74,7 +74,7 @@
 func endpointID(i int) string { return fmt.Sprintf("%s%06d", endpointIDPrefix, i) }
 
 // targets returns the endpoint list as discovery has it. The addresses are loopback ones, which nothing dials.
-func (m *BackendModel) targets() []standin.Target {
+func (m *backendModel) targets() []standin.Target {
 	list := make([]standin.Target, len(m.backends))
 	for i := range list {
 		list[i] = m.target(i, stateServing)
@@ -82,7 +82,7 @@
 	return list
 }
 
-func (m *BackendModel) target(i int, state string) standin.Target {
+func (m *backendModel) target(i int, state string) standin.Target {
 	addr := fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255)
 	target := newTarget(i, addr, state)
 	target.BootMS = m.backends[i].startedAt.Load() / int64(time.Millisecond)
@@ -97,7 +97,7 @@
 
 // toggleDraining returns the change with an index: with an even one a backend begins to drain, another one each time,
 // and with the next index it serves again.
-func (m *BackendModel) toggleDraining(change int) standin.Target {
+func (m *backendModel) toggleDraining(change int) standin.Target {
 	state := stateDraining
 	if change%2 == 1 {
 		state = stateServing
@@ -106,19 +106,19 @@
 }
 
 // removeLastZone takes the backends of the last zone away, and returns the change.
-func (m *BackendModel) removeLastZone() []standin.Target {
+func (m *backendModel) removeLastZone() []standin.Target {
 	return m.changeLastZone(stateDeleted, func(b *modelledBackend) { b.removed.Store(true) })
 }
 
 // restoreLastZone brings the backends of the last zone back, cold, and returns the change.
-func (m *BackendModel) restoreLastZone() []standin.Target {
+func (m *backendModel) restoreLastZone() []standin.Target {
 	return m.changeLastZone(stateServing, func(b *modelledBackend) {
 		b.startedAt.Store(time.Now().Truncate(time.Millisecond).UnixNano())
 		b.removed.Store(false)
 	})
 }
 
-func (m *BackendModel) changeLastZone(state string, apply func(*modelledBackend)) []standin.Target {
+func (m *backendModel) changeLastZone(state string, apply func(*modelledBackend)) []standin.Target {
 	var changes []standin.Target
 	for i := zones - 1; i < len(m.backends); i += zones {
 		apply(&m.backends[i])
@@ -128,7 +128,7 @@
 }
 
 // find returns the backend of an endpoint, or nil if there is none.
-func (m *BackendModel) find(id policy.EndpointID) *modelledBackend {
+func (m *backendModel) find(id policy.EndpointID) *modelledBackend {
 	i, err := strconv.Atoi(strings.TrimPrefix(string(id), endpointIDPrefix))
 	if err != nil || i >= len(m.backends) {
 		return nil
@@ -137,7 +137,7 @@
 }
 
 // speed returns the share of its full speed that a backend has.
-func (m *BackendModel) speed(b *modelledBackend, now time.Duration) float64 {
+func (m *backendModel) speed(b *modelledBackend, now time.Duration) float64 {
 	startedAt := time.Duration(b.startedAt.Load())
 	if startedAt == 0 {
 		return 1
@@ -147,7 +147,7 @@
 
 // startAttempt returns how long an attempt will take and how it will end. One that will succeed holds a slot until
 // finishAttempt.
-func (m *BackendModel) startAttempt(id policy.EndpointID, now time.Duration,
+func (m *backendModel) startAttempt(id policy.EndpointID, now time.Duration,
 	rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
 	b := m.find(id)
 	if b == nil || b.removed.Load() {
@@ -170,14 +170,14 @@
 }
 
 // finishAttempt gives back the slot of an attempt.
-func (m *BackendModel) finishAttempt(id policy.EndpointID) {
+func (m *backendModel) finishAttempt(id policy.EndpointID) {
 	if b := m.find(id); b != nil {
 		b.inFlight.Add(-1)
 	}
 }
 
 // attemptCounts returns the number of attempts at each backend so far.
-func (m *BackendModel) attemptCounts() []uint64 {
+func (m *backendModel) attemptCounts() []uint64 {
 	counts := make([]uint64, len(m.backends))
 	for i := range m.backends {
 		counts[i] = m.backends[i].attempts.Load()
@@ -186,7 +186,7 @@
 }
 
 // maxColdAttempts returns the largest number of attempts that a backend got within slowStartSpan while it was cold.
-func (m *BackendModel) maxColdAttempts() int {
+func (m *backendModel) maxColdAttempts() int {
 	result := 0
 	for i := range m.backends {
 		result = max(result, m.backends[i].maxColdAttempts())
@@ -195,7 +195,7 @@
 }
 
 // coldAttemptLimit returns the number of attempts within slowStartSpan that a backend bears when it has just started.
-func (m *BackendModel) coldAttemptLimit(meanServiceTime time.Duration) float64 {
+func (m *backendModel) coldAttemptLimit(meanServiceTime time.Duration) float64 {
 	return slowStartMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartSpan.Seconds()
 }
 
--- a/internal/scale/backend_model_test.go
+++ b/internal/scale/backend_model_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestModelledBackendRejectsWhatItCannotQueue(t *testing.T) {
-	m := NewBackendModel(2, 1, meanServiceTime, false)
+	m := newBackendModel(2, 1, meanServiceTime, false)
 	m.slots, m.serviceTime = 4, func(*rand.Rand) time.Duration { return meanServiceTime }
 	rng := rand.New(rand.NewPCG(1, 1))
 	fill := func(i int) (held int, slowest time.Duration) {
@@ -34,7 +34,7 @@
 }
 
 func TestAttemptAtARemovedBackendFailsToConnect(t *testing.T) {
-	m := NewBackendModel(2, 1, meanServiceTime, false)
+	m := newBackendModel(2, 1, meanServiceTime, false)
 	m.backends[0].removed.Store(true)
 	rng := rand.New(rand.NewPCG(1, 1))
 	if _, end := m.startAttempt("s-000000", simulatedStart, rng); end.Outcome != policy.ConnectFailed {
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -70,8 +70,8 @@
 	}
 }
 
-func (r *Run) compareShape() FleetShape {
-	return FleetShape{Ingresses: r.Real, Tenants: liveTenants, Rate: r.Rate}
+func (r *Run) compareShape() fleetShape {
+	return fleetShape{Ingresses: r.Real, Tenants: liveTenants, Rate: r.Rate}
 }
 
 // comparison is what real and hollow ingresses are compared by.
@@ -105,7 +105,7 @@
 
 // measureHollow measures hollow ingresses under the load under which the real ones are measured.
 func (r *Run) measureHollow(ctx context.Context, p *Point) error {
-	backends := NewBackendModel(liveBackends, r.Rate*float64(r.Real), meanServiceTime, false)
+	backends := newBackendModel(liveBackends, r.Rate*float64(r.Real), meanServiceTime, false)
 	backends.slots = compareBackendSlots
 	backends.serviceTime = func(*rand.Rand) time.Duration { return compareServiceTime }
 	f, err := startLiveFleet(ctx, r.monitor, r.compareShape(), backends, r.Seed)
@@ -117,33 +117,22 @@
 	if err != nil {
 		return err
 	}
-	idle, err := f.measureFor(ctx, r.scaled(compareIdleDuration))
+	m, err := f.measureIdleAndLoad(ctx, r.Rate, r.scaled(compareIdleDuration), r.scaled(compareWarmUpDuration),
+		r.scaled(compareDuration))
 	if err != nil {
 		return err
 	}
-	if err := f.setRate(ctx, r.Rate); err != nil {
-		return err
-	}
-	if err := sleep(ctx, r.scaled(compareWarmUpDuration)); err != nil {
-		return err
-	}
-	f.recorder.drain()
-	attemptsBefore := backends.attemptCounts()
-	load, err := f.measureFor(ctx, r.scaled(compareDuration))
-	if err != nil {
-		return err
-	}
-	addedLatency := f.recorder.drain()[metricAddedLatency]
+	addedLatency := m.times[metricAddedLatency]
 	ingresses := float64(r.Real)
-	_, busiest := attemptSpread(attemptsBefore, backends.attemptCounts())
+	_, busiest := attemptSpread(m.attemptsBefore, backends.attemptCounts())
 	r.addComparison(p, comparison{
-		requests:         float64(load.tally.Requests),
-		rejected:         float64(load.tally.Rejected),
-		failed:           float64(load.tally.Failed + load.tally.Unanswered),
-		attempts:         float64(load.tally.Attempts),
-		cpuTime:          load.cpuTime,
-		idleCPUPerSecond: idle.cpuTime.Seconds() / idle.seconds / ingresses,
-		counterCalls:     load.counterCalls,
+		requests:         float64(m.load.tally.Requests),
+		rejected:         float64(m.load.tally.Rejected),
+		failed:           float64(m.load.tally.Failed + m.load.tally.Unanswered),
+		attempts:         float64(m.load.tally.Attempts),
+		cpuTime:          m.load.cpuTime,
+		idleCPUPerSecond: m.idle.cpuTime.Seconds() / m.idle.seconds / ingresses,
+		counterCalls:     m.load.counterCalls,
 		listBytes:        float64(discovery.Discovery.Bytes) / ingresses,
 		memory:           f.memoryPerIngress(),
 		busiestBackend:   busiest,
--- a/internal/scale/driven_sweeps.go
+++ b/internal/scale/driven_sweeps.go
@@ -35,15 +35,15 @@
 type drivenUsage struct {
 	span      time.Duration // simulated
 	threadCPU time.Duration // of the thread that the ingress ran on, which leaves out most of the garbage collector's
-	tally     Tally
+	tally     tally
 }
 
-// measure lets a hollow ingress run like Advance and measures it.
-func (h *HollowIngress) measure(ctx context.Context, span, limit time.Duration) drivenUsage {
+// measure lets a hollow ingress run like advance and measures it.
+func (h *hollowIngress) measure(ctx context.Context, span, limit time.Duration) drivenUsage {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	start, cpuBefore, tallyBefore := h.now, cpuTime(currentThread), h.tally
-	h.Advance(span, whileTimeLeft(ctx, limit))
+	h.advance(span, whileTimeLeft(ctx, limit))
 	return drivenUsage{
 		span:      h.now - start,
 		threadCPU: cpuTime(currentThread) - cpuBefore,
@@ -59,41 +59,33 @@
 }
 
 func (r *Run) backendJobs() []job {
-	var jobs []job
-	for _, n := range r.Backends {
-		jobs = append(jobs, job{
-			point:    Point{Sweep: "backends", Label: formatNumber(float64(n)), Against: "backends", Size: float64(n)},
-			duration: 15 * time.Second,
-			measure:  func(ctx context.Context, p *Point) error { return r.measureBackends(ctx, p, n) },
-		})
-	}
-	return jobs
+	return jobsBySize("backends", "backends", r.Backends, 15*time.Second, r.measureBackends)
 }
 
 // measureBackends measures some ingresses of the whole fleet, one after another, in front of n backends.
 func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
-	shape := FleetShape{Ingresses: r.Fleet, Tenants: liveTenants, Rate: r.Rate}
-	backends := NewBackendModel(n, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	shape := fleetShape{Ingresses: r.Fleet, Tenants: liveTenants, Rate: r.Rate}
+	backends := newBackendModel(n, r.Rate*float64(r.Fleet), meanServiceTime, true)
 	if err := r.addListFigures(ctx, p, shape, backends); err != nil {
 		return err
 	}
-	targets, recorder := backends.targets(), NewRecorder()
+	targets, recorder := backends.targets(), newTimeRecorder()
 	var load, idle drivenUsage
 	loadTimes, idleTimes, changeTimes := newHistograms(), newHistograms(), newHistograms()
 	ingresses := min(sampledIngresses, r.Fleet)
 	timeLimit := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
 	for i := range ingresses {
-		h, err := NewHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
+		h, err := newHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
 		if err != nil {
 			return err
 		}
 		memoryBefore := memoryInUse()
-		h.LoadEndpoints(targets)
+		h.loadEndpoints(targets)
 		if i == 0 {
 			p.addFigure(roleIngress, "state of the module's list", "MB", toMB(memoryGrowth(memoryBefore)), 1)
 		}
 		h.setRate(r.Rate)
-		h.Advance(warmUpSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
+		h.advance(warmUpSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
 		warmUpTimes := recorder.drain()
 		if i == 0 {
 			p.addHistogram(roleIngress, "list handled", "ms", time.Millisecond, warmUpTimes[metricSnapshot], 50)
@@ -101,7 +93,7 @@
 		load = load.plus(h.measure(ctx, measureSpan, timeLimit(measureTimeLimit)))
 		loadTimes.merge(recorder.drain())
 		h.setRate(0)
-		h.Advance(drainSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
+		h.advance(drainSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
 		recorder.drain()
 		idle = idle.plus(h.measure(ctx, idleSpan, timeLimit(warmUpTimeLimit)))
 		idleTimes.merge(recorder.drain())
@@ -156,36 +148,32 @@
 }
 
 func (r *Run) tenantJobs() []job {
-	var jobs []job
-	for _, n := range r.Tenants {
-		jobs = append(jobs, job{
-			point:    Point{Sweep: "tenants of an ingress", Label: formatNumber(float64(n)), Against: "tenants"},
-			duration: 10 * time.Second,
-			measure:  func(ctx context.Context, p *Point) error { return r.measureTenants(ctx, p, n) },
-		})
+	jobs := jobsBySize("tenants of an ingress", "tenants", r.Tenants, 10*time.Second, r.measureTenants)
+	for i := range jobs {
+		jobs[i].point.Size = 0 // known once the tenants of the ingress have been counted
 	}
 	return jobs
 }
 
 // measureTenants measures one ingress of the whole fleet with about n tenants.
 func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
-	shape := FleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
-	backends := NewBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
-	recorder := NewRecorder()
-	h, err := NewHollowIngress(shape, r.Fleet/2, backends, recorder, r.Seed)
+	shape := fleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
+	backends := newBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	recorder := newTimeRecorder()
+	h, err := newHollowIngress(shape, r.Fleet/2, backends, recorder, r.Seed)
 	if err != nil {
 		return err
 	}
 	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
-	h.LoadEndpoints(backends.targets())
+	h.loadEndpoints(backends.targets())
 	memoryBefore := memoryInUse()
 	h.setRate(r.Rate)
-	h.Advance(warmUpSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
+	h.advance(warmUpSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
 	recorder.drain()
 	load := h.measure(ctx, 2*measureSpan, r.scaled(measureTimeLimit))
 	loadTimes := recorder.drain()
 	h.setRate(0)
-	h.Advance(drainSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
+	h.advance(drainSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
 	recorder.drain()
 	idle := h.measure(ctx, idleSpan, r.scaled(warmUpTimeLimit))
 	idleTimes := recorder.drain()
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -15,17 +15,17 @@
 	replyGracePeriod = 8 * time.Millisecond   // a client's patience beyond the deadline of its request
 )
 
-// HollowIngress is an ingress without sockets to clients and backends: the real decision module with drawn requests and
-// modelled backends. On a simulated clock, which Advance moves, its counter is a table; once connected it runs in real
+// hollowIngress is an ingress without sockets to clients and backends: the real decision module with drawn requests and
+// modelled backends. On a simulated clock, which advance moves, its counter is a table; once connected it runs in real
 // time and has real clients of discovery and of the counter. It belongs to one goroutine, except for post and do.
-type HollowIngress struct {
+type hollowIngress struct {
 	index    int // of the ingress in its fleet
 	settings policy.Settings
 	gateway  *policy.Gateway
 	rng      *rand.Rand
-	backends *BackendModel
-	recorder *Recorder
-	tally    Tally
+	backends *backendModel
+	recorder *timeRecorder
+	tally    tally
 
 	now    time.Duration // on its clock: Unix time, or the simulated one
 	timers *minheap.Heap[*timer]
@@ -71,9 +71,9 @@
 	ended     bool
 }
 
-// NewHollowIngress returns the ingress with an index of the fleet, on a simulated clock.
-func NewHollowIngress(shape FleetShape, index int, backends *BackendModel, recorder *Recorder,
-	seed uint64) (*HollowIngress, error) {
+// newHollowIngress returns the ingress with an index of the fleet, on a simulated clock.
+func newHollowIngress(shape fleetShape, index int, backends *backendModel, recorder *timeRecorder,
+	seed uint64) (*hollowIngress, error) {
 	settings, err := shape.policySettings(index)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &HollowIngress{
+	return &hollowIngress{
 		index:           index,
 		settings:        settings,
 		gateway:         gateway,
@@ -99,20 +99,20 @@
 	}, nil
 }
 
-// LoadEndpoints gives the decision module the list of endpoints that a configuration holds.
-func (h *HollowIngress) LoadEndpoints(targets []standin.Target) {
+// loadEndpoints gives the decision module the list of endpoints that a configuration holds.
+func (h *hollowIngress) loadEndpoints(targets []standin.Target) {
 	h.applyUpdate(newSnapshot(0, targets))
 }
 
 // applyUpdate gives the decision module its subset of a list or a change.
-func (h *HollowIngress) applyUpdate(update endpointUpdate) {
+func (h *hollowIngress) applyUpdate(update endpointUpdate) {
 	if update = h.subset.apply(update); update.isSnapshot() || update.size() > 0 {
 		h.deliverUpdate(update)
 	}
 }
 
 // deliverUpdate gives a list or a change to the decision module as it is.
-func (h *HollowIngress) deliverUpdate(update endpointUpdate) {
+func (h *hollowIngress) deliverUpdate(update endpointUpdate) {
 	event := update.event()
 	h.gatewaysPerEndpoint = event.GatewaysPerEndpoint
 	if h.settings.PollEndpoints {
@@ -123,7 +123,7 @@
 	h.appliedRevisions = append(h.appliedRevisions, appliedRevision{update.revision(), time.Now()})
 }
 
-func (h *HollowIngress) cacheEndpoints(event policy.EndpointsChanged) {
+func (h *hollowIngress) cacheEndpoints(event policy.EndpointsChanged) {
 	if event.Snapshot {
 		clear(h.cachedEndpoints)
 	}
@@ -137,10 +137,10 @@
 }
 
 // enqueue adds an event for the decision module; handleQueued passes it on.
-func (h *HollowIngress) enqueue(event policy.Event) { h.queuedEvents = append(h.queuedEvents, event) }
+func (h *hollowIngress) enqueue(event policy.Event) { h.queuedEvents = append(h.queuedEvents, event) }
 
 // handleQueued passes the queued events to the decision module and performs its actions, which may queue further ones.
-func (h *HollowIngress) handleQueued() {
+func (h *hollowIngress) handleQueued() {
 	for i := 0; i < len(h.queuedEvents); i++ {
 		event := h.queuedEvents[i]
 		h.eventStart = time.Now()
@@ -155,7 +155,7 @@
 }
 
 // countEvent adds an event to the tally and returns the metric that its handling counts to.
-func (h *HollowIngress) countEvent(event policy.Event) metric {
+func (h *hollowIngress) countEvent(event policy.Event) metric {
 	switch event := event.(type) {
 	case policy.Arrival:
 		return metricArrival
@@ -176,7 +176,7 @@
 }
 
 // perform carries out an action of the decision module.
-func (h *HollowIngress) perform(action policy.Action) {
+func (h *hollowIngress) perform(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
 		h.startAttempt(a)
@@ -197,7 +197,7 @@
 
 // enqueueCachedEndpoints answers the module's wish for the list: the watch is always open, so that the cached list is
 // the current one.
-func (h *HollowIngress) enqueueCachedEndpoints() {
+func (h *hollowIngress) enqueueCachedEndpoints() {
 	event := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
 	for _, e := range h.cachedEndpoints {
 		event.Endpoints = append(event.Endpoints, e)
@@ -206,7 +206,7 @@
 }
 
 // arrive draws a request that was due at a time and gives it to the decision module.
-func (h *HollowIngress) arrive(due time.Duration) {
+func (h *hollowIngress) arrive(due time.Duration) {
 	drawn := drawRequest(h.rng, h.tenants, due)
 	h.lastRequestID++
 	drawn.ID = h.lastRequestID
@@ -217,7 +217,7 @@
 }
 
 // startAttempt sends an attempt to its modelled backend and schedules its end.
-func (h *HollowIngress) startAttempt(send policy.Send) {
+func (h *hollowIngress) startAttempt(send policy.Send) {
 	r := h.requests[send.ID]
 	if r == nil {
 		return
@@ -240,7 +240,7 @@
 }
 
 // endAttempt tells the decision module how an attempt ended; an attempt that has ended already is left alone.
-func (h *HollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
+func (h *hollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
 	r := h.requests[id]
 	if r == nil || index >= len(r.attempts) || r.attempts[index].ended {
 		return
@@ -262,7 +262,7 @@
 }
 
 // finishRequest ends a request without a backend's answer and counts it.
-func (h *HollowIngress) finishRequest(id policy.RequestID, counter *uint64) {
+func (h *hollowIngress) finishRequest(id policy.RequestID, counter *uint64) {
 	if r := h.requests[id]; r != nil && !r.answered {
 		*counter++
 		r.answered = true
@@ -271,7 +271,7 @@
 }
 
 // disconnectClient ends a request whose client has waited in vain; one that has been answered is left alone.
-func (h *HollowIngress) disconnectClient(id policy.RequestID) {
+func (h *hollowIngress) disconnectClient(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && !r.answered {
 		h.tally.Unanswered++
 		r.answered = true
@@ -280,17 +280,17 @@
 	}
 }
 
-func (h *HollowIngress) removeIfDone(id policy.RequestID, r *request) {
+func (h *hollowIngress) removeIfDone(id policy.RequestID, r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(h.requests, id)
 	}
 }
 
 // clearCounterTable forgets all totals of the simulated counter.
-func (h *HollowIngress) clearCounterTable() { h.counterTable = standin.NewCounterTable() }
+func (h *hollowIngress) clearCounterTable() { h.counterTable = standin.NewCounterTable() }
 
 // incrementCounter calls the real counter, or the table in its place.
-func (h *HollowIngress) incrementCounter(a policy.IncrementCounter) {
+func (h *hollowIngress) incrementCounter(a policy.IncrementCounter) {
 	h.tally.CounterCalls++
 	if h.live != nil {
 		h.schedule(h.settings.CounterTimeout, timer{kind: counterTimeoutTimer, call: h.live.clients.increment(a)})
--- a/internal/scale/hollow_live.go
+++ b/internal/scale/hollow_live.go
@@ -25,11 +25,11 @@
 }
 
 // clientEvent is what the goroutine of a hollow ingress receives: an endpointUpdate, a counterResult or a task.
-type clientEvent interface{ deliver(*HollowIngress) }
+type clientEvent interface{ deliver(*hollowIngress) }
 
-func (u endpointUpdate) deliver(h *HollowIngress) { h.deliverUpdate(u) }
+func (u endpointUpdate) deliver(h *hollowIngress) { h.deliverUpdate(u) }
 
-func (r counterResult) deliver(h *HollowIngress) {
+func (r counterResult) deliver(h *hollowIngress) {
 	if reply, ok := r.reply(); ok {
 		h.enqueue(reply)
 		h.handleQueued()
@@ -39,10 +39,10 @@
 // task is a function that runs on the goroutine of a hollow ingress.
 type task func()
 
-func (t task) deliver(*HollowIngress) { t() }
+func (t task) deliver(*hollowIngress) { t() }
 
-// connect prepares an ingress for real time, with clients of discovery and of the counter. Run then runs it.
-func (h *HollowIngress) connect(discoveryAddr, counterAddr string, cached endpointUpdate, log *slog.Logger) {
+// connect prepares an ingress for real time, with clients of discovery and of the counter. run then runs it.
+func (h *hollowIngress) connect(discoveryAddr, counterAddr string, cached endpointUpdate, log *slog.Logger) {
 	h.live = &liveConnection{
 		events:    make(chan clientEvent, eventQueueLength),
 		done:      make(chan struct{}),
@@ -63,7 +63,7 @@
 }
 
 // do runs f on the goroutine of a connected ingress and waits for its end.
-func (h *HollowIngress) do(ctx context.Context, f func()) error {
+func (h *hollowIngress) do(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
 	h.live.post(task(func() { f(); close(finished) }))
 	select {
@@ -81,10 +81,10 @@
 	return time.Duration(l.startedAt.UnixNano()) + time.Since(l.startedAt)
 }
 
-// Run runs a connected ingress in real time until ctx ends, and returns once its connections are closed.
-func (h *HollowIngress) Run(ctx context.Context) {
+// run runs a connected ingress in real time until ctx ends, and returns once its connections are closed.
+func (h *hollowIngress) run(ctx context.Context) {
 	clientsEnded := make(chan struct{})
-	go func() { // ends with ctx; Run waits for it
+	go func() { // ends with ctx; run waits for it
 		defer close(clientsEnded)
 		h.live.clients.run(ctx)
 	}()
@@ -93,7 +93,7 @@
 	<-clientsEnded
 }
 
-func (h *HollowIngress) eventLoop(ctx context.Context) {
+func (h *hollowIngress) eventLoop(ctx context.Context) {
 	wakeUp := time.NewTimer(0)
 	defer wakeUp.Stop()
 	for {
@@ -116,7 +116,7 @@
 }
 
 // fireDue fires the timers that were due when the loop looked at the clock, and records how late arrivals are.
-func (h *HollowIngress) fireDue() {
+func (h *hollowIngress) fireDue() {
 	for h.timerDueBy(h.now) {
 		t := h.timers.Pop()
 		if t.kind == arrivalTimer {
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -6,21 +6,21 @@
 )
 
 // drivenRun plays a number of requests at each of two ingresses in front of 20 backends, and lets all of them end.
-func drivenRun(t *testing.T, requests uint64) ([]Tally, *BackendModel, *Recorder) {
+func drivenRun(t *testing.T, requests uint64) ([]tally, *backendModel, *timeRecorder) {
 	t.Helper()
-	shape := FleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
-	backends, recorder := NewBackendModel(20, 400, meanServiceTime, false), NewRecorder()
-	var tallies []Tally
+	shape := fleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
+	backends, recorder := newBackendModel(20, 400, meanServiceTime, false), newTimeRecorder()
+	var tallies []tally
 	for index := range shape.Ingresses {
-		h, err := NewHollowIngress(shape, index, backends, recorder, 7)
+		h, err := newHollowIngress(shape, index, backends, recorder, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.LoadEndpoints(backends.targets())
+		h.loadEndpoints(backends.targets())
 		h.setRate(shape.Rate)
-		h.Advance(time.Hour, func() bool { return h.tally.Requests < requests })
+		h.advance(time.Hour, func() bool { return h.tally.Requests < requests })
 		h.setRate(0)
-		h.Advance(5*time.Second, func() bool { return true })
+		h.advance(5*time.Second, func() bool { return true })
 		if len(h.requests) > 0 {
 			t.Errorf("ingress %d: %d requests are still open", index, len(h.requests))
 		}
@@ -80,13 +80,13 @@
 		{time.Hour, 0},
 	} {
 		t.Run(c.lateness.String(), func(t *testing.T) {
-			backends := NewBackendModel(5, 10, meanServiceTime, false)
-			shape := FleetShape{Ingresses: 1, Tenants: 5, Rate: 10}
-			h, err := NewHollowIngress(shape, 0, backends, NewRecorder(), 1)
+			backends := newBackendModel(5, 10, meanServiceTime, false)
+			shape := fleetShape{Ingresses: 1, Tenants: 5, Rate: 10}
+			h, err := newHollowIngress(shape, 0, backends, newTimeRecorder(), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			h.LoadEndpoints(backends.targets())
+			h.loadEndpoints(backends.targets())
 			h.requestRate = 10
 			due := h.now
 			h.now += c.lateness
--- a/internal/scale/hollow_timers.go
+++ b/internal/scale/hollow_timers.go
@@ -35,13 +35,13 @@
 
 func earlierTimer(a, b *timer) bool { return a.at < b.at }
 
-func (h *HollowIngress) schedule(after time.Duration, t timer) {
+func (h *hollowIngress) schedule(after time.Duration, t timer) {
 	t.at = h.now + after
 	h.timers.Push(&t)
 }
 
-// Advance runs what is due, without waiting, until the clock has advanced by span or proceed returns false.
-func (h *HollowIngress) Advance(span time.Duration, proceed func() bool) {
+// advance runs what is due, without waiting, until the clock has advanced by span or proceed returns false.
+func (h *hollowIngress) advance(span time.Duration, proceed func() bool) {
 	end := h.now + span
 	for h.timerDueBy(end) && proceed() {
 		t := h.timers.Pop()
@@ -53,12 +53,12 @@
 	}
 }
 
-func (h *HollowIngress) timerDueBy(end time.Duration) bool {
+func (h *hollowIngress) timerDueBy(end time.Duration) bool {
 	return h.timers.Len() > 0 && h.timers.Min().at <= end
 }
 
 // fire handles a timer that is due, and all events that follow from it.
-func (h *HollowIngress) fire(t *timer) {
+func (h *hollowIngress) fire(t *timer) {
 	switch t.kind {
 	case arrivalTimer:
 		h.fireArrival(t.at)
@@ -79,7 +79,7 @@
 }
 
 // fireArrival lets the request arrive that was due at a time, and schedules the next one.
-func (h *HollowIngress) fireArrival(due time.Duration) {
+func (h *hollowIngress) fireArrival(due time.Duration) {
 	h.arrivalScheduled = h.requestRate > 0
 	switch {
 	case !h.arrivalScheduled:
@@ -93,7 +93,7 @@
 }
 
 // setRate sets the rate of arrivals, in requests a second; 0 ends them.
-func (h *HollowIngress) setRate(rate float64) {
+func (h *hollowIngress) setRate(rate float64) {
 	h.requestRate = rate
 	if rate > 0 && !h.arrivalScheduled {
 		h.arrivalScheduled = true
@@ -102,6 +102,6 @@
 }
 
 // interarrivalTime draws the time between two arrivals of a Poisson process.
-func (h *HollowIngress) interarrivalTime() time.Duration {
+func (h *hollowIngress) interarrivalTime() time.Duration {
 	return time.Duration(h.rng.ExpFloat64() / h.requestRate * float64(time.Second))
 }
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -26,7 +26,7 @@
 
 // addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
 // arrive is a finding and no error; the decision module then gets it as a configuration would bring it.
-func (r *Run) addListFigures(ctx context.Context, p *Point, shape FleetShape, backends *BackendModel) error {
+func (r *Run) addListFigures(ctx context.Context, p *Point, shape fleetShape, backends *backendModel) error {
 	settings, err := shape.policySettings(0)
 	if err != nil {
 		return err
--- a/internal/scale/list_fetch_test.go
+++ b/internal/scale/list_fetch_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	settings, err := FleetShape{Ingresses: 1, Tenants: 1, Rate: 1}.policySettings(0)
+	settings, err := fleetShape{Ingresses: 1, Tenants: 1, Rate: 1}.policySettings(0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/live_fleet.go
+++ b/internal/scale/live_fleet.go
@@ -23,10 +23,10 @@
 // liveFleet is many hollow ingresses in real time, with discovery and the counter in processes of their own.
 type liveFleet struct {
 	*standIns
-	shape          FleetShape
-	backends       *BackendModel
-	recorder       *Recorder
-	ingresses      []*HollowIngress
+	shape          fleetShape
+	backends       *backendModel
+	recorder       *timeRecorder
+	ingresses      []*hollowIngress
 	cancel         context.CancelFunc // ends the ingresses
 	running        sync.WaitGroup     // a goroutine for each ingress
 	baselineMemory uint64             // bytes in use before the ingresses
@@ -34,14 +34,14 @@
 
 // startLiveFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
 // The owner calls stop, which waits for all that was started.
-func startLiveFleet(ctx context.Context, monitor *resourceMonitor, shape FleetShape, backends *BackendModel,
+func startLiveFleet(ctx context.Context, monitor *resourceMonitor, shape fleetShape, backends *backendModel,
 	seed uint64) (*liveFleet, error) {
 	services, err := startStandIns(ctx, monitor, shape)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	f := &liveFleet{standIns: services, shape: shape, backends: backends, recorder: NewRecorder(), cancel: cancel}
+	f := &liveFleet{standIns: services, shape: shape, backends: backends, recorder: newTimeRecorder(), cancel: cancel}
 	if err := f.start(ctx, seed); err != nil {
 		f.stop()
 		return nil, err
@@ -61,7 +61,7 @@
 	f.baselineMemory = memoryInUse()
 	log := slog.New(slog.DiscardHandler)
 	for index := range f.shape.Ingresses {
-		h, err := NewHollowIngress(f.shape, index, f.backends, f.recorder, seed)
+		h, err := newHollowIngress(f.shape, index, f.backends, f.recorder, seed)
 		if err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 			h.deliverUpdate(h.live.clients.applyCached(cached))
 		}
 		f.ingresses = append(f.ingresses, h)
-		f.running.Go(func() { h.Run(ctx) }) // ends with ctx; stop waits for it
+		f.running.Go(func() { h.run(ctx) }) // ends with ctx; stop waits for it
 	}
 	return f.waitReady(ctx)
 }
@@ -83,7 +83,7 @@
 			return err
 		}
 		lists, watches := 0, reply.Discovery.OpenWatches
-		if err := f.forEach(ctx, func(h *HollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
+		if err := f.forEach(ctx, func(h *hollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
 			return err
 		}
 		if watches >= len(f.ingresses) && lists == len(f.ingresses) {
@@ -106,7 +106,7 @@
 }
 
 // forEach runs a function on the goroutine of each ingress, one after another.
-func (f *liveFleet) forEach(ctx context.Context, do func(*HollowIngress)) error {
+func (f *liveFleet) forEach(ctx context.Context, do func(*hollowIngress)) error {
 	for _, h := range f.ingresses {
 		if err := h.do(ctx, func() { do(h) }); err != nil {
 			return err
@@ -117,7 +117,7 @@
 
 // setRate sets the rate of arrivals at each ingress, in requests a second.
 func (f *liveFleet) setRate(ctx context.Context, rate float64) error {
-	return f.forEach(ctx, func(h *HollowIngress) { h.setRate(rate) })
+	return f.forEach(ctx, func(h *hollowIngress) { h.setRate(rate) })
 }
 
 // memoryPerIngress returns the bytes of heap and stacks of one ingress with its two clients.
@@ -141,13 +141,13 @@
 type snapshot struct {
 	at                 time.Time
 	cpuTime            time.Duration // of this process: the ingresses
-	tally              Tally         // of all ingresses
-	discovery, counter StandInReply
+	tally              tally         // of all ingresses
+	discovery, counter standInReply
 }
 
 func (f *liveFleet) takeSnapshot(ctx context.Context) (snapshot, error) {
 	s := snapshot{at: time.Now(), cpuTime: cpuTime(wholeProcess)}
-	err := f.forEach(ctx, func(h *HollowIngress) { s.tally = s.tally.plus(h.tally) })
+	err := f.forEach(ctx, func(h *hollowIngress) { s.tally = s.tally.plus(h.tally) })
 	if err != nil {
 		return s, err
 	}
@@ -162,7 +162,7 @@
 type usage struct {
 	seconds           float64
 	cpuTime           time.Duration // of this process: the ingresses
-	tally             Tally         // of all ingresses
+	tally             tally         // of all ingresses
 	discoveryCPUTime  time.Duration
 	discoveryMessages float64 // lists and changes written
 	discoveryBytes    float64
@@ -204,6 +204,37 @@
 	return f.measure(ctx, func() error { return sleep(ctx, d) })
 }
 
+// idleAndLoad is what a fleet used without requests and then under load.
+type idleAndLoad struct {
+	idle, load     usage
+	times          histograms // of the load
+	attemptsBefore []uint64   // at each backend, when the measurement of the load began
+}
+
+// measureIdleAndLoad measures the fleet without requests, and then at a rate of requests a second of each ingress after
+// a time to settle.
+func (f *liveFleet) measureIdleAndLoad(ctx context.Context, rate float64, idle, settle,
+	load time.Duration) (idleAndLoad, error) {
+	var m idleAndLoad
+	var err error
+	if m.idle, err = f.measureFor(ctx, idle); err != nil {
+		return m, err
+	}
+	if err := f.setRate(ctx, rate); err != nil {
+		return m, err
+	}
+	if err := sleep(ctx, settle); err != nil {
+		return m, err
+	}
+	f.recorder.drain()
+	m.attemptsBefore = f.backends.attemptCounts()
+	if m.load, err = f.measureFor(ctx, load); err != nil {
+		return m, err
+	}
+	m.times = f.recorder.drain()
+	return m, nil
+}
+
 // propagation says how long changes of endpoints took to reach the ingresses.
 type propagation struct {
 	perIngress *hdrhistogram.Histogram // each change at each ingress
@@ -215,7 +246,7 @@
 func (f *liveFleet) propagationOf(ctx context.Context, changes []appliedRevision) (propagation, error) {
 	result := propagation{perIngress: newHistogram(), fleetWide: newHistogram()}
 	logs := make([][]appliedRevision, 0, len(f.ingresses))
-	err := f.forEach(ctx, func(h *HollowIngress) {
+	err := f.forEach(ctx, func(h *hollowIngress) {
 		logs = append(logs, append([]appliedRevision{}, h.appliedRevisions...))
 	})
 	if err != nil {
--- a/internal/scale/live_fleet_test.go
+++ b/internal/scale/live_fleet_test.go
@@ -11,8 +11,8 @@
 func testLiveFleet(t *testing.T, polled bool) {
 	t.Helper()
 	monitor := newResourceMonitor()
-	shape := FleetShape{Ingresses: 3, Tenants: 30, Rate: 50, Polled: polled}
-	f, err := startLiveFleet(t.Context(), monitor, shape, NewBackendModel(20, 150, meanServiceTime, false), 1)
+	shape := fleetShape{Ingresses: 3, Tenants: 30, Rate: 50, Polled: polled}
+	f, err := startLiveFleet(t.Context(), monitor, shape, newBackendModel(20, 150, meanServiceTime, false), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/live_sweeps.go
+++ b/internal/scale/live_sweeps.go
@@ -32,15 +32,7 @@
 )
 
 func (r *Run) ingressJobs() []job {
-	var jobs []job
-	for _, n := range r.Ingresses {
-		jobs = append(jobs, job{
-			point:    Point{Sweep: "ingresses", Label: formatNumber(float64(n)), Against: "ingresses", Size: float64(n)},
-			duration: 20 * time.Second,
-			measure:  func(ctx context.Context, p *Point) error { return r.measureIngresses(ctx, p, n) },
-		})
-	}
-	return jobs
+	return jobsBySize("ingresses", "ingresses", r.Ingresses, 20*time.Second, r.measureIngresses)
 }
 
 // measureIngresses measures a live fleet of n hollow ingresses: idle, under load and while the list changes.
@@ -50,41 +42,30 @@
 		p.addNote("left out: the machine does not bear the fleet before it")
 		return nil
 	}
-	shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
-	backends := NewBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
+	backends := newBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
 	}
 	defer f.stop()
-	idle, err := f.measureFor(ctx, r.scaled(idleDuration))
-	if err != nil {
-		return err
-	}
-	if err := f.setRate(ctx, r.LiveRate); err != nil {
-		return err
-	}
-	if err := sleep(ctx, r.scaled(settleDuration)); err != nil {
-		return err
-	}
-	f.recorder.drain()
-	load, err := f.measureFor(ctx, r.scaled(loadDuration))
+	m, err := f.measureIdleAndLoad(ctx, r.LiveRate, r.scaled(idleDuration), r.scaled(settleDuration),
+		r.scaled(loadDuration))
 	if err != nil {
 		return err
 	}
-	times := f.recorder.drain()
 	p.addFigure(roleIngress, "state, with list and tenants", "KB", toKB(f.memoryPerIngress()), 1)
 	if err := f.setRate(ctx, 0); err != nil {
 		return err
 	}
-	addIdleFigures(p, idle, n)
-	addLoadFigures(p, load, n)
-	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
-	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, times[metricAddedLatency], 99)
+	addIdleFigures(p, m.idle, n)
+	addLoadFigures(p, m.load, n)
+	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, m.times[metricArrival], 50)
+	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, m.times[metricAddedLatency], 99)
 	if err := f.addStateFigures(p); err != nil {
 		return err
 	}
-	r.checkSaturation(p, load, times[metricLateness], n)
+	r.checkSaturation(p, m.load, m.times[metricLateness], n)
 	return r.addChangeFigures(ctx, p, f, changeInterval, singleChanges)
 }
 
@@ -235,8 +216,8 @@
 // changeJob is a point of n ingresses with changes at an interval.
 func (r *Run) changeJob(sweep, against string, size float64, n int, polled bool, interval time.Duration) job {
 	measure := func(ctx context.Context, p *Point) error {
-		shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate, Polled: polled}
-		backends := NewBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
+		shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate, Polled: polled}
+		backends := newBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
 		f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 		if err != nil {
 			return err
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -58,17 +58,17 @@
 	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
 }
 
-// Recorder gathers times of many hollow ingresses. It is safe for concurrent use.
-type Recorder struct {
+// timeRecorder gathers times of many hollow ingresses. It is safe for concurrent use.
+type timeRecorder struct {
 	shards [recorderShards]struct {
 		mu         sync.Mutex // guards histograms
 		histograms histograms
 	}
 }
 
-// NewRecorder returns a recorder without times.
-func NewRecorder() *Recorder {
-	r := &Recorder{}
+// newTimeRecorder returns a recorder without times.
+func newTimeRecorder() *timeRecorder {
+	r := &timeRecorder{}
 	for i := range r.shards {
 		r.shards[i].histograms = newHistograms()
 	}
@@ -76,7 +76,7 @@
 }
 
 // record adds a time of one ingress.
-func (r *Recorder) record(ingress int, m metric, d time.Duration) {
+func (r *timeRecorder) record(ingress int, m metric, d time.Duration) {
 	shard := &r.shards[ingress%recorderShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -84,7 +84,7 @@
 }
 
 // drain returns what was recorded since the last call.
-func (r *Recorder) drain() histograms {
+func (r *timeRecorder) drain() histograms {
 	sum := newHistograms()
 	for i := range r.shards {
 		shard := &r.shards[i]
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -42,6 +42,21 @@
 	measure  func(context.Context, *Point) error
 }
 
+// jobsBySize returns a job for each size of a sweep.
+func jobsBySize(sweep, against string, sizes []int, duration time.Duration,
+	measure func(context.Context, *Point, int) error) []job {
+	var jobs []job
+	for _, size := range sizes {
+		label := formatNumber(float64(size))
+		jobs = append(jobs, job{
+			point:    Point{Sweep: sweep, Label: label, Against: against, Size: float64(size)},
+			duration: duration,
+			measure:  func(ctx context.Context, p *Point) error { return measure(ctx, p, size) },
+		})
+	}
+	return jobs
+}
+
 // NewRun checks the options and returns a run that has not started anything. Its progress is written line by line.
 func NewRun(o Options, progress io.Writer) (*Run, error) {
 	if o.Quick {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -72,7 +72,7 @@
 }
 
 // settingsJSON returns the settings object of one ingress.
-func (s FleetShape) settingsJSON(index int) ([]byte, error) {
+func (s fleetShape) settingsJSON(index int) ([]byte, error) {
 	registryMode := "automatic"
 	if s.Polled {
 		registryMode = "subscribe"
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -53,8 +53,8 @@
 	{name: "wide", share: 0.2, gatewaySpan: 32, smallBurst: true},
 }
 
-// FleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
-type FleetShape struct {
+// fleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
+type fleetShape struct {
 	Ingresses int
 	Tenants   int     // of one ingress, about
 	Rate      float64 // requests a second of one ingress, which the quotas are made for
@@ -64,7 +64,7 @@
 func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
 
 // policySettings returns the settings of one ingress as its decision module takes them.
-func (s FleetShape) policySettings(index int) (policy.Settings, error) {
+func (s fleetShape) policySettings(index int) (policy.Settings, error) {
 	text, err := s.settingsJSON(index)
 	if err != nil {
 		return policy.Settings{}, err
@@ -77,7 +77,7 @@
 }
 
 // planSettings returns the plans, with quotas that hold what their tenants ask for.
-func (s FleetShape) planSettings() []planSettings {
+func (s fleetShape) planSettings() []planSettings {
 	var list []planSettings
 	for i, plan := range plans {
 		span := s.gatewaySpan(plan)
@@ -93,10 +93,10 @@
 	return list
 }
 
-func (s FleetShape) gatewaySpan(plan tenantPlan) int { return min(plan.gatewaySpan, s.Ingresses) }
+func (s fleetShape) gatewaySpan(plan tenantPlan) int { return min(plan.gatewaySpan, s.Ingresses) }
 
 // tenantsPerFirstGateway returns how many tenants of a plan have the same first gateway.
-func (s FleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
+func (s fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
 	return max(1, int(float64(s.Tenants)*plan.share/float64(s.gatewaySpan(plan))+0.5))
 }
 
@@ -107,7 +107,7 @@
 }
 
 // tenantsOf returns the tenants that come through one ingress. All ingresses agree on which tenants they share.
-func (s FleetShape) tenantsOf(index int) []tenant {
+func (s fleetShape) tenantsOf(index int) []tenant {
 	var list []tenant
 	for planIndex, plan := range plans {
 		span := s.gatewaySpan(plan)
--- a/internal/scale/shape_test.go
+++ b/internal/scale/shape_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestIngressesAgreeOnTheTenantsThatTheyShare(t *testing.T) {
-	shape := FleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
+	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
 	ingressesOf := map[string]int{} // by tenant
 	tenants := map[string]tenant{}
 	for index := range shape.Ingresses {
@@ -26,7 +26,7 @@
 }
 
 func TestPolicySettingsFollowTheShape(t *testing.T) {
-	shape := FleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
+	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
 	settings, err := shape.policySettings(3)
 	if err != nil || settings.Index != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
 		!settings.SharedCounter || settings.PollEndpoints {
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -43,8 +43,8 @@
 	Targets   []standin.Target        `json:"targets,omitempty"`
 }
 
-// StandInReply is what a stand-in's process writes to its standard output for each command.
-type StandInReply struct {
+// standInReply is what a stand-in's process writes to its standard output for each command.
+type standInReply struct {
 	Addr      string                 `json:"addr,omitempty"`
 	Error     string                 `json:"error,omitempty"`
 	Revision  int64                  `json:"rev,omitempty"`
@@ -89,27 +89,27 @@
 	serving   sync.WaitGroup // the goroutine that accepts connections
 }
 
-func (s *standInServer) execute(command standInCommand) (StandInReply, error) {
+func (s *standInServer) execute(command standInCommand) (standInReply, error) {
 	switch {
 	case command.Action == actionServe:
 		return s.serve(command)
 	case command.Action == actionSetList && s.discovery != nil:
 		s.discovery.SetList(command.Targets)
-		return StandInReply{}, nil
+		return standInReply{}, nil
 	case command.Action == actionChange && s.discovery != nil:
 		appliedAt := time.Now()
-		return StandInReply{AppliedAt: appliedAt, Revision: s.discovery.Change(command.Targets...)}, nil
+		return standInReply{AppliedAt: appliedAt, Revision: s.discovery.Change(command.Targets...)}, nil
 	case command.Action == actionReport || command.Action == actionReportMemory:
 		return s.report(command.Action == actionReportMemory), nil
 	}
-	return StandInReply{}, fmt.Errorf("%w: %q", errUnknownAction, command.Action)
+	return standInReply{}, fmt.Errorf("%w: %q", errUnknownAction, command.Action)
 }
 
 // serve starts the stand-in; close ends the goroutine that serves and waits for it.
-func (s *standInServer) serve(command standInCommand) (StandInReply, error) {
+func (s *standInServer) serve(command standInCommand) (standInReply, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return StandInReply{}, err
+		return standInReply{}, err
 	}
 	if s.role == roleDiscovery {
 		s.discovery = standin.NewDiscovery(command.Discovery)
@@ -118,11 +118,11 @@
 		s.counter = standin.NewCounter(command.Counter)
 		s.serving.Go(func() { s.counter.Serve(listener) }) // as above
 	}
-	return StandInReply{Addr: listener.Addr().String()}, nil
+	return standInReply{Addr: listener.Addr().String()}, nil
 }
 
-func (s *standInServer) report(withMemory bool) StandInReply {
-	reply := StandInReply{CPUTime: cpuTime(wholeProcess)}
+func (s *standInServer) report(withMemory bool) standInReply {
+	reply := standInReply{CPUTime: cpuTime(wholeProcess)}
 	if withMemory {
 		reply.Memory = memoryInUse()
 	}
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -64,10 +64,10 @@
 }
 
 // call sends a command and returns the reply. The error is a *standInError where the stand-in says what went wrong.
-func (s *standInProcess) call(command standInCommand) (StandInReply, error) {
+func (s *standInProcess) call(command standInCommand) (standInReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var reply StandInReply
+	var reply standInReply
 	if err := json.NewEncoder(s.in).Encode(command); err != nil {
 		return reply, fmt.Errorf("stand-in: %w", err)
 	}
@@ -89,7 +89,7 @@
 // standIns are discovery and the counter.
 type standIns struct{ discovery, counter *standInProcess }
 
-func startStandIns(ctx context.Context, monitor *resourceMonitor, shape FleetShape) (*standIns, error) {
+func startStandIns(ctx context.Context, monitor *resourceMonitor, shape fleetShape) (*standIns, error) {
 	var config standin.DiscoveryConfig
 	if shape.Polled {
 		config.CallsPerSecond, config.Patience = polledCallsPerSecond, polledQueueTimeout
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -1,7 +1,7 @@
 package scale
 
-// Tally counts what a hollow ingress has done. Each request has one end: it is served, rejected, failed or unanswered.
-type Tally struct {
+// tally counts what a hollow ingress has done. Each request has one end: it is served, rejected, failed or unanswered.
+type tally struct {
 	Requests   uint64
 	Served     uint64
 	Rejected   uint64
@@ -17,8 +17,8 @@
 	Skipped uint64 // arrivals that a busy machine would have played too late
 }
 
-func (t Tally) minus(u Tally) Tally {
-	return Tally{
+func (t tally) minus(u tally) tally {
+	return tally{
 		Requests:     t.Requests - u.Requests,
 		Served:       t.Served - u.Served,
 		Rejected:     t.Rejected - u.Rejected,
@@ -33,4 +33,4 @@
 	}
 }
 
-func (t Tally) plus(u Tally) Tally { return t.minus(Tally{}.minus(u)) }
+func (t tally) plus(u tally) tally { return t.minus(tally{}.minus(u)) }
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -25,8 +25,8 @@
 
 // measureZoneLoss takes all backends of a zone away under load, and then brings them back cold.
 func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
-	backends := NewBackendModel(zones*backendsPerZone, r.LiveRate*float64(n), meanServiceTime, false)
-	shape := FleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
+	backends := newBackendModel(zones*backendsPerZone, r.LiveRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
