--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -194,7 +194,8 @@
 	return result
 }
 
-// coldAttemptLimit returns the number of attempts within slowStartSpan that a backend bears when it has just started.
+// coldAttemptLimit returns the number of attempts within slowStartSpan that do not overload a backend which has just
+// started.
 func (m *backendModel) coldAttemptLimit(meanServiceTime time.Duration) float64 {
 	return slowStartMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartSpan.Seconds()
 }
@@ -223,7 +224,8 @@
 	return count
 }
 
-// maxWithinWindow returns the largest number of times that lie within one window. The times are in rising order.
+// maxWithinWindow returns the largest number of times that lie within one window. The times are in the order in which
+// the attempts came.
 func maxWithinWindow(times []time.Duration, window time.Duration) int {
 	result, oldest := 0, 0
 	for i, t := range times {
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -3,8 +3,8 @@
 // Most ingresses of a run are hollow: hundreds of them run in one process, each with the real decision module, but with
 // drawn requests and modelled backends in place of sockets. There are two kinds of sweeps:
 //
-//   - On a simulated clock (sweeps of backends and tenants) one ingress at a time plays requests as fast as it can, and
-//     its processor time and memory are measured.
+//   - On a simulated clock (sweeps of backends and tenants) one ingress at a time handles requests as fast as it can,
+//     and its processor time and memory are measured.
 //   - In real time (sweeps of ingresses, changes and a lost zone) a fleet of hollow ingresses has the real clients of
 //     discovery and of the counter, whose stand-ins run in processes of their own. The run starts its own program again
 //     for these and passes it commands as JSON.
--- a/internal/scale/driven_sweeps.go
+++ b/internal/scale/driven_sweeps.go
@@ -58,6 +58,47 @@
 	return drivenUsage{u.span + v.span, u.threadCPU + v.threadCPU, u.tally.plus(v.tally)}
 }
 
+// drivenMeasurement is what ingresses used and did under load and then without requests.
+type drivenMeasurement struct {
+	load, idle           drivenUsage
+	loadTimes, idleTimes histograms
+}
+
+func newDrivenMeasurement() drivenMeasurement {
+	return drivenMeasurement{loadTimes: newHistograms(), idleTimes: newHistograms()}
+}
+
+func (m *drivenMeasurement) add(other drivenMeasurement) {
+	m.load, m.idle = m.load.plus(other.load), m.idle.plus(other.idle)
+	m.loadTimes.merge(other.loadTimes)
+	m.idleTimes.merge(other.idleTimes)
+}
+
+// limitScale returns how much of a limit of real time an ingress may use.
+type limitScale func(time.Duration) time.Duration
+
+// warmUp starts requests at a rate a second and lets the ingress run until it has its leases. It returns all times
+// that have been recorded since the last drain.
+func (h *hollowIngress) warmUp(ctx context.Context, rate float64, scale limitScale) histograms {
+	h.setRate(rate)
+	h.advance(warmUpSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
+	return h.recorder.drain()
+}
+
+// measureLoadAndIdle measures an ingress that has been warmed up, for a simulated span and then without requests.
+func (h *hollowIngress) measureLoadAndIdle(ctx context.Context, loadSpan time.Duration,
+	scale limitScale) drivenMeasurement {
+	var m drivenMeasurement
+	m.load = h.measure(ctx, loadSpan, scale(measureTimeLimit))
+	m.loadTimes = h.recorder.drain()
+	h.setRate(0)
+	h.advance(drainSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
+	h.recorder.drain()
+	m.idle = h.measure(ctx, idleSpan, scale(warmUpTimeLimit))
+	m.idleTimes = h.recorder.drain()
+	return m
+}
+
 func (r *Run) backendJobs() []job {
 	return jobsBySize("backends", "backends", r.Backends, 15*time.Second, r.measureBackends)
 }
@@ -70,10 +111,9 @@
 		return err
 	}
 	targets, recorder := backends.targets(), newTimeRecorder()
-	var load, idle drivenUsage
-	loadTimes, idleTimes, changeTimes := newHistograms(), newHistograms(), newHistograms()
+	sum, changeTimes := newDrivenMeasurement(), newHistograms()
 	ingresses := min(sampledIngresses, r.Fleet)
-	timeLimit := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
+	scale := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
 	for i := range ingresses {
 		h, err := newHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
 		if err != nil {
@@ -84,19 +124,11 @@
 		if i == 0 {
 			p.addFigure(roleIngress, "state of the module's list", "MB", toMB(memoryGrowth(memoryBefore)), 1)
 		}
-		h.setRate(r.Rate)
-		h.advance(warmUpSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
-		warmUpTimes := recorder.drain()
+		warmUpTimes := h.warmUp(ctx, r.Rate, scale)
 		if i == 0 {
 			p.addHistogram(roleIngress, "list handled", "ms", time.Millisecond, warmUpTimes[metricSnapshot], 50)
 		}
-		load = load.plus(h.measure(ctx, measureSpan, timeLimit(measureTimeLimit)))
-		loadTimes.merge(recorder.drain())
-		h.setRate(0)
-		h.advance(drainSpan, whileTimeLeft(ctx, timeLimit(warmUpTimeLimit)))
-		recorder.drain()
-		idle = idle.plus(h.measure(ctx, idleSpan, timeLimit(warmUpTimeLimit)))
-		idleTimes.merge(recorder.drain())
+		sum.add(h.measureLoadAndIdle(ctx, measureSpan, scale))
 		for change := 0; change < drivenChanges && ctx.Err() == nil; change++ {
 			h.applyUpdate(newChange(int64(change), backends.toggleDraining(change)))
 		}
@@ -105,12 +137,12 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	r.addRequestFigures(p, load, loadTimes)
-	// The more backends there are, the fewer requests are played and the larger is the part of the calls that take the
-	// first lease of a tenant.
+	r.addRequestFigures(p, sum.load, sum.loadTimes)
+	// The more backends there are, the fewer requests fit the time limit, and the larger is the part of the calls that
+	// take the first lease of a tenant.
 	p.excludeFromFit(figureCounterCalls)
 	p.addHistogram(roleIngress, "change handled", "µs", time.Microsecond, changeTimes[metricChange], 50)
-	addModuleIdleFigure(p, idle, idleTimes)
+	addModuleIdleFigure(p, sum.idle, sum.idleTimes)
 	return nil
 }
 
@@ -159,24 +191,15 @@
 func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
 	shape := fleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
 	backends := newBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
-	recorder := newTimeRecorder()
-	h, err := newHollowIngress(shape, r.Fleet/2, backends, recorder, r.Seed)
+	h, err := newHollowIngress(shape, r.Fleet/2, backends, newTimeRecorder(), r.Seed)
 	if err != nil {
 		return err
 	}
 	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
 	h.loadEndpoints(backends.targets())
 	memoryBefore := memoryInUse()
-	h.setRate(r.Rate)
-	h.advance(warmUpSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
-	recorder.drain()
-	load := h.measure(ctx, 2*measureSpan, r.scaled(measureTimeLimit))
-	loadTimes := recorder.drain()
-	h.setRate(0)
-	h.advance(drainSpan, whileTimeLeft(ctx, r.scaled(warmUpTimeLimit)))
-	recorder.drain()
-	idle := h.measure(ctx, idleSpan, r.scaled(warmUpTimeLimit))
-	idleTimes := recorder.drain()
+	h.warmUp(ctx, r.Rate, r.scaled)
+	m := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaled)
 	h.clearCounterTable() // its memory is the counter's, not the ingress's
 	memory := memoryGrowth(memoryBefore)
 	if err := ctx.Err(); err != nil {
@@ -185,7 +208,7 @@
 	p.addUnfitted(roleIngress, "tenants", "", p.Size)
 	p.addFigure(roleIngress, "state of the tenants", "MB", toMB(memory), 1)
 	p.addUnfitted(roleIngress, "state of a tenant", "bytes", memory/float64(len(h.tenants)))
-	r.addRequestFigures(p, load, loadTimes)
-	addModuleIdleFigure(p, idle, idleTimes)
+	r.addRequestFigures(p, m.load, m.loadTimes)
+	addModuleIdleFigure(p, m.idle, m.idleTimes)
 	return nil
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -37,8 +37,8 @@
 	lastRequestID    policy.RequestID
 
 	queuedEvents []policy.Event  // for the decision module
-	actions      []policy.Action // its answer to the event in hand; kept for its memory
-	eventStart   time.Time       // when the event in hand was given to the module
+	actions      []policy.Action // its answer to the last event; reused for its memory
+	eventStart   time.Time       // when the module received its last event
 
 	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // the current list; only where the module fetches lists
 	subset              endpointSubset                        // on a simulated clock; live it is the client's
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// drivenRun plays a number of requests at each of two ingresses in front of 20 backends, and lets all of them end.
+// drivenRun lets a number of requests arrive at each of two ingresses in front of 20 backends, and all of them end.
 func drivenRun(t *testing.T, requests uint64) ([]tally, *backendModel, *timeRecorder) {
 	t.Helper()
 	shape := fleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
--- a/internal/scale/hollow_timers.go
+++ b/internal/scale/hollow_timers.go
@@ -7,7 +7,7 @@
 )
 
 // maxLateness is how far an arrival may be behind the clock of its ingress. One that is later is skipped, so that a
-// machine that cannot keep up does not play an ever longer backlog.
+// machine that cannot keep up does not work on an ever longer backlog.
 const maxLateness = 250 * time.Millisecond
 
 // timerKind says what a timer of a hollow ingress stands for.
--- a/internal/scale/ingress_parts.go
+++ b/internal/scale/ingress_parts.go
@@ -15,12 +15,12 @@
 // endpointUpdate is a list of endpoints, or a change of some, on its way to a decision module.
 type endpointUpdate struct{ fleet ingress.Fleet }
 
-// newSnapshot is a complete list of endpoints.
+// newSnapshot returns a complete list of endpoints.
 func newSnapshot(revision int64, targets []standin.Target) endpointUpdate {
 	return endpointUpdate{ingress.Fleet{Rev: revision, All: true, Targets: ingressTargets(targets)}}
 }
 
-// newChange is a change of the listed endpoints alone.
+// newChange returns a change of the listed endpoints alone.
 func newChange(revision int64, targets ...standin.Target) endpointUpdate {
 	return endpointUpdate{ingress.Fleet{Rev: revision, Targets: ingressTargets(targets)}}
 }
@@ -37,7 +37,7 @@
 func (u endpointUpdate) isSnapshot() bool { return u.fleet.All }
 func (u endpointUpdate) size() int        { return len(u.fleet.Targets) }
 
-// event is the update as the decision module receives it.
+// event returns the update as the decision module receives it.
 func (u endpointUpdate) event() policy.EndpointsChanged { return u.fleet.Changed() }
 
 // endpointSubset is what an ingress keeps of discovery's list.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -32,7 +32,7 @@
 	monitor   *resourceMonitor
 	report    *Report
 	deadline  time.Time
-	saturated bool // the machine does not bear a larger live fleet
+	saturated bool // the machine is too small for a larger live fleet
 }
 
 // job is one point of a sweep that is still to be measured.
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -33,7 +33,7 @@
 const (
 	slowStartMinWeight = 0.2 // share of the full speed at the start
 	slowStartWindow    = 10 * time.Second
-	slowStartMultiple  = 2.0 // attempts that a cold backend bears, in multiples of what it serves
+	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of what it serves
 	slowStartSpan      = time.Second
 )
 
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -14,7 +14,7 @@
 	Changes      uint64 // of endpoints
 	Snapshots    uint64 // of the endpoint list
 
-	Skipped uint64 // arrivals that a busy machine would have played too late
+	Skipped uint64 // arrivals left out since a busy machine was too late for them
 }
 
 func (t tally) minus(u tally) tally {
