--- /dev/null
+++ b/internal/scale/driven_sweeps.go
@@ -0,0 +1,214 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"time"
+)
+
+// Limits of the sweeps on a simulated clock. A part of a point ends at its span of simulated time or at its limit of
+// real time, whichever comes first.
+const (
+	warmUpSpan       = 20 * time.Second // simulated, before requests are measured
+	warmUpTimeLimit  = 3 * time.Second
+	measureSpan      = 60 * time.Second // simulated, of the requests measured
+	measureTimeLimit = 8 * time.Second
+	idleSpan         = 10 * time.Second // simulated, without requests
+	drainSpan        = 5 * time.Second  // simulated, for the requests in flight to end
+
+	sampledIngresses    = 3  // of the fleet, evenly over its indices
+	drivenChanges       = 50 // of endpoints, for each of them
+	eventsPerClockCheck = 8  // so that reading the real clock costs little
+)
+
+// whileTimeLeft returns a function that is true until a time limit is over or ctx ends.
+func whileTimeLeft(ctx context.Context, limit time.Duration) func() bool {
+	end, calls := time.Now().Add(limit), 0
+	return func() bool {
+		calls++
+		return calls%eventsPerClockCheck != 0 || time.Now().Before(end) && ctx.Err() == nil
+	}
+}
+
+// drivenUsage is what ingresses used and did on a simulated clock.
+type drivenUsage struct {
+	span      time.Duration // simulated
+	threadCPU time.Duration // of the thread that the ingress ran on, which leaves out most of the garbage collector's
+	tally     tally
+}
+
+// measure lets a hollow ingress run like advance and measures it.
+func (h *hollowIngress) measure(ctx context.Context, span, limit time.Duration) drivenUsage {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	start, cpuBefore, tallyBefore := h.now, cpuTime(currentThread), h.tally
+	h.advance(span, whileTimeLeft(ctx, limit))
+	return drivenUsage{
+		span:      h.now - start,
+		threadCPU: cpuTime(currentThread) - cpuBefore,
+		tally:     h.tally.minus(tallyBefore),
+	}
+}
+
+// coreShare returns the share of a core that the ingress takes.
+func (u drivenUsage) coreShare() float64 { return u.threadCPU.Seconds() / max(1e-9, u.span.Seconds()) }
+
+func (u drivenUsage) plus(v drivenUsage) drivenUsage {
+	return drivenUsage{u.span + v.span, u.threadCPU + v.threadCPU, u.tally.plus(v.tally)}
+}
+
+// drivenMeasurement is what ingresses used and did under load and then without requests.
+type drivenMeasurement struct {
+	load, idle           drivenUsage
+	loadTimes, idleTimes histograms
+}
+
+func newDrivenMeasurement() drivenMeasurement {
+	return drivenMeasurement{loadTimes: newHistograms(), idleTimes: newHistograms()}
+}
+
+func (m *drivenMeasurement) add(other drivenMeasurement) {
+	m.load, m.idle = m.load.plus(other.load), m.idle.plus(other.idle)
+	m.loadTimes.merge(other.loadTimes)
+	m.idleTimes.merge(other.idleTimes)
+}
+
+// limitScale returns how much of a limit of real time an ingress may use.
+type limitScale func(time.Duration) time.Duration
+
+// warmUp starts requests at a rate a second and lets the ingress run until it has its leases. It returns all times
+// that have been recorded since the last drain.
+func (h *hollowIngress) warmUp(ctx context.Context, rate float64, scale limitScale) histograms {
+	h.setRate(rate)
+	h.advance(warmUpSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
+	return h.recorder.drain()
+}
+
+// measureLoadAndIdle measures an ingress that has been warmed up, for a simulated span and then without requests.
+func (h *hollowIngress) measureLoadAndIdle(ctx context.Context, loadSpan time.Duration,
+	scale limitScale) drivenMeasurement {
+	var m drivenMeasurement
+	m.load = h.measure(ctx, loadSpan, scale(measureTimeLimit))
+	m.loadTimes = h.recorder.drain()
+	h.setRate(0)
+	h.advance(drainSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
+	h.recorder.drain()
+	m.idle = h.measure(ctx, idleSpan, scale(warmUpTimeLimit))
+	m.idleTimes = h.recorder.drain()
+	return m
+}
+
+func (r *Run) backendJobs() []job {
+	return jobsBySize("backends", "backends", r.Backends, 15*time.Second, r.measureBackends)
+}
+
+// measureBackends measures some ingresses of the whole fleet, one after another, in front of n backends.
+func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
+	shape := fleetShape{Ingresses: r.Fleet, Tenants: liveTenants, Rate: r.Rate}
+	backends := newBackendModel(n, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	if err := r.addListFigures(ctx, p, shape, backends); err != nil {
+		return err
+	}
+	targets, recorder := backends.targets(), newTimeRecorder()
+	sum, changeTimes := newDrivenMeasurement(), newHistograms()
+	ingresses := min(sampledIngresses, r.Fleet)
+	scale := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
+	for i := range ingresses {
+		h, err := newHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
+		if err != nil {
+			return err
+		}
+		memoryBefore := memoryInUse()
+		h.loadEndpoints(targets)
+		if i == 0 {
+			p.addFigure(roleIngress, "state of the module's list", "MB", toMB(memoryGrowth(memoryBefore)), 1)
+		}
+		warmUpTimes := h.warmUp(ctx, r.Rate, scale)
+		if i == 0 {
+			p.addHistogram(roleIngress, "list handled", "ms", time.Millisecond, warmUpTimes[metricSnapshot], 50)
+		}
+		sum.add(h.measureLoadAndIdle(ctx, measureSpan, scale))
+		for change := 0; change < drivenChanges && ctx.Err() == nil; change++ {
+			h.applyUpdate(newChange(int64(change), backends.toggleDraining(change)))
+		}
+		changeTimes.merge(recorder.drain())
+	}
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	r.addRequestFigures(p, sum.load, sum.loadTimes)
+	// The more backends there are, the fewer requests fit the time limit, and the larger is the part of the calls that
+	// take the first lease of a tenant.
+	p.excludeFromFit(figureCounterCalls)
+	p.addHistogram(roleIngress, "change handled", "µs", time.Microsecond, changeTimes[metricChange], 50)
+	addModuleIdleFigure(p, sum.idle, sum.idleTimes)
+	return nil
+}
+
+// addRequestFigures adds the figures of requests on a simulated clock.
+func (r *Run) addRequestFigures(p *Point, u drivenUsage, times histograms) {
+	requests := float64(u.tally.Requests)
+	if requests == 0 {
+		p.addNote("no request was played in its time")
+		return
+	}
+	handled := 0.0
+	for _, m := range []metric{metricArrival, metricAttemptEnd, metricCounterReply} {
+		handled += times[m].Mean() * float64(times[m].TotalCount())
+	}
+	p.addFigure(roleIngress, "request, in the module", "µs", handled/1000/requests, u.tally.Requests)
+	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
+	p.addHistogram(roleIngress, "answer handled", "µs", time.Microsecond, times[metricAttemptEnd], 50)
+	p.addHistogram(roleIngress, "tick handled", "µs", time.Microsecond, times[metricTimer], 50)
+	p.addFigure(roleIngress, fmt.Sprintf("core at %s requests a second", formatNumber(r.Rate)), "%",
+		100*u.coreShare(), u.tally.Requests)
+	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, times[metricAddedLatency], 99)
+	p.addFigure(roleIngress, figureCounterCalls, "", float64(u.tally.CounterCalls)/requests, u.tally.Requests)
+	p.addUnfitted(roleIngress, figureAttempts, "", float64(u.tally.Attempts)/requests)
+	p.addUnfitted(roleIngress, "refused", "%", 100*float64(u.tally.Rejected)/requests)
+	p.addUnfitted(roleIngress, "not answered", "", float64(u.tally.Unanswered))
+	p.addUnfitted(roleRun, "requests played", "", requests)
+}
+
+// addModuleIdleFigure adds the processor time of an idle second, from the times of the timer events: the thread's own
+// clock moves in steps that are too coarse for so little.
+func addModuleIdleFigure(p *Point, u drivenUsage, times histograms) {
+	eventMS := float64(times[metricTimer].ValueAtQuantile(50)) / 1e6
+	eventsPerSecond := float64(u.tally.TimerEvents) / max(1e-9, u.span.Seconds())
+	p.addFigure(roleIngress, "idle second, in the module", "ms", eventMS*eventsPerSecond, u.tally.TimerEvents)
+}
+
+func (r *Run) tenantJobs() []job {
+	jobs := jobsBySize("tenants of an ingress", "tenants", r.Tenants, 10*time.Second, r.measureTenants)
+	for i := range jobs {
+		jobs[i].point.Size = 0 // known once the tenants of the ingress have been counted
+	}
+	return jobs
+}
+
+// measureTenants measures one ingress of the whole fleet with about n tenants.
+func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
+	shape := fleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
+	backends := newBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	h, err := newHollowIngress(shape, r.Fleet/2, backends, newTimeRecorder(), r.Seed)
+	if err != nil {
+		return err
+	}
+	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
+	h.loadEndpoints(backends.targets())
+	memoryBefore := memoryInUse()
+	h.warmUp(ctx, r.Rate, r.scaled)
+	m := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaled)
+	h.clearCounterTable() // its memory is the counter's, not the ingress's
+	memory := memoryGrowth(memoryBefore)
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	p.addUnfitted(roleIngress, "tenants", "", p.Size)
+	p.addFigure(roleIngress, "state of the tenants", "MB", toMB(memory), 1)
+	p.addUnfitted(roleIngress, "state of a tenant", "bytes", memory/float64(len(h.tenants)))
+	r.addRequestFigures(p, m.load, m.loadTimes)
+	addModuleIdleFigure(p, m.idle, m.idleTimes)
+	return nil
+}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -1,464 +1,302 @@
 package scale
 
 import (
-	"container/heap"
-	"context"
-	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"time"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/minheap"
+	"lemontack/internal/standin"
 	"lemontack/policy"
 )
 
 const (
-	hollowEvents = 256
-	mostLate     = 250 * time.Millisecond // behind its own clock, an ingress goes on from now and leaves out what was due
-	replyAfter   = 500 * time.Microsecond // of the counter, on a driven clock
-	drivenStart  = 500_000 * time.Hour    // a driven clock begins then, so that a start of 0 is long ago
-	overdue      = 8 * time.Millisecond   // after a request's time, without an answer
+	counterLatency   = 500 * time.Microsecond // of the simulated counter, from a call to its reply
+	simulatedStart   = 500_000 * time.Hour    // of the simulated clock, so that a backend started at 0 has long been warm
+	replyGracePeriod = 8 * time.Millisecond   // a client's patience beyond the deadline of its request
 )
 
-// Tally counts what a hollow ingress did.
-type Tally struct {
-	Requests, Served, Refused, Failed, Unanswered uint64
-	Sends, Calls, Ticks, Changes, Lists           uint64
-	Skipped                                       uint64 // arrivals that a busy machine would have played too late
-}
+// hollowIngress is an ingress without sockets to clients and backends: the real decision module with drawn requests and
+// modelled backends. On a simulated clock, which advance moves, its counter is a table; once connected it runs in real
+// time and has real clients of discovery and of the counter. It belongs to one goroutine, except for post and do.
+type hollowIngress struct {
+	index    int // of the ingress in its fleet
+	settings policy.Settings
+	gateway  *policy.Gateway
+	rng      *rand.Rand
+	backends *backendModel
+	recorder *timeRecorder
+	tally    tally
 
-func (t Tally) minus(u Tally) Tally {
-	return Tally{t.Requests - u.Requests, t.Served - u.Served, t.Refused - u.Refused, t.Failed - u.Failed,
-		t.Unanswered - u.Unanswered, t.Sends - u.Sends, t.Calls - u.Calls, t.Ticks - u.Ticks, t.Changes - u.Changes,
-		t.Lists - u.Lists, t.Skipped - u.Skipped}
-}
+	now    time.Duration // on its clock: Unix time, or the simulated one
+	timers *minheap.Heap[*timer]
 
-func (t Tally) plus(u Tally) Tally { return t.minus(Tally{}.minus(u)) }
+	tenants          []tenant
+	requestRate      float64 // requests a second; 0: none arrive
+	arrivalScheduled bool
+	requests         map[policy.RequestID]*request // that have not ended or have attempts in flight
+	lastRequestID    policy.RequestID
 
-// listed is a list or a change that came to be in force.
-type listed struct {
-	rev int64
-	at  time.Time
-}
+	queuedEvents []policy.Event  // for the decision module
+	actions      []policy.Action // its answer to the last event; reused for its memory
+	eventStart   time.Time       // when the module received its last event
 
-// Hollow is an ingress without clients and backends: the real module, with arrivals and answers drawn. On a driven
-// clock its counter is a table; live it talks to discovery and a counter as a real one does. One goroutine owns it.
-type Hollow struct {
-	me       int
-	set      policy.Settings
-	mod      *policy.Gateway
-	rng      *rand.Rand
-	back     *Backends
-	rec      *Recorder
-	tenants  []tenant
-	rate     float64 // requests a second; 0: none come
-	arriving bool
-	now      time.Duration
-	began    time.Time // of the event in hand
-	due      agenda
-	open     map[policy.RequestID]*request
-	last     policy.RequestID
-	queue    []policy.Event
-	actions  []policy.Action
-	tally    Tally
-	held     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
-	kept     *ingress.Membership                   // on a driven clock; live it is the client's
-	sharers  float64
-	log      []listed
+	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // the current list; only where the module fetches lists
+	subset              endpointSubset                        // on a simulated clock; live it is the client's
+	gatewaysPerEndpoint float64                               // of the last update
+	appliedRevisions    []appliedRevision
 
-	totals map[string]float64 // the counter, on a driven clock
-	parts  *ingress.Parts     // live
-	events chan any
-	ended  chan struct{}
-	start  time.Time
+	counterTable *standin.CounterTable // on a simulated clock; nil once connected
+	live         *liveConnection       // nil on a simulated clock
 }
 
-type request struct {
-	arrived  time.Duration
-	attempts []attempt
-	out      int
-	final    bool
-}
-
-type attempt struct {
-	server policy.EndpointID
-	sent   time.Duration
-	holds  bool // a place at the backend
-	ended  bool
+// appliedRevision is a revision of the endpoint list and when it was made or came to an ingress.
+type appliedRevision struct {
+	revision int64
+	at       time.Time
 }
 
-// what is due on a hollow ingress's clock.
-type what uint8
-
-const (
-	nextArrival what = iota
-	attemptEnd
-	giveUp
-	tick
-	callLate
-	callReply
-)
-
-type item struct {
-	at    time.Duration
-	what  what
-	id    policy.RequestID
-	n     int // attempt
-	end   policy.AttemptEnded
-	reply policy.CounterReply
-	call  ingress.Call
+// request is a request that the decision module knows.
+type request struct {
+	arrivedAt time.Duration
+	attempts  []attempt
+	inFlight  int  // of the attempts
+	answered  bool // or given up by the client
 }
 
-// agenda is a heap of what is due, the earliest first.
-type agenda []*item
-
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-
-// Push is for container/heap.
-func (a *agenda) Push(x any) { *a = append(*a, x.(*item)) }
-
-// Pop is for container/heap.
-func (a *agenda) Pop() any {
-	old := *a
-	last := old[len(old)-1]
-	old[len(old)-1] = nil
-	*a = old[:len(old)-1]
-	return last
+// attempt is one attempt of a request at a backend.
+type attempt struct {
+	endpoint  policy.EndpointID
+	sentAt    time.Duration
+	holdsSlot bool // at the backend
+	ended     bool
 }
 
-// NewHollow returns the ingress of that number, on a driven clock.
-func NewHollow(s Shape, me int, back *Backends, rec *Recorder, seed uint64) (*Hollow, error) {
-	set, err := s.parsed(me)
+// newHollowIngress returns the ingress with an index of the fleet, on a simulated clock.
+func newHollowIngress(shape fleetShape, index int, backends *backendModel, recorder *timeRecorder,
+	seed uint64) (*hollowIngress, error) {
+	settings, err := shape.policySettings(index)
 	if err != nil {
 		return nil, err
 	}
-	mod, err := policy.New(set, seed+uint64(me))
+	gateway, err := policy.New(settings, seed+uint64(index))
 	if err != nil {
 		return nil, err
 	}
-	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
-		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
-		totals: map[string]float64{}, held: map[policy.EndpointID]policy.Endpoint{},
-		kept: ingress.NewMembership(set, slog.New(slog.DiscardHandler))}, nil
-}
-
-// Known hands over the list that a configuration brings.
-func (h *Hollow) Known(targets []ingress.Target) {
-	h.told(ingress.Fleet{All: true, Targets: targets})
-}
-
-// told hands over what is kept of a list or a change.
-func (h *Hollow) told(f ingress.Fleet) {
-	if f = h.kept.Take(f); f.All || len(f.Targets) > 0 {
-		h.fleet(f)
+	return &hollowIngress{
+		index:           index,
+		settings:        settings,
+		gateway:         gateway,
+		rng:             rand.New(rand.NewPCG(seed, uint64(index))),
+		backends:        backends,
+		recorder:        recorder,
+		now:             simulatedStart,
+		timers:          minheap.New(earlierTimer),
+		tenants:         shape.tenantsOf(index),
+		requests:        map[policy.RequestID]*request{},
+		cachedEndpoints: map[policy.EndpointID]policy.Endpoint{},
+		subset:          newEndpointSubset(settings),
+		counterTable:    standin.NewCounterTable(),
+	}, nil
+}
+
+// loadEndpoints gives the decision module the list of endpoints that a configuration holds.
+func (h *hollowIngress) loadEndpoints(targets []standin.Target) {
+	h.applyUpdate(newSnapshot(0, targets))
+}
+
+// applyUpdate gives the decision module its subset of a list or a change.
+func (h *hollowIngress) applyUpdate(update endpointUpdate) {
+	if update = h.subset.apply(update); update.isSnapshot() || update.size() > 0 {
+		h.deliverUpdate(update)
 	}
 }
 
-func (h *Hollow) schedule(after time.Duration, it item) {
-	it.at = h.now + after
-	heap.Push(&h.due, &it)
-}
-
-// setRate begins or ends the arrivals.
-func (h *Hollow) setRate(rate float64) {
-	h.rate = rate
-	if rate > 0 && !h.arriving {
-		h.arriving = true
-		h.schedule(h.gap(), item{what: nextArrival})
+// deliverUpdate gives a list or a change to the decision module as it is.
+func (h *hollowIngress) deliverUpdate(update endpointUpdate) {
+	event := update.event()
+	h.gatewaysPerEndpoint = event.GatewaysPerEndpoint
+	if h.settings.PollEndpoints {
+		h.cacheEndpoints(event)
 	}
+	h.enqueue(event)
+	h.handleQueued()
+	h.appliedRevisions = append(h.appliedRevisions, appliedRevision{update.revision(), time.Now()})
 }
 
-func (h *Hollow) gap() time.Duration {
-	return time.Duration(h.rng.ExpFloat64() / h.rate * float64(time.Second))
-}
-
-// Drive plays what is due, without waiting, until the clock has advanced so far or more says no.
-func (h *Hollow) Drive(span time.Duration, more func() bool) {
-	end := h.now + span
-	for len(h.due) > 0 && h.due[0].at <= end && more() {
-		it := heap.Pop(&h.due).(*item)
-		h.now = it.at
-		h.ring(it)
+func (h *hollowIngress) cacheEndpoints(event policy.EndpointsChanged) {
+	if event.Snapshot {
+		clear(h.cachedEndpoints)
 	}
-	if len(h.due) == 0 || h.due[0].at > end {
-		h.now = end
-	}
-}
-
-func (h *Hollow) ring(it *item) {
-	switch it.what {
-	case nextArrival:
-		h.arriving = h.rate > 0
-		switch {
-		case !h.arriving:
-		case h.now-it.at > mostLate:
-			h.tally.Skipped++
-			h.schedule(h.gap(), item{what: nextArrival})
-		default:
-			h.arrive(it.at)
-			heap.Push(&h.due, &item{at: it.at + h.gap(), what: nextArrival})
-		}
-	case attemptEnd:
-		h.end(it.id, it.n, it.end)
-	case giveUp:
-		if r := h.open[it.id]; r != nil && !r.final {
-			h.tally.Unanswered++
-			r.final = true
-			h.tell(policy.ClientDisconnected{ID: it.id})
-			h.forget(it.id, r)
-		}
-	case tick:
-		h.tell(policy.TimerFired{})
-	case callReply:
-		h.tell(it.reply)
-	case callLate:
-		if reply, ok := it.call.Late(); ok {
-			h.tell(reply)
+	for _, e := range event.Endpoints {
+		if e.State == policy.Removed {
+			delete(h.cachedEndpoints, e.ID)
+		} else {
+			h.cachedEndpoints[e.ID] = e
 		}
 	}
-	h.flush()
-}
-
-func (h *Hollow) arrive(due time.Duration) {
-	q := draw(h.rng, h.tenants, due)
-	h.last++
-	q.ID = h.last
-	h.open[q.ID] = &request{arrived: due}
-	h.tally.Requests++
-	h.tell(policy.Arrival{Request: q})
-	heap.Push(&h.due, &item{at: q.Deadline + overdue, what: giveUp, id: q.ID})
 }
 
-func (h *Hollow) tell(ev policy.Event) { h.queue = append(h.queue, ev) }
+// enqueue adds an event for the decision module; handleQueued passes it on.
+func (h *hollowIngress) enqueue(event policy.Event) { h.queuedEvents = append(h.queuedEvents, event) }
 
-// flush hands over what is queued and carries out the actions, which may queue more.
-func (h *Hollow) flush() {
-	for i := 0; i < len(h.queue); i++ {
-		h.began = time.Now()
-		h.actions = h.mod.Handle(h.now, h.queue[i], h.actions[:0])
-		h.rec.add(h.me, h.count(h.queue[i]), time.Since(h.began))
-		for _, a := range h.actions {
-			h.act(a)
+// handleQueued passes the queued events to the decision module and performs its actions, which may queue further ones.
+func (h *hollowIngress) handleQueued() {
+	for i := 0; i < len(h.queuedEvents); i++ {
+		event := h.queuedEvents[i]
+		h.eventStart = time.Now()
+		h.actions = h.gateway.Handle(h.now, event, h.actions[:0])
+		h.recorder.record(h.index, h.countEvent(event), time.Since(h.eventStart))
+		for _, action := range h.actions {
+			h.perform(action)
 		}
 	}
-	clear(h.queue)
-	h.queue = h.queue[:0]
+	clear(h.queuedEvents) // so that the slice keeps no event alive
+	h.queuedEvents = h.queuedEvents[:0]
 }
 
-// count adds the event to the tally and says what its time is about.
-func (h *Hollow) count(ev policy.Event) kind {
-	switch ev := ev.(type) {
+// countEvent adds an event to the tally and returns the metric that its handling counts to.
+func (h *hollowIngress) countEvent(event policy.Event) metric {
+	switch event := event.(type) {
 	case policy.Arrival:
-		return handleArrival
+		return metricArrival
 	case policy.CounterReply:
-		return handleReply
+		return metricCounterReply
 	case policy.TimerFired:
-		h.tally.Ticks++
-		return handleTick
+		h.tally.TimerEvents++
+		return metricTimer
 	case policy.EndpointsChanged:
-		if ev.Snapshot {
-			h.tally.Lists++
-			return handleList
+		if event.Snapshot {
+			h.tally.Snapshots++
+			return metricSnapshot
 		}
 		h.tally.Changes++
-		return handleChange
+		return metricChange
 	}
-	return handleAnswer
+	return metricAttemptEnd
 }
 
-func (h *Hollow) act(a policy.Action) {
-	switch a := a.(type) {
+// perform carries out an action of the decision module.
+func (h *hollowIngress) perform(action policy.Action) {
+	switch a := action.(type) {
 	case policy.Send:
-		h.send(a)
+		h.startAttempt(a)
 	case policy.Cancel:
-		h.end(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
+		h.endAttempt(a.ID, a.Attempt, policy.AttemptEnded{Outcome: policy.Cancelled})
 	case policy.Reject:
-		h.answer(a.ID, &h.tally.Refused)
+		h.finishRequest(a.ID, &h.tally.Rejected)
 	case policy.Fail:
-		h.answer(a.ID, &h.tally.Failed)
+		h.finishRequest(a.ID, &h.tally.Failed)
 	case policy.SetTimer:
-		h.schedule(a.After, item{what: tick})
+		h.schedule(a.After, timer{kind: policyTimer})
 	case policy.IncrementCounter:
-		h.call(a)
-	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
-		ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.sharers}
-		for _, s := range h.held {
-			ev.Endpoints = append(ev.Endpoints, s)
-		}
-		h.tell(ev)
+		h.incrementCounter(a)
+	case policy.WatchEndpoints, policy.FetchEndpoints:
+		h.enqueueCachedEndpoints()
 	}
 }
 
-func (h *Hollow) send(a policy.Send) {
-	r := h.open[a.ID]
+// enqueueCachedEndpoints answers the module's wish for the list: the watch is always open, so that the cached list is
+// the current one.
+func (h *hollowIngress) enqueueCachedEndpoints() {
+	event := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
+	for _, e := range h.cachedEndpoints {
+		event.Endpoints = append(event.Endpoints, e)
+	}
+	h.enqueue(event)
+}
+
+// arrive draws a request that was due at a time and gives it to the decision module.
+func (h *hollowIngress) arrive(due time.Duration) {
+	drawn := drawRequest(h.rng, h.tenants, due)
+	h.lastRequestID++
+	drawn.ID = h.lastRequestID
+	h.requests[drawn.ID] = &request{arrivedAt: due}
+	h.tally.Requests++
+	h.enqueue(policy.Arrival{Request: drawn})
+	h.timers.Push(&timer{at: drawn.Deadline + replyGracePeriod, kind: clientTimer, requestID: drawn.ID})
+}
+
+// startAttempt sends an attempt to its modelled backend and schedules its end.
+func (h *hollowIngress) startAttempt(send policy.Send) {
+	r := h.requests[send.ID]
 	if r == nil {
 		return
 	}
 	if len(r.attempts) == 0 {
-		h.rec.add(h.me, addedLatency, h.now-r.arrived+time.Since(h.began))
+		h.recorder.record(h.index, metricAddedLatency, h.now-r.arrivedAt+time.Since(h.eventStart))
 	}
-	h.tally.Sends++
-	took, end := h.back.begin(a.Endpoint, h.now, h.rng)
-	r.attempts = append(r.attempts, attempt{server: a.Endpoint, sent: h.now, holds: end.Outcome == policy.Succeeded})
-	r.out++
-	if a.AttemptDeadline > 0 && h.now+took > a.AttemptDeadline {
-		took, end = max(0, a.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
+	h.tally.Attempts++
+	latency, outcome := h.backends.startAttempt(send.Endpoint, h.now, h.rng)
+	r.attempts = append(r.attempts, attempt{
+		endpoint:  send.Endpoint,
+		sentAt:    h.now,
+		holdsSlot: outcome.Outcome == policy.Succeeded,
+	})
+	r.inFlight++
+	if send.AttemptDeadline > 0 && h.now+latency > send.AttemptDeadline {
+		latency, outcome = max(0, send.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
-	h.schedule(took, item{what: attemptEnd, id: a.ID, n: len(r.attempts) - 1, end: end})
+	h.schedule(latency, timer{kind: attemptTimer, requestID: send.ID, attempt: len(r.attempts) - 1, outcome: outcome})
 }
 
-// end tells the module how an attempt ended, once.
-func (h *Hollow) end(id policy.RequestID, n int, ev policy.AttemptEnded) {
-	r := h.open[id]
-	if r == nil || n >= len(r.attempts) || r.attempts[n].ended {
+// endAttempt tells the decision module how an attempt ended; an attempt that has ended already is left alone.
+func (h *hollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
+	r := h.requests[id]
+	if r == nil || index >= len(r.attempts) || r.attempts[index].ended {
 		return
 	}
-	a := &r.attempts[n]
+	a := &r.attempts[index]
 	a.ended = true
-	r.out--
-	if a.holds {
-		h.back.finish(a.server)
+	r.inFlight--
+	if a.holdsSlot {
+		h.backends.finishAttempt(a.endpoint)
 	}
-	if ev.Outcome == policy.Succeeded && !r.final {
-		r.final = true
+	if outcome.Outcome == policy.Succeeded && !r.answered {
+		r.answered = true
 		h.tally.Served++
 	}
-	ev.ID, ev.Attempt, ev.Endpoint, ev.Latency, ev.RequestFinished = id, n, a.server, h.now-a.sent, r.final
-	h.tell(ev)
-	h.forget(id, r)
-}
-
-func (h *Hollow) answer(id policy.RequestID, n *uint64) {
-	if r := h.open[id]; r != nil && !r.final {
-		*n++
-		r.final = true
-		h.forget(id, r)
-	}
-}
-
-func (h *Hollow) forget(id policy.RequestID, r *request) {
-	if r.final && r.out == 0 {
-		delete(h.open, id)
-	}
-}
-
-func (h *Hollow) call(a policy.IncrementCounter) {
-	h.tally.Calls++
-	if h.parts != nil {
-		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.Count(a)})
-		return
-	}
-	h.totals[a.Name] += a.Add
-	h.schedule(replyAfter, item{what: callReply,
-		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.totals[a.Name]}})
-}
-
-func (h *Hollow) fleet(f ingress.Fleet) {
-	ev := f.Changed()
-	h.sharers = f.Sharers
-	if h.set.PollEndpoints {
-		if ev.Snapshot {
-			clear(h.held)
-		}
-		for _, s := range ev.Endpoints {
-			if h.held[s.ID] = s; s.State == policy.Removed {
-				delete(h.held, s.ID)
-			}
-		}
+	outcome.ID, outcome.Attempt, outcome.Endpoint = id, index, a.endpoint
+	outcome.Latency, outcome.RequestFinished = h.now-a.sentAt, r.answered
+	h.enqueue(outcome)
+	h.removeIfDone(id, r)
+}
+
+// finishRequest ends a request without a backend's answer and counts it.
+func (h *hollowIngress) finishRequest(id policy.RequestID, counter *uint64) {
+	if r := h.requests[id]; r != nil && !r.answered {
+		*counter++
+		r.answered = true
+		h.removeIfDone(id, r)
 	}
-	h.tell(ev)
-	h.flush()
-	h.log = append(h.log, listed{f.Rev, time.Now()})
 }
 
-// goLive connects a hollow ingress with discovery and the counter; Live then runs it.
-func (h *Hollow) goLive(discovery, counter string, known ingress.Fleet, log *slog.Logger) {
-	h.start = time.Now()
-	h.now = time.Duration(h.start.UnixNano())
-	h.events, h.ended = make(chan any, hollowEvents), make(chan struct{})
-	cfg := ingress.Config{Discovery: discovery, Counter: counter, Known: known, Settings: h.set}
-	h.parts = ingress.NewParts(cfg, h.post, log)
-	h.totals = nil
-}
-
-// post tells the ingress's goroutine; after its end nothing is told any more.
-func (h *Hollow) post(ev any) {
-	select {
-	case h.events <- ev:
-	case <-h.ended:
+// disconnectClient ends a request whose client has waited in vain; one that has been answered is left alone.
+func (h *hollowIngress) disconnectClient(id policy.RequestID) {
+	if r := h.requests[id]; r != nil && !r.answered {
+		h.tally.Unanswered++
+		r.answered = true
+		h.enqueue(policy.ClientDisconnected{ID: id})
+		h.removeIfDone(id, r)
 	}
 }
 
-// ask lets the ingress's goroutine run do, and waits for it.
-func (h *Hollow) ask(ctx context.Context, do func()) error {
-	done := make(chan struct{})
-	h.post(func() { do(); close(done) })
-	select {
-	case <-done:
-		return nil
-	case <-h.ended:
-		return fmt.Errorf("hollow ingress %d has ended", h.me)
-	case <-ctx.Done():
-		return ctx.Err()
+func (h *hollowIngress) removeIfDone(id policy.RequestID, r *request) {
+	if r.answered && r.inFlight == 0 {
+		delete(h.requests, id)
 	}
 }
 
-func (h *Hollow) clock() time.Duration {
-	return time.Duration(h.start.UnixNano()) + time.Since(h.start)
-}
-
-// Live runs the ingress in real time until ctx ends, and returns once its connections are closed.
-func (h *Hollow) Live(ctx context.Context) {
-	over := make(chan struct{})
-	go func() {
-		defer close(over)
-		h.parts.Run(ctx)
-	}()
-	h.loop(ctx)
-	close(h.ended)
-	<-over
-}
+// clearCounterTable forgets all totals of the simulated counter.
+func (h *hollowIngress) clearCounterTable() { h.counterTable = standin.NewCounterTable() }
 
-func (h *Hollow) loop(ctx context.Context) {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		wait := time.Hour
-		if len(h.due) > 0 {
-			wait = h.due[0].at - h.clock()
-		}
-		timer.Reset(wait)
-		select {
-		case <-ctx.Done():
-			return
-		case ev := <-h.events:
-			h.now = h.clock()
-			h.hear(ev)
-		case <-timer.C:
-		}
-		h.now = h.clock()
-		for len(h.due) > 0 && h.due[0].at <= h.now {
-			it := heap.Pop(&h.due).(*item)
-			if it.what == nextArrival {
-				h.rec.add(h.me, lateness, h.now-it.at)
-			}
-			h.ring(it)
-		}
-	}
-}
-
-func (h *Hollow) hear(ev any) {
-	switch ev := ev.(type) {
-	case func():
-		ev()
-	case ingress.Fleet:
-		h.fleet(ev)
-	default:
-		if reply, ok := ingress.Counted(ev); ok {
-			h.tell(reply)
-			h.flush()
-		}
+// incrementCounter calls the real counter, or the table in its place.
+func (h *hollowIngress) incrementCounter(a policy.IncrementCounter) {
+	h.tally.CounterCalls++
+	if h.live != nil {
+		h.schedule(h.settings.CounterTimeout, timer{kind: counterTimeoutTimer, call: h.live.clients.increment(a)})
+		return
 	}
+	total := h.counterTable.Add(time.Unix(0, int64(h.now)), a.Name, a.Add, a.Keep)
+	h.schedule(counterLatency, timer{kind: counterReplyTimer,
+		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: total}})
 }
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -7,72 +7,93 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// kind is what a histogram is about.
-type kind int
+// metric says what a histogram of times is about.
+type metric int
 
-// Processor time of the module by event, then what requests wait.
 const (
-	handleArrival kind = iota
-	handleAnswer
-	handleReply // of the counter
-	handleChange
-	handleList
-	handleTick
-	addedLatency // from the arrival to the first attempt
-	lateness     // of a hollow ingress behind its own clock
-	kinds
+	// Processor time of the decision module for an event.
+	metricArrival metric = iota
+	metricAttemptEnd
+	metricCounterReply
+	metricChange
+	metricSnapshot
+	metricTimer
+
+	metricAddedLatency // of a request, from its arrival to its first attempt
+	metricLateness     // of an arrival, behind the clock of its ingress
+
+	metricCount
 )
 
 const (
-	recorderParts = 8 // so that hundreds of ingresses seldom wait for one another
-	longestTime   = 60 * time.Second
-	digits        = 2 // that a histogram tells apart: 1%
+	recorderShards    = 8 // so that hundreds of ingresses seldom wait for one another
+	maxRecordedTime   = 60 * time.Second
+	significantDigits = 2 // of a histogram: errors of at most 1%
 )
 
-// Recorder holds histograms of times, in ns, of many hollow ingresses.
-type Recorder struct {
-	parts [recorderParts]struct {
-		mu    sync.Mutex
-		kinds [kinds]*hdrhistogram.Histogram
+// histograms holds a histogram of times in ns for each metric.
+type histograms [metricCount]*hdrhistogram.Histogram
+
+func newHistograms() histograms {
+	var h histograms
+	for m := range h {
+		h[m] = newHistogram()
+	}
+	return h
+}
+
+// merge adds what other has recorded; other stays as it is.
+func (h *histograms) merge(other histograms) {
+	for m := range h {
+		h[m].Merge(other[m])
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(longestTime), digits)
+	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
-// NewRecorder returns an empty one.
-func NewRecorder() *Recorder {
-	r := &Recorder{}
-	for i := range r.parts {
-		for k := range r.parts[i].kinds {
-			r.parts[i].kinds[k] = newHistogram()
-		}
+// recordTime adds a time to a histogram of newHistogram; one outside its bounds counts as the nearest bound.
+func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
+	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
+}
+
+// timeRecorder gathers times of many hollow ingresses. It is safe for concurrent use.
+type timeRecorder struct {
+	shards [recorderShards]struct {
+		mu         sync.Mutex // guards histograms
+		histograms histograms
+	}
+}
+
+// newTimeRecorder returns a recorder without times.
+func newTimeRecorder() *timeRecorder {
+	r := &timeRecorder{}
+	for i := range r.shards {
+		r.shards[i].histograms = newHistograms()
 	}
 	return r
 }
 
-func (r *Recorder) add(who int, k kind, d time.Duration) {
-	p := &r.parts[who%recorderParts]
-	p.mu.Lock()
-	p.kinds[k].RecordValue(int64(min(max(d, 1), longestTime))) // always within its bounds
-	p.mu.Unlock()
+// record adds a time of one ingress.
+func (r *timeRecorder) record(ingress int, m metric, d time.Duration) {
+	shard := &r.shards[ingress%recorderShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	recordTime(shard.histograms[m], d)
 }
 
-// take returns what was recorded since the last call.
-func (r *Recorder) take() [kinds]*hdrhistogram.Histogram {
-	var sum [kinds]*hdrhistogram.Histogram
-	for k := range sum {
-		sum[k] = newHistogram()
-	}
-	for i := range r.parts {
-		p := &r.parts[i]
-		p.mu.Lock()
-		for k, h := range p.kinds {
-			sum[k].Merge(h)
+// drain returns what was recorded since the last call.
+func (r *timeRecorder) drain() histograms {
+	sum := newHistograms()
+	for i := range r.shards {
+		shard := &r.shards[i]
+		shard.mu.Lock()
+		sum.merge(shard.histograms)
+		for _, h := range shard.histograms {
 			h.Reset()
 		}
-		p.mu.Unlock()
+		shard.mu.Unlock()
 	}
 	return sum
 }
