--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -21,6 +20,7 @@
 	"github.com/tidwall/redcon"
 
 	"lemontack/internal/ingress"
+	"lemontack/internal/loopback"
 )
 
 // descriptorsEnv names the environment variable that makes the test binary run as the ingress, with so many file
@@ -58,38 +58,24 @@
 
 // reservedAddress is a loopback address that no other socket gets and that refuses connections until listen.
 type reservedAddress struct {
-	file *os.File
+	*loopback.Reservation
 	addr string
 }
 
 func reserveAddress(t *testing.T) reservedAddress {
 	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	reservation, err := loopback.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := reservedAddress{file: os.NewFile(uintptr(fd), "reserved")}
-	t.Cleanup(func() { r.file.Close() })
-	err = errors.Join(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1),
-		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	sa, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.addr = fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
-	return r
+	t.Cleanup(func() { reservation.Close() })
+	return reservedAddress{reservation, reservation.Address()}
 }
 
 // listen begins to accept connections at the address.
 func (r reservedAddress) listen(t *testing.T) net.Listener {
 	t.Helper()
-	if err := syscall.Listen(int(r.file.Fd()), 128); err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.FileListener(r.file)
+	ln, err := r.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/loopback/reservation.go
@@ -0,0 +1,68 @@
+// Package loopback reserves addresses of the loopback interface for programs that listen later, for tests and stand-ins.
+package loopback
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+)
+
+// acceptQueueLength is the number of connections that wait to be accepted by a listener of a reservation.
+const acceptQueueLength = 128
+
+// Reservation holds a loopback address: no other socket gets its port by chance, and connections to it are refused until a
+// program listens there. A program may do so while the reservation lasts, if its listener has SO_REUSEADDR set, as those of
+// package net have.
+type Reservation struct {
+	socket  *os.File // bound and not listening
+	address string
+}
+
+// Reserve holds a free port of 127.0.0.1 until Close.
+func Reserve() (*Reservation, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return nil, fmt.Errorf("create socket: %w", err)
+	}
+	socket := os.NewFile(uintptr(fd), "reservation")
+	address, err := bindLoopback(fd)
+	if err != nil {
+		return nil, errors.Join(err, socket.Close())
+	}
+	return &Reservation{socket: socket, address: address}, nil
+}
+
+// bindLoopback binds a socket to a free port and returns the address.
+func bindLoopback(fd int) (address string, err error) {
+	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return "", fmt.Errorf("set SO_REUSEADDR: %w", err)
+	}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		return "", fmt.Errorf("bind: %w", err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		return "", fmt.Errorf("get socket name: %w", err)
+	}
+	inet, ok := name.(*syscall.SockaddrInet4)
+	if !ok {
+		return "", fmt.Errorf("get socket name: unexpected %T", name)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", inet.Port), nil
+}
+
+// Address returns the address as host:port.
+func (reservation *Reservation) Address() string { return reservation.address }
+
+// Listen begins to accept connections at the address.
+func (reservation *Reservation) Listen() (net.Listener, error) {
+	if err := syscall.Listen(int(reservation.socket.Fd()), acceptQueueLength); err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return net.FileListener(reservation.socket)
+}
+
+// Close gives the address back. Listeners of it go on.
+func (reservation *Reservation) Close() error { return reservation.socket.Close() }
--- /dev/null
+++ b/internal/loopback/reservation_test.go
@@ -0,0 +1,61 @@
+package loopback
+
+import (
+	"net"
+	"testing"
+)
+
+func TestReservedAddressRefusesConnectionsUntilAProgramListens(t *testing.T) {
+	reservation, err := Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { reservation.Close() })
+	if conn, err := net.Dial("tcp", reservation.Address()); err == nil {
+		conn.Close()
+		t.Fatal("a reserved address accepts connections")
+	}
+	listener, err := net.Listen("tcp", reservation.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	conn, err := net.Dial("tcp", reservation.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.Close()
+}
+
+func TestReservationsAreOfDifferentPorts(t *testing.T) {
+	seen := map[string]bool{}
+	for range 200 {
+		reservation, err := Reserve()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { reservation.Close() })
+		if seen[reservation.Address()] {
+			t.Fatalf("%s is reserved twice", reservation.Address())
+		}
+		seen[reservation.Address()] = true
+	}
+}
+
+func TestListenAcceptsAtTheReservedAddress(t *testing.T) {
+	reservation, err := Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, err := reservation.Listen()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	reservation.Close()
+	conn, err := net.Dial("tcp", reservation.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.Close()
+}
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -68,7 +68,7 @@
 }
 
 func newBackend(c *checker, index int, rng *rand.Rand) (*backend, error) {
-	ln, err := net.Listen("tcp", loopback)
+	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -20,8 +20,8 @@
 	discoveryCapacity = 10_000
 )
 
-// loopback is a free port of the loopback interface, as an address to listen on.
-const loopback = "127.0.0.1:0"
+// anyPort is a free port of the loopback interface, as an address to listen on.
+const anyPort = "127.0.0.1:0"
 
 // segmentOf returns the segment of the network that an ingress is in.
 func segmentOf(ingress int) int { return ingress % segmentCount }
@@ -111,7 +111,7 @@
 // serve serves one service on all its addresses until a closer ends it.
 func (cl *cluster) serve(serve func(net.Listener) error) (addrs [addressCount]string, err error) {
 	for i := range addrs {
-		ln, err := net.Listen("tcp", loopback)
+		ln, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			return addrs, err
 		}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -13,6 +13,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"lemontack/internal/loopback"
 )
 
 const (
@@ -32,14 +34,16 @@
 
 // ingressProcess is one ingress, which may be restarted: each process that it runs as is one incarnation.
 type ingressProcess struct {
-	options    *Options
-	cluster    *cluster
-	checker    *checker
-	index      int
-	segment    int
-	listenAddr string
-	configPath string
-	logPath    string
+	options *Options
+	cluster *cluster
+	checker *checker
+	index   int
+	segment int
+	// reservation keeps the port from other sockets of the machine, also between two incarnations.
+	reservation *loopback.Reservation
+	listenAddr  string
+	configPath  string
+	logPath     string
 
 	lifecycle sync.Mutex // held by whoever stops, starts or reconfigures the process; guards reloads
 	reloads   int        // selects the addresses of discovery and the counter in the configuration
@@ -54,14 +58,13 @@
 }
 
 func newIngressProcess(opts *Options, cl *cluster, c *checker, index int) (*ingressProcess, error) {
-	ln, err := net.Listen("tcp", loopback) // to find a free port
+	reservation, err := loopback.Reserve()
 	if err != nil {
-		return nil, fmt.Errorf("find a port: %w", err)
+		return nil, fmt.Errorf("reserve an address: %w", err)
 	}
-	defer ln.Close()
 	path := func(extension string) string { return filepath.Join(opts.Dir, fmt.Sprintf("n%d%s", index, extension)) }
 	return &ingressProcess{options: opts, cluster: cl, checker: c, index: index, segment: segmentOf(index),
-		listenAddr: ln.Addr().String(), configPath: path(".json"), logPath: path(".log"), killedIncarnation: -1}, nil
+		reservation: reservation, listenAddr: reservation.Address(), configPath: path(".json"), logPath: path(".log"), killedIncarnation: -1}, nil
 }
 
 // start begins a new incarnation.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -149,6 +149,9 @@
 		ending.Go(p.shutdown)
 	}
 	ending.Wait()
+	for _, p := range r.processes {
+		p.reservation.Close()
+	}
 	r.conns.Wait()
 }
 
