--- a/policy/settings.go
+++ b/policy/settings.go
@@ -63,7 +63,7 @@
 // validate returns an error for settings that a gateway cannot decide with.
 func (s *Settings) validate() error {
 	if s.GatewayCount < 1 || s.Index < 0 || s.Index >= s.GatewayCount {
-		return fmt.Errorf("policy: gateway index %d of %d gateways", s.Index, s.GatewayCount)
+		return fmt.Errorf("policy: gateway %d of %d", s.Index, s.GatewayCount)
 	}
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("policy: no classes")
