--- a/internal/ingress/answers.go
+++ b/internal/ingress/answers.go
@@ -24,12 +24,13 @@
 func (c *client) open(r *clientRequest) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.state == stateEnded {
 		return nil
 	}
 	s := &slot{c: c, req: r}
 	c.pending++
-	c.used, c.spoken = time.Now(), true
+	c.used, c.received = time.Now(), true
+	c.transition(commandTaken)
 	c.waiting = append(c.waiting, s)
 	return s
 }
@@ -64,6 +65,9 @@
 		c.waiting[0] = nil
 		c.waiting = c.waiting[1:]
 	}
+	if len(c.waiting) == 0 {
+		c.transition(allAnswered)
+	}
 	c.used = time.Now()
 	c.mu.Unlock()
 	if c.f.unsent.Load() > c.f.mostUnsent {
@@ -86,12 +90,13 @@
 		ready := c.ready
 		c.ready = 0
 		last := false
-		if c.closing && len(c.waiting) == 0 {
-			if c.deaf {
-				c.ended, last = true, true
-			} else {
-				c.kick()
-			}
+		switch {
+		case len(c.waiting) > 0 || c.state.isOpen():
+		case c.state == stateFaulted || c.state == stateEnded:
+			c.transition(endDecided)
+			last = true
+		default:
+			c.proposeEnd()
 		}
 		c.mu.Unlock()
 		if len(buf) > 0 {
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -29,10 +29,9 @@
 	nc             net.Conn
 	in             resp.FrameBuffer // the reader's, as all up to blind are
 	paused         int32            // faults that were followed by a pause
-	left           bool             // the client has gone
 	limited        bool             // the rest of a command has a limit
 	first          bool             // nothing has been read yet
-	refusing       bool             // it is closing for faults: requests are turned away
+	refusing       bool             // it is closing for faults: requests are turned away, answers go on
 	flood          int              // bytes read since the last rest, once nothing is taken any more
 	opened, readAt time.Time        // when it was accepted, or may have come; when what is in the inbox may have come
 	behind         bool             // it may have waited to be accepted since opened
@@ -48,13 +47,10 @@
 	pending        int          // commands whose answers are not written
 	unsent         int          // bytes of answers that are not written
 	used           time.Time    // when it was opened, the last command came or the last answer left
-	spoken         bool         // a whole command has come
-	closing        bool         // it will end when nothing waits for an answer
-	ended          bool         // it has: nothing is taken any more
-	why            closeReason  // for its end
-	cut            bool         // broken off by the ingress, whatever was owed
-	deaf           bool         // the reader takes no more commands: the writer may end the connection by itself
-	kicked         bool         // the writer wants the reader's word that the connection may end; its reads fail until then
+	state          connState    // changed by transition only
+	reason         closeReason  // for its end
+	aborted        bool         // the ingress closed the socket, whatever was owed
+	received       bool         // a whole command has come
 	limitAt        time.Time    // for reading; zero: none
 	goneAt         atomic.Int64 // when gone was set, on the gateway's clock; 0: not yet
 	gone           atomic.Bool  // it is over: no answer is kept and no attempt begins any more; set under mu
@@ -163,32 +159,32 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limitAt = t
-	if !c.ended && !c.kicked {
+	if c.state != stateEnded && c.state != stateConfirming {
 		c.nc.SetReadDeadline(t)
 	}
 }
 
-// kick makes the reader say whether the connection may end: only it knows whether it holds what it has read and not taken.
-// c.mu is held.
-func (c *client) kick() {
-	c.kicked = true
+// proposeEnd makes the reader say whether the connection may end: only it knows whether it holds what it has read and not
+// taken. c.mu is held.
+func (c *client) proposeEnd() {
+	c.transition(endProposed)
 	c.nc.SetReadDeadline(time.Unix(1, 0))
 }
 
-// mayEnd is the reader's answer, given while it holds no whole command: the connection ends, unless a command waits for its
-// answer or has begun to come. One that has begun is no reason to keep a place that others need.
-func (c *client) mayEnd() (asked, ended bool) {
+// confirmEnd is the reader's answer, given while it holds no whole command: the connection ends, unless a command waits for
+// its answer or has begun to come. One that has begun is no reason to keep a place that others need.
+func (c *client) confirmEnd() (asked, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.kicked {
+	if c.state != stateConfirming {
 		return false, false
 	}
-	c.kicked = false
-	c.nc.SetReadDeadline(c.limitAt)
-	if c.closing && len(c.waiting) == 0 && (!c.in.Partial() || c.why == closeForRoom) {
+	if len(c.waiting) == 0 && (!c.in.Partial() || c.reason == closeForRoom) {
 		c.end()
 		return true, true
 	}
+	c.transition(endDeclined)
+	c.nc.SetReadDeadline(c.limitAt)
 	return true, false
 }
 
@@ -205,7 +201,7 @@
 
 // end leaves the rest to the writer; c.mu is held.
 func (c *client) end() {
-	c.ended, c.deaf, c.kicked = true, true, false
+	c.transition(endDecided)
 	c.nc.SetReadDeadline(time.Time{})
 	c.signal()
 }
@@ -213,9 +209,10 @@
 // stopTaking leaves the end of the connection to the writer: what is read from now on is of no use.
 func (c *client) stopTaking() {
 	c.mu.Lock()
-	c.deaf, c.kicked = true, false
+	c.transition(commandsRefused)
+	c.because(closeForFaults)
 	c.mu.Unlock()
-	c.close(closeForFaults)
+	c.signal()
 }
 
 // closeSoon closes as close does, but leaves a connection that is so new that its first command may be under way the time
@@ -223,9 +220,9 @@
 func (c *client) closeSoon() {
 	c.mu.Lock()
 	fresh := newcomer - time.Since(c.used)
-	spoken := c.spoken
+	received := c.received
 	c.mu.Unlock()
-	if spoken || fresh <= 0 {
+	if received || fresh <= 0 {
 		c.close(closeShutdown)
 		return
 	}
@@ -235,7 +232,7 @@
 // close asks for the end of the connection at the next moment between requests.
 func (c *client) close(why closeReason) {
 	c.mu.Lock()
-	c.closing = true
+	c.transition(closeRequested)
 	c.because(why)
 	c.mu.Unlock()
 	c.signal()
@@ -245,15 +242,15 @@
 func (c *client) breakOff(why closeReason) {
 	c.mu.Lock()
 	c.because(why)
-	c.cut = true
+	c.aborted = true
 	c.mu.Unlock()
 	c.nc.Close()
 }
 
 // because keeps the first reason for the end of the connection; c.mu is held.
 func (c *client) because(why closeReason) {
-	if c.why == closeByClient {
-		c.why = why
+	if c.reason == closeByClient {
+		c.reason = why
 	}
 }
 
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -246,7 +246,7 @@
 // kept a shutdown from ending.
 func TestClosingConnectionTakesNothing(t *testing.T) {
 	c := newClient(nil, nil)
-	c.ended = true
+	c.state = stateEnded
 	for range mostPipelined + 1 {
 		if c.open(nil) != nil {
 			t.Fatal("a command was taken")
--- /dev/null
+++ b/internal/ingress/connstate.go
@@ -0,0 +1,86 @@
+package ingress
+
+// connState is where a client connection stands in its life. Its reader, its writer and the listener move it, always
+// through transition and with client.mu held:
+//
+//	state         meaning                                             left for
+//	new           no complete command has come                        active, draining, faulted
+//	active        a command waits for its answer                      idle, draining, faulted
+//	idle          every command that came has its answer              active, draining, faulted
+//	draining      ends once no command waits for its answer           confirming, faulted, ended
+//	confirming    the writer wants to end it and asks the reader,     draining, faulted, ended
+//	              which may hold commands that were read and not
+//	              taken; its reads fail until it has answered
+//	faulted       the reader takes no more commands; the writer ends  ended
+//	              the connection once no command waits
+//	ended         no command is taken; the writer sends what is left  -
+//	              and shuts the sending side down
+//
+// What moves it:
+//
+//	event             from                  to            by
+//	commandTaken      new, idle             active        reader
+//	allAnswered       active                idle          whoever gives the last answer that is waited for
+//	closeRequested    new, active, idle     draining      reader, listener
+//	endProposed       draining              confirming    writer, when no command waits
+//	endDeclined       confirming            draining      reader
+//	commandsRefused   all but ended         faulted       reader, when the framing is lost
+//	endDecided        all                   ended         reader, or the writer of a faulted connection
+//
+// An event in any other state changes nothing. While a connection is draining or confirming it takes commands and answers
+// them, without a change of state.
+//
+// Three facts cut across the states and stand beside them in client: whether any command has come, which matters to a
+// connection that is draining too; whether the socket was closed over what was owed; and whether the reader has ended, which
+// the gateway reads without the lock, while the writer still works through these states.
+type connState int
+
+const (
+	stateNew connState = iota
+	stateActive
+	stateIdle
+	stateDraining
+	stateConfirming
+	stateFaulted
+	stateEnded
+)
+
+// connEvent is what can move a connection to another state.
+type connEvent int
+
+const (
+	commandTaken connEvent = iota
+	allAnswered
+	closeRequested
+	endProposed
+	endDeclined
+	commandsRefused
+	endDecided
+)
+
+// next returns the state after an event.
+func (s connState) next(event connEvent) connState {
+	switch {
+	case event == commandTaken && (s == stateNew || s == stateIdle):
+		return stateActive
+	case event == allAnswered && s == stateActive:
+		return stateIdle
+	case event == closeRequested && s.isOpen():
+		return stateDraining
+	case event == endProposed && s == stateDraining:
+		return stateConfirming
+	case event == endDeclined && s == stateConfirming:
+		return stateDraining
+	case event == commandsRefused && s != stateEnded:
+		return stateFaulted
+	case event == endDecided:
+		return stateEnded
+	}
+	return s
+}
+
+// isOpen reports whether nobody has asked for the end of the connection.
+func (s connState) isOpen() bool { return s == stateNew || s == stateActive || s == stateIdle }
+
+// transition moves the connection; c.mu is held.
+func (c *client) transition(event connEvent) { c.state = c.state.next(event) }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -451,11 +451,14 @@
 
 // A connection that is so new that its first command may be on its way is not closed unheard by a shutdown.
 func TestNewConnectionIsHeardInAShutdown(t *testing.T) {
-	for spoken, closing := range map[bool]bool{false: false, true: true} {
+	for received, closing := range map[bool]bool{false: false, true: true} {
 		c := newClient(nil, nil)
-		c.used, c.spoken = time.Now().Add(time.Hour), spoken
-		if c.closeSoon(); c.closing != closing {
-			t.Errorf("spoken %v: closing %v", spoken, c.closing)
+		c.used, c.received = time.Now().Add(time.Hour), received
+		if received {
+			c.state = stateIdle
+		}
+		if c.closeSoon(); c.state.isOpen() == closing {
+			t.Errorf("a command received %v: state %v", received, c.state)
 		}
 	}
 }
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -123,12 +123,12 @@
 	defer f.mu.Unlock()
 	var idlest *client
 	var since time.Time
-	var spoken bool
+	var state connState
 	for c := range f.clients {
 		c.mu.Lock()
-		free := !c.closing && len(c.waiting) == 0 && (c.spoken || now.Sub(c.used) > newcomer)
-		if free && (idlest == nil || spoken && !c.spoken || spoken == c.spoken && c.used.Before(since)) {
-			idlest, since, spoken = c, c.used, c.spoken
+		free := c.state == stateIdle || c.state == stateNew && now.Sub(c.used) > newcomer
+		if free && (idlest == nil || state == stateIdle && c.state == stateNew || state == c.state && c.used.Before(since)) {
+			idlest, since, state = c, c.used, c.state
 		}
 		c.mu.Unlock()
 	}
@@ -151,7 +151,7 @@
 			for c := range f.clients {
 				c.mu.Lock()
 				idle := now.Sub(c.used)
-				over := len(c.waiting) == 0 && (c.spoken && idle > idleTime || !c.spoken && idle > firstCommand-tidyEvery)
+				over := len(c.waiting) == 0 && (c.received && idle > idleTime || !c.received && idle > firstCommand-tidyEvery)
 				c.mu.Unlock()
 				if over {
 					c.close(closeIdle)
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -158,7 +158,7 @@
 			c.close(why)
 			for asked := false; !asked; time.Sleep(time.Millisecond) { // until the writer wants the end
 				c.mu.Lock()
-				asked = c.kicked || c.ended
+				asked = c.state == stateConfirming || c.state == stateEnded
 				c.mu.Unlock()
 			}
 		}
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -143,7 +143,7 @@
 func spoken(c *client) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.spoken
+	return c.received
 }
 
 // serveClient runs a client's connection to its end.
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -125,14 +125,14 @@
 // client, unless the ingress broke the connection off; for one that does not read its answers nothing more can be done.
 func (o *observer) connectionClosed(c *client, unanswered []*clientRequest) {
 	c.mu.Lock()
-	why, cut := c.why, c.cut
+	why, aborted := c.reason, c.aborted
 	c.mu.Unlock()
 	o.closes.Add(why)
 	if o.tracing {
 		o.log.Debug("client connection ends", "client", c.remote(), "reason", o.closes.Name(why), "unanswered", len(unanswered),
 			"faults", c.faults.Load())
 	}
-	if !cut || why == closeStalled {
+	if !aborted || why == closeStalled {
 		return
 	}
 	for _, r := range unanswered {
--- a/internal/ingress/reader.go
+++ b/internal/ingress/reader.go
@@ -73,7 +73,7 @@
 	}
 	if c.in.Partial() && !c.limited {
 		from := time.Now()
-		if !c.hasSpoken() {
+		if !c.hasReceived() {
 			from = c.opened
 		}
 		c.limit(from.Add(firstCommand))
@@ -82,7 +82,7 @@
 	before := len(c.in.Buffered())
 	err := c.in.Fill(c.nc.Read)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		switch asked, ended := c.mayEnd(); {
+		switch asked, ended := c.confirmEnd(); {
 		case ended:
 			return errEnded
 		case asked:
@@ -122,13 +122,14 @@
 
 // take handles one whole command; it says whether the client is still there.
 func (c *client) take(f []byte) (here bool) {
+	here = true
 	if !c.refusing && c.crowded(mostTurned) {
 		c.tooMany()
 	} else {
-		c.command(f)
+		here = c.command(f)
 	}
 	switch n := c.faults.Load(); {
-	case c.left:
+	case !here:
 		return false
 	case c.refusing:
 	case n >= mostFaults:
@@ -158,13 +159,15 @@
 	c.refuse()
 }
 
-// fault answers nonsense, after a pause.
-func (c *client) fault(kind faultKind, text string) {
+// fault answers nonsense, after a pause; it says whether the client is still there.
+func (c *client) fault(kind faultKind, text string) (here bool) {
 	n := c.faults.Add(1)
 	c.observe().fault(c, kind, text, n)
-	if c.left = !c.refusing && !c.pause(n); !c.left {
-		c.reply(redcon.AppendError(nil, "ERR "+text))
+	if !c.refusing && !c.pause(n) {
+		return false
 	}
+	c.reply(redcon.AppendError(nil, "ERR "+text))
+	return true
 }
 
 // pause follows the n-th fault, longer each time: a client that repeats nonsense as soon as it has been turned away takes no
@@ -286,46 +289,47 @@
 	return c.pending >= most
 }
 
-func (c *client) hasSpoken() bool {
+// hasReceived says whether a whole command has come.
+func (c *client) hasReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.spoken
+	return c.received
 }
 
-// command takes one whole command.
-func (c *client) command(f []byte) {
+// command takes one whole command; it says whether the client is still there.
+func (c *client) command(f []byte) (here bool) {
 	whole, args, _, _, err := redcon.ReadNextCommand(f, nil)
 	switch {
 	case err != nil || !whole || len(args) == 0:
-		c.fault(faultCommand, "a command is an array of bulk strings")
+		return c.fault(faultCommand, "a command is an array of bulk strings")
 	case isRequest(args[0]):
-		c.request(args)
+		return c.request(args)
 	case string(args[0]) != "PING":
-		c.fault(faultCommand, "unknown command")
-	default:
-		c.reply(redcon.AppendString(nil, "PONG"))
+		return c.fault(faultCommand, "unknown command")
 	}
+	c.reply(redcon.AppendString(nil, "PONG"))
+	return true
 }
 
 // request hands a request to the gateway, or turns it away. Reading never stops for want of room, or nobody would see this
-// client leave.
-func (c *client) request(args [][]byte) {
+// client leave. It says whether the client is still there.
+func (c *client) request(args [][]byte) (here bool) {
 	r, err := c.f.gw.parse(args, c.readAt)
 	if err != nil {
-		c.fault(faultRequest, err.Error())
-		return
+		return c.fault(faultRequest, err.Error())
 	}
 	c.observe().requests.Add(requestsRead)
 	if c.refusing || c.blind || c.crowded(mostPipelined) {
 		c.observe().turnedAway(r, "the connection is closing, or has too many open commands")
 		c.reply(c.f.gw.turnedAway)
-		return
+		return true
 	}
 	s := c.open(r)
 	if s == nil {
 		c.observe().violated(ruleFinalAnswer, r, c.f.gw.clock(time.Now()), "read on a connection that has ended")
-		return
+		return true
 	}
 	r.slot = s
 	c.f.gw.post(arrived{r})
+	return true
 }
