--- a/internal/ingress/backlog.go
+++ b/internal/ingress/backlog.go
@@ -1,6 +1,10 @@
 package ingress
 
-import "time"
+import (
+	"time"
+
+	"lemontack/internal/stall"
+)
 
 const (
 	acceptPause = 5 * time.Millisecond // after an error that the next try may meet too
@@ -32,7 +36,7 @@
 // accepted says since when a connection that is accepted now may have waited.
 func (b *backlog) accepted(now time.Time) (since time.Time, waited bool) {
 	b.failing = false
-	if b.until.IsZero() || now.Sub(b.until) >= heldUpSettle {
+	if b.until.IsZero() || now.Sub(b.until) >= stall.SettleTime {
 		return now, false
 	}
 	return b.from, true
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"lemontack/internal/resp"
+	"lemontack/internal/stall"
 )
 
 const (
@@ -37,8 +38,8 @@
 	accepted   chan struct{} // closed when no more are
 	wg         sync.WaitGroup
 	observe    *observer
-	holdUps    *holdUps      // nil: not noticed
-	unreadMost time.Duration // a client of which nothing is owed may be left unread for so long
+	stalls     *stall.Detector // nil: not noticed
+	unreadMost time.Duration   // a client of which nothing is owed may be left unread for so long
 	backlog    backlog
 }
 
@@ -46,7 +47,7 @@
 	f := &front{ln: ln, gw: gw, observe: newObserver(slog.New(slog.DiscardHandler)), unreadMost: time.Duration(math.MaxInt64), slots: make(chan struct{}, most), frames: resp.NewMemoryBudget(memory),
 		mostUnsent: int64(memory), clients: map[*client]bool{}, accepted: make(chan struct{})}
 	if gw != nil {
-		f.observe, f.holdUps = gw.observe, gw.holdUps
+		f.observe, f.stalls = gw.observe, gw.stalls
 		for _, class := range gw.classes {
 			f.unreadMost = min(f.unreadMost, class.Deadline/unreadShare)
 		}
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"lemontack/internal/resp"
+	"lemontack/internal/stall"
 	"lemontack/internal/subset"
 	"lemontack/internal/wire"
 	"lemontack/policy"
@@ -65,7 +66,7 @@
 	net     wire.Connections
 	log     *slog.Logger
 	observe *observer
-	holdUps *holdUps
+	stalls  *stall.Detector
 	classes map[string]policy.Class
 	plans   map[string]bool
 	counter *counter
@@ -136,7 +137,7 @@
 		return nil, err
 	}
 	start := time.Now()
-	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
+	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), stalls: stall.NewDetector(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), ready: make(chan struct{}), start: start,
 		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
 		keys: map[uint64]bool{}, backends: map[policy.EndpointID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
@@ -266,7 +267,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(min(g.alarms[0].at-g.clock(time.Now()), beatEvery))
+		timer.Reset(min(g.alarms[0].at-g.clock(time.Now()), stall.HeartbeatInterval))
 		select {
 		case <-ctx.Done():
 			return
@@ -289,7 +290,7 @@
 func (g *Gateway) tick() {
 	now := time.Now()
 	g.now = g.clock(now)
-	if gap := g.holdUps.pulse(now); gap > 0 {
+	if gap := g.stalls.Heartbeat(now); gap > 0 {
 		g.observe.wasHeldUp(gap)
 	}
 }
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"lemontack/internal/stall"
 	"lemontack/internal/telemetry"
 	"lemontack/policy"
 )
@@ -97,7 +98,7 @@
 		case class.Idempotency == policy.Idempotent:
 		case class.Idempotency == policy.NonIdempotent || !class.DeduplicationScope.Shares(a.be.Endpoint, b.be.Endpoint):
 			return errRepeat
-		case g.now+heldUpMost >= b.began+class.DeduplicationWindow:
+		case g.now+stall.MaxStall >= b.began+class.DeduplicationWindow:
 			return errWindow
 		}
 	}
@@ -145,7 +146,7 @@
 	if ended := time.Duration(a.be.endedAt.Load()); ended != 0 && now-ended > drainMost {
 		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-ended).String()+" before")
 	}
-	if told > max(r.until-now, 0)+heldUpMost {
+	if told > max(r.until-now, 0)+stall.MaxStall {
 		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+told.String())
 	}
 }
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/stall"
 	"lemontack/policy"
 )
 
@@ -53,7 +54,7 @@
 		"unsafe, never ran":           {"write", nil, []past{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
 		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
 		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errWindow, false},
-		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errWindow, false},
+		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - stall.MaxStall, errWindow, false},
 		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
 		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
@@ -105,32 +106,6 @@
 	}
 }
 
-// What is read after a hold-up may have come at any time since the process last ran.
-func TestHoldUps(t *testing.T) {
-	start := time.Now()
-	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	h := newHoldUps(start)
-	for _, c := range []struct {
-		beat     int // ms; 0: none
-		heldUp   int
-		read, by int
-	}{
-		{0, 0, 5, 5}, {10, 0, 12, 12}, {30, 0, 45, 45}, // in good order
-		{0, 0, 130, 30},                                          // read before the gateway's goroutine ran again
-		{140, 110, 141, 30},                                      // and just after
-		{150, 0, 155, 30}, {160, 0, 169, 30}, {165, 0, 171, 171}, // until what had come is read
-	} {
-		if c.beat > 0 {
-			if got := h.pulse(at(c.beat)); got != time.Duration(c.heldUp)*time.Millisecond {
-				t.Fatalf("beat at %d ms: held up for %v", c.beat, got)
-			}
-		}
-		if got := h.cameBy(at(c.read)); !got.Equal(at(c.by)) {
-			t.Fatalf("read at %d ms: came by %v, want %d ms", c.read, got.Sub(start), c.by)
-		}
-	}
-}
-
 // crossed is a connection on which something happens between the read of the system and the reader's next step.
 type crossed struct {
 	*net.TCPConn
--- a/internal/ingress/reader.go
+++ b/internal/ingress/reader.go
@@ -108,7 +108,7 @@
 // has left since.
 func (c *client) came() error {
 	now := time.Now()
-	c.readAt = c.f.holdUps.cameBy(now)
+	c.readAt = c.f.stalls.EarliestArrival(now)
 	if c.first && c.behind && c.opened.Before(c.readAt) {
 		c.readAt = c.opened
 	}
@@ -196,7 +196,7 @@
 		if err != nil {
 			return false
 		}
-		c.readAt = c.f.holdUps.cameBy(time.Now())
+		c.readAt = c.f.stalls.EarliestArrival(time.Now())
 	}
 	if c.owes() {
 		return true
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -65,7 +65,7 @@
 
 // noteLate tells of a request whose final answer comes after its client's time.
 func (g *Gateway) noteLate(r *request) {
-	due := max(r.until, g.epoch+g.holdUps.last()) // nothing is answered while the process does not run
+	due := max(r.until, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process does not run
 	if g.now > due+lateMost {
 		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
 	}
