--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -39,12 +39,12 @@
 	}
 	told := max(1, (a.stop - g.now).Milliseconds())
 	r := a.req
-	b := redcon.AppendArray(make([]byte, 0, 192+len(r.args[len(r.args)-1])), len(r.args))
-	for i, arg := range r.args {
+	b := redcon.AppendArray(make([]byte, 0, 192+len(r.Args[len(r.Args)-1])), len(r.Args))
+	for i, arg := range r.Args {
 		if i == 3 {
-			fields := append(make([]byte, 0, len(arg)+8), arg[:r.dFrom]...)
+			fields := append(make([]byte, 0, len(arg)+8), arg[:r.TimeoutStart]...)
 			fields = strconv.AppendInt(fields, told, 10)
-			arg = append(fields, arg[r.dTo:]...)
+			arg = append(fields, arg[r.TimeoutEnd:]...)
 		}
 		b = redcon.AppendBulk(b, arg)
 	}
@@ -71,7 +71,7 @@
 		g.noteLate(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
-		r.respond(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
+		r.Respond(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
 	}
 	r.out--
 	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began,
--- a/internal/ingress/backend.go
+++ b/internal/ingress/backend.go
@@ -200,7 +200,7 @@
 			if !j.a.taken.CompareAndSwap(false, true) {
 				continue
 			}
-			if j.a.req != nil && j.a.req.left() { // since it was handed over; what has not begun has never run
+			if j.a.req != nil && j.a.req.ClientGone() { // since it was handed over; what has not begun has never run
 				c.nc.Close()
 				return
 			}
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/policy"
 )
 
@@ -319,7 +320,7 @@
 }
 
 func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
-	return &attempt{req: &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
+	return &attempt{req: &request{Request: &listener.Request{Args: [][]byte{nil, nil, nil, nil}}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
 }
 
 // A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
@@ -353,28 +354,6 @@
 	}
 }
 
-// What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
-func TestUnsentIsGivenBack(t *testing.T) {
-	be := newBackend(t, nil)
-	g := idleGateway(t, be.addr)
-	f := newFront(nil, g, 1, 1<<20)
-	near, far := net.Pipe()
-	c := newClient(f, near)
-	f.slots <- struct{}{}
-	f.wg.Add(1)
-	first, second := c.open(&clientRequest{}), c.open(nil)
-	second.answer([]byte("+PONG\r\n"))
-	far.Close()
-	c.serve()
-	first.answer([]byte("-ERR failed\r\n"))
-	if n := f.unsent.Load(); n != 0 {
-		t.Fatalf("%d bytes unsent of nobody", n)
-	}
-	if left := (<-g.events).(abandoned).reqs; len(left) != 1 {
-		t.Fatalf("%d requests abandoned", len(left))
-	}
-}
-
 // Backends come under ever new ids: one that is gone is forgotten as soon as its last connection is, though another may
 // have taken its address by then.
 func TestGoneBackendIsForgotten(t *testing.T) {
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -1,15 +1,14 @@
 package ingress
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/internal/resp"
 )
 
@@ -206,17 +205,19 @@
 // The same where the commands that are kept would fill the memory; what ends makes room again.
 func TestMostHeld(t *testing.T) {
 	g := idleGateway(t, newBackend(t, nil).addr)
-	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	first := newClientRequest(g, c, 1, g.mostHeld-1000)
-	second := newClientRequest(g, c, 2, g.mostHeld-1000)
+	first, _ := newClientRequest(t, g, 1, g.mostHeld-1000)
+	second, secondIn := newClientRequest(t, g, 2, g.mostHeld-1000)
 	taken := takeIn(g, first)
-	if taken == nil || taken.final || takeIn(g, second) != nil || string(second.slot.reply) != "-BUSY\r\n" {
-		t.Fatalf("first taken: %v; second answered %q", taken, second.slot.reply)
+	if taken == nil || taken.final || takeIn(g, second) != nil {
+		t.Fatalf("first taken: %v; second too", taken)
 	}
-	g.handle(abandoned{[]*clientRequest{first}})
-	third := newClientRequest(g, c, 3, g.mostHeld-1000)
+	if got := line(t, secondIn); got != "-BUSY" {
+		t.Fatalf("second answered %q", got)
+	}
+	g.handle(abandoned{[]*listener.Request{first}})
+	third, _ := newClientRequest(t, g, 3, g.mostHeld-1000)
 	if taken := takeIn(g, third); taken == nil || taken.final {
-		t.Fatalf("third answered %q after the first had ended", third.slot.reply)
+		t.Fatal("third not taken after the first had ended")
 	}
 }
 
@@ -242,71 +243,6 @@
 	<-gone
 }
 
-// What comes on a connection that is closing is dropped, however much: a reader that waited there for room
-// kept a shutdown from ending.
-func TestClosingConnectionTakesNothing(t *testing.T) {
-	c := newClient(nil, nil)
-	c.state = stateEnded
-	for range mostPipelined + 1 {
-		if c.open(nil) != nil {
-			t.Fatal("a command was taken")
-		}
-	}
-}
-
-// limits notes the read limits that are set on a connection.
-type limits struct {
-	net.Conn
-	set []bool
-}
-
-func (l *limits) SetReadDeadline(t time.Time) error {
-	l.set = append(l.set, !t.IsZero())
-	return nil
-}
-
-// A command that has begun must end in time, so that a half-open client does not stay for good; between
-// commands a client may be silent.
-func TestOnlyPartialCommandsHaveALimit(t *testing.T) {
-	near, far := net.Pipe()
-	c := newClient(newFront(nil, nil, 1, 1<<20), &limits{Conn: near})
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		c.read()
-	}()
-	ping := command("PING")
-	for _, part := range []string{ping, ping[:5], ping[5:], ping} {
-		io.WriteString(far, part)
-	}
-	far.Close()
-	<-done
-	if got := c.nc.(*limits).set; fmt.Sprint(got) != "[true false]" {
-		t.Fatalf("limits set: %v, want one inside the split command, taken off after it", got)
-	}
-}
-
-// A client that leaves its answers unread loses its connection before they fill the memory, and not one that reads.
-func TestSlowReaderIsCutOff(t *testing.T) {
-	f := newFront(nil, nil, 2, 1000)
-	var ends [2]net.Conn
-	var clients [2]*client
-	for i := range ends {
-		near, far := net.Pipe()
-		ends[i], clients[i] = far, newClient(f, near)
-		f.clients[clients[i]] = true
-	}
-	clients[0].open(nil).answer(make([]byte, 900))
-	clients[1].open(nil).answer(make([]byte, 200))
-	ends[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
-	if _, err := ends[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Fatalf("the slow reader's connection was kept: %v", err)
-	}
-	if _, err := ends[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the other's was closed: %v", err)
-	}
-}
-
 // Clients that say nothing, or half a command, are closed within 3 s, those that ask once and stay a little after 2 s;
 // while hundreds of them sit there, usual clients still get in.
 func TestSilentClients(t *testing.T) {
@@ -346,20 +282,6 @@
 	}
 }
 
-// Nonsense over and over is answered ever more slowly, and ends the connection: what had been read by then has its answers in
-// order, which is what one connection may hold unread beyond the last fault at most.
-func TestRepeatedNonsense(t *testing.T) {
-	addr, _ := startIngress(t, testConfig(registry(t, fleetOf(), nil), fleetOf()))
-	nc, in := dial(t, addr)
-	hello, answer := command("HELLO"), "-ERR unknown command\r\n"
-	go io.WriteString(nc, strings.Repeat(hello, 10_000))
-	rest, err := io.ReadAll(in)
-	n, most := strings.Count(string(rest), answer), mostFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
-	if n < mostFaults || n > most || len(rest) != n*len(answer) {
-		t.Fatalf("%d errors in %d bytes, %v; want %d to %d and the end", n, len(rest), err, mostFaults, most)
-	}
-}
-
 // A request's id is taken until its time is up, also once it has been answered: whoever copies it is not served.
 func TestCopiedID(t *testing.T) {
 	be := serving(t, "value")
@@ -374,24 +296,3 @@
 		t.Fatalf("answer %q", got)
 	}
 }
-
-// The memory of commands that are coming in is bounded over all connections.
-func TestBudget(t *testing.T) {
-	b := resp.NewMemoryBudget(resp.InitialBufferSize + 10)
-	fill := func(in *resp.FrameBuffer) error {
-		return in.Fill(func(p []byte) (int, error) { return len(p), nil })
-	}
-	one, two := resp.FrameBuffer{Budget: b}, resp.FrameBuffer{Budget: b}
-	for _, step := range []struct {
-		in   *resp.FrameBuffer
-		want error
-	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, resp.ErrNoMemory}} {
-		if err := fill(step.in); err != step.want {
-			t.Fatalf("%v, want %v", err, step.want)
-		}
-	}
-	one.Close()
-	if err := fill(&two); err != nil {
-		t.Fatal(err)
-	}
-}
--- /dev/null
+++ b/internal/ingress/clients.go
@@ -0,0 +1,66 @@
+package ingress
+
+import (
+	"net"
+	"time"
+
+	"lemontack/internal/listener"
+)
+
+// The events of a client.
+type (
+	arrived   struct{ r *listener.Request }
+	abandoned struct{ reqs []*listener.Request }
+)
+
+// newListener returns the server of the clients' connections that come on ln.
+func (g *Gateway) newListener(ln net.Listener) *listener.Server {
+	return listener.New(ln, g.listenerConfig())
+}
+
+// listenerConfig is what the server of the clients' connections is told.
+func (g *Gateway) listenerConfig() listener.Config {
+	return listener.Config{
+		Classes:        g.classes,
+		Plans:          g.plans,
+		GatewayCount:   g.cfg.Settings.GatewayCount,
+		MaxUnits:       g.mostUnits,
+		MaxConnections: g.cfg.Sockets - g.mostConns - spare,
+		Memory:         g.cfg.Memory / memoryShare,
+		RejectedReply:  g.turnedAway,
+		Clock:          g.clock,
+		Stalls:         g.stalls,
+		Log:            g.log,
+		LogLimit:       g.observe.anomalies,
+		Counters:       g.observe.clients,
+		Handler:        clientEvents{g},
+		Observer:       clientEvents{g},
+	}
+}
+
+// clientEvents brings what the listener tells to the gateway's goroutine and to the counters.
+type clientEvents struct{ g *Gateway }
+
+// RequestReceived implements listener.Handler.
+func (e clientEvents) RequestReceived(r *listener.Request) { e.g.post(arrived{r}) }
+
+// ClientDisconnected implements listener.Handler.
+func (e clientEvents) ClientDisconnected(unanswered []*listener.Request) {
+	e.g.post(abandoned{unanswered})
+}
+
+// RequestRead implements listener.Observer.
+func (e clientEvents) RequestRead() { e.g.observe.requests.Add(requestsRead) }
+
+// RequestRejected implements listener.Observer.
+func (e clientEvents) RequestRejected(r *listener.Request, reason string) {
+	e.g.observe.requestRejected(r, reason)
+}
+
+// RequestUnanswered implements listener.Observer.
+func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
+	e.g.observe.violated(ruleFinalAnswer, r, e.g.clock(time.Now()), cause)
+}
+
+// RequestAnsweredTwice implements listener.Observer.
+func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(ruleOneAnswer) }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/policy"
 )
 
@@ -207,7 +208,7 @@
 	for name, more := range map[string]string{
 		"many commands": func() string {
 			var b strings.Builder
-			for i := range 3 * mostPipelined {
+			for i := range 3 * listener.MaxPipelined {
 				b.WriteString(ask(10+i, readFields))
 			}
 			return b.String()
@@ -263,68 +264,10 @@
 	}
 }
 
-// The same in a pause after nonsense, however long it is.
-func TestLeavesInAPause(t *testing.T) {
-	far := make(chan net.Conn, 1)
-	addr := listen(t, func(nc net.Conn) {
-		far <- nc
-		io.Copy(io.Discard, nc)
-	})
-	near, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer near.Close()
-	c := newClient(newFront(nil, nil, 1, 1<<20), near)
-	noticed := make(chan struct{})
-	go func() {
-		if !c.pause(1 << 20) { // a day
-			close(noticed)
-		}
-	}()
-	(<-far).Close()
-	await(t, "the client's leaving", noticed)
-}
-
-// Commands beyond the number that may wait are turned away in their order, and far beyond it the connection ends, after
-// all answers: each of what was read has one, also behind the command that was one too many.
-func TestManyCommandsAtOnce(t *testing.T) {
-	const behind = 39
-	var b strings.Builder
-	for i := range mostTurned + 1 + behind {
-		b.WriteString(ask(i, readFields))
-	}
-	near, far := accepted(t)
-	g := idleGateway(t, newBackend(t, nil).addr)
-	f := newFront(nil, g, 1, 1<<20)
-	c := newClient(f, near)
-	done := serveClient(f, c)
-	io.WriteString(far, b.String())
-	var taken []*clientRequest
-	for range mostPipelined {
-		taken = append(taken, (<-g.events).(arrived).r)
-	}
-	for !c.crowded(mostTurned + 1 + behind) {
-		time.Sleep(time.Millisecond)
-	}
-	for _, r := range taken { // nothing is answered before
-		r.slot.answer([]byte("+taken\r\n"))
-	}
-	want := strings.Repeat("+taken\r\n", mostPipelined) + strings.Repeat("-BUSY\r\n", mostTurned-mostPipelined) +
-		"-ERR too many commands at once\r\n" + strings.Repeat("-BUSY\r\n", behind)
-	if got, err := io.ReadAll(far); string(got) != want || err != nil {
-		t.Fatalf("answers %q, %v", got, err)
-	}
-	await(t, "the connection's end", done)
-	if len(g.events) > 0 {
-		t.Fatalf("%T after the commands that were taken", <-g.events)
-	}
-}
-
 // A request that is over is not sent when its connection comes up, also where attempts may not be called off.
 func TestOverRequestIsNotSent(t *testing.T) {
 	for name, over := range map[string]func(g *Gateway, r *request){
-		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*clientRequest{r.clientRequest}}) },
+		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*listener.Request{r.Request}}) },
 		"out of time":  func(g *Gateway, r *request) { g.cutOff(r) },
 		"other answer": func(_ *Gateway, r *request) { r.final = true },
 	} {
@@ -339,8 +282,8 @@
 				t.Fatal(err)
 			}
 			run(t, g)
-			c := newClient(newFront(nil, g, 1, 1<<20), nil)
-			r := takeIn(g, newClientRequest(g, c, 1, 7))
+			sent, _ := newClientRequest(t, g, 1, 7)
+			r := takeIn(g, sent)
 			if r == nil || len(r.attempts) != 1 {
 				t.Fatal("no attempt waits for a connection")
 			}
@@ -429,40 +372,29 @@
 // At the end of a shutdown what still comes is turned away at once, and what came before has no longer than that.
 func TestArrivalsInAShutdown(t *testing.T) {
 	g := idleGateway(t, newBackend(t, nil).addr)
-	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	first := takeIn(g, newClientRequest(g, c, 1, 0))
+	firstSent, _ := newClientRequest(t, g, 1, 0)
+	first := takeIn(g, firstSent)
 	waits := first.attempts // for a connection
 	by := g.now + time.Second
 	g.handle(ending{by})
-	second := newClientRequest(g, c, 2, 0)
+	second, _ := newClientRequest(t, g, 2, 0)
 	if taken := takeIn(g, second); taken == nil || taken.final || second.Deadline != by {
-		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
+		t.Fatalf("not taken, or has until %v of %v", second.Deadline, by)
 	}
 	g.now = by
 	g.ring()
-	third := newClientRequest(g, c, 3, 0)
-	if taken := takeIn(g, third); !first.final || taken != nil || string(third.slot.reply) != "-BUSY\r\n" {
-		t.Fatalf("first answered: %v; third %q", first.final, third.slot.reply)
+	third, thirdIn := newClientRequest(t, g, 3, 0)
+	if taken := takeIn(g, third); !first.final || taken != nil {
+		t.Fatalf("first answered: %v; third taken: %v", first.final, taken != nil)
+	}
+	if got := line(t, thirdIn); got != "-BUSY" {
+		t.Fatalf("third answered %q", got)
 	}
 	if len(waits) != 1 || !waits[0].ended {
 		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waits))
 	}
 }
 
-// A connection that is so new that its first command may be on its way is not closed unheard by a shutdown.
-func TestNewConnectionIsHeardInAShutdown(t *testing.T) {
-	for received, closing := range map[bool]bool{false: false, true: true} {
-		c := newClient(nil, nil)
-		c.used, c.received = time.Now().Add(time.Hour), received
-		if received {
-			c.state = stateIdle
-		}
-		if c.closeSoon(); c.state.isOpen() == closing {
-			t.Errorf("a command received %v: state %v", received, c.state)
-		}
-	}
-}
-
 // A second answer may come some milliseconds after the first: until then the connection takes nothing, or the next request
 // would be served with another's value.
 func TestConnectionRestsAfterAnAnswer(t *testing.T) {
@@ -547,26 +479,6 @@
 	}
 }
 
-// Each command has its own time to end: a client that goes on sending was once cut off for the first half command in a row.
-func TestEachCommandHasItsTime(t *testing.T) {
-	near, far := net.Pipe()
-	c := newClient(newFront(nil, nil, 1, 1<<20), &limits{Conn: near})
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		c.read()
-	}()
-	ping := command("PING")
-	for _, part := range []string{ping[:5], ping[5:] + ping[:5], ping[5:] + ping[:5], ping[5:]} {
-		io.WriteString(far, part)
-	}
-	far.Close()
-	<-done
-	if got := fmt.Sprint(c.nc.(*limits).set); got != "[true false true false true false]" {
-		t.Fatalf("limits set: %s, want one for each command", got)
-	}
-}
-
 // Settings without a number of attempts mean one.
 func TestOneAttemptWhereNoneIsNamed(t *testing.T) {
 	be := named(t, "a")
@@ -592,8 +504,7 @@
 		t.Fatal(err)
 	}
 	run(t, g)
-	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	sent := newClientRequest(g, c, 1, 0)
+	sent, _ := newClientRequest(t, g, 1, 0)
 	sent.Class = "write"
 	r := takeIn(g, sent)
 	up := (<-g.events).(connUp) // told of only after the drain
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/listener"
 	"lemontack/internal/standin"
 	"lemontack/internal/wire"
 	"lemontack/policy"
@@ -285,15 +286,71 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// newClientRequest returns a request as a client's connection would bring it.
-func newClientRequest(g *Gateway, c *client, key uint64, size int) *clientRequest {
-	r := &clientRequest{key: key, size: size, slot: &slot{c: c}, args: make([][]byte, 4)}
-	r.Class, r.Plan, r.Units, r.GatewaySpan, r.Deadline = "read", "p", 1, 1, g.now+time.Minute
+// requestSource is a client's connection of which the test takes the requests in place of the gateway.
+type requestSource struct {
+	clientEvents
+	received chan *listener.Request
+}
+
+// RequestReceived implements listener.Handler.
+func (s requestSource) RequestReceived(r *listener.Request) { s.received <- r }
+
+// ClientDisconnected implements listener.Handler.
+func (requestSource) ClientDisconnected([]*listener.Request) {}
+
+// sendRequest returns a request as a client's connection of its own brings it, what the client reads, and what makes the client
+// leave and returns once its connection has ended.
+func sendRequest(t *testing.T, g *Gateway, id int) (r *listener.Request, in *bufio.Reader, leave func()) {
+	t.Helper()
+	near, far := net.Pipe()
+	source := requestSource{clientEvents{g}, make(chan *listener.Request, 1)}
+	cfg := g.listenerConfig()
+	cfg.Handler = source
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		listener.New(nil, cfg).ServeConn(near)
+	}()
+	leave = func() {
+		far.Close()
+		<-ended
+	}
+	t.Cleanup(leave)
+	far.SetDeadline(time.Now().Add(time.Minute))
+	if _, err := io.WriteString(far, ask(id, readFields)); err != nil {
+		t.Fatal(err)
+	}
+	return <-source.received, bufio.NewReader(far), leave
+}
+
+// newClientRequest returns a request of this size, as a client's connection would bring it, and what the client reads.
+func newClientRequest(t *testing.T, g *Gateway, id, size int) (r *listener.Request, in *bufio.Reader) {
+	t.Helper()
+	r, in, _ = sendRequest(t, g, id)
+	r.Size, r.Deadline = size, g.now+time.Minute
+	return r, in
+}
+
+// requestOfAClientThatLeft returns a request whose client has gone since.
+func requestOfAClientThatLeft(t *testing.T, g *Gateway) *listener.Request {
+	t.Helper()
+	r, _, leave := sendRequest(t, g, 1)
+	leave()
 	return r
 }
 
+// serveClient serves a client's connection for the gateway, to its end, which closes the channel.
+func serveClient(g *Gateway, nc net.Conn) <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		g.newListener(nil).ServeConn(nc)
+	}()
+	return done
+}
+
 // takeIn brings a request to the gateway; it returns nil where the gateway turned it away.
-func takeIn(g *Gateway, r *clientRequest) *request {
+func takeIn(g *Gateway, r *listener.Request) *request {
 	g.handle(arrived{r})
 	return g.requests[r.ID]
 }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -23,22 +23,20 @@
 )
 
 const (
-	eventQueue   = 256
-	memoryShare  = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
-	usualMemory  = 256 << 20 // where no limit is told
-	mostBatch    = 256
-	answerMargin = 20 * time.Millisecond  // before the client gives up: the way back, and a busy machine
-	busyAdvice   = 250 * time.Millisecond // to those that find no place, where advice is allowed
-	overdue      = 8 * time.Millisecond   // into the margin: the module should have answered by now
-	firstList    = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
-	idleCheck    = time.Second
-	graceOpen    = 500 * time.Millisecond // after SIGTERM: new connections go on being served
-	backlogTime  = 50 * time.Millisecond  // then, for those that came and were not accepted yet
-	killWait     = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline
-	longestKept  = 3 * time.Second        // that deadline counts as this where it is longer
-	endMargin    = 250 * time.Millisecond // before SIGKILL: everything has its answer, and connections end
-	goodbye      = 150 * time.Millisecond // for the end of the connections then
-	spare        = 32                     // descriptors for the counter, discovery, the listener and the runtime
+	eventQueue  = 256
+	memoryShare = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
+	usualMemory = 256 << 20 // where no limit is told
+	mostBatch   = 256
+	busyAdvice  = 250 * time.Millisecond // to those that find no place, where advice is allowed
+	overdue     = 8 * time.Millisecond   // into the margin: the module should have answered by now
+	firstList   = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
+	idleCheck   = time.Second
+	graceOpen   = 500 * time.Millisecond // after SIGTERM: new connections go on being served
+	killWait    = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline
+	longestKept = 3 * time.Second        // that deadline counts as this where it is longer
+	endMargin   = 250 * time.Millisecond // before SIGKILL: everything has its answer, and connections end
+	goodbye     = 150 * time.Millisecond // for the end of the connections then
+	spare       = 32                     // descriptors for the counter, discovery, the listener and the runtime
 )
 
 // Config is all that an ingress is told.
@@ -203,9 +201,9 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	f := newFront(ln, g, g.cfg.Sockets-g.mostConns-spare, g.cfg.Memory/memoryShare)
-	g.spawn(func(context.Context) { f.accept() })
-	g.spawn(f.tidy)
+	clients := g.newListener(ln)
+	g.spawn(func(context.Context) { clients.Serve() })
+	g.spawn(clients.SweepIdle)
 	g.addr = ln.Addr()
 	close(g.ready)
 	g.log.Info("serving", "listen", g.cfg.Listen, "ingresses", g.cfg.Settings.GatewayCount,
@@ -218,7 +216,7 @@
 	defer cancel()
 	g.post(ending{g.clock(time.Now()) + left})
 	time.Sleep(graceOpen)
-	f.drain(limit)
+	clients.Drain(limit)
 	g.observe.writeCounters("shut down")
 	return nil
 }
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/internal/stall"
 	"lemontack/internal/telemetry"
 	"lemontack/policy"
@@ -36,18 +37,19 @@
 }
 
 // violated counts a broken rule and writes what is known of the request.
-func (o *observer) violated(which rule, r *clientRequest, now time.Duration, cause string) {
+func (o *observer) violated(which rule, r *listener.Request, now time.Duration, cause string) {
 	o.violations.Add(which)
 	if ok, _ := o.anomalies.Allow(time.Now()); !ok {
 		return
 	}
-	o.log.Error("rule broken", "rule", o.violations.Name(which), "cause", cause, "request", r.describe(now))
+	o.log.Error("rule broken", "rule", o.violations.Name(which), "cause", cause, "request", describe(r, now))
 }
 
 // describe is what is known of a request, for the log.
-func (r *clientRequest) describe(now time.Duration) slog.Value {
-	return slog.GroupValue(slog.String("id", r.id()), slog.String("client", r.remote()), slog.String("class", r.Class),
-		slog.String("customer", r.Customer), slog.Duration("age", now-r.readAt), slog.Duration("time", r.until-r.readAt))
+func describe(r *listener.Request, now time.Duration) slog.Value {
+	return slog.GroupValue(slog.String("id", r.ExternalIDString()), slog.String("client", r.RemoteAddr()),
+		slog.String("class", r.Class), slog.String("customer", r.Customer), slog.Duration("age", now-r.ReadAt),
+		slog.Duration("time", r.GiveUpAt-r.ReadAt))
 }
 
 // Reasons for which an attempt may not begin now. Those of the first group come up in good order, where an event crosses the
@@ -73,7 +75,7 @@
 		return nil
 	case r.final:
 		return errOver
-	case r.left():
+	case r.ClientGone():
 		return errLeft
 	case a.stop <= g.now:
 		return errNoTime
@@ -123,7 +125,7 @@
 		return true
 	}
 	if which, fault := isFault(reason); fault {
-		g.observe.violated(which, a.req.clientRequest, g.now, reason.Error())
+		g.observe.violated(which, a.req.Request, g.now, reason.Error())
 	}
 	if errors.Is(reason, errLeft) {
 		g.abandon(a.req)
@@ -136,17 +138,17 @@
 // told is the time that the command tells the backend.
 func (g *Gateway) checkBegun(a *attempt, told time.Duration) {
 	r := a.req
-	if r == nil || r.slot == nil {
+	if r == nil || r.Released() {
 		return
 	}
 	now := g.clock(time.Now())
-	if left := r.leftAt(); left != 0 && now-left > leftMost {
-		g.observe.violated(ruleClientLeft, r.clientRequest, now, "it left "+(now-left).String()+" before")
+	if left := r.ClientGoneAt(); left != 0 && now-left > leftMost {
+		g.observe.violated(ruleClientLeft, r.Request, now, "it left "+(now-left).String()+" before")
 	}
 	if ended := time.Duration(a.be.endedAt.Load()); ended != 0 && now-ended > drainMost {
-		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-ended).String()+" before")
+		g.observe.violated(ruleDrain, r.Request, now, "it was told "+(now-ended).String()+" before")
 	}
-	if told > max(r.until-now, 0)+stall.MaxStall {
-		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+told.String())
+	if told > max(r.GiveUpAt-now, 0)+stall.MaxStall {
+		g.observe.violated(ruleDeadline, r.Request, now, "told "+told.String())
 	}
 }
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -1,13 +1,11 @@
 package ingress
 
 import (
-	"bufio"
 	"errors"
-	"io"
-	"net"
 	"testing"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/internal/stall"
 	"lemontack/policy"
 )
@@ -28,6 +26,7 @@
 	}
 	run(t, g)
 	g.backends["s1"].Cell = 1
+	left := requestOfAClientThatLeft(t, g)
 	type past struct {
 		ended   bool
 		outcome policy.Outcome
@@ -44,7 +43,7 @@
 	}{
 		"first":                       {"write", nil, nil, 0, nil, false},
 		"over":                        {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
-		"left":                        {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
+		"left":                        {"read", func(r *request, _ *attempt) { r.Request = left }, nil, 0, errLeft, false},
 		"no time":                     {"read", func(_ *request, a *attempt) { a.stop = g.now }, nil, 0, errNoTime, false},
 		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Endpoint: policy.Endpoint{State: policy.Draining}} }, nil, 0, errNotRunning, false},
 		"too many":                    {"read", func(_ *request, a *attempt) { a.n = 3 }, nil, 0, errTooMany, true},
@@ -59,7 +58,7 @@
 		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &request{clientRequest: &clientRequest{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}}
+			r := &request{Request: &listener.Request{}}
 			r.Class = c.class
 			for i, b := range c.before {
 				r.attempts = append(r.attempts, &attempt{req: r, n: i, be: g.backends["s0"], began: g.now - c.ago, ended: b.ended,
@@ -81,7 +80,7 @@
 // Copies are out one at a time where the settings say so.
 func TestGuardOfCopies(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{clientRequest: &clientRequest{}}
+	r := &request{Request: &listener.Request{}}
 	r.Class = "read"
 	first, second := &attempt{req: r, be: g.backends["s0"]}, &attempt{req: r, n: 0, be: g.backends["s0"], stop: g.now + time.Minute}
 	r.attempts = []*attempt{first, second}
@@ -93,7 +92,7 @@
 // What the guard denies as a fault of the module is counted, and the attempt ends unsent.
 func TestViolationsAreCounted(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{clientRequest: &clientRequest{}, out: 2}
+	r := &request{Request: &listener.Request{}, out: 2}
 	r.Class = "write"
 	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
 	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
@@ -105,51 +104,3 @@
 		t.Fatalf("%d violations counted", n)
 	}
 }
-
-// crossed is a connection on which something happens between the read of the system and the reader's next step.
-type crossed struct {
-	*net.TCPConn
-	meanwhile func()
-}
-
-func (c *crossed) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.meanwhile != nil {
-		c.meanwhile()
-	}
-	return n, err
-}
-
-// A request that was read as its connection was told to end is answered before the end.
-func TestRequestReadAsItsConnectionCloses(t *testing.T) {
-	for _, why := range []closeReason{closeIdle, closeForRoom, closeShutdown} {
-		near, far := accepted(t)
-		g := idleGateway(t, newBackend(t, nil).addr)
-		f := newFront(nil, g, 1, 1<<20)
-		nc := &crossed{TCPConn: near}
-		c := newClient(f, nc)
-		nc.meanwhile = func() {
-			nc.meanwhile = nil
-			c.close(why)
-			for asked := false; !asked; time.Sleep(time.Millisecond) { // until the writer wants the end
-				c.mu.Lock()
-				asked = c.state == stateConfirming || c.state == stateEnded
-				c.mu.Unlock()
-			}
-		}
-		done := serveClient(f, c)
-		io.WriteString(far, ask(1, readFields))
-		select {
-		case ev := <-g.events:
-			ev.(arrived).r.slot.answer([]byte("$5\r\nvalue\r\n"))
-		case <-done:
-			t.Fatal("the connection ended with a request that had been read")
-		}
-		in := bufio.NewReader(far)
-		wantValue(t, in)
-		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Fatalf("%q, %v after the answer", rest, err)
-		}
-		await(t, "the connection's end", done)
-	}
-}
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"lemontack/internal/listener"
 	"lemontack/internal/telemetry"
 	"lemontack/policy"
 )
@@ -21,12 +22,12 @@
 type requestCount int
 
 const (
-	requestsRead       requestCount = iota // whole and well formed
-	requestsExpired                        // had no time left when they were read
-	requestsTurnedAway                     // refused by the network code: no place, shutdown, a connection that is closing
-	requestsDuplicate                      // their id was taken
-	requestsRefused                        // by the decision module
-	requestsFailed                         // by the decision module
+	requestsRead      requestCount = iota // whole and well formed
+	requestsExpired                       // had no time left when they were read
+	requestsRejected                      // refused by the network code: no place, shutdown, a connection that is closing
+	requestsDuplicate                     // their id was taken
+	requestsRefused                       // by the decision module
+	requestsFailed                        // by the decision module
 	requestsServed
 	requestsCutOff    // left unanswered by the module until their time was up
 	requestsAbandoned // their client left before the answer
@@ -34,53 +35,17 @@
 )
 
 func newRequestCounters() *telemetry.Counters[requestCount] {
-	return telemetry.NewCounters[requestCount]("read", "expired", "turned_away", "duplicate_id", "refused", "failed", "served",
+	return telemetry.NewCounters[requestCount]("read", "expired", "rejected", "duplicate_id", "refused", "failed", "served",
 		"cut_off", "abandoned", "late")
 }
 
-// faultKind numbers the kinds of input that no client should send.
-type faultKind int
-
-const (
-	faultFraming    faultKind = iota // bytes that are no RESP
-	faultTooLong                     // longer than the protocol allows
-	faultMemory                      // no memory for it now
-	faultUnfinished                  // a command that does not end in its time
-	faultCommand                     // an unknown command, or none
-	faultRequest                     // a request with malformed or impossible fields
-	faultDuplicate                   // the id of an open request
-	faultFlood                       // too many commands at once
-)
-
-func newFaultCounters() *telemetry.Counters[faultKind] {
-	return telemetry.NewCounters[faultKind]("framing", "too_long", "memory", "unfinished", "command", "request", "duplicate_id",
-		"flood")
-}
-
-// closeReason numbers the reasons for which the ingress, or the client, ended a client's connection.
-type closeReason int
-
-const (
-	closeByClient  closeReason = iota // it left, or its connection broke
-	closeIdle                         // nothing was asked for too long
-	closeForRoom                      // a new connection needs its place
-	closeForFaults                    // too much nonsense, or the framing is lost
-	closeShutdown                     // the ingress ends
-	closeStalled                      // it does not read its answers
-)
-
-func newCloseCounters() *telemetry.Counters[closeReason] {
-	return telemetry.NewCounters[closeReason]("by_client", "idle", "for_room", "for_faults", "shutdown", "stalled")
-}
-
 // observer is the log and the counters of one ingress. The counters are written to the log every countersEvery and at the end;
 // single steps of requests and connections are records of level debug.
 type observer struct {
 	log        *slog.Logger
 	tracing    bool // records of level debug are written
 	requests   *telemetry.Counters[requestCount]
-	faults     *telemetry.Counters[faultKind]
-	closes     *telemetry.Counters[closeReason]
+	clients    *listener.Counters
 	outcomes   *telemetry.Counters[policy.Outcome]
 	heldUp     atomic.Int64 // hold-ups of the process
 	violations *telemetry.Counters[rule]
@@ -93,7 +58,7 @@
 		outcomes = append(outcomes, o.String())
 	}
 	return &observer{log: log, tracing: log.Enabled(context.Background(), slog.LevelDebug),
-		requests: newRequestCounters(), faults: newFaultCounters(), closes: newCloseCounters(),
+		requests: newRequestCounters(), clients: listener.NewCounters(),
 		violations: newViolations(),
 		outcomes:   telemetry.NewCounters[policy.Outcome](outcomes...),
 		anomalies:  telemetry.NewLimiter(anomaliesPerSpan, anomalySpan)}
@@ -109,7 +74,7 @@
 			return
 		case <-tick.C:
 		}
-		if now := o.requests.Total() + o.faults.Total() + o.closes.Total(); now != before {
+		if now := o.requests.Total() + o.clients.Faults.Total() + o.clients.Closes.Total(); now != before {
 			before = now
 			o.writeCounters("counters")
 		}
@@ -117,37 +82,10 @@
 }
 
 func (o *observer) writeCounters(text string) {
-	o.log.Info(text, "requests", o.requests, "attempts", o.outcomes, "faults", o.faults, "closes", o.closes,
+	o.log.Info(text, "requests", o.requests, "attempts", o.outcomes, "faults", o.clients.Faults, "closes", o.clients.Closes,
 		"held up", o.heldUp.Load(), "violations", o.violations)
 }
 
-// connectionClosed counts and traces the end of a client's connection. Requests without an answer were abandoned by their
-// client, unless the ingress broke the connection off; for one that does not read its answers nothing more can be done.
-func (o *observer) connectionClosed(c *client, unanswered []*clientRequest) {
-	c.mu.Lock()
-	why, aborted := c.reason, c.aborted
-	c.mu.Unlock()
-	o.closes.Add(why)
-	if o.tracing {
-		o.log.Debug("client connection ends", "client", c.remote(), "reason", o.closes.Name(why), "unanswered", len(unanswered),
-			"faults", c.faults.Load())
-	}
-	if !aborted || why == closeStalled {
-		return
-	}
-	for _, r := range unanswered {
-		o.violated(ruleFinalAnswer, r, c.f.gw.clock(time.Now()), "the connection was broken off: "+o.closes.Name(why))
-	}
-}
-
-// fault counts and traces input that no client should send.
-func (o *observer) fault(c *client, kind faultKind, text string, number int32) {
-	o.faults.Add(kind)
-	if o.tracing {
-		o.log.Debug("client fault", "client", c.remote(), "kind", o.faults.Name(kind), "cause", text, "number", number)
-	}
-}
-
 // wasHeldUp counts and writes that the process did not run for a while.
 func (o *observer) wasHeldUp(gap time.Duration) {
 	o.heldUp.Add(1)
@@ -156,11 +94,11 @@
 	}
 }
 
-// turnedAway counts and traces a request that the network code refuses.
-func (o *observer) turnedAway(r *clientRequest, why string) {
-	o.requests.Add(requestsTurnedAway)
+// requestRejected counts and traces a request that the network code rejects.
+func (o *observer) requestRejected(r *listener.Request, reason string) {
+	o.requests.Add(requestsRejected)
 	if o.tracing {
-		o.log.Debug("request turned away", "id", r.id(), "client", r.remote(), "reason", why)
+		o.log.Debug("request rejected", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "reason", reason)
 	}
 }
 
@@ -168,14 +106,14 @@
 func (o *observer) requestEnded(r *request, how requestCount) {
 	o.requests.Add(how)
 	if o.tracing {
-		o.log.Debug("request ends", "id", r.id(), "client", r.remote(), "how", o.requests.Name(how), "attempts", r.attempts)
+		o.log.Debug("request ends", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "how", o.requests.Name(how), "attempts", r.attempts)
 	}
 }
 
 // attemptBegins traces the beginning of an attempt.
 func (o *observer) attemptBegins(a *attempt) {
 	if o.tracing {
-		o.log.Debug("attempt begins", "id", a.req.id(), "number", a.n, "server", a.be.ID, "left", a.stop-a.began)
+		o.log.Debug("attempt begins", "request_id", a.req.ExternalIDString(), "number", a.n, "server", a.be.ID, "left", a.stop-a.began)
 	}
 }
 
@@ -183,7 +121,7 @@
 func (o *observer) attemptEnded(a *attempt, took time.Duration) {
 	o.outcomes.Add(a.outcome)
 	if o.tracing {
-		o.log.Debug("attempt ends", "id", a.req.id(), "number", a.n, "server", a.be.ID, "outcome", a.outcome, "took", took)
+		o.log.Debug("attempt ends", "request_id", a.req.ExternalIDString(), "number", a.n, "server", a.be.ID, "outcome", a.outcome, "took", took)
 	}
 }
 
@@ -193,7 +131,7 @@
 	if !ok {
 		return
 	}
-	attrs := []any{"request", r.describe(now), "attempts", r.attempts}
+	attrs := []any{"request", describe(r.Request, now), "attempts", r.attempts}
 	if suppressed > 0 {
 		attrs = append(attrs, "suppressed before", suppressed)
 	}
@@ -209,5 +147,5 @@
 	case a.conn == nil:
 		state = "waits for a connection"
 	}
-	return fmt.Sprintf("%s +%v %s", a.be.ID, (a.began - a.req.readAt).Round(time.Millisecond), state)
+	return fmt.Sprintf("%s +%v %s", a.be.ID, (a.began - a.req.ReadAt).Round(time.Millisecond), state)
 }
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -1,39 +1,40 @@
 package ingress
 
 import (
+	"lemontack/internal/listener"
 	"lemontack/policy"
 )
 
 // request is a client's request that was taken, with its attempts.
 type request struct {
-	*clientRequest
+	*listener.Request
 	attempts []*attempt
 	out      int  // attempts that have not ended
 	final    bool // it has had its final answer, or its client has left
 }
 
 // arrived takes a request in, or turns it away.
-func (g *Gateway) arrived(r *clientRequest) {
-	if r.left() {
+func (g *Gateway) arrived(r *listener.Request) {
+	if r.ClientGone() {
 		return
 	}
 	// Many clients with large bodies must not fill the memory: beyond the bounds nothing is taken. Nor is at the end of
 	// a shutdown, while clients go on sending on what is still open.
-	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.size > g.mostHeld || g.endBy > 0 && g.now >= g.endBy {
-		g.observe.turnedAway(r, "no room, or shutting down")
-		r.respond(g.turnedAway)
+	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.Size > g.mostHeld || g.endBy > 0 && g.now >= g.endBy {
+		g.observe.requestRejected(r, "no capacity, or shutting down")
+		r.Respond(g.turnedAway)
 		return
 	}
-	if g.keys[r.key] { // the one who asked first has its answer, and nobody else
+	if g.keys[r.ExternalID] { // the one who asked first has its answer, and nobody else
 		g.observe.requests.Add(requestsDuplicate)
-		r.respondDuplicate()
+		r.RespondDuplicate()
 		return
 	}
 	g.lastID++
 	r.ID = g.lastID
-	taken := &request{clientRequest: r}
-	g.requests[r.ID], g.keys[r.key] = taken, true
-	g.heldBytes += r.size
+	taken := &request{Request: r}
+	g.requests[r.ID], g.keys[r.ExternalID] = taken, true
+	g.heldBytes += r.Size
 	if g.endBy > 0 {
 		r.Deadline = min(r.Deadline, g.endBy)
 	}
@@ -42,7 +43,7 @@
 	}
 	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.Deadline+overdue, func() {
-		delete(g.keys, r.key)
+		delete(g.keys, r.ExternalID)
 		g.cutOff(taken)
 	})
 }
@@ -65,11 +66,11 @@
 
 // noteLate tells of a request whose final answer comes after its client's time.
 func (g *Gateway) noteLate(r *request) {
-	due := max(r.until, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process does not run
+	due := max(r.GiveUpAt, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process does not run
 	if g.now > due+lateMost {
-		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
+		g.observe.violated(ruleInTime, r.Request, g.now, "answered late")
 	}
-	if g.now > r.until && r.until > r.readAt { // else it was late as it came
+	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // else it was late as it came
 		g.observe.requests.Add(requestsLate)
 		g.observe.anomaly(r, "answered after the client's time", g.now)
 	}
@@ -82,7 +83,7 @@
 	}
 	g.noteLate(r)
 	r.final = true
-	r.respond(b)
+	r.Respond(b)
 	g.unsend(r)
 	g.forget(r)
 }
@@ -131,9 +132,9 @@
 
 func (g *Gateway) forget(r *request) {
 	if r.final && r.out == 0 && g.requests[r.ID] == r {
-		g.heldBytes -= r.size
+		g.heldBytes -= r.Size
 		delete(g.requests, r.ID)
-		r.release() // its timer may hold it for seconds more
+		r.Release() // its timer may hold it for seconds more
 		r.attempts = nil
 	}
 }
--- a/internal/ingress/backlog_test.go
+++ b/internal/listener/acceptdelay_test.go
@@ -1,34 +1,34 @@
-package ingress
+package listener
 
 import (
 	"testing"
 	"time"
 )
 
-// A connection may have waited since the last stall began, or since calls began to fail, and no longer: where places are always
+// A connection may have waited since the last delay began, or since calls began to fail, and no longer: where slots are always
 // scarce, each one waits for its own.
-func TestBacklog(t *testing.T) {
+func TestAcceptDelayCountsFromTheLastDelay(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var b backlog
+	var delay acceptDelay
 	want := func(now, since int) {
 		t.Helper()
-		got, waited := b.accepted(at(now))
+		got, waited := delay.accepted(at(now))
 		if !got.Equal(at(since)) || waited != (now != since) {
 			t.Fatalf("accepted at %d ms: waited %v, since %v", now, waited, got.Sub(start))
 		}
 	}
 	want(1, 1)
 	for ms := 10; ms < 1000; ms += 10 { // a crowd that never ends
-		b.waited(at(ms), at(ms+6))
+		delay.waitedForSlot(at(ms), at(ms+6))
 		want(ms+6, ms)
 	}
 	want(1100, 1100)
 	for ms := 2000; ms < 2300; ms += 5 {
-		b.failed(at(ms), at(ms+5))
-		b.waited(at(ms+5), at(ms+7))
+		delay.failed(at(ms), at(ms+5))
+		delay.waitedForSlot(at(ms+5), at(ms+7))
 	}
 	want(2301, 2000)
-	want(2310, 2000) // what came in the stall is taken within a moment
+	want(2310, 2000) // what came in the delay is taken within a moment
 	want(2400, 2400)
 }
--- /dev/null
+++ b/internal/listener/conn_test.go
@@ -0,0 +1,129 @@
+package listener
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+)
+
+// What comes on a connection that is closing is dropped, however much: a reader that waited there for room
+// kept a shutdown from ending.
+func TestEndedConnectionTakesNoCommand(t *testing.T) {
+	s, _ := newServer(nil, 1, 1<<20)
+	c := newConn(s, nil)
+	c.state = stateEnded
+	for range MaxPipelined + 1 {
+		if c.openResponse(nil) != nil {
+			t.Fatal("a command was taken")
+		}
+	}
+}
+
+// A connection that is so new that its first command may be on its way is not closed unheard by a shutdown.
+func TestNewConnectionIsHeardInAShutdown(t *testing.T) {
+	for received, closing := range map[bool]bool{false: false, true: true} {
+		s, _ := newServer(nil, 1, 1<<20)
+		c := newConn(s, nil)
+		c.lastUsed, c.received = time.Now().Add(time.Hour), received
+		if received {
+			c.state = stateIdle
+		}
+		if c.closeSoon(); c.state.isOpen() == closing {
+			t.Errorf("a command received %v: state %v", received, c.state)
+		}
+	}
+}
+
+// crossedConn is a connection on which something happens between the read of the system and the reader's next step.
+type crossedConn struct {
+	*net.TCPConn
+	meanwhile func()
+}
+
+func (c *crossedConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	if n > 0 && c.meanwhile != nil {
+		c.meanwhile()
+	}
+	return n, err
+}
+
+// A request that was read as its connection was told to end is answered before the end.
+func TestRequestReadAsItsConnectionClosesIsAnswered(t *testing.T) {
+	for _, reason := range []CloseReason{CloseIdle, CloseForSlot, CloseShutdown} {
+		near, far := accepted(t)
+		s, rec := newServer(nil, 1, 1<<20)
+		socket := &crossedConn{TCPConn: near}
+		c := newConn(s, socket)
+		socket.meanwhile = func() {
+			socket.meanwhile = nil
+			c.close(reason)
+			for asked := false; !asked; time.Sleep(time.Millisecond) { // until the writer wants the end
+				c.mu.Lock()
+				asked = c.state == stateConfirming || c.state == stateEnded
+				c.mu.Unlock()
+			}
+		}
+		done := serve(c)
+		io.WriteString(far, ask(1, readFields))
+		select {
+		case request := <-rec.received:
+			request.Respond(value)
+		case <-rec.disconnected:
+			t.Fatal("the request is taken for one of a client that has gone")
+		case <-done:
+			t.Fatal("the connection ended with a request that had been read")
+		}
+		in := bufio.NewReader(far)
+		wantValue(t, in)
+		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
+			t.Fatalf("%q, %v after the answer", rest, err)
+		}
+		await(t, "the connection's end", done)
+	}
+}
+
+// A client that leaves its answers unread loses its connection before they fill the memory, and not one that reads.
+func TestSlowReaderIsClosed(t *testing.T) {
+	s, _ := newServer(nil, 2, 1000)
+	var ends [2]net.Conn
+	var conns [2]*conn
+	for i := range ends {
+		near, far := net.Pipe()
+		ends[i], conns[i] = far, newConn(s, near)
+		s.conns[conns[i]] = true
+	}
+	conns[0].openResponse(nil).respond(make([]byte, 900))
+	conns[1].openResponse(nil).respond(make([]byte, 200))
+	ends[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
+	if _, err := ends[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+		t.Fatalf("the slow reader's connection was kept: %v", err)
+	}
+	if _, err := ends[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("the other's was closed: %v", err)
+	}
+}
+
+// What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
+func TestUnsentBytesAreReleasedWithTheConnection(t *testing.T) {
+	s, rec := newServer(nil, 1, 1<<20)
+	near, far := net.Pipe()
+	c := newConn(s, near)
+	s.connSlots <- struct{}{}
+	s.track(c)
+	first, second := c.openResponse(&Request{}), c.openResponse(nil)
+	second.respond([]byte("+PONG\r\n"))
+	far.Close()
+	c.serve()
+	first.respond([]byte("-ERR failed\r\n"))
+	if n := s.unsentBytes.Load(); n != 0 {
+		t.Fatalf("%d bytes unsent of nobody", n)
+	}
+	if unanswered := <-rec.disconnected; len(unanswered) != 1 {
+		t.Fatalf("%d requests abandoned", len(unanswered))
+	}
+}
--- /dev/null
+++ b/internal/listener/parse.go
@@ -0,0 +1,192 @@
+package listener
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"lemontack/policy"
+)
+
+const (
+	// maxKeyLength bounds an idempotency key, in bytes.
+	maxKeyLength = 256
+	// maxCustomer is above every customer's number.
+	maxCustomer = 1 << 33
+	// answerMargin is the time before the client gives up that an answer needs on its way back, on a busy machine too. Of a
+	// short time-out it is a quarter at most.
+	answerMargin = 20 * time.Millisecond
+	// maxTimeoutDeadlines bounds the time-out that a client may name, in deadlines of its class.
+	maxTimeoutDeadlines = 2
+)
+
+// Faults of requests. Their texts are sent to clients.
+var (
+	errCustomer      = errors.New("the customer is not 16 hex digits below 2^33")
+	errID            = errors.New("the id is not 16 hex digits")
+	errFields        = errors.New("the fields are not a list of different names and values")
+	errUnitsForm     = errors.New("field units is not a plain number")
+	errUnknownClass  = errors.New("unknown class")
+	errUnknownPlan   = errors.New("unknown plan")
+	errClassCommand  = errors.New("the class does not go with the command")
+	errKey           = errors.New("field k is missing or too long")
+	errMissingField  = errors.New("field d or first is missing")
+	errGatewaySpan   = errors.New("there is no such set of gateways")
+	errUnitsRange    = errors.New("field units is missing or out of range")
+	errNot16Digits   = errors.New("not 16 digits")
+	errFieldValue    = errors.New("cannot be read")
+	errArgumentCount = errors.New("wants a customer, an id, fields and at most a body")
+)
+
+// fields are the named values of a request.
+type fields struct {
+	class, plan, key         string
+	timeout                  uint64 // ms
+	timeoutStart, timeoutEnd int    // of its value in the text
+	hasTimeout, hasFirst     bool
+	span, first              uint64
+	units                    float64
+	isRetry                  bool
+}
+
+// parseRequest checks a request that may have come at a time. It returns one only if a backend would take it.
+func (cfg *Config) parseRequest(args [][]byte, at time.Time) (*Request, error) {
+	if len(args) < 4 || len(args) > 5 {
+		return nil, fmt.Errorf("%s %w", args[0], errArgumentCount)
+	}
+	customer, err := parseHex16(args[1])
+	if err != nil || customer >= maxCustomer {
+		return nil, errCustomer
+	}
+	id, err := parseHex16(args[2])
+	if err != nil {
+		return nil, errID
+	}
+	values, err := parseFields(string(args[3]))
+	if err != nil {
+		return nil, err
+	}
+	class, known := cfg.Classes[values.class]
+	if !known {
+		return nil, errUnknownClass
+	}
+	if err := cfg.checkFields(values, class, string(args[0])); err != nil {
+		return nil, err
+	}
+	request := &Request{
+		Request: policy.Request{
+			Class:        values.class,
+			Plan:         values.plan,
+			Customer:     string(args[1]),
+			Units:        values.units,
+			GatewaySpan:  int(values.span),
+			FirstGateway: int(values.first),
+			IsRetry:      values.isRetry,
+		},
+		ExternalID:   id,
+		TimeoutStart: values.timeoutStart,
+		TimeoutEnd:   values.timeoutEnd,
+	}
+	request.setTimes(cfg.Clock(at), values.timeout, class)
+	request.copyArgs(args)
+	return request, nil
+}
+
+// checkFields checks the values against the settings. The decision module takes a customer's plan and gateways from the first
+// request that names it, so only what can be true goes on.
+func (cfg *Config) checkFields(values fields, class policy.Class, command string) error {
+	gateways := uint64(cfg.GatewayCount)
+	switch {
+	case !cfg.Plans[values.plan]:
+		return errUnknownPlan
+	case (command == commandDo) == (class.Idempotency == policy.Idempotent):
+		return errClassCommand
+	case class.Idempotency == policy.IdempotencyKey && (values.key == "" || len(values.key) > maxKeyLength):
+		return errKey
+	case !values.hasTimeout || !values.hasFirst:
+		return errMissingField
+	case values.span == 0 || values.span > gateways || values.first >= gateways:
+		return errGatewaySpan
+	case !(values.units > 0) || values.units > cfg.MaxUnits: // NaN is not above 0
+		return errUnitsRange
+	}
+	return nil
+}
+
+// setTimes derives the deadline from the client's time-out in ms. A client that says it will wait for ever is not believed.
+func (request *Request) setTimes(readAt time.Duration, timeout uint64, class policy.Class) {
+	wait := min(time.Duration(timeout)*time.Millisecond, maxTimeoutDeadlines*class.Deadline)
+	request.ReadAt = readAt
+	request.GiveUpAt = readAt + wait
+	request.Deadline = request.GiveUpAt - min(answerMargin, wait/4)
+}
+
+// copyArgs keeps the command; the buffer that it came in is the connection's.
+func (request *Request) copyArgs(args [][]byte) {
+	for _, arg := range args {
+		request.Args = append(request.Args, append(make([]byte, 0, len(arg)), arg...))
+		request.Size += len(arg)
+	}
+}
+
+// parseFields reads "name=value,name=value"; names that are not known are left to the backend.
+func parseFields(text string) (fields, error) {
+	var values fields
+	seen := map[string]bool{}
+	for start := 0; start <= len(text); {
+		part, _, _ := strings.Cut(text[start:], ",")
+		name, value, ok := strings.Cut(part, "=")
+		if !ok || name == "" || seen[name] {
+			return fields{}, errFields
+		}
+		seen[name] = true
+		if err := values.set(name, value); err != nil {
+			return fields{}, err
+		}
+		end := start + len(part)
+		if name == "d" {
+			values.timeoutStart, values.timeoutEnd = end-len(value), end
+		}
+		start = end + 1
+	}
+	values.hasTimeout, values.hasFirst = seen["d"], seen["first"]
+	return values, nil
+}
+
+// set reads the value of a field.
+func (values *fields) set(name, value string) (err error) {
+	switch name {
+	case "c":
+		values.class = value
+	case "t":
+		values.plan = value
+	case "d":
+		values.timeout, err = strconv.ParseUint(value, 10, 31)
+	case "r":
+		values.isRetry = value == "1"
+	case "k":
+		values.key = value
+	case "units":
+		if strings.Trim(value, "0123456789.") != "" {
+			return errUnitsForm
+		}
+		values.units, err = strconv.ParseFloat(value, 64)
+	case "spread":
+		values.span, err = strconv.ParseUint(value, 10, 31)
+	case "first":
+		values.first, err = strconv.ParseUint(value, 10, 31)
+	}
+	if err != nil {
+		return fmt.Errorf("field %s %w", name, errFieldValue)
+	}
+	return nil
+}
+
+func parseHex16(b []byte) (uint64, error) {
+	if len(b) != 16 {
+		return 0, errNot16Digits
+	}
+	return strconv.ParseUint(string(b), 16, 64)
+}
--- a/internal/ingress/connstate.go
+++ b/internal/listener/state.go
@@ -1,7 +1,7 @@
-package ingress
+package listener
 
 // connState is where a client connection stands in its life. Its reader, its writer and the listener move it, always
-// through transition and with client.mu held:
+// through transition and with conn.mu held:
 //
 //	state         meaning                                             left for
 //	new           no complete command has come                        active, draining, faulted
@@ -30,7 +30,7 @@
 // An event in any other state changes nothing. While a connection is draining or confirming it takes commands and answers
 // them, without a change of state.
 //
-// Three facts cut across the states and stand beside them in client: whether any command has come, which matters to a
+// Three facts cut across the states and stand beside them in conn: whether any command has come, which matters to a
 // connection that is draining too; whether the socket was closed over what was owed; and whether the reader has ended, which
 // the gateway reads without the lock, while the writer still works through these states.
 type connState int
@@ -83,4 +83,4 @@
 func (s connState) isOpen() bool { return s == stateNew || s == stateActive || s == stateIdle }
 
 // transition moves the connection; c.mu is held.
-func (c *client) transition(event connEvent) { c.state = c.state.next(event) }
+func (c *conn) transition(event connEvent) { c.state = c.state.next(event) }
--- a/internal/ingress/connstate_test.go
+++ b/internal/listener/state_test.go
@@ -1,4 +1,4 @@
-package ingress
+package listener
 
 import "testing"
 
--- /dev/null
+++ b/internal/listener/sweep.go
@@ -0,0 +1,95 @@
+package listener
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// idleTimeout is how long a connection may be without an open request once it has sent a command.
+	idleTimeout = 2100 * time.Millisecond
+	// sweepInterval is the time between two looks for idle connections.
+	sweepInterval = 250 * time.Millisecond
+	// newConnGrace is how long the first command of a new connection may be under way before the connection is closed for
+	// want of slots, or in a shutdown.
+	newConnGrace = 50 * time.Millisecond
+)
+
+// closeMostIdle closes the oldest connection that has sent no command yet, or else the one that has been idle for longest.
+func (s *Server) closeMostIdle(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var mostIdle *conn
+	var state connState
+	var since time.Time
+	for c := range s.conns {
+		c.mu.Lock()
+		idle := c.state == stateIdle || c.state == stateNew && now.Sub(c.lastUsed) > newConnGrace
+		better := mostIdle == nil || state == stateIdle && c.state == stateNew || state == c.state && c.lastUsed.Before(since)
+		if idle && better {
+			mostIdle, state, since = c, c.state, c.lastUsed
+		}
+		c.mu.Unlock()
+	}
+	if mostIdle != nil {
+		mostIdle.close(CloseForSlot)
+	}
+}
+
+// SweepIdle closes, until ctx ends, the connections that have been without an open request for too long: every one of them
+// keeps memory and a descriptor, and some clients ask once and stay for good, or never ask.
+func (s *Server) SweepIdle(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-tick.C:
+			s.closeIdle(now)
+		}
+	}
+}
+
+// closeIdle closes every connection that has been idle for too long.
+func (s *Server) closeIdle(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if c.idleTooLong(now) {
+			c.close(CloseIdle)
+		}
+	}
+}
+
+// idleTooLong reports whether the connection has been without an open request for too long.
+func (c *conn) idleTooLong(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.waiting) > 0 {
+		return false
+	}
+	idle := now.Sub(c.lastUsed)
+	if c.received {
+		return idle > idleTimeout
+	}
+	return idle > commandTimeout-sweepInterval
+}
+
+// closeSlowestReader closes the connection whose client leaves most bytes of answers unread.
+func (s *Server) closeSlowestReader() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var slowest *conn
+	maxUnsent := 0
+	for c := range s.conns {
+		c.mu.Lock()
+		if c.unsentBytes > maxUnsent {
+			slowest, maxUnsent = c, c.unsentBytes
+		}
+		c.mu.Unlock()
+	}
+	if slowest != nil {
+		slowest.abort(CloseSlowReader)
+	}
+}
--- /dev/null
+++ b/internal/listener/transient_test.go
@@ -0,0 +1,46 @@
+package listener
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"testing"
+)
+
+// scarceConn is a connection whose reads and writes fail in turn for want of memory, and whose writes fall short.
+type scarceConn struct {
+	*net.TCPConn
+	reads, writes atomic.Int32
+}
+
+func (s *scarceConn) Read(b []byte) (int, error) {
+	if s.reads.Add(1)%2 == 1 {
+		return 0, &net.OpError{Op: "read", Err: syscall.ENOMEM}
+	}
+	return s.TCPConn.Read(b)
+}
+
+func (s *scarceConn) Write(b []byte) (int, error) {
+	if s.writes.Add(1)%2 == 1 {
+		n, _ := s.TCPConn.Write(b[:len(b)/2])
+		return n, &net.OpError{Op: "write", Err: syscall.ENOBUFS}
+	}
+	return s.TCPConn.Write(b)
+}
+
+// A client's requests are read and answered whole over calls that the system has no memory for.
+func TestAnswersGoOnOverTransientErrors(t *testing.T) {
+	near, far := accepted(t)
+	s, rec := newServer(nil, 1, 1<<20)
+	done := serve(newConn(s, &scarceConn{TCPConn: near}))
+	in := bufio.NewReader(far)
+	for i := range 5 {
+		io.WriteString(far, ask(i, readFields))
+		(<-rec.received).Respond(value)
+		wantValue(t, in)
+	}
+	far.Close()
+	await(t, "the connection's end", done)
+}
