--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -289,7 +289,7 @@
 	now := time.Now()
 	g.now = g.clock(now)
 	if gap := g.stalls.Heartbeat(now); gap > 0 {
-		g.observe.wasHeldUp(gap)
+		g.observe.processStalled(gap)
 	}
 }
 
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -47,7 +47,7 @@
 	requests   *telemetry.Counters[requestCount]
 	clients    *listener.Counters
 	outcomes   *telemetry.Counters[policy.Outcome]
-	heldUp     atomic.Int64 // hold-ups of the process
+	stalls     atomic.Int64 // of the process
 	violations *telemetry.Counters[rule]
 	anomalies  *telemetry.Limiter
 }
@@ -83,14 +83,14 @@
 
 func (o *observer) writeCounters(text string) {
 	o.log.Info(text, "requests", o.requests, "attempts", o.outcomes, "faults", o.clients.Faults, "closes", o.clients.Closes,
-		"held up", o.heldUp.Load(), "violations", o.violations)
+		"stalls", o.stalls.Load(), "violations", o.violations)
 }
 
-// wasHeldUp counts and writes that the process did not run for a while.
-func (o *observer) wasHeldUp(gap time.Duration) {
-	o.heldUp.Add(1)
+// processStalled counts and logs that the process did not run for a while.
+func (o *observer) processStalled(gap time.Duration) {
+	o.stalls.Add(1)
 	if ok, _ := o.anomalies.Allow(time.Now()); ok {
-		o.log.Warn("the process was held up", "for", gap)
+		o.log.Warn("process stalled", "duration", gap)
 	}
 }
 
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -4,15 +4,22 @@
 	"github.com/tidwall/redcon"
 )
 
-// Bounds on the commands of one connection whose answers have not been written: further requests are rejected, and then the
-// connection ends.
+// MaxPipelined is the number of commands of one connection whose answers have not been written; requests beyond it are
+// rejected.
+const MaxPipelined = 64
+
+const (
+	// maxUnwritten is the same for commands of any kind, rejected ones included; with one more the connection ends.
+	maxUnwritten = 512
+	// maxFaults is the number of faults with which a connection ends.
+	maxFaults = 10
+)
+
+// Texts of faults that clients are sent.
 const (
-	MaxPipelined    = 64
-	maxUnwritten    = 512
-	maxFaults       = 10 // faults before a connection ends
-	floodText       = "too many commands at once"
-	notACommandText = "a command is an array of bulk strings"
-	unknownText     = "unknown command"
+	floodText          = "too many commands at once"
+	notACommandText    = "a command is an array of bulk strings"
+	unknownCommandText = "unknown command"
 )
 
 // Commands that clients may send.
@@ -52,7 +59,7 @@
 	case isRequest(args[0]):
 		return c.handleRequest(args)
 	case string(args[0]) != commandPing:
-		return c.answerFault(FaultCommand, unknownText)
+		return c.answerFault(FaultCommand, unknownCommandText)
 	}
 	c.answerCommand(redcon.AppendString(nil, "PONG"))
 	return true
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -14,7 +14,7 @@
 	reader     reader        // of the goroutine that reads
 	faults     atomic.Int32  // faults that the client has committed
 	duplicate  atomic.Uint64 // the id of the last request that was rejected as a duplicate
-	gone       atomic.Bool   // the reader has ended: no answer is kept and no attempt begins any more; set with mu held
+	gone       atomic.Bool   // the reader has ended: no answer is kept, and no attempt should begin; set with mu held
 	goneAt     atomic.Int64  // when gone was set, by Config.Clock; 0: not yet
 	wake       chan struct{} // tells the writer of a change; holds one element
 	writerDone chan struct{} // closed when nothing is written any more
@@ -179,7 +179,7 @@
 		c.close(CloseShutdown)
 		return
 	}
-	time.AfterFunc(grace, func() { c.close(CloseShutdown) })
+	time.AfterFunc(grace, func() { c.close(CloseShutdown) }) // does nothing to a connection that has ended by then
 }
 
 // close asks for the end of the connection at the next moment between requests.
--- a/internal/listener/presence.go
+++ b/internal/listener/presence.go
@@ -21,7 +21,7 @@
 	requestNameEnd = 32
 )
 
-// pauseAfterFault follows a fault, longer each time: a client that repeats nonsense as soon as it has been answered takes no
+// pauseAfterFault follows a fault, longer each time: a client that repeats faulty input as soon as it is answered takes no
 // CPU from the others. It reports whether the client is still there.
 //
 // What comes meanwhile is kept as far as the buffer holds it, so that a client that leaves is noticed. A request among it
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -1,8 +1,8 @@
-// Package listener is the side of the ingress that faces its clients: it accepts their connections, reads commands from them
-// and writes the answers in the order of the commands. Requests go to a Handler, which answers each of them once through the
-// Request itself. The package knows nothing of who that is.
+// Package listener is the client side of the ingress: it accepts connections, reads commands from them and writes the answers
+// in the order of the commands. Requests go to a Handler, which answers each of them once through the Request itself.
 //
-// Each connection has a goroutine that reads and one that writes; state.go describes the states of a connection.
+// Each connection has a goroutine that reads and one that writes, which share it under a lock; connState describes its states.
+// Reading never waits for answers, so that the end of a client is noticed while it has open requests.
 package listener
 
 import (
@@ -29,7 +29,7 @@
 type Handler interface {
 	// RequestReceived takes a request that is complete and well formed. Exactly one answer has to be given to it.
 	RequestReceived(request *Request)
-	// ClientDisconnected says that the client of these requests has gone before they were answered.
+	// ClientDisconnected reports that the client of these requests has gone before they were answered.
 	ClientDisconnected(unanswered []*Request)
 }
 
@@ -47,17 +47,17 @@
 	RequestAnsweredTwice()
 }
 
-// Config is what a Server has to be told. All fields are needed unless said otherwise.
+// Config configures a Server. All fields are needed unless said otherwise.
 type Config struct {
-	Classes        map[string]policy.Class
-	Plans          map[string]bool
-	GatewayCount   int
-	MaxUnits       float64 // of one request
-	MaxConnections int
-	Memory         int    // bytes of commands that are coming in, and the same for answers that clients have not read
-	RejectedReply  []byte // the answer to a request that is not taken
-	Clock          func(time.Time) time.Duration
-	Stalls         *stall.Detector // nil: stalls of the process are not noticed
+	Classes        map[string]policy.Class       // of requests, by name
+	Plans          map[string]bool               // names of the customers' plans
+	GatewayCount   int                           // gateways that a request may name
+	MaxUnits       float64                       // of one request
+	MaxConnections int                           // open at once
+	Memory         int                           // bytes for commands that are coming in, and as many for unread answers
+	RejectedReply  []byte                        // the answer to a request that is rejected
+	Clock          func(time.Time) time.Duration // the clock of the times in a Request
+	Stalls         *stall.Detector               // nil: stalls of the process are not noticed
 	Log            *slog.Logger
 	LogLimit       *telemetry.Limiter // of warnings
 	Counters       *Counters
--- a/internal/listener/state.go
+++ b/internal/listener/state.go
@@ -1,9 +1,9 @@
 package listener
 
-// connState is where a client connection stands in its life. Its reader, its writer and the listener move it, always
-// through transition and with conn.mu held:
+// connState is the state of a client connection. Its reader, its writer and the server change it, always through transition
+// and with conn.mu held:
 //
-//	state         meaning                                             left for
+//	state         meaning                                             next states
 //	new           no complete command has come                        active, draining, faulted
 //	active        a command waits for its answer                      idle, draining, faulted
 //	idle          every command that came has its answer              active, draining, faulted
@@ -16,23 +16,24 @@
 //	ended         no command is taken; the writer sends what is left  -
 //	              and shuts the sending side down
 //
-// What moves it:
+// Events that change it:
 //
 //	event             from                  to            by
 //	commandTaken      new, idle             active        reader
 //	allAnswered       active                idle          whoever gives the last answer that is waited for
-//	closeRequested    new, active, idle     draining      reader, listener
+//	closeRequested    new, active, idle     draining      reader, server
 //	endProposed       draining              confirming    writer, when no command waits
 //	endDeclined       confirming            draining      reader
-//	commandsRefused   all but ended         faulted       reader, when the framing is lost
-//	endDecided        all                   ended         reader, or the writer of a faulted connection
+//	commandsRefused   any but ended         faulted       reader, when the framing is lost
+//	endDecided        draining, confirming  ended         reader, when no command waits
+//	endDecided        faulted               ended         writer, when no command waits
 //
-// An event in any other state changes nothing. While a connection is draining or confirming it takes commands and answers
-// them, without a change of state.
+// An event in any other state changes nothing, except that endDecided ends a connection in every state. While a connection is
+// draining or confirming it takes commands and answers them, without a change of state.
 //
-// Three facts cut across the states and stand beside them in conn: whether any command has come, which matters to a
-// connection that is draining too; whether the socket was closed over what was owed; and whether the reader has ended, which
-// the gateway reads without the lock, while the writer still works through these states.
+// Three facts are independent of the state and are kept beside it in conn: whether any command has come, which also matters
+// while the connection is draining; whether the server aborted it with answers owed; and whether the client has gone, which
+// the handler reads without the lock, and after which the writer may still go through these states.
 type connState int
 
 const (
@@ -45,7 +46,7 @@
 	stateEnded
 )
 
-// connEvent is what can move a connection to another state.
+// connEvent is an event that can change the state of a connection.
 type connEvent int
 
 const (
@@ -82,5 +83,5 @@
 // isOpen reports whether nobody has asked for the end of the connection.
 func (s connState) isOpen() bool { return s == stateNew || s == stateActive || s == stateIdle }
 
-// transition moves the connection; c.mu is held.
+// transition changes the state as the event demands; c.mu is held.
 func (c *conn) transition(event connEvent) { c.state = c.state.next(event) }
