--- a/internal/listener/presence.go
+++ b/internal/listener/presence.go
@@ -1,97 +1,15 @@
 package listener
 
 import (
-	"bytes"
 	"errors"
 	"io"
 	"os"
 	"syscall"
-	"time"
-
-	"github.com/tidwall/redcon"
 
 	"lemontack/internal/resp"
 	"lemontack/internal/sockets"
 )
 
-const (
-	// faultPause precedes the answer to a fault, once for each fault of the connection so far.
-	faultPause = 100 * time.Millisecond
-	// requestNameEnd is where the name of a request has ended in its command at the latest, in bytes.
-	requestNameEnd = 32
-)
-
-// pauseAfterFault follows a fault, longer each time: a client that repeats faulty input as soon as it is answered takes no
-// CPU from the others. It reports whether the client is still there.
-//
-// What comes meanwhile is kept as far as the buffer holds it, so that a client that leaves is noticed. A request among it
-// ends the pause: it must not wait for the faults before it, which may be other clients' where a proxy shares the
-// connection. Where more comes than the buffer holds, a client that is owed an answer is read on at once, or nobody would
-// see it leave.
-func (c *conn) pauseAfterFault(faults int32) (present bool) {
-	c.reader.pausedFaults = faults
-	until := time.Now().Add(time.Duration(faults) * faultPause)
-	for c.reader.buffer.HasRoom() {
-		if c.holdsRequest() {
-			c.reader.presenceUnknown = true
-			return c.checkPresence()
-		}
-		c.setReadDeadline(until)
-		err := c.reader.buffer.Fill(c.socket.Read)
-		c.setReadDeadline(time.Time{})
-		if errors.Is(err, os.ErrDeadlineExceeded) { // or the writer proposes the end: the next read answers
-			return true
-		}
-		if sockets.IsTransient(err) {
-			time.Sleep(sockets.TransientErrorPause)
-			continue
-		}
-		if err != nil {
-			return false
-		}
-		c.reader.readAt = c.server.cfg.Stalls.EarliestArrival(time.Now())
-	}
-	if c.isOwed() {
-		return true
-	}
-	if !c.holdsRequest() {
-		select {
-		case <-time.After(min(time.Until(until), c.server.maxUnread)):
-		case <-c.writerDone:
-		}
-	}
-	c.reader.presenceUnknown = true
-	return c.checkPresence()
-}
-
-// holdsRequest reports whether a well-formed request has been read and not taken. A duplicate does not count: its client
-// would get round the pauses with it.
-func (c *conn) holdsRequest() bool {
-	for buffered := c.reader.buffer.Buffered(); ; {
-		length, err := resp.FrameLength(buffered)
-		if length == 0 || err != nil {
-			return false
-		}
-		if c.isNewRequest(buffered[:length]) {
-			return true
-		}
-		buffered = buffered[length:]
-	}
-}
-
-// isNewRequest reports whether a command is a well-formed request whose id was not found taken on this connection.
-func (c *conn) isNewRequest(frame []byte) bool {
-	if !bytes.Contains(frame[:min(len(frame), requestNameEnd)], []byte("Q.")) { // a flood of others is cheap to look through
-		return false
-	}
-	complete, args, _, _, err := redcon.ReadNextCommand(frame, nil)
-	if err != nil || !complete || len(args) == 0 || !isRequest(args[0]) {
-		return false
-	}
-	request, err := c.server.cfg.parseRequest(args, c.reader.readAt)
-	return err == nil && request.ExternalID != c.duplicate.Load()
-}
-
 // checkPresence reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
 // whether that is not there. After what the client sent last its presence is known again.
 func (c *conn) checkPresence() (present bool) {
