--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -16,28 +16,27 @@
 	"time"
 
 	"lemontack/internal/resp"
+	"lemontack/internal/stall"
 	"lemontack/internal/subset"
 	"lemontack/internal/wire"
 	"lemontack/policy"
 )
 
 const (
-	eventQueue   = 256
-	memoryShare  = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
-	usualMemory  = 256 << 20 // where no limit is told
-	mostBatch    = 256
-	answerMargin = 20 * time.Millisecond  // before the client gives up: the way back, and a busy machine
-	busyAdvice   = 250 * time.Millisecond // to those that find no place, where advice is allowed
-	overdue      = 8 * time.Millisecond   // into the margin: the module should have answered by now
-	firstList    = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
-	idleCheck    = time.Second
-	graceOpen    = 500 * time.Millisecond // after SIGTERM: new connections go on being served
-	backlogTime  = 50 * time.Millisecond  // then, for those that came and were not accepted yet
-	killWait     = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline
-	longestKept  = 3 * time.Second        // that deadline counts as this where it is longer
-	endMargin    = 250 * time.Millisecond // before SIGKILL: everything has its answer, and connections end
-	goodbye      = 150 * time.Millisecond // for the end of the connections then
-	spare        = 32                     // descriptors for the counter, discovery, the listener and the runtime
+	eventQueue  = 256
+	memoryShare = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
+	usualMemory = 256 << 20 // where no limit is told
+	mostBatch   = 256
+	busyAdvice  = 250 * time.Millisecond // to those that find no place, where advice is allowed
+	overdue     = 8 * time.Millisecond   // into the margin: the module should have answered by now
+	firstList   = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
+	idleCheck   = time.Second
+	graceOpen   = 500 * time.Millisecond // after SIGTERM: new connections go on being served
+	killWait    = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline
+	longestKept = 3 * time.Second        // that deadline counts as this where it is longer
+	endMargin   = 250 * time.Millisecond // before SIGKILL: everything has its answer, and connections end
+	goodbye     = 150 * time.Millisecond // for the end of the connections then
+	spare       = 32                     // descriptors for the counter, discovery, the listener and the runtime
 )
 
 // Config is all that an ingress is told.
@@ -65,7 +64,7 @@
 	net     wire.Connections
 	log     *slog.Logger
 	observe *observer
-	holdUps *holdUps
+	stalls  *stall.Detector
 	classes map[string]policy.Class
 	plans   map[string]bool
 	counter *counter
@@ -136,7 +135,7 @@
 		return nil, err
 	}
 	start := time.Now()
-	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
+	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), stalls: stall.NewDetector(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), ready: make(chan struct{}), start: start,
 		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
 		keys: map[uint64]bool{}, backends: map[policy.EndpointID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
@@ -202,9 +201,9 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	f := newFront(ln, g, g.cfg.Sockets-g.mostConns-spare, g.cfg.Memory/memoryShare)
-	g.spawn(func(context.Context) { f.accept() })
-	g.spawn(f.tidy)
+	clients := g.newListener(ln)
+	g.spawn(func(context.Context) { clients.Serve() })
+	g.spawn(clients.SweepIdle)
 	g.addr = ln.Addr()
 	close(g.ready)
 	g.log.Info("serving", "listen", g.cfg.Listen, "ingresses", g.cfg.Settings.GatewayCount,
@@ -217,7 +216,7 @@
 	defer cancel()
 	g.post(ending{g.clock(time.Now()) + left})
 	time.Sleep(graceOpen)
-	f.drain(limit)
+	clients.Drain(limit)
 	g.observe.writeCounters("shut down")
 	return nil
 }
@@ -266,7 +265,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(min(g.alarms[0].at-g.clock(time.Now()), beatEvery))
+		timer.Reset(min(g.alarms[0].at-g.clock(time.Now()), stall.HeartbeatInterval))
 		select {
 		case <-ctx.Done():
 			return
@@ -289,8 +288,8 @@
 func (g *Gateway) tick() {
 	now := time.Now()
 	g.now = g.clock(now)
-	if gap := g.holdUps.pulse(now); gap > 0 {
-		g.observe.wasHeldUp(gap)
+	if gap := g.stalls.Heartbeat(now); gap > 0 {
+		g.observe.processStalled(gap)
 	}
 }
 
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -1,13 +1,12 @@
 package ingress
 
 import (
-	"bufio"
 	"errors"
-	"io"
-	"net"
 	"testing"
 	"time"
 
+	"lemontack/internal/listener"
+	"lemontack/internal/stall"
 	"lemontack/policy"
 )
 
@@ -27,6 +26,7 @@
 	}
 	run(t, g)
 	g.backends["s1"].Cell = 1
+	left := requestOfAClientThatLeft(t, g)
 	type past struct {
 		ended   bool
 		outcome policy.Outcome
@@ -43,7 +43,7 @@
 	}{
 		"first":                       {"write", nil, nil, 0, nil, false},
 		"over":                        {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
-		"left":                        {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
+		"left":                        {"read", func(r *request, _ *attempt) { r.Request = left }, nil, 0, errLeft, false},
 		"no time":                     {"read", func(_ *request, a *attempt) { a.stop = g.now }, nil, 0, errNoTime, false},
 		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Endpoint: policy.Endpoint{State: policy.Draining}} }, nil, 0, errNotRunning, false},
 		"too many":                    {"read", func(_ *request, a *attempt) { a.n = 3 }, nil, 0, errTooMany, true},
@@ -53,12 +53,12 @@
 		"unsafe, never ran":           {"write", nil, []past{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
 		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
 		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errWindow, false},
-		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errWindow, false},
+		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - stall.MaxStall, errWindow, false},
 		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
 		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &request{clientRequest: &clientRequest{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}}
+			r := &request{Request: &listener.Request{}}
 			r.Class = c.class
 			for i, b := range c.before {
 				r.attempts = append(r.attempts, &attempt{req: r, n: i, be: g.backends["s0"], began: g.now - c.ago, ended: b.ended,
@@ -80,7 +80,7 @@
 // Copies are out one at a time where the settings say so.
 func TestGuardOfCopies(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{clientRequest: &clientRequest{}}
+	r := &request{Request: &listener.Request{}}
 	r.Class = "read"
 	first, second := &attempt{req: r, be: g.backends["s0"]}, &attempt{req: r, n: 0, be: g.backends["s0"], stop: g.now + time.Minute}
 	r.attempts = []*attempt{first, second}
@@ -92,7 +92,7 @@
 // What the guard denies as a fault of the module is counted, and the attempt ends unsent.
 func TestViolationsAreCounted(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{clientRequest: &clientRequest{}, out: 2}
+	r := &request{Request: &listener.Request{}, out: 2}
 	r.Class = "write"
 	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
 	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
@@ -104,77 +104,3 @@
 		t.Fatalf("%d violations counted", n)
 	}
 }
-
-// What is read after a hold-up may have come at any time since the process last ran.
-func TestHoldUps(t *testing.T) {
-	start := time.Now()
-	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	h := newHoldUps(start)
-	for _, c := range []struct {
-		beat     int // ms; 0: none
-		heldUp   int
-		read, by int
-	}{
-		{0, 0, 5, 5}, {10, 0, 12, 12}, {30, 0, 45, 45}, // in good order
-		{0, 0, 130, 30},                                          // read before the gateway's goroutine ran again
-		{140, 110, 141, 30},                                      // and just after
-		{150, 0, 155, 30}, {160, 0, 169, 30}, {165, 0, 171, 171}, // until what had come is read
-	} {
-		if c.beat > 0 {
-			if got := h.pulse(at(c.beat)); got != time.Duration(c.heldUp)*time.Millisecond {
-				t.Fatalf("beat at %d ms: held up for %v", c.beat, got)
-			}
-		}
-		if got := h.cameBy(at(c.read)); !got.Equal(at(c.by)) {
-			t.Fatalf("read at %d ms: came by %v, want %d ms", c.read, got.Sub(start), c.by)
-		}
-	}
-}
-
-// crossed is a connection on which something happens between the read of the system and the reader's next step.
-type crossed struct {
-	*net.TCPConn
-	meanwhile func()
-}
-
-func (c *crossed) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.meanwhile != nil {
-		c.meanwhile()
-	}
-	return n, err
-}
-
-// A request that was read as its connection was told to end is answered before the end.
-func TestRequestReadAsItsConnectionCloses(t *testing.T) {
-	for _, why := range []closeReason{closeIdle, closeForRoom, closeShutdown} {
-		near, far := accepted(t)
-		g := idleGateway(t, newBackend(t, nil).addr)
-		f := newFront(nil, g, 1, 1<<20)
-		nc := &crossed{TCPConn: near}
-		c := newClient(f, nc)
-		nc.meanwhile = func() {
-			nc.meanwhile = nil
-			c.close(why)
-			for asked := false; !asked; time.Sleep(time.Millisecond) { // until the writer wants the end
-				c.mu.Lock()
-				asked = c.kicked || c.ended
-				c.mu.Unlock()
-			}
-		}
-		done := serveClient(f, c)
-		io.WriteString(far, ask(1, readFields))
-		select {
-		case ev := <-g.events:
-			ev.(arrived).r.slot.answer([]byte("$5\r\nvalue\r\n"))
-		case <-done:
-			t.Fatal("the connection ended with a request that had been read")
-		}
-		in := bufio.NewReader(far)
-		wantValue(t, in)
-		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Fatalf("%q, %v after the answer", rest, err)
-		}
-		await(t, "the connection's end", done)
-	}
-}
--- /dev/null
+++ b/internal/listener/presence.go
@@ -0,0 +1,53 @@
+package listener
+
+import (
+	"errors"
+	"io"
+	"os"
+	"syscall"
+
+	"lemontack/internal/resp"
+	"lemontack/internal/sockets"
+)
+
+// checkPresence reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
+// whether that is not there. After what the client sent last its presence is known again.
+func (c *conn) checkPresence() (present bool) {
+	socket, ok := c.socket.(syscall.Conn)
+	if !ok {
+		c.reader.presenceUnknown = false
+		return true
+	}
+	raw, err := socket.SyscallConn()
+	for err == nil {
+		err = c.reader.buffer.Fill(func(b []byte) (int, error) { return readWithoutWaiting(raw, b) })
+	}
+	switch {
+	case errors.Is(err, syscall.EAGAIN):
+		c.reader.presenceUnknown = false
+		return true
+	case sockets.IsTransient(err), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrNoMemory),
+		errors.Is(err, os.ErrDeadlineExceeded):
+		return true // the next read will tell
+	}
+	return false
+}
+
+// readWithoutWaiting reads once; where nothing has come the error is EAGAIN.
+func readWithoutWaiting(raw syscall.RawConn, b []byte) (n int, err error) {
+	rawErr := raw.Read(func(fd uintptr) bool {
+		for n, err = syscall.Read(int(fd), b); errors.Is(err, syscall.EINTR); {
+			n, err = syscall.Read(int(fd), b)
+		}
+		return true
+	})
+	switch {
+	case rawErr != nil:
+		return 0, rawErr
+	case err != nil:
+		return 0, err
+	case n == 0:
+		return 0, io.EOF
+	}
+	return n, nil
+}
