--- a/internal/ingress/members.go
+++ b/internal/ingress/members.go
@@ -29,8 +29,8 @@
 }
 
 func newMembers(set policy.Settings, log *slog.Logger) *members {
-	kept := subset.New(subset.Config{Me: set.Index, Gateways: set.GatewayCount, Zone: set.Zone, CrossZonePrice: set.CrossZonePrice,
-		Most: subsetMost, Limit: subsetLimit})
+	kept := subset.New(subset.Config{Index: set.Index, GatewayCount: set.GatewayCount, Zone: set.Zone, CrossZonePrice: set.CrossZonePrice,
+		TargetSize: subsetMost, MaxSize: subsetLimit})
 	return &members{subset: kept, zone: set.Zone, held: map[string]bool{}, log: log}
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	b.add(t)
-	for m.subset.Crowded(len(b.entries) - len(m.held)) {
+	for m.subset.IsOverfull(len(b.entries) - len(m.held)) {
 		m.subset.Narrow()
 		m.narrowed = true
 		b.keep(m.takes)
@@ -126,7 +126,7 @@
 		}
 	}
 	gone := m.drop()
-	for m.subset.Crowded(len(m.held)) {
+	for m.subset.IsOverfull(len(m.held)) {
 		m.subset.Narrow()
 		m.narrowed = true
 		gone = append(gone, m.drop()...)
@@ -155,7 +155,7 @@
 		if own {
 			zone = m.zone
 		}
-		if !m.subset.Holds(uid, zone) {
+		if !m.subset.Contains(uid, zone) {
 			delete(m.held, uid)
 			gone = append(gone, Target{UID: uid, State: stateGone})
 		}
@@ -165,9 +165,9 @@
 
 // wants says that the whole list has to be read again, since more of it can be held than is.
 func (m *members) wants() bool {
-	if !m.wanting && m.subset.Sparse(len(m.held)) {
+	if !m.wanting && m.subset.IsSparse(len(m.held)) {
 		m.wanting = true
-		for before := m.sharers(); m.subset.Sparse(int(float64(len(m.held)) * m.sharers() / before)); {
+		for before := m.sharers(); m.subset.IsSparse(int(float64(len(m.held)) * m.sharers() / before)); {
 			m.subset.Widen()
 		}
 	}
@@ -182,12 +182,12 @@
 			own++
 		}
 	}
-	return m.subset.Sharers(own, len(m.held)-own)
+	return m.subset.GatewaysPerEndpoint(own, len(m.held)-own)
 }
 
 func (m *members) takes(t Target) bool {
 	_, held := m.held[t.UID]
-	return held || m.subset.Holds(t.UID, t.Zone)
+	return held || m.subset.Contains(t.UID, t.Zone)
 }
 
 // usable says whether an entry says something.
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,4 +1,5 @@
-// Package subset says which servers of a long list a real ingress keeps. It decides no request.
+// Package subset chooses which endpoints of a long endpoint list one gateway caches, and tracks the ones that it does. It is
+// deterministic subsetting on a ring of hashes, without communication between gateways. It decides no request.
 package subset
 
 import (
@@ -7,78 +8,111 @@
 )
 
 const (
-	leastSharers  = 16.0 // gateways that should share a server, so that busy ones among them even out
-	stepsPerHalf  = 4.0  // levels that halve an arc: gateways a level apart differ by a fifth only
-	ownZoneLevels = 8    // the own zone's arc is four times the others', where to cross costs something
+	// minGatewaysPerEndpoint is how many gateways should share an endpoint, so that busy ones among them even out.
+	minGatewaysPerEndpoint = 16.0
+	// levelsPerHalving is the number of levels that halve an arc: gateways one level apart differ by a fifth only.
+	levelsPerHalving = 4.0
+	// ownZoneLevels makes the arc of the own zone four times as long as that of the others, where crossing zones costs.
+	ownZoneLevels = 8
+	// widenLevels is the number of levels that Widen goes down, to 1.7 times the arcs. That leaves room, so that the subset
+	// does not flap between widening and narrowing.
+	widenLevels = 3
 )
 
-// Subset says which servers of a long list this gateway keeps: deterministic subsetting on a ring of hashes,
-// without peers. A gateway's arc begins at its point of the van der Corput sequence, whose low discrepancy
-// spreads any number of gateways evenly and moves none when one joins. Each server is decided alone: a list
-// can be read as a stream, a change moves its own pairs only, a lost zone takes as much from every gateway.
+// Subset decides for each endpoint whether this gateway caches it. The gateway's arc of the ring begins at its point of the
+// van der Corput sequence, whose low discrepancy spreads any number of gateways evenly and moves none when one joins. An
+// endpoint belongs to the subset if its hash lies on the arc. Since each endpoint is decided alone, a list can be read as a
+// stream, a change affects its own endpoints only, and a lost zone takes as much from every gateway.
+//
+// The arc gets shorter with each level: see Narrow and Widen.
 type Subset struct {
-	zone                                  string
-	start                                 uint64 // of the arcs; the ring is 2^64 long
-	gateways, level, deepest, most, limit int
+	zone           string // the own one, if it is preferred
+	start          uint64 // of the arcs; the ring has 2^64 positions
+	gatewayCount   int
+	level          int
+	maxSharedLevel int // the highest level at which minGatewaysPerEndpoint share an endpoint
+	targetSize     int
+	maxSize        int
 }
 
-// Config is what a subset is drawn from.
+// Config holds what a subset is determined by.
 type Config struct {
-	Me, Gateways   int // this gateway's number, and how many there are
-	Zone           string
-	CrossZonePrice float64 // of a request that crosses zones; where it costs, more of the own zone is kept
-	Most, Limit    int     // entries aimed at; up to Limit where it takes more for each to be shared enough
+	Index          int // of this gateway, from 0
+	GatewayCount   int
+	Zone           string  // of this gateway
+	CrossZonePrice float64 // of a request that crosses zones; above 0, more endpoints of the own zone are cached
+	TargetSize     int     // endpoints in the subset, unless too few gateways would share each of them
+	MaxSize        int     // endpoints in the subset in any case
 }
 
-// New returns the widest subset.
-func New(c Config) *Subset {
-	if c.CrossZonePrice <= 0 { // of all zones alike, which loads servers most evenly
-		c.Zone = ""
+// New returns the widest subset, which contains every endpoint.
+func New(config Config) *Subset {
+	zone := config.Zone
+	if config.CrossZonePrice <= 0 { // all zones alike load the endpoints most evenly
+		zone = ""
+	}
+	narrowing := max(float64(config.GatewayCount)/minGatewaysPerEndpoint, 1)
+	return &Subset{
+		zone:           zone,
+		start:          bits.Reverse64(uint64(config.Index)),
+		gatewayCount:   config.GatewayCount,
+		maxSharedLevel: int(levelsPerHalving * math.Log2(narrowing)),
+		targetSize:     config.TargetSize,
+		maxSize:        max(config.TargetSize, config.MaxSize),
 	}
-	deepest := int(stepsPerHalf * math.Log2(max(float64(c.Gateways)/leastSharers, 1)))
-	return &Subset{c.Zone, bits.Reverse64(uint64(c.Me)), c.Gateways, 0, deepest, c.Most, max(c.Most, c.Limit)}
 }
 
-// Holds says whether a server is kept at the present level.
-func (s *Subset) Holds(id string, zone string) bool {
-	arc := s.Arc(zone != "" && zone == s.zone)
-	return arc >= 1 || ringPosition(id)-s.start < uint64(math.Ldexp(arc, 64))
+// Contains reports whether an endpoint belongs to the subset at the present level.
+func (s *Subset) Contains(id string, zone string) bool {
+	share := s.RingShare(zone != "" && zone == s.zone)
+	if share >= 1 {
+		return true
+	}
+	return ringPosition(id)-s.start < uint64(math.Ldexp(share, 64))
 }
 
-// Crowded says that too many are held: Narrow, drop what Holds then denies, and ask again.
-func (s *Subset) Crowded(n int) bool { return n > s.limit || n > s.most && s.level < s.deepest }
+// IsOverfull reports whether so many cached endpoints are too many. The caller then calls Narrow, drops the endpoints that
+// Contains no longer reports, and checks again.
+func (s *Subset) IsOverfull(cached int) bool {
+	return cached > s.maxSize || cached > s.targetSize && s.level < s.maxSharedLevel
+}
 
-// Sparse says that so few are held that the arcs of Widen fit; after it the whole list has to be read.
-func (s *Subset) Sparse(held int) bool {
-	return s.level > 0 && (held < s.most/2 || held < s.limit/2 && s.level > s.deepest)
+// IsSparse reports whether so few endpoints are cached that those of a wider subset fit. The caller then calls Widen and
+// reads the whole list again.
+func (s *Subset) IsSparse(cached int) bool {
+	if s.level == 0 {
+		return false
+	}
+	return cached < s.targetSize/2 || cached < s.maxSize/2 && s.level > s.maxSharedLevel
 }
 
-// Narrow goes up a level.
+// Narrow goes up one level.
 func (s *Subset) Narrow() { s.level++ }
 
-// Widen goes down three levels, to 1.7 times the arcs: room is left, so that it does not flap.
-func (s *Subset) Widen() { s.level = max(0, s.level-3) }
+// Widen goes down by widenLevels.
+func (s *Subset) Widen() { s.level = max(0, s.level-widenLevels) }
 
-// Sharers estimates how many gateways share a server, by the servers held of the own zone and of others.
-func (s *Subset) Sharers(own, others int) float64 {
-	listed := float64(own)/s.Arc(true) + float64(others)/s.Arc(false)
-	return max(1, float64(s.gateways*(own+others))/max(listed, 1))
+// GatewaysPerEndpoint estimates how many gateways share an endpoint, from the numbers of endpoints that are cached of the
+// own zone and of all others.
+func (s *Subset) GatewaysPerEndpoint(own, others int) float64 {
+	listed := float64(own)/s.RingShare(true) + float64(others)/s.RingShare(false)
+	return max(1, float64(s.gatewayCount*(own+others))/max(listed, 1))
 }
 
-// Arc is the part of the ring that is kept of the own zone, or of each other one.
-func (s *Subset) Arc(own bool) float64 {
-	if own {
-		return min(1, math.Exp2(float64(ownZoneLevels-s.level)/stepsPerHalf))
+// RingShare returns the share of the ring, up to 1, that the arc for the own zone or for each other zone covers.
+func (s *Subset) RingShare(ownZone bool) float64 {
+	if ownZone {
+		return min(1, math.Exp2(float64(ownZoneLevels-s.level)/levelsPerHalving))
 	}
-	return math.Exp2(-float64(s.level) / stepsPerHalf)
+	return math.Exp2(-float64(s.level) / levelsPerHalving)
 }
 
-// ringPosition is FNV-1a and a finalizer, as the high bits decide: the same in every process.
+// ringPosition is FNV-1a followed by a finalizer, since the high bits decide. It is the same in every process.
 func ringPosition(id string) uint64 {
-	h := uint64(14695981039346656037)
+	hash := uint64(14695981039346656037)
 	for i := range len(id) {
-		h = (h ^ uint64(id[i])) * 1099511628211
+		hash = (hash ^ uint64(id[i])) * 1099511628211
 	}
-	h = (h ^ h>>32) * 0xd6e8feb86659fd93
-	return (h ^ h>>32) * 0xd6e8feb86659fd93
+	hash = (hash ^ hash>>32) * 0xd6e8feb86659fd93
+	return (hash ^ hash>>32) * 0xd6e8feb86659fd93
 }
--- a/internal/subsets/subsets.go
+++ b/internal/subsets/subsets.go
@@ -19,14 +19,14 @@
 // Plan is a fleet's gateways and how many backends they are to keep.
 type Plan struct {
 	Gateways    int
-	Most, Limit int             // as of subset.New
+	Most, Limit int             // as of subset.Config
 	Zone        func(g int) int // a gateway's zone
 	ZoneAware   bool            // the gateways know it, and pay for crossing
 }
 
 // Subset is that of one gateway.
 func (p Plan) Subset(gateway int) *subset.Subset {
-	c := subset.Config{Me: gateway, Gateways: p.Gateways, Most: p.Most, Limit: p.Limit}
+	c := subset.Config{Index: gateway, GatewayCount: p.Gateways, TargetSize: p.Most, MaxSize: p.Limit}
 	if p.ZoneAware {
 		c.Zone, c.CrossZonePrice = ZoneName(p.Zone(gateway)), 1
 	}
@@ -133,16 +133,16 @@
 	start, held := bits.Reverse64(uint64(gateway)), 0
 	count := func() (n int) {
 		for z := range r.zones {
-			_, held := r.zones[z].arc(start, s.Arc(r.plan.ZoneAware && z == zone))
+			_, held := r.zones[z].arc(start, s.RingShare(r.plan.ZoneAware && z == zone))
 			n += held
 		}
 		return n
 	}
-	for held = count(); s.Crowded(held); held = count() {
+	for held = count(); s.IsOverfull(held); held = count() {
 		s.Narrow()
 	}
 	for z := range r.zones {
-		from, n := r.zones[z].arc(start, s.Arc(r.plan.ZoneAware && z == zone))
+		from, n := r.zones[z].arc(start, s.RingShare(r.plan.ZoneAware && z == zone))
 		order := r.zones[z].order
 		for i := range n {
 			out = append(out, order[(from+i)%len(order)])
--- a/internal/subsets/subsets_test.go
+++ b/internal/subsets/subsets_test.go
@@ -33,13 +33,13 @@
 }
 
 func stream(s *subset.Subset, fleet []Backend) []int32 {
-	holds := func(i int32) bool { return s.Holds(fleet[i].ID, ZoneName(fleet[i].Zone)) }
+	holds := func(i int32) bool { return s.Contains(fleet[i].ID, ZoneName(fleet[i].Zone)) }
 	var held []int32
 	for i := range fleet {
 		if holds(int32(i)) {
 			held = append(held, int32(i))
 		}
-		for s.Crowded(len(held)) {
+		for s.IsOverfull(len(held)) {
 			s.Narrow()
 			held = slices.DeleteFunc(held, func(i int32) bool { return !holds(i) })
 		}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -146,17 +146,17 @@
 }
 
 func newKeptServers(me, gateways, most, limit int) *keptServers {
-	c := subset.Config{Me: me, Gateways: gateways, Most: most, Limit: limit}
+	c := subset.Config{Index: me, GatewayCount: gateways, TargetSize: most, MaxSize: limit}
 	return &keptServers{subset.New(c), map[EndpointID]bool{}}
 }
 
 func (k *keptServers) add(id EndpointID) {
-	if k.Holds(string(id), "") {
+	if k.Contains(string(id), "") {
 		k.ids[id] = true
 	}
-	for k.Crowded(len(k.ids)) {
+	for k.IsOverfull(len(k.ids)) {
 		k.Narrow()
-		maps.DeleteFunc(k.ids, func(id EndpointID, _ bool) bool { return !k.Holds(string(id), "") })
+		maps.DeleteFunc(k.ids, func(id EndpointID, _ bool) bool { return !k.Contains(string(id), "") })
 	}
 }
 
@@ -171,8 +171,8 @@
 			k.add(s.ID)
 		}
 	}
-	ev.Endpoints = slices.DeleteFunc(slices.Clone(ev.Endpoints), func(s Endpoint) bool { return !k.Holds(string(s.ID), "") })
-	ev.GatewaysPerEndpoint = k.Sharers(0, len(k.ids))
+	ev.Endpoints = slices.DeleteFunc(slices.Clone(ev.Endpoints), func(s Endpoint) bool { return !k.Contains(string(s.ID), "") })
+	ev.GatewaysPerEndpoint = k.GatewaysPerEndpoint(0, len(k.ids))
 	return ev
 }
 
