--- a/cmd/ingress/full_test.go
+++ b/cmd/ingress/full_test.go
@@ -22,7 +22,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 )
 
 // asIngress names the environment variable that makes the test's program the ingress, with so many descriptors.
@@ -277,11 +277,11 @@
 	t.Cleanup(release)
 	var held, fresh, counted atomic.Int32
 	old := backends(t, "old", may, &held)
-	list := ingress.Fleet{Rev: 1, All: true}
+	list := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range heldAtOnce/4 + 1 { // a start sends each four
-		list.Targets = append(list.Targets, ingress.Target{UID: fmt.Sprint("o", i), Endpoint: old, State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprint("o", i), Endpoint: old, State: "SERVING"})
 	}
-	changed := ingress.Fleet{Rev: 2, All: true, Targets: []ingress.Target{
+	changed := discovery.EndpointList{Revision: 2, Snapshot: true, Entries: []discovery.Entry{
 		{UID: "n", Endpoint: backends(t, "new", always, &fresh), State: "SERVING"}}}
 
 	counter, err := net.Listen("tcp", "127.0.0.1:0")
@@ -295,7 +295,7 @@
 		}
 	})
 
-	front, discovery := reserve(t), reserve(t)
+	front, registry := reserve(t), reserve(t)
 	var back atomic.Bool
 	agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !back.Load() {
@@ -310,10 +310,10 @@
 	})}
 	t.Cleanup(func() { agent.Close() })
 	if silent {
-		go agent.Serve(discovery.listen(t))
+		go agent.Serve(registry.listen(t))
 	}
 
-	pid := start(t, map[string]any{"listen": front.addr, "discovery": discovery.addr, "counter": counter.Addr().String(),
+	pid := start(t, map[string]any{"listen": front.addr, "discovery": registry.addr, "counter": counter.Addr().String(),
 		"seed": "1", "known": list, "limits": map[string]any{"cores": 1, "sockets": descriptors},
 		"settings": json.RawMessage(settingsOfFull)})
 	most := 0
@@ -351,7 +351,7 @@
 	before := counted.Load()
 	back.Store(true)
 	if !silent {
-		go agent.Serve(discovery.listen(t))
+		go agent.Serve(registry.listen(t))
 	}
 	id := heldAtOnce
 	ask := func(want string) func() bool {
--- a/cmd/ingress/incident_test.go
+++ b/cmd/ingress/incident_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/discovery"
 	"lemontack/internal/faults"
-	"lemontack/internal/ingress"
 )
 
 // settingsOfIncident have a short deadline, so that clients run out of time while a backend is silent.
@@ -30,7 +30,7 @@
 	t.Helper()
 	front := reserve(t)
 	pid = start(t, map[string]any{"listen": front.addr, "discovery": reserve(t).addr, "seed": "1",
-		"known": ingress.Fleet{Rev: 1, All: true, Targets: []ingress.Target{
+		"known": discovery.EndpointList{Revision: 1, Snapshot: true, Entries: []discovery.Entry{
 			{UID: "b", Endpoint: backend, State: "SERVING"}}},
 		"limits": map[string]any{"cores": 1, "sockets": descriptors}, "settings": json.RawMessage(settingsOfIncident)})
 	awaitThat(t, "the ingress serves", func() bool {
--- a/cmd/ingress/main.go
+++ b/cmd/ingress/main.go
@@ -17,6 +17,7 @@
 	"strings"
 	"syscall"
 
+	"lemontack/internal/discovery"
 	"lemontack/internal/ingress"
 	"lemontack/internal/wire"
 )
@@ -133,7 +134,7 @@
 		return fail(err)
 	}
 	defer file.Close()
-	if err := f.read(file, ingress.SkipKnown); err != nil {
+	if err := f.read(file, discovery.SkipKnown); err != nil {
 		return fail(err)
 	}
 	if f.Listen == "" || f.Discovery == "" || len(f.Settings) == 0 {
@@ -151,7 +152,7 @@
 		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Settings: *settings, Connections: conns}
 	// What is kept of the list depends on the settings, wherever they stand in the file.
 	if err := new(configFile).read(file, func(in *json.Decoder) (err error) {
-		cfg.Known, cfg.Subset, err = ingress.ReadKnown(in, *settings, log)
+		cfg.Known, cfg.Subset, err = discovery.DecodeKnown(in, *settings, log)
 		return err
 	}); err != nil {
 		return fail(err)
--- a/internal/ingress/list_test.go
+++ b/internal/discovery/decode_test.go
@@ -1,4 +1,4 @@
-package ingress
+package discovery
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// An object is read in every form that JSON allows, with its heading before or behind the entries.
-func TestFormsOfAList(t *testing.T) {
+// A list is decoded in every form that JSON allows, with its header before or behind the entries; anything else is an error.
+func TestDecodeListAcceptsEveryFormOfJSON(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"rev":7,"all":true,"targets":[{"uid":"a","az":"z"},{"uid":"b","boot_ms":5}]}`:       "7 true true a/z/0 b//5",
 		"{\n  \"targets\": [\n    {\"uid\": \"a\"}\n  ],\n  \"all\": false,\n  \"rev\": 7\n}": "7 false true a//0",
@@ -30,14 +30,17 @@
 	} {
 		var taken []string
 		entries := 0
-		h, err := readList(json.NewDecoder(strings.NewReader(text)), func() { entries++ }, func(t Target) {
-			taken = append(taken, fmt.Sprintf("%s/%s/%d", t.UID, t.Zone, t.BootMS))
+		h, err := decodeList(json.NewDecoder(strings.NewReader(text)), entryHandlers{
+			before: func() { entries++ },
+			take: func(entry Entry) {
+				taken = append(taken, fmt.Sprintf("%s/%s/%d", entry.UID, entry.Zone, entry.BootMS))
+			},
 		})
 		rev := "-"
-		if h.Rev != nil {
-			rev = fmt.Sprint(*h.Rev)
+		if h.Revision != nil {
+			rev = fmt.Sprint(*h.Revision)
 		}
-		got := fmt.Sprintf("%s %v %v", rev, h.All, h.listed)
+		got := fmt.Sprintf("%s %v %v", rev, h.Snapshot, h.hasEntries)
 		if err != nil {
 			got = "error"
 		}
@@ -45,7 +48,7 @@
 			t.Errorf("%s: %s, want %s", text, got, want)
 		}
 		if entries < len(taken) {
-			t.Errorf("%s: told before %d of %d entries", text, entries, len(taken))
+			t.Errorf("%s: called before %d of %d entries", text, entries, len(taken))
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,94 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"time"
+
+	"lemontack/policy"
+)
+
+// EndpointList is a snapshot of discovery's endpoint list, or the entries of it that changed. Its JSON form is that of the
+// protocol.
+type EndpointList struct {
+	Revision int64   `json:"rev"`
+	Snapshot bool    `json:"all"` // it is the whole list; otherwise a change
+	Entries  []Entry `json:"targets"`
+
+	// GatewaysPerEndpoint estimates how many gateways share each of the cached endpoints; 0: all.
+	GatewaysPerEndpoint float64 `json:"-"`
+}
+
+// States of an entry. Any other one means that the endpoint is draining.
+const (
+	stateServing = "SERVING"
+	stateDeleted = "DELETED" // stands only in changes
+)
+
+// Entry is one endpoint of the list.
+type Entry struct {
+	UID      string  `json:"uid"`
+	Endpoint string  `json:"endpoint"` // its address: host and port
+	Zone     string  `json:"az"`
+	Model    string  `json:"model"`
+	Group    int     `json:"pod_group"`
+	State    string  `json:"state"`
+	Capacity float64 `json:"capacity_hint"`
+	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: not known
+}
+
+// Errors of entries that cannot be used.
+var (
+	errNoUID       = errors.New("an entry without a uid")
+	errBadBootTime = errors.New("boot time out of range")
+)
+
+// validate returns why an entry cannot be used. One that only tells that an endpoint is removed needs no address.
+func (e Entry) validate() error {
+	if e.UID == "" {
+		return errNoUID
+	}
+	if _, _, err := net.SplitHostPort(e.Endpoint); err != nil && !e.isRemoved() {
+		return fmt.Errorf("entry %s: %w", e.UID, err)
+	}
+	if e.BootMS < 0 || e.BootMS > math.MaxInt64/int64(time.Millisecond) {
+		return fmt.Errorf("entry %s: %w: %d ms", e.UID, errBadBootTime, e.BootMS)
+	}
+	return nil
+}
+
+func (e Entry) isRemoved() bool { return e.State == stateDeleted }
+
+// PolicyEndpoint returns the entry in the form of the decision module.
+func (e Entry) PolicyEndpoint() policy.Endpoint {
+	endpoint := policy.Endpoint{
+		ID:        policy.EndpointID(e.UID),
+		Zone:      e.Zone,
+		Kind:      e.Model,
+		Cell:      e.Group,
+		Capacity:  e.Capacity,
+		StartedAt: time.Duration(e.BootMS) * time.Millisecond,
+	}
+	switch e.State {
+	case stateServing:
+		endpoint.State = policy.Serving
+	case stateDeleted:
+		endpoint.State = policy.Removed
+	}
+	return endpoint
+}
+
+// PolicyEvent returns the list as an event of the decision module.
+func (l EndpointList) PolicyEvent() policy.EndpointsChanged {
+	event := policy.EndpointsChanged{
+		Snapshot:            l.Snapshot,
+		GatewaysPerEndpoint: l.GatewaysPerEndpoint,
+		Endpoints:           make([]policy.Endpoint, len(l.Entries)),
+	}
+	for i, entry := range l.Entries {
+		event.Endpoints[i] = entry.PolicyEndpoint()
+	}
+	return event
+}
--- /dev/null
+++ b/internal/discovery/poll.go
@@ -0,0 +1,54 @@
+package discovery
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+)
+
+// errNotAList is the failure to take an answer, which would empty the list, for one.
+var errNotAList = errors.New("not an endpoint list: the revision or the entries are missing")
+
+// poll tries to read the whole list. After a failure the watch brings what is missing.
+func (c *Client) poll(ctx context.Context) {
+	if err := c.readSnapshot(ctx); err != nil && ctx.Err() == nil {
+		c.log.Warn("discovery poll failed", "err", err)
+	}
+}
+
+// readSnapshot reads the whole list once.
+func (c *Client) readSnapshot(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	// Not for longer than until a hedged call would be due, since the watch brings the list too.
+	timeout := time.AfterFunc(cmp.Or(c.policy.hedgeAfter, c.policy.answerTimeout), cancel)
+	defer timeout.Stop()
+	body, err := c.get(ctx, c.url)
+	if err != nil {
+		return err
+	}
+	defer body.Close()
+	reader := newObjectReader(body, timeout, c.policy.silenceTimeout)
+	reader.beginObject()
+	return c.receive(json.NewDecoder(reader), reader.beginEntry)
+}
+
+// receive reads one list or change and publishes what is cached of it. It calls beforeEntry before each entry.
+func (c *Client) receive(objects *json.Decoder, beforeEntry func()) error {
+	header, list, err := c.cache.decode(objects, beforeEntry)
+	if err != nil {
+		return err
+	}
+	if !header.isComplete() {
+		return errNotAList
+	}
+	if list.Revision < c.revision { // it would bring back endpoints that are removed
+		c.log.Warn("discovery ignores a stale list", "revision", list.Revision, "current_revision", c.revision)
+		return nil
+	}
+	c.revision = list.Revision
+	c.publish(c.cache.apply(list))
+	return nil
+}
--- /dev/null
+++ b/internal/discovery/pollpolicy_test.go
@@ -0,0 +1,35 @@
+package discovery
+
+import (
+	"testing"
+	"time"
+)
+
+// What discovery can tell is known within the deadlines, for any size of fleet: where an agent pushes lists within a second
+// of discovery's return, where gateways poll within changeDeadline, a failed call on the way or not. What is left of the
+// deadline is for the answer: at 100 calls a second 300 gateways that call over pollInterval wait for up to as long.
+func TestPollPolicyMeetsTheDeadlines(t *testing.T) {
+	for _, n := range []int{1, 8, 9, 80, 300, 3000} {
+		pushed, polled := newPollPolicy(false, n, true), newPollPolicy(true, n, true)
+		again := pushed.answerTimeout + pushed.maxBackoff
+		if again >= pushDeadline || pushed.silenceTimeout+pushed.minBackoff > changeDeadline {
+			t.Errorf("%d, pushed: called again after %v, silence noticed after %v", n, again, pushed.silenceTimeout)
+		}
+		if pushed.silenceTimeout <= heartbeatInterval || polled.silenceTimeout <= heartbeatInterval {
+			t.Errorf("%d: silence after %v and %v, a heartbeat comes every %v", n, pushed.silenceTimeout,
+				polled.silenceTimeout, heartbeatInterval)
+		}
+		again = max(polled.minBackoff, polled.maxBackoff, polled.hedgeAfter) // from the beginning of a call to that of the next
+		for name, left := range map[string]time.Duration{
+			"silence":       changeDeadline - polled.silenceTimeout - polled.minBackoff,
+			"start":         changeDeadline - polled.startSpread - again,
+			"return":        changeDeadline - again - again,
+			"slow answer":   changeDeadline - again - polled.answerTimeout + pollInterval,
+			"configuration": moveDeadline - min(polled.startSpread, maxMoveSpread) - again,
+		} {
+			if left < pollInterval {
+				t.Errorf("%d, polled, %s: %v of the deadline are left for the answer", n, name, left)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/watch.go
@@ -0,0 +1,119 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"time"
+)
+
+// errNeedsResync ends a watch after which the whole list has to be read again.
+var errNeedsResync = errors.New("more endpoints can be cached: the list has to be read again")
+
+// watch receives changes until the watch breaks or falls silent, or the list has to be read again. It always returns an
+// error.
+func (c *Client) watch(ctx context.Context) error {
+	call, err := c.openWatch(ctx)
+	if err != nil {
+		return err
+	}
+	defer call.close()
+	defer call.body.Close()
+	reader := newObjectReader(call.body, call.timeout, c.policy.silenceTimeout)
+	reader.onHeartbeat = reader.extendTimeout
+	for objects := json.NewDecoder(reader); ; {
+		reader.extendTimeout()
+		reader.beginObject()
+		if err := c.receive(objects, reader.beginEntry); err != nil {
+			return fmt.Errorf("watch: %w", err)
+		}
+		if c.cache.widenIfSparse() {
+			return errNeedsResync
+		}
+	}
+}
+
+// watchCall is a call for a watch.
+type watchCall struct {
+	cancel  context.CancelFunc
+	timeout *time.Timer // cancels the call unless it is reset in time
+	body    io.ReadCloser
+	err     error
+}
+
+// close ends the call. It does not close the body.
+func (w *watchCall) close() {
+	w.timeout.Stop()
+	w.cancel()
+}
+
+// watchCalls are the calls for one watch that are open at one time: the first one and hedged ones.
+type watchCalls struct {
+	client  *Client
+	open    map[*watchCall]struct{}
+	answers chan *watchCall // calls that are answered or have failed
+	over    chan struct{}   // closed when no more answers are received
+}
+
+// openWatch returns the first call for a watch that is answered, the original or a hedged one, and cancels the others. It
+// fails when all calls that are open have failed.
+func (c *Client) openWatch(ctx context.Context) (*watchCall, error) {
+	calls := &watchCalls{client: c, open: map[*watchCall]struct{}{}, answers: make(chan *watchCall), over: make(chan struct{})}
+	defer calls.close()
+	calls.begin(ctx)
+	for hedge := c.hedgeTimer(); ; {
+		select {
+		case call := <-calls.answers:
+			delete(calls.open, call)
+			if call.err == nil {
+				return call, nil
+			}
+			call.close()
+			if len(calls.open) == 0 {
+				return nil, call.err
+			}
+		case <-hedge:
+			calls.begin(ctx)
+			hedge = c.hedgeTimer()
+		}
+	}
+}
+
+// hedgeTimer returns a channel that fires when a hedged call is due; nil: never.
+func (c *Client) hedgeTimer() <-chan time.Time {
+	after := c.policy.hedgeAfter
+	if after <= 0 {
+		return nil
+	}
+	return time.After(after*3/4 + c.jitter(after/4))
+}
+
+// begin starts a call, from the latest revision on.
+func (w *watchCalls) begin(ctx context.Context) {
+	client := w.client
+	ctx, cancel := context.WithCancel(ctx)
+	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.policy.answerTimeout, cancel)}
+	w.open[call] = struct{}{}
+	url := fmt.Sprintf("%s?follow=1&since=%d", client.url, client.revision)
+	// Ends with the call's context, or once its answer is received or over is closed; Client.Run awaits it.
+	client.calls.Go(func() {
+		call.body, call.err = client.get(ctx, url)
+		select {
+		case w.answers <- call:
+		case <-w.over:
+			if call.err == nil {
+				call.body.Close()
+			}
+		}
+	})
+}
+
+// close cancels the calls that are still open.
+func (w *watchCalls) close() {
+	close(w.over)
+	for call := range w.open {
+		call.close()
+	}
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,73 @@
+package discovery
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"lemontack/policy"
+)
+
+// A watch that breaks is resumed: a change that the next one brings still arrives.
+func TestBrokenWatchResumesFromTheLatestRevision(t *testing.T) {
+	since := make(chan string, 8)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("follow") == "" {
+			io.WriteString(w, `{"rev":5,"all":true,"targets":[]}`)
+			return
+		}
+		since <- r.URL.Query().Get("since")
+		if len(since) == 1 {
+			io.WriteString(w, "\n{\"rev\":6,\"all\":false,\"targets\":[]}\n") // then it breaks
+		}
+	}))
+	defer s.Close()
+	lists := make(chan EndpointList, 64)
+	client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), Known: EndpointList{Revision: 1},
+		Settings: singleGateway()}, func(list EndpointList) { lists <- list }, quiet)
+	stop := runClient(t, client)
+	defer stop()
+	if a, b := <-lists, <-lists; a.Revision != 5 || b.Revision != 6 {
+		t.Fatalf("published revisions %d, %d", a.Revision, b.Revision)
+	}
+	if a, b := <-since, <-since; a != "5" || b != "6" {
+		t.Fatalf("watched since %s, then %s; want 5, 6", a, b)
+	}
+}
+
+// Only what can be true is taken from discovery: a stale list would bring back endpoints that are removed.
+func TestClientIgnoresStaleListsAndInvalidEntries(t *testing.T) {
+	var published []EndpointList
+	client := NewClient(Config{Address: "127.0.0.1:1", Known: EndpointList{Revision: 7}, Settings: singleGateway()},
+		func(list EndpointList) { published = append(published, list) }, quiet)
+	for _, c := range []struct {
+		in      string
+		ok      bool
+		entries int // published; -1: no list is
+	}{
+		{`{"rev":8`, false, -1},
+		{`[]`, false, -1},
+		{`{"rev":"x","all":true,"targets":[]}`, false, -1},
+		{`{}`, false, -1},
+		{`{"rev":9,"all":true}`, false, -1},
+		{`{"all":true,"targets":[]}`, false, -1},
+		{`{"rev":6,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`, true, -1},
+		{`{"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"},
+			{"endpoint":"127.0.0.1:1","state":"SERVING"},{"uid":"b","state":"SERVING"},{"uid":"c","state":"DELETED"},
+			{"uid":"d","endpoint":"127.0.0.1","state":"SERVING"},{"uid":"e","endpoint":"127.0.0.1:1","boot_ms":-5}]}`, true, 2},
+	} {
+		published = nil
+		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.ok {
+			t.Errorf("%s: %v", c.in, err)
+		}
+		if c.entries < 0 && len(published) > 0 || c.entries >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entries) {
+			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entries)
+		}
+	}
+	if e := (Entry{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
+		t.Errorf("an unknown state is %v, want draining", e.State)
+	}
+}
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -130,7 +130,7 @@
 	g.place(a)
 	up := (<-g.events).(connUp)
 	f := fleetOf(be.addr)
-	f.All, f.Targets[0].State = false, "DRAINING"
+	f.Snapshot, f.Entries[0].State = false, "DRAINING"
 	g.fleet(f)
 	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.queue) != 2 {
 		t.Fatalf("told %v, want the list and then a moot end", g.queue)
@@ -386,7 +386,7 @@
 	g.handle(up)
 	a.req.final = true // answered while the attempt is out: nothing goes to a client here
 	f := fleetOf(be.addr, be.addr)
-	f.All, f.Targets[0].State = false, "DELETED"
+	f.Snapshot, f.Entries[0].State = false, "DELETED"
 	g.handle(f)
 	if len(g.backends) != 2 {
 		t.Fatalf("%d backends while an attempt is out, want 2", len(g.backends))
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -1,7 +1,6 @@
 package ingress
 
 import (
-	"context"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -154,7 +153,7 @@
 	}
 	if c.flood += n; c.flood > most {
 		c.flood = 0
-		wait(context.Background(), discardPause)
+		time.Sleep(discardPause)
 	}
 }
 
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -53,7 +53,7 @@
 		"unreadable": text("{\"rev\":what}\n"),
 		"not a list": text("{\"rev\":9,\"all\":true}\n"),
 		"cut off":    text(`{"rev":2,"all":true,"targets":[`),
-		"too much":   text("{" + strings.Repeat(" ", 2*maxList)),
+		"too much":   text("{" + strings.Repeat(" ", 2<<20)), // twice the maximum between entries
 		"older":      text(`{"rev":0,"all":true,"targets":[]}`),
 		"no answer":  func(_ http.ResponseWriter, ended <-chan struct{}) { <-ended },
 		"error":      func(w http.ResponseWriter, _ <-chan struct{}) { w.WriteHeader(http.StatusBadGateway) },
@@ -109,7 +109,7 @@
 func TestFreshStart(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
 	list := fleetOf(a.addr, b.addr)
-	list.Rev, list.Targets[0].State = 2, "DRAINING"
+	list.Revision, list.Entries[0].State = 2, "DRAINING"
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), fleetOf(a.addr)))
 	until(t, addr, "b")
 	seen := len(a.seen())
@@ -163,33 +163,6 @@
 	return watches.Load()
 }
 
-// What discovery may still tell counts within its clocks, for any size of fleet: where lists are pushed within the second
-// after discovery's return, where they are asked for within the clock, a failed call on the way or not. What is left of the
-// clock is for the answer: at 100 calls a second 300 ingresses that ask over askEvery wait for as long at most.
-func TestPaceKeepsTheClocks(t *testing.T) {
-	for _, n := range []int{1, 8, 9, 80, 300, 3000} {
-		told, asked := paceOf(false, n, true), paceOf(true, n, true)
-		if again := told.answer + told.longest; again >= time.Second || told.silence+told.first > toldClock {
-			t.Errorf("%d told: asked again after %v, silence noticed after %v", n, again, told.silence)
-		}
-		if told.silence <= lineEvery || asked.silence <= lineEvery {
-			t.Errorf("%d: silence after %v and %v, a line comes every %v", n, told.silence, asked.silence, lineEvery)
-		}
-		again := max(asked.first, asked.longest, asked.hedge) // from the beginning of a call to that of the next
-		for name, left := range map[string]time.Duration{
-			"silence":       toldClock - asked.silence - asked.first,
-			"start":         toldClock - asked.spread - again,
-			"return":        toldClock - again - again,
-			"slow answer":   toldClock - again - asked.answer + askEvery,
-			"configuration": moveClock - min(asked.spread, moveSpread) - again,
-		} {
-			if left < askEvery {
-				t.Errorf("%d asking, %s: %v of the clock are left for the answer", n, name, left)
-			}
-		}
-	}
-}
-
 // held is a backend that answers nothing, and tells which of its connections are given up.
 func held(t *testing.T, ended chan<- struct{}) *backendFake {
 	return newBackend(t, func(_ int, _ []string, nc net.Conn) string {
@@ -601,7 +574,7 @@
 	g.handle(arrived{r})
 	up := (<-g.events).(connUp) // told of only after the drain
 	f := fleetOf(a.addr, b.addr)
-	f.Targets[0].State = "DRAINING"
+	f.Entries[0].State = "DRAINING"
 	g.handle(f)
 	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].be.ID != "s1" {
 		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/discovery"
 	"lemontack/internal/standin"
 	"lemontack/internal/wire"
 	"lemontack/policy"
@@ -151,8 +152,8 @@
 }
 
 // registry is discovery's agent: a list, and a watch that tells what is sent to changes, as versions of its own count.
-func registry(t *testing.T, list Fleet, changes <-chan Fleet) string {
-	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{Rev: list.Rev - 1}), loopback(t), make(chan struct{})
+func registry(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
+	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{Rev: list.Revision - 1}), loopback(t), make(chan struct{})
 	d.SetList(standinTargets(list))
 	go d.Serve(ln)
 	go func() {
@@ -161,7 +162,7 @@
 			case <-done:
 				return
 			case f := <-changes:
-				if f.All {
+				if f.Snapshot {
 					d.SetList(standinTargets(f))
 				} else {
 					d.Change(standinTargets(f)...)
@@ -176,25 +177,25 @@
 	return ln.Addr().String()
 }
 
-func standinTargets(f Fleet) []standin.Target {
-	targets := make([]standin.Target, len(f.Targets))
-	for i, t := range f.Targets {
+func standinTargets(f discovery.EndpointList) []standin.Target {
+	targets := make([]standin.Target, len(f.Entries))
+	for i, t := range f.Entries {
 		targets[i] = standin.Target(t)
 	}
 	return targets
 }
 
-func fleetOf(addrs ...string) Fleet {
-	f := Fleet{Rev: 1, All: true}
+func fleetOf(addrs ...string) discovery.EndpointList {
+	f := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i, a := range addrs {
-		f.Targets = append(f.Targets, Target{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
+		f.Entries = append(f.Entries, discovery.Entry{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
 	}
 	return f
 }
 
 // setting up one ingress
 
-func testConfig(disc string, known Fleet) Config {
+func testConfig(disc string, known discovery.EndpointList) Config {
 	return Config{Listen: "127.0.0.1:0", Discovery: disc, Sockets: 256, Known: known,
 		Settings: policy.Settings{GatewayCount: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -15,6 +15,8 @@
 	"sync"
 	"time"
 
+	"lemontack/internal/counterclient"
+	"lemontack/internal/discovery"
 	"lemontack/internal/resp"
 	"lemontack/internal/subset"
 	"lemontack/internal/wire"
@@ -46,8 +48,8 @@
 	Seed                       uint64
 	Sockets                    int // descriptors that it may hold
 	Memory                     int // bytes that it may use; 0: not told
-	Known                      Fleet
-	Subset                     *subset.Subset // that Known was read with; nil: Known is whole
+	Known                      discovery.EndpointList
+	Subset                     *subset.Subset // that Known was decoded with; nil: the widest
 	Settings                   policy.Settings
 	Connections                wire.Connections
 }
@@ -68,8 +70,8 @@
 	holdUps *holdUps
 	classes map[string]policy.Class
 	plans   map[string]bool
-	counter *counter
-	disc    *discovery
+	counter *counterclient.Client
+	disc    *discovery.Client
 	events  chan event
 	stopped chan struct{}
 	spawned sync.WaitGroup
@@ -150,17 +152,27 @@
 		g.plans[p.Name] = true
 	}
 	g.listen = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
-	g.counter = newCounter(cfg.Counter, cfg.Settings.CounterTimeout, g.post)
-	g.disc = newDiscovery(cfg.Discovery, cfg.Known.Rev,
-		paceOf(cfg.Settings.PollEndpoints, cfg.Settings.GatewayCount, len(cfg.Known.Targets) > 0), g.post, log)
-	g.disc.known = newMembers(cfg.Settings, log)
-	if cfg.Subset != nil {
-		g.disc.known.subset = cfg.Subset
-	}
-	g.disc.rng = rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Settings.Index)))
+	g.counter = counterclient.New(cfg.Counter, cfg.Settings.CounterTimeout, func(r counterclient.Result) { g.post(r) })
+	g.disc = g.newDiscoveryClient(g.discoveryConfig())
 	return g, nil
 }
 
+// discoveryConfig is the configuration of the discovery client.
+func (g *Gateway) discoveryConfig() discovery.Config {
+	return discovery.Config{
+		Address:  g.cfg.Discovery,
+		Known:    g.cfg.Known,
+		Subset:   g.cfg.Subset,
+		Settings: g.cfg.Settings,
+		Random:   rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+	}
+}
+
+// newDiscoveryClient returns a discovery client that posts its lists to the event loop.
+func (g *Gateway) newDiscoveryClient(config discovery.Config) *discovery.Client {
+	return discovery.NewClient(config, func(list discovery.EndpointList) { g.post(list) }, g.log)
+}
+
 // Ready closes when clients are taken.
 func (g *Gateway) Ready() <-chan struct{} { return g.ready }
 
@@ -169,11 +181,9 @@
 
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may come at any time, and
 // the last of several counts. Clients, backends and the module's books are left as they are.
-func (g *Gateway) Move(discovery, counter string) {
-	g.disc.moves.Set(discovery)
-	for _, l := range g.counter.links {
-		l.moves.Set(counter)
-	}
+func (g *Gateway) Move(discoveryAddress, counterAddress string) {
+	g.disc.Move(discoveryAddress)
+	g.counter.Move(counterAddress)
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns.
@@ -184,16 +194,14 @@
 		g.spawned.Wait()
 	}()
 	g.ctx = life
-	known := len(g.cfg.Known.Targets)
+	known := len(g.cfg.Known.Entries)
 	g.known()
 	g.spawn(g.loop)
-	for _, l := range g.counter.links {
-		g.spawn(l.run)
-	}
-	g.spawn(g.disc.run)
+	g.spawn(g.counter.Run)
+	g.spawn(g.disc.Run)
 	g.spawn(g.observe.run)
 	select {
-	case <-g.disc.first:
+	case <-g.disc.Ready():
 	case <-time.After(firstList):
 	case <-ctx.Done():
 		return nil
@@ -254,9 +262,9 @@
 // known hands the module the list that the configuration brought, before anything else.
 func (g *Gateway) known() {
 	g.now = g.clock(time.Now())
-	g.cfg.Known.All = true
-	g.handle(g.disc.known.news(g.cfg.Known))
-	g.cfg.Known.Targets = nil
+	g.cfg.Known.Snapshot = true
+	g.handle(g.disc.ApplyKnown(g.cfg.Known))
+	g.cfg.Known.Entries = nil
 }
 
 // loop is the goroutine that owns all below.
@@ -321,9 +329,9 @@
 		g.connDown(ev)
 	case replied:
 		g.replied(ev)
-	case counted:
+	case counterclient.Result:
 		g.counted(ev)
-	case Fleet:
+	case discovery.EndpointList:
 		g.fleet(ev)
 	case ending:
 		g.endBy = ev.by
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"lemontack/internal/discovery"
 	"lemontack/internal/resp"
 	"lemontack/policy"
 )
@@ -412,7 +413,7 @@
 		wantAttempts(t, addr, be, 0)
 	})
 	t.Run("a backend", func(t *testing.T) {
-		be, changes := named(t, "a"), make(chan Fleet)
+		be, changes := named(t, "a"), make(chan discovery.EndpointList)
 		addr, _ := startIngress(t, testConfig(registry(t, fleetOf(), changes), fleetOf()))
 		nc, in := dial(t, addr)
 		io.WriteString(nc, command("PING"))
@@ -420,7 +421,7 @@
 		io.WriteString(nc, ask(1, readFields))
 		leave(t, nc, in)
 		list := fleetOf(be.addr)
-		list.Rev = 2
+		list.Revision = 2
 		changes <- list
 		wantAttempts(t, addr, be, 0)
 	})
--- a/internal/ingress/lists.go
+++ b/internal/ingress/lists.go
@@ -1,24 +1,26 @@
 package ingress
 
 import (
+	"lemontack/internal/counterclient"
+	"lemontack/internal/discovery"
 	"lemontack/policy"
 )
 
 // fleet takes over a list of backends, or changes of it.
-func (g *Gateway) fleet(f Fleet) {
-	g.sharers = f.Sharers
-	if !f.All && len(f.Targets) == 0 { // of backends that are not held
+func (g *Gateway) fleet(f discovery.EndpointList) {
+	g.sharers = f.GatewaysPerEndpoint
+	if !f.Snapshot && len(f.Entries) == 0 { // of backends that are not held
 		return
 	}
-	ev := policy.EndpointsChanged{Snapshot: f.All, GatewaysPerEndpoint: f.Sharers}
-	if f.All {
+	ev := policy.EndpointsChanged{Snapshot: f.Snapshot, GatewaysPerEndpoint: f.GatewaysPerEndpoint}
+	if f.Snapshot {
 		for _, be := range g.backends {
 			be.State = policy.Removed
 			be.noteState(g.now)
 		}
 	}
-	for _, t := range f.Targets {
-		s := t.server()
+	for _, t := range f.Entries {
+		s := t.PolicyEndpoint()
 		be := g.backends[s.ID]
 		if be == nil {
 			be = &backend{}
@@ -54,23 +56,15 @@
 	return ev
 }
 
+// count calls the shared counter, and ends the call when its timeout is over.
 func (g *Gateway) count(a policy.IncrementCounter) {
-	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
-	g.counter.add(k)
-	g.after(g.cfg.Settings.CounterTimeout, func() {
-		if k.state.CompareAndSwap(callQueued, callDropped) {
-			g.counted(counted{call: k, outcome: policy.ConnectFailed}) // never written, and never will be
-			return
-		}
-		g.counted(counted{call: k, outcome: policy.TimedOut})
-	})
+	call := g.counter.Increment(a)
+	g.after(g.cfg.Settings.CounterTimeout, func() { g.counted(call.Expire()) })
 }
 
-// counted passes a call's reply on, once: an answer after the time-out is dropped.
-func (g *Gateway) counted(ev counted) {
-	if ev.call.ended {
-		return
+// counted passes the first result of a call on: an answer after the timeout is dropped.
+func (g *Gateway) counted(result counterclient.Result) {
+	if reply, isFirst := result.Reply(); isFirst {
+		g.tell(reply)
 	}
-	ev.call.ended = true
-	g.tell(policy.CounterReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
 }
--- a/internal/ingress/ready_test.go
+++ b/internal/ingress/ready_test.go
@@ -4,12 +4,12 @@
 	"context"
 	"fmt"
 	"net"
-	"net/http"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"lemontack/internal/discovery"
 	"lemontack/internal/standin"
 )
 
@@ -17,10 +17,10 @@
 const readyClock = 10 * time.Second
 
 // longList is a known list of so many backends.
-func longList(n int) Fleet {
-	f := Fleet{Rev: 1, All: true}
+func longList(n int) discovery.EndpointList {
+	f := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range n {
-		f.Targets = append(f.Targets, Target{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
+		f.Entries = append(f.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
 	}
 	return f
 }
@@ -73,7 +73,7 @@
 }
 
 // startFleet runs n ingresses in memory; stop ends them all.
-func startFleet(t *testing.T, n int, asked bool, known Fleet, at *standin.Discovery) (all []*Gateway, stop func()) {
+func startFleet(t *testing.T, n int, asked bool, known discovery.EndpointList, at *standin.Discovery) (all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	registry := standin.NewPipeListener()
@@ -88,9 +88,9 @@
 			t.Fatal(err)
 		}
 		g.listen = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
-		g.disc.client.Transport = &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return registry.Dial(ctx)
-		}}
+		config := g.discoveryConfig()
+		config.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return registry.Dial(ctx) }
+		g.disc = g.newDiscoveryClient(config)
 		all = append(all, g)
 		running.Go(func() {
 			if err := g.Run(ctx); err != nil {
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 	"lemontack/policy"
 )
 
@@ -52,23 +52,23 @@
 }
 
 // targets is the list as discovery has it. The addresses are loopback ones, and a hollow ingress dials none.
-func (b *Backends) targets() []ingress.Target {
-	list := make([]ingress.Target, len(b.list))
+func (b *Backends) targets() []discovery.Entry {
+	list := make([]discovery.Entry, len(b.list))
 	for i := range list {
 		list[i] = b.target(i, "SERVING")
 	}
 	return list
 }
 
-func (b *Backends) target(i int, state string) ingress.Target {
+func (b *Backends) target(i int, state string) discovery.Entry {
 	addr := fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255)
-	return ingress.Target{UID: fmt.Sprintf("s-%06d", i), Endpoint: addr, Zone: zoneName(i), Model: "m1",
+	return discovery.Entry{UID: fmt.Sprintf("s-%06d", i), Endpoint: addr, Zone: zoneName(i), Model: "m1",
 		Group: i / 16, State: state, Capacity: 1,
 		BootMS: b.list[i].started.Load() / int64(time.Millisecond)}
 }
 
 // toggled is one change: a backend, another one each time, begins to drain, and the next change takes that back.
-func (b *Backends) toggled(n int) ingress.Target {
+func (b *Backends) toggled(n int) discovery.Entry {
 	state := "DRAINING"
 	if n%2 == 1 {
 		state = "SERVING"
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 	"lemontack/internal/standin"
 )
 
@@ -148,7 +148,7 @@
 	*standins
 	dir      string
 	backends []*standin.Backend
-	targets  []ingress.Target
+	targets  []discovery.Entry
 	direct   string // address of a further backend, on no list
 	spare    *standin.Backend
 	ingress  []*realIngress
@@ -385,7 +385,7 @@
 			break
 		}
 		f.backends = append(f.backends, b)
-		f.targets = append(f.targets, ingress.Target{UID: fmt.Sprintf("s-%06d", i), Endpoint: ln.Addr().String(),
+		f.targets = append(f.targets, discovery.Entry{UID: fmt.Sprintf("s-%06d", i), Endpoint: ln.Addr().String(),
 			Zone: zoneName(i), Model: "m1", Group: i / 16, State: "SERVING", Capacity: 1})
 	}
 	return nil
--- a/internal/scale/driven.go
+++ b/internal/scale/driven.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 )
 
 const (
@@ -108,7 +108,7 @@
 		idle = idle.plus(h.drive(ctx, idleSpan, part(warmBudget)))
 		ticks = merged(ticks, rec.take())
 		for k := 0; k < changesDriven && ctx.Err() == nil; k++ {
-			h.told(ingress.Fleet{Rev: int64(k), Targets: []ingress.Target{back.toggled(k)}})
+			h.told(discovery.EndpointList{Revision: int64(k), Entries: []discovery.Entry{back.toggled(k)}})
 		}
 		changes = merged(changes, rec.take())
 	}
@@ -205,7 +205,7 @@
 	var taken []listTaken
 	for end := time.Now().Add(listEnough); len(taken) < listSamples && (len(taken) == 0 || time.Now().Before(end)); {
 		limit, cancel := context.WithTimeout(ctx, listWait)
-		l, warning := takeList(limit, ingress.Config{Discovery: d.addr, Settings: set})
+		l, warning := takeList(limit, clientConfig{Discovery: d.addr, Settings: set})
 		cancel()
 		if l.entries == 0 {
 			if ctx.Err() != nil {
@@ -252,20 +252,20 @@
 
 // takeList starts the real client and waits for its first whole list; when ctx ends without one it returns what the
 // client said instead.
-func takeList(ctx context.Context, cfg ingress.Config) (listTaken, string) {
+func takeList(ctx context.Context, cfg clientConfig) (listTaken, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var said lastLine
-	lists := make(chan ingress.Fleet)
+	lists := make(chan discovery.EndpointList)
 	post := func(ev any) {
-		if f, ok := ev.(ingress.Fleet); ok && f.All {
+		if f, ok := ev.(discovery.EndpointList); ok && f.Snapshot {
 			select {
 			case lists <- f:
 			case <-ctx.Done():
 			}
 		}
 	}
-	parts := ingress.NewParts(cfg, post, slog.New(slog.NewTextHandler(&said, &slog.HandlerOptions{ReplaceAttr: undated})))
+	parts := newLiveClients(cfg, post, slog.New(slog.NewTextHandler(&said, &slog.HandlerOptions{ReplaceAttr: undated})))
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -273,12 +273,12 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		parts.Run(ctx)
+		parts.run(ctx)
 	}()
 	var l listTaken
 	select {
 	case f := <-lists:
-		l = listTaken{entries: len(f.Targets), took: time.Since(began), processor: used(wholeProcess) - processor}
+		l = listTaken{entries: len(f.Entries), took: time.Since(began), processor: used(wholeProcess) - processor}
 		runtime.ReadMemStats(&after)
 		l.allocated = after.TotalAlloc - before.TotalAlloc
 	case <-ctx.Done():
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 	"lemontack/internal/standin"
 )
 
@@ -46,7 +46,7 @@
 	s.counter.stop()
 }
 
-func asStandin(targets []ingress.Target) []standin.Target {
+func asStandin(targets []discovery.Entry) []standin.Target {
 	list := make([]standin.Target, len(targets))
 	for i, t := range targets {
 		list[i] = standin.Target(t)
@@ -55,7 +55,7 @@
 }
 
 // change tells discovery of a change, and returns its version and time.
-func (s *standins) change(targets ...ingress.Target) (listed, error) {
+func (s *standins) change(targets ...discovery.Entry) (listed, error) {
 	r, err := s.discovery.tell(order{Do: "change", Targets: asStandin(targets)})
 	return listed{r.Rev, r.At}, err
 }
@@ -92,9 +92,9 @@
 	if _, err := f.discovery.tell(order{Do: "list", Targets: asStandin(targets)}); err != nil {
 		return err
 	}
-	known := ingress.Fleet{}
+	known := discovery.EndpointList{}
 	if f.shape.Asked {
-		known = ingress.Fleet{Rev: 1, All: true, Targets: targets}
+		known = discovery.EndpointList{Revision: 1, Snapshot: true, Entries: targets}
 	}
 	f.state = heapInUse()
 	log := slog.New(slog.DiscardHandler)
@@ -105,7 +105,7 @@
 		}
 		h.goLive(f.discovery.addr, f.counter.addr, known, log)
 		if f.shape.Asked {
-			h.fleet(h.parts.Known(known))
+			h.fleet(h.parts.discovery.ApplyKnown(known))
 		}
 		f.hollows = append(f.hollows, h)
 		f.running.Go(func() { h.Live(ctx) })
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -8,7 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/counterclient"
+	"lemontack/internal/discovery"
 	"lemontack/policy"
 )
 
@@ -62,12 +63,12 @@
 	actions  []policy.Action
 	tally    Tally
 	held     map[policy.EndpointID]policy.Endpoint // kept where the module asks for the list
-	kept     *ingress.Membership                   // on a driven clock; live it is the client's
+	kept     *discovery.Cache                      // on a driven clock; live it is the client's
 	sharers  float64
 	log      []listed
 
 	totals map[string]float64 // the counter, on a driven clock
-	parts  *ingress.Parts     // live
+	parts  *liveClients       // live
 	events chan any
 	ended  chan struct{}
 	start  time.Time
@@ -106,7 +107,7 @@
 	n     int // attempt
 	end   policy.AttemptEnded
 	reply policy.CounterReply
-	call  ingress.Call
+	call  *counterclient.Call
 }
 
 // agenda is a heap of what is due, the earliest first.
@@ -141,17 +142,17 @@
 	return &Hollow{me: me, set: set, mod: mod, rng: rand.New(rand.NewPCG(seed, uint64(me))), back: back, rec: rec,
 		tenants: s.tenantsOf(me), now: drivenStart, open: map[policy.RequestID]*request{},
 		totals: map[string]float64{}, held: map[policy.EndpointID]policy.Endpoint{},
-		kept: ingress.NewMembership(set, slog.New(slog.DiscardHandler))}, nil
+		kept: discovery.NewCache(set, slog.New(slog.DiscardHandler))}, nil
 }
 
 // Known hands over the list that a configuration brings.
-func (h *Hollow) Known(targets []ingress.Target) {
-	h.told(ingress.Fleet{All: true, Targets: targets})
+func (h *Hollow) Known(targets []discovery.Entry) {
+	h.told(discovery.EndpointList{Snapshot: true, Entries: targets})
 }
 
 // told hands over what is kept of a list or a change.
-func (h *Hollow) told(f ingress.Fleet) {
-	if f = h.kept.Take(f); f.All || len(f.Targets) > 0 {
+func (h *Hollow) told(f discovery.EndpointList) {
+	if f = h.kept.Apply(f); f.Snapshot || len(f.Entries) > 0 {
 		h.fleet(f)
 	}
 }
@@ -214,7 +215,7 @@
 	case callReply:
 		h.tell(it.reply)
 	case callLate:
-		if reply, ok := it.call.Late(); ok {
+		if reply, ok := it.call.Expire().Reply(); ok {
 			h.tell(reply)
 		}
 	}
@@ -347,7 +348,7 @@
 func (h *Hollow) call(a policy.IncrementCounter) {
 	h.tally.Calls++
 	if h.parts != nil {
-		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.Count(a)})
+		h.schedule(h.set.CounterTimeout, item{what: callLate, call: h.parts.counter.Increment(a)})
 		return
 	}
 	h.totals[a.Name] += a.Add
@@ -355,9 +356,9 @@
 		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: h.totals[a.Name]}})
 }
 
-func (h *Hollow) fleet(f ingress.Fleet) {
-	ev := f.Changed()
-	h.sharers = f.Sharers
+func (h *Hollow) fleet(f discovery.EndpointList) {
+	ev := f.PolicyEvent()
+	h.sharers = f.GatewaysPerEndpoint
 	if h.set.PollEndpoints {
 		if ev.Snapshot {
 			clear(h.held)
@@ -370,16 +371,16 @@
 	}
 	h.tell(ev)
 	h.flush()
-	h.log = append(h.log, listed{f.Rev, time.Now()})
+	h.log = append(h.log, listed{f.Revision, time.Now()})
 }
 
 // goLive connects a hollow ingress with discovery and the counter; Live then runs it.
-func (h *Hollow) goLive(discovery, counter string, known ingress.Fleet, log *slog.Logger) {
+func (h *Hollow) goLive(discovery, counter string, known discovery.EndpointList, log *slog.Logger) {
 	h.start = time.Now()
 	h.now = time.Duration(h.start.UnixNano())
 	h.events, h.ended = make(chan any, hollowEvents), make(chan struct{})
-	cfg := ingress.Config{Discovery: discovery, Counter: counter, Known: known, Settings: h.set}
-	h.parts = ingress.NewParts(cfg, h.post, log)
+	cfg := clientConfig{Discovery: discovery, Counter: counter, Known: known, Settings: h.set}
+	h.parts = newLiveClients(cfg, h.post, log)
 	h.totals = nil
 }
 
@@ -414,7 +415,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		h.parts.Run(ctx)
+		h.parts.run(ctx)
 	}()
 	h.loop(ctx)
 	close(h.ended)
@@ -453,10 +454,10 @@
 	switch ev := ev.(type) {
 	case func():
 		ev()
-	case ingress.Fleet:
+	case discovery.EndpointList:
 		h.fleet(ev)
-	default:
-		if reply, ok := ingress.Counted(ev); ok {
+	case counterclient.Result:
+		if reply, ok := ev.Reply(); ok {
 			h.tell(reply)
 			h.flush()
 		}
--- a/internal/scale/live.go
+++ b/internal/scale/live.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 )
 
 const (
@@ -252,11 +252,11 @@
 	if _, err := r.zonePhase(ctx, p, f, "before", loadTime, nil); err != nil {
 		return err
 	}
-	lost, err := r.zonePhase(ctx, p, f, "lost", loadTime, func() []ingress.Target { return back.zone(true) })
+	lost, err := r.zonePhase(ctx, p, f, "lost", loadTime, func() []discovery.Entry { return back.zone(true) })
 	if err != nil {
 		return err
 	}
-	restored, err := r.zonePhase(ctx, p, f, "back", warmAfter, func() []ingress.Target { return back.zone(false) })
+	restored, err := r.zonePhase(ctx, p, f, "back", warmAfter, func() []discovery.Entry { return back.zone(false) })
 	if err != nil {
 		return err
 	}
@@ -277,8 +277,8 @@
 }
 
 // zone takes the last zone away or brings it back cold, and returns what discovery tells of it.
-func (b *Backends) zone(lost bool) []ingress.Target {
-	var list []ingress.Target
+func (b *Backends) zone(lost bool) []discovery.Entry {
+	var list []discovery.Entry
 	for i := zones - 1; i < len(b.list); i += zones {
 		m, state := &b.list[i], "DELETED"
 		if !lost {
@@ -305,7 +305,7 @@
 
 // zonePhase makes a change, measures for a while, and says how the load lay on the backends that were there.
 func (r *Run) zonePhase(ctx context.Context, p *Point, f *fleet, name string, d time.Duration,
-	change func() []ingress.Target) (listed, error) {
+	change func() []discovery.Entry) (listed, error) {
 	before := f.back.sent()
 	f.rec.take()
 	var made listed
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -19,7 +19,6 @@
 	"testing"
 	"time"
 
-	"lemontack/internal/ingress"
 	"lemontack/internal/standin"
 	"lemontack/policy"
 )
@@ -367,7 +366,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := ingress.Config{Discovery: strings.TrimPrefix(refusing.URL, "http://"), Settings: set}
+	cfg := clientConfig{Discovery: strings.TrimPrefix(refusing.URL, "http://"), Settings: set}
 	if l, said := takeList(ctx, cfg); l.entries != 0 || !strings.Contains(said, "503") {
 		t.Errorf("no list: %d entries, %q", l.entries, said)
 	}
