--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -1,4 +1,4 @@
-// Package counterclient calls the shared counter service. A Client spreads its calls over a few connections, which are opened
+// Package counterclient calls the shared counter service. A Client spreads its calls over several connections, which are opened
 // when there is something to write, and reports the end of each call.
 package counterclient
 
--- a/internal/counterclient/protocol.go
+++ b/internal/counterclient/protocol.go
@@ -11,7 +11,7 @@
 // maxTotal is the maximum of a total, positive or negative; an answer beyond it is an error of the counter.
 const maxTotal = 1e12
 
-// appendCall appends the line of a call. The counter keeps a name for whole milliseconds, at least one.
+// appendCall appends the line of a call. The time for which the counter keeps the name is in whole milliseconds, from 1.
 func appendCall(buffer []byte, increment policy.IncrementCounter) []byte {
 	buffer = append(buffer, "tally "...)
 	buffer = append(buffer, increment.Name...)
--- a/internal/counterclient/session.go
+++ b/internal/counterclient/session.go
@@ -14,7 +14,7 @@
 	maxBatch        = queueCapacity / 2     // calls of one write, about
 	idleTimeout     = 3 * time.Second       // without a call; the session then ends before the counter ends it
 	silenceTimeouts = 4                     // timeouts of a call: a session without an answer for so long is dead
-	lineTimeout     = 20 * time.Millisecond // for the rest of an answer, which is a few bytes
+	lineTimeout     = 20 * time.Millisecond // for the rest of an answer, a short line
 	readBufferSize  = 1 << 10               // bytes; also the maximum length of an answer
 )
 
@@ -78,7 +78,8 @@
 	return batch
 }
 
-// write writes the calls that have not timed out. A call that can't wait for its answer just times out, unwritten.
+// write writes the calls that have not timed out. A call for whose answer there is no place in pending
+// times out, unwritten.
 func (s *session) write(batch []*Call) error {
 	if len(s.pending) == 0 {
 		s.setReadTimeout(true)
@@ -146,7 +147,7 @@
 }
 
 // readAnswers ends the pending calls with their answers until the session breaks. It ends at an answer that cannot be read: the
-// call was added, and what follows cannot be told apart.
+// call was added, and what follows cannot be matched with the calls behind it.
 func (s *session) readAnswers() {
 	answers := bufio.NewReaderSize(s.socket, readBufferSize)
 	for {
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -29,7 +29,7 @@
 	return reader
 }
 
-// A list of 200,000 is decoded to its end, and no more than the subset of it is ever kept; each cached endpoint belongs to
+// A list of 200,000 is decoded to its end, and no more than the subset of it is ever cached; each cached endpoint belongs to
 // the subset, and the estimate of how many gateways share it is near the truth.
 func TestCacheDecodesALongListAsAStream(t *testing.T) {
 	const listed = 200_000
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,9 +23,9 @@
 
 // Config is what a Client is created from.
 type Config struct {
-	Address  string       // of the discovery service: host and port
-	Known    EndpointList // the list that the configuration brought, if any; its entries are not retained
-	Subset   *subset.Subset
+	Address  string         // of the discovery service: host and port
+	Known    EndpointList   // the list that the configuration brought, if any; its entries are not retained
+	Subset   *subset.Subset // that Known was decoded with; nil: the widest one
 	Settings policy.Settings
 	Random   *rand.Rand // for jitter; nil: seeded at random. The client takes it over
 
@@ -33,7 +33,7 @@
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client keeps the endpoint list up to date. Run owns it, but for Move and Ready.
+// Client keeps the endpoint list up to date. Move and Ready may be called from any goroutine; the rest belongs to Run.
 type Client struct {
 	url       string // of the list; changes between two calls of synchronize
 	http      *http.Client
@@ -52,7 +52,7 @@
 }
 
 // NewClient returns a client that does not run yet. It calls publish, on a goroutine of Run, with the cached part of each
-// list and change; publish may block. Config.Subset is the one that Config.Known was decoded with, or nil.
+// list and change; publish may block.
 func NewClient(config Config, publish func(EndpointList), log *slog.Logger) *Client {
 	random := config.Random
 	if random == nil {
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -17,9 +17,9 @@
 
 // The times within which a change has to be known, as the requirements of the ingress give them.
 const (
-	changeDeadline = 6 * time.Second // after discovery could have told it, also after a failed call
+	changeDeadline = 6 * time.Second // after discovery had it and could be reached, also after a failed call
 	moveDeadline   = 4 * time.Second // after a change of discovery's address
-	pushDeadline   = time.Second     // after discovery could have told it, where an agent pushes lists
+	pushDeadline   = time.Second     // after discovery had it and could be reached, where an agent pushes lists
 )
 
 // largeFleet are the settings of one gateway of a large fleet.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -45,7 +45,7 @@
 	errBadBootTime = errors.New("boot time out of range")
 )
 
-// validate returns why an entry cannot be used. One that only tells that an endpoint is removed needs no address.
+// validate returns why an entry cannot be used. One of a removed endpoint needs no address.
 func (e Entry) validate() error {
 	if e.UID == "" {
 		return errNoUID
--- a/internal/discovery/pollpolicy.go
+++ b/internal/discovery/pollpolicy.go
@@ -13,7 +13,7 @@
 	agentMaxBackoff     = 400 * time.Millisecond
 )
 
-// Where gateways poll, discovery's changes have to be known within 6 s of the moment at which it could have told them, also
+// Where gateways poll, discovery's changes have to be known within 6 s of the moment at which it could be reached, also
 // after a failed call; a silent watch, a backoff, a failed call and an answer fit into that time together. A call may have to
 // wait for its turn, and a caller that gives up loses its place. So a call without an answer stays open, and hedged ones are
 // made beside it: a call that was lost while discovery was down then costs pollInterval only.
--- a/internal/discovery/pollpolicy_test.go
+++ b/internal/discovery/pollpolicy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What discovery can tell is known within the deadlines, for any size of fleet: where an agent pushes lists within a second
+// A change is known within the deadlines, for any size of fleet: where an agent pushes lists within a second
 // of discovery's return, where gateways poll within changeDeadline, a failed call on the way or not. What is left of the
 // deadline is for the answer: at 100 calls a second 300 gateways that call over pollInterval wait for up to as long.
 func TestPollPolicyMeetsTheDeadlines(t *testing.T) {
@@ -33,3 +33,17 @@
 		}
 	}
 }
+
+// Pauses double up to the maximum, and begin anew after a reset.
+func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
+	pauses := newBackoff(100*time.Millisecond, 350*time.Millisecond)
+	for i, want := range []time.Duration{100, 200, 350, 350} {
+		if got := pauses.next(); got != want*time.Millisecond {
+			t.Errorf("pause %d is %v, want %v", i, got, want*time.Millisecond)
+		}
+	}
+	pauses.reset()
+	if got := pauses.next(); got != 100*time.Millisecond {
+		t.Errorf("%v after a reset", got)
+	}
+}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -60,7 +60,12 @@
 // openWatch returns the first call for a watch that is answered, the original or a hedged one, and cancels the others. It
 // fails when all calls that are open have failed.
 func (c *Client) openWatch(ctx context.Context) (*watchCall, error) {
-	calls := &watchCalls{client: c, open: map[*watchCall]struct{}{}, answers: make(chan *watchCall), over: make(chan struct{})}
+	calls := &watchCalls{
+		client:  c,
+		open:    map[*watchCall]struct{}{},
+		answers: make(chan *watchCall),
+		over:    make(chan struct{}),
+	}
 	defer calls.close()
 	calls.begin(ctx)
 	for hedge := c.hedgeTimer(); ; {
--- a/internal/subset/members_test.go
+++ b/internal/subset/members_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Members of which most are removed need one resync, until a snapshot resets them; the wider subset then contains more.
+// When nearly all members are removed they need one resync, until a snapshot resets them; the wider subset then contains more.
 func TestSparseMembersNeedAResyncUntilTheSnapshot(t *testing.T) {
 	members := newTestMembers(100)
 	for i := range 1000 {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -105,8 +105,8 @@
 		if r.peak > bound || r.cached() > c.atMost || r.cached() < c.atLeast {
 			t.Errorf("%+v: %d cached, %d at the peak", c, r.cached(), r.peak)
 		}
-		if most := c.list + r.narrowed*bound; r.examined > most {
-			t.Errorf("%+v: examined %d entries, maximum %d", c, r.examined, most)
+		if maximum := c.list + r.narrowed*bound; r.examined > maximum {
+			t.Errorf("%+v: examined %d entries, maximum %d", c, r.examined, maximum)
 		}
 	}
 }
@@ -143,13 +143,13 @@
 			}
 			estimate += r.GatewaysPerEndpoint(len(r.own), len(r.others)) / float64(gateways)
 		}
-		least := gateways
+		fewest := gateways
 		for i := range list {
 			id, _ := listEntry(i)
-			least = min(least, count[id])
+			fewest = min(fewest, count[id])
 		}
-		if least < min(gateways, minGatewaysPerEndpoint/2) {
-			t.Errorf("%d gateways: an endpoint has %d", gateways, least)
+		if fewest < min(gateways, minGatewaysPerEndpoint/2) {
+			t.Errorf("%d gateways: an endpoint has %d", gateways, fewest)
 		}
 		if mean := float64(pairs) / list; estimate < 0.9*mean || estimate > 1.1*mean {
 			t.Errorf("%d gateways: %.1f per endpoint on average, estimated %.1f", gateways, mean, estimate)
@@ -160,20 +160,20 @@
 // The arcs of a level lie within those of the level before, so that narrowing only ever drops.
 func TestNarrowedSubsetLiesWithinTheOneBefore(t *testing.T) {
 	s := New(Config{Index: 37, GatewayCount: 6400, Zone: "z2", TargetSize: 1, MaxSize: 1})
-	held := map[string]bool{}
+	contained := map[string]bool{}
 	for i := range 5000 {
 		id, _ := listEntry(i)
-		held[id] = true
+		contained[id] = true
 	}
 	for range 40 {
 		s.Narrow()
 		for i := range 5000 {
 			id, zone := listEntry(i)
 			now := s.Contains(id, zone)
-			if now && !held[id] {
+			if now && !contained[id] {
 				t.Fatalf("level %d takes in %s, which the level before denied", s.level, id)
 			}
-			held[id] = now
+			contained[id] = now
 		}
 	}
 }
