--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"lemontack/internal/ingress"
+	"lemontack/internal/discovery"
 	"lemontack/internal/loopback"
 )
 
@@ -220,23 +220,23 @@
 
 // configuration is the configuration file of an ingress.
 type configuration struct {
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Counter   string          `json:"counter,omitempty"`
-	Seed      string          `json:"seed"`
-	Known     *ingress.Fleet  `json:"known,omitempty"`
-	Limits    limits          `json:"limits"`
-	Settings  json.RawMessage `json:"settings"`
+	Listen    string                  `json:"listen"`
+	Discovery string                  `json:"discovery"`
+	Counter   string                  `json:"counter,omitempty"`
+	Seed      string                  `json:"seed"`
+	Known     *discovery.EndpointList `json:"known,omitempty"`
+	Limits    limits                  `json:"limits"`
+	Settings  json.RawMessage         `json:"settings"`
 }
 
 // endpoint is an entry of an endpoint list.
 type endpoint struct{ id, addr string }
 
 // endpointList is a complete list of endpoints, all of them serving, as discovery and the configuration give it.
-func endpointList(revision int64, endpoints ...endpoint) *ingress.Fleet {
-	list := &ingress.Fleet{Rev: revision, All: true}
+func endpointList(revision int64, endpoints ...endpoint) *discovery.EndpointList {
+	list := &discovery.EndpointList{Revision: revision, Snapshot: true}
 	for _, e := range endpoints {
-		list.Targets = append(list.Targets, ingress.Target{UID: e.id, Endpoint: e.addr, State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: e.id, Endpoint: e.addr, State: "SERVING"})
 	}
 	return list
 }
--- a/internal/subsetcompare/subsetcompare.go
+++ b/internal/subsetcompare/subsetcompare.go
@@ -25,7 +25,7 @@
 
 // Subset returns the subset of one gateway, as the ingress builds it.
 func (p Plan) Subset(gateway int) *subset.Subset {
-	c := subset.Config{Me: gateway, Gateways: p.Gateways, Most: p.TargetSize, Limit: p.MaxSize}
+	c := subset.Config{Index: gateway, GatewayCount: p.Gateways, TargetSize: p.TargetSize, MaxSize: p.MaxSize}
 	if p.ZoneAware {
 		c.Zone, c.CrossZonePrice = ZoneName(p.Zone(gateway)), 1
 	}
@@ -62,16 +62,16 @@
 	start, held := bits.Reverse64(uint64(gateway)), 0
 	count := func() (n int) {
 		for z := range r.zoneRings {
-			_, held := r.zoneRings[z].arc(start, s.Arc(r.plan.ZoneAware && z == zone))
+			_, held := r.zoneRings[z].arc(start, s.RingShare(r.plan.ZoneAware && z == zone))
 			n += held
 		}
 		return n
 	}
-	for held = count(); s.Crowded(held); held = count() {
+	for held = count(); s.IsOverfull(held); held = count() {
 		s.Narrow()
 	}
 	for z := range r.zoneRings {
-		from, n := r.zoneRings[z].arc(start, s.Arc(r.plan.ZoneAware && z == zone))
+		from, n := r.zoneRings[z].arc(start, s.RingShare(r.plan.ZoneAware && z == zone))
 		order := r.zoneRings[z].backends
 		for i := range n {
 			out = append(out, order[(from+i)%len(order)])
--- a/internal/subsetcompare/subsetcompare_test.go
+++ b/internal/subsetcompare/subsetcompare_test.go
@@ -36,13 +36,13 @@
 
 // streamList returns what the subset is left with once it has taken the entries of a list one by one.
 func streamList(s *subset.Subset, fleet []Backend) []int32 {
-	holds := func(i int32) bool { return s.Holds(fleet[i].ID, ZoneName(fleet[i].Zone)) }
+	holds := func(i int32) bool { return s.Contains(fleet[i].ID, ZoneName(fleet[i].Zone)) }
 	var held []int32
 	for i := range fleet {
 		if holds(int32(i)) {
 			held = append(held, int32(i))
 		}
-		for s.Crowded(len(held)) {
+		for s.IsOverfull(len(held)) {
 			s.Narrow()
 			held = slices.DeleteFunc(held, func(i int32) bool { return !holds(i) })
 		}
