--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -6,85 +6,152 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
 
-// send begins an attempt, if the guard lets it.
-func (g *Gateway) send(s policy.Send) {
-	r, be := g.requests[s.ID], g.backends[s.Endpoint]
+const (
+	// healthCheckTimeout limits a health check, which has no request whose deadline could end it.
+	healthCheckTimeout = 250 * time.Millisecond
+	// commandOverhead is room for the parts of a command that are not its body, in bytes: most commands fit without growing.
+	commandOverhead = 192
+	fieldsArgument  = 3 // the place of the fields among a command's arguments
+)
+
+// attempt is an attempt of a request, with what the gateway knows of it. It is the upstream.Command of its upstream.Attempt.
+type attempt struct {
+	*upstream.Attempt
+	gateway   *Gateway
+	request   *request
+	number    int // among the request's attempts, from 0
+	endpoint  *upstream.Endpoint
+	startedAt time.Duration
+	deadline  time.Duration
+	ended     bool
+	outcome   policy.Outcome // once it has ended
+}
+
+// newAttempt adds an attempt to a request; it has not started.
+func (g *Gateway) newAttempt(r *request, endpoint *upstream.Endpoint, deadline time.Duration) *attempt {
+	a := &attempt{gateway: g, request: r, number: len(r.attempts), endpoint: endpoint, startedAt: g.now, deadline: deadline}
+	a.Attempt = upstream.NewAttempt(endpoint, a)
+	r.attempts = append(r.attempts, a)
+	r.openAttempts++
+	return a
+}
+
+// send carries out the policy's Send action.
+func (g *Gateway) send(action policy.Send) {
+	r := g.requests[action.ID]
 	if r == nil {
 		return
 	}
-	if be == nil { // gone and forgotten
-		be = &backend{Endpoint: policy.Endpoint{ID: s.Endpoint, State: policy.Removed}}
+	endpoint := g.pool.Endpoint(action.Endpoint)
+	if endpoint == nil { // removed and forgotten
+		endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{ID: action.Endpoint, State: policy.Removed}}
 	}
-	a := &attempt{req: r, n: len(r.attempts), be: be, began: g.now, stop: r.Deadline}
-	if s.AttemptDeadline > 0 {
-		a.stop = min(s.AttemptDeadline, r.Deadline)
+	deadline := r.Deadline
+	if action.AttemptDeadline > 0 {
+		deadline = min(action.AttemptDeadline, r.Deadline)
 	}
-	r.attempts = append(r.attempts, a)
-	r.out++
-	if !g.begins(a) {
+	g.startAttempt(g.newAttempt(r, endpoint, deadline))
+}
+
+// startAttempt starts an attempt if it may start; otherwise it ends as not sent.
+func (g *Gateway) startAttempt(a *attempt) {
+	if !a.MayStart() {
+		g.pool.Withdraw(a.Attempt)
 		return
 	}
-	g.observe.attemptBegins(a)
-	g.at(a.stop, func() { g.giveUp(a, policy.TimedOut) })
-	g.place(a)
+	g.observe.attemptStarted(a)
+	g.at(a.deadline, func() { g.pool.Abort(a.Attempt, policy.TimedOut) })
+	g.pool.Start(a.Attempt)
 }
 
-// command is what an attempt writes: the client's own, with the time that is left for it.
-func (g *Gateway) command(a *attempt) job {
-	if a.req == nil {
-		return job{a: a, buf: redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 2), "INFO"), "load")}
-	}
-	told := max(1, (a.stop - g.now).Milliseconds())
-	r := a.req
-	b := redcon.AppendArray(make([]byte, 0, 192+len(r.args[len(r.args)-1])), len(r.args))
-	for i, arg := range r.args {
-		if i == 3 {
-			fields := append(make([]byte, 0, len(arg)+8), arg[:r.dFrom]...)
-			fields = strconv.AppendInt(fields, told, 10)
-			arg = append(fields, arg[r.dTo:]...)
+// Encode implements upstream.Command: it is the client's command, with the time that is left for it.
+func (a *attempt) Encode() upstream.EncodedCommand {
+	milliseconds := max(1, (a.deadline - a.gateway.now).Milliseconds())
+	return upstream.EncodedCommand{Frame: encodeCommand(a.request.clientRequest, milliseconds),
+		TimeLimit: time.Duration(milliseconds) * time.Millisecond}
+}
+
+// encodeCommand returns a client's command with another value in its field of the time-out.
+func encodeCommand(r *clientRequest, milliseconds int64) []byte {
+	body := r.args[len(r.args)-1]
+	frame := redcon.AppendArray(make([]byte, 0, commandOverhead+len(body)), len(r.args))
+	for i, argument := range r.args {
+		if i == fieldsArgument {
+			fields := append(make([]byte, 0, len(argument)+8), argument[:r.dFrom]...)
+			fields = strconv.AppendInt(fields, milliseconds, 10)
+			argument = append(fields, argument[r.dTo:]...)
 		}
-		b = redcon.AppendBulk(b, arg)
+		frame = redcon.AppendBulk(frame, argument)
 	}
-	return job{a: a, told: time.Duration(told) * time.Millisecond, buf: b}
+	return frame
 }
 
-// end tells the module how an attempt ended, once; the first that is served answers the client.
-func (g *Gateway) end(a *attempt, o policy.Outcome, rep reply) {
-	if a.ended {
-		return
-	}
-	a.ended, a.outcome = true, o
-	r := a.req
-	if r == nil {
-		g.tell(policy.HealthCheckEnded{Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began, LoadReport: rep.load})
-		return
-	}
-	if o == policy.Succeeded && rep.value == nil {
-		o = policy.Failed
-		a.outcome = o
+// ClientLeft implements upstream.Command.
+func (a *attempt) ClientLeft() bool { return a.request.left() }
+
+// Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
+func (a *attempt) Ended(reply upstream.Reply) {
+	g, r := a.gateway, a.request
+	a.ended, a.outcome = true, reply.Outcome
+	if a.outcome == policy.Succeeded && reply.Value == nil { // a form of reply that is none to a request
+		a.outcome = policy.Failed
 	}
-	g.observe.attemptEnded(a, g.now-a.began)
-	if o == policy.Succeeded && !r.final {
+	latency := g.now - a.startedAt
+	g.observe.attemptEnded(a, latency)
+	if a.outcome == policy.Succeeded && !r.final {
 		g.noteLate(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
-		r.respond(redcon.AppendBulk(make([]byte, 0, len(rep.value)+16), rep.value))
+		r.respond(redcon.AppendBulk(make([]byte, 0, len(reply.Value)+16), reply.Value))
 	}
-	r.out--
-	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.n, Endpoint: a.be.ID, Outcome: o, Latency: g.now - a.began,
-		RequestFinished: r.final, SettledUnits: min(rep.settled, g.mostUnits), LoadReport: rep.load})
+	r.openAttempts--
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Outcome: a.outcome, Latency: latency,
+		RequestFinished: r.final, SettledUnits: min(reply.SettledUnits, g.mostUnits), LoadReport: reply.LoadReport})
 	g.forget(r)
 }
 
-func (g *Gateway) probe(id policy.EndpointID) {
-	be := g.backends[id]
-	if be == nil {
+// healthCheck is the upstream.Command that asks an endpoint for its load.
+type healthCheck struct {
+	gateway   *Gateway
+	endpoint  policy.EndpointID
+	startedAt time.Duration
+}
+
+// checkHealth carries out the policy's CheckHealth action.
+func (g *Gateway) checkHealth(id policy.EndpointID) {
+	endpoint := g.pool.Endpoint(id)
+	if endpoint == nil {
 		return
 	}
-	a := &attempt{be: be, began: g.now, stop: g.now + probeTimeout}
-	g.at(a.stop, func() { g.giveUp(a, policy.TimedOut) })
-	g.place(a)
+	check := upstream.NewAttempt(endpoint, &healthCheck{gateway: g, endpoint: id, startedAt: g.now})
+	g.after(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
+	g.pool.Start(check)
+}
+
+// MayStart implements upstream.Command.
+func (*healthCheck) MayStart() bool { return true }
+
+// Encode implements upstream.Command.
+func (*healthCheck) Encode() upstream.EncodedCommand {
+	frame := redcon.AppendArray(nil, 2)
+	frame = redcon.AppendBulkString(frame, "INFO")
+	frame = redcon.AppendBulkString(frame, "load")
+	return upstream.EncodedCommand{Frame: frame}
+}
+
+// ClientLeft implements upstream.Command: a health check has no client.
+func (*healthCheck) ClientLeft() bool { return false }
+
+// BeforeFirstByte implements upstream.Command.
+func (*healthCheck) BeforeFirstByte(time.Duration) {}
+
+// Ended implements upstream.Command.
+func (check *healthCheck) Ended(reply upstream.Reply) {
+	g := check.gateway
+	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
+		LoadReport: reply.LoadReport})
 }
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -4,12 +4,12 @@
 	"context"
 	"io"
 	"net"
-	"reflect"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
+	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
 
@@ -127,95 +127,20 @@
 	be := serving(t, "value")
 	g := idleGateway(t, be.addr)
 	a := waitingAttempt(g, "s0")
-	g.place(a)
-	up := (<-g.events).(connUp)
+	g.pool.Start(a.Attempt)
+	connected := awaitConnected(t, g)
 	f := fleetOf(be.addr)
 	f.All, f.Targets[0].State = false, "DRAINING"
-	g.fleet(f)
+	g.updateEndpoints(f)
 	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.queue) != 2 {
-		t.Fatalf("told %v, want the list and then a moot end", g.queue)
+		t.Fatalf("told %v, want the list and then the end of what was not sent", g.queue)
 	}
-	g.connUp(up)
-	if up.c.cur != nil || len(g.queue) != 2 {
+	g.pool.HandleEvent(connected)
+	if !a.WaitsForConnection() || len(g.queue) != 2 {
 		t.Fatalf("told %v, want nothing more, and nothing on the connection", g.queue)
 	}
 }
 
-// A cancelled attempt that still waits for its connection is moot, and is not written later.
-func TestCancelledWhileItWaits(t *testing.T) {
-	be := serving(t, "value")
-	g := idleGateway(t, be.addr)
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	g.giveUp(a, policy.Cancelled)
-	up := (<-g.events).(connUp)
-	g.connUp(up)
-	if ev := g.queue[0].(policy.AttemptEnded); ev.Outcome != policy.NotSent || up.c.cur != nil || len(g.queue) != 1 {
-		t.Fatalf("told %v, want one moot end", g.queue)
-	}
-}
-
-// An idle connection is closed before the backend would: a command that crossed that would be a reset.
-func TestIdleConnectionIsRetired(t *testing.T) {
-	be := serving(t, "value")
-	g := idleGateway(t, be.addr)
-	b := g.backends["s0"]
-	b.waiting = append(b.waiting, nil)
-	g.dial(b)
-	b.waiting = nil
-	g.connUp((<-g.events).(connUp))
-	g.retireIdle()
-	if len(b.idle) != 1 {
-		t.Fatal("a fresh connection was retired")
-	}
-	g.now += g.net.Idle - time.Second
-	g.retireIdle()
-	if down := (<-g.events).(connDown); len(b.idle) != 0 || !down.up {
-		t.Fatal("an old connection was kept")
-	}
-}
-
-// An answer that was there before its command had been written belongs to another: the attempt never ran.
-func TestAnswerBeforeItsCommand(t *testing.T) {
-	g := idleGateway(t, newBackend(t, nil).addr)
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	up := (<-g.events).(connUp)
-	up.c.cur = a
-	g.handle(replied{up.c, nil, reply{outcome: policy.Succeeded, value: []byte("x"), keep: true}})
-	if a.ended {
-		t.Fatal("served with another's answer")
-	}
-	g.handle(<-g.events)
-	if !a.ended || a.req.out != 0 {
-		t.Fatal("not ended with its connection")
-	}
-}
-
-func TestParseReply(t *testing.T) {
-	load := policy.LoadReport{"qps": 7}
-	for in, want := range map[string]reply{
-		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, value: []byte("x"), load: load, keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, value: []byte("x"), keep: true},
-		"*2\r\n$1\r\nx\r\n$-1\r\n":                        {outcome: policy.Failed},
-		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                      {outcome: policy.Failed},
-		"-ERR failed\r\n":                                 {outcome: policy.Failed, keep: true},
-		"-ERR failed qps=7\r\n":                           {outcome: policy.Failed, load: load, keep: true},
-		"-BUSY qps=7\r\n":                                 {outcome: policy.Rejected, load: load, keep: true},
-		"-BUSYBODY\r\n":                                   {outcome: policy.Failed},
-		"-SYNTAX\r\n":                                     {outcome: policy.Failed},
-		"+PONG\r\n":                                       {outcome: policy.Succeeded, keep: true},
-		"+OK\r\n":                                         {outcome: policy.Failed},
-		"$6\r\nqps=-1\r\n":                                {outcome: policy.Succeeded, keep: true},
-	} {
-		if got := parseReply([]byte(in)); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %+v, want %+v", in, got, want)
-		}
-	}
-}
-
 // A machine that has vanished answers nothing and resets nothing. Once an attempt shows that, its other idle
 // connections are not trusted with further requests: a new one tells within the connect time-out.
 func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
@@ -251,106 +176,20 @@
 	}
 }
 
-// Where all connections that may be open are busy elsewhere, the next that is free makes room: an attempt
-// at another backend once waited for good.
-func TestWaitingForTheCapOfAll(t *testing.T) {
-	a, b := newBackend(t, nil), newBackend(t, nil)
-	g, err := New(testConfig("", fleetOf(a.addr, b.addr)), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	run(t, g)
-	g.mostConns = 1
-	first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s1")
-	g.place(first)
-	up := (<-g.events).(connUp)
-	g.handle(up)
-	g.place(second)
-	g.handle(replied{up.c, first, reply{outcome: policy.Succeeded, keep: true}})
-	g.now += restTime
-	g.ring()
-	for second.conn == nil {
-		g.handle(<-g.events)
-	}
-}
-
-// A backend that answers what was not yet written to it must not block the gateway's goroutine.
-func TestFullConnectionDoesNotBlock(t *testing.T) {
-	g := idleGateway(t, newBackend(t, nil).addr)
-	near, far := net.Pipe()
-	defer far.Close()
-	c := &conn{be: g.backends["s0"], nc: near, work: make(chan job, 1)}
-	g.write(c, waitingAttempt(g, "s0"))
-	g.write(c, waitingAttempt(g, "s0"))
-	if _, err := near.Write(nil); err == nil {
-		t.Fatal("the connection was kept")
-	}
-}
-
-// A command that was cut off before its last byte never ran; one that was written whole may have.
-func TestOnlyWholeCommandsMayHaveRun(t *testing.T) {
-	for name, c := range map[string]struct {
-		read  int
-		whole bool
-	}{"cut off": {3, false}, "whole": {9, true}} {
-		t.Run(name, func(t *testing.T) {
-			near, far := net.Pipe()
-			a := &attempt{}
-			cn := &conn{nc: near, work: make(chan job, 1), dead: make(chan struct{}),
-				check: func(*attempt, time.Duration) {}}
-			cn.work <- job{a: a, buf: []byte("123456789")}
-			written := make(chan struct{})
-			go func() {
-				defer close(written)
-				cn.write()
-			}()
-			io.ReadFull(far, make([]byte, c.read))
-			if c.whole {
-				close(cn.dead)
-			} else {
-				far.Close()
-			}
-			<-written
-			if got := cn.whole.Load(); (got == a) != c.whole {
-				t.Fatalf("whole: %v, want %v", got == a, c.whole)
-			}
-		})
-	}
-}
-
+// waitingAttempt is an attempt that has not started, of a request that the gateway does not know.
 func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
-	return &attempt{req: &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}, out: 1}, be: g.backends[id], stop: g.now + time.Hour}
+	r := &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}}
+	return g.newAttempt(r, g.pool.Endpoint(id), g.now+time.Hour)
 }
 
-// A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
-// the way. A copy that waits for a connection for longer must not be written any more: it never ran.
-func TestWaitForConnectionEnds(t *testing.T) {
-	g := idleGateway(t, newBackend(t, nil).addr)
-	g.mostConns = 0
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	g.now += g.net.ConnectTimeout
-	g.ring()
-	if !a.ended || len(a.be.waiting) != 0 {
-		t.Fatal("the attempt still waits for a connection")
-	}
-}
-
-// An attempt that is known to be written whole ends the moment it is given up: a gateway that was busy once
-// failed the request before the connection's own word came.
-func TestWrittenAttemptEndsAtOnce(t *testing.T) {
-	be := newBackend(t, nil)
-	g := idleGateway(t, be.addr)
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	g.handle(<-g.events)
-	for len(be.seen()) < 1 || a.conn.whole.Load() != a {
-		time.Sleep(time.Millisecond)
-	}
-	g.giveUp(a, policy.TimedOut)
-	if !a.ended || g.queue[0].(policy.AttemptEnded).Outcome != policy.TimedOut {
-		t.Fatalf("ended: %v, told %v", a.ended, g.queue)
+// awaitConnected returns the next event, which must tell of a new connection to an endpoint.
+func awaitConnected(t *testing.T, g *Gateway) upstream.Connected {
+	t.Helper()
+	connected, ok := (<-g.events).(upstreamEvent).Event.(upstream.Connected)
+	if !ok {
+		t.Fatal("the next event does not tell of a connection")
 	}
+	return connected
 }
 
 // What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
@@ -374,28 +213,3 @@
 		t.Fatalf("%d requests abandoned", len(left))
 	}
 }
-
-// Backends come under ever new ids: one that is gone is forgotten as soon as its last connection is, though another may
-// have taken its address by then.
-func TestGoneBackendIsForgotten(t *testing.T) {
-	be := newBackend(t, func(int, []string, net.Conn) string { return served })
-	g := idleGateway(t, be.addr)
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	up := (<-g.events).(connUp)
-	g.handle(up)
-	a.req.final = true // answered while the attempt is out: nothing goes to a client here
-	f := fleetOf(be.addr, be.addr)
-	f.All, f.Targets[0].State = false, "DELETED"
-	g.handle(f)
-	if len(g.backends) != 2 {
-		t.Fatalf("%d backends while an attempt is out, want 2", len(g.backends))
-	}
-	g.handle(<-g.events) // the answer
-	g.now += restTime
-	g.ring()
-	g.handle(<-g.events) // the connection's end
-	if g.conns != 0 || g.backends["s1"] == nil {
-		t.Fatalf("%d connections, backends %v", g.conns, g.backends)
-	}
-}
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -345,14 +345,14 @@
 				t.Fatal("no attempt waits for a connection")
 			}
 			a := r.attempts[0]
-			up := (<-g.events).(connUp) // comes up, and is told of only after the request has ended
+			connected := awaitConnected(t, g) // handled only after the request has ended
 			over(g, r)
 			if now := name != "other answer"; a.ended != now {
 				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, now)
 			}
-			g.handle(up)
-			if !a.ended || up.c.cur != nil || len(up.c.work) > 0 {
-				t.Fatalf("ended %v, the connection carries %v", a.ended, up.c.cur)
+			g.handle(upstreamEvent{connected})
+			if !a.ended || !a.WaitsForConnection() {
+				t.Fatalf("ended %v, the connection carries it: %v", a.ended, !a.WaitsForConnection())
 			}
 			if g.heldBytes != 0 || len(g.requests) != 0 {
 				t.Fatalf("%d bytes, %d requests kept", g.heldBytes, len(g.requests))
@@ -460,25 +460,6 @@
 	}
 }
 
-// A second answer may come some milliseconds after the first: until then the connection takes nothing, or the next request
-// would be served with another's value.
-func TestConnectionRestsAfterAnAnswer(t *testing.T) {
-	g := idleGateway(t, newBackend(t, nil).addr)
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	g.handle(<-g.events)
-	a.req.final = true
-	g.handle(replied{a.conn, a, reply{outcome: policy.Succeeded, value: []byte("x"), keep: true}})
-	g.now += 10 * time.Millisecond
-	if g.ring(); len(a.be.idle) != 0 {
-		t.Fatal("free again at once")
-	}
-	g.now += restTime
-	if g.ring(); len(a.be.idle) != 1 {
-		t.Fatal("not free again")
-	}
-}
-
 // A connection that the backend has closed while it was idle is seen to be so, and the request goes on another.
 func TestClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 1)
@@ -504,46 +485,6 @@
 	}
 }
 
-// The same where the connection's own word of it has not been heard yet.
-func TestClosedJustAsItIsUsed(t *testing.T) {
-	leave, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
-	g := idleGateway(t, listen(t, func(nc net.Conn) {
-		<-leave
-		nc.Close()
-		closed <- struct{}{}
-	}))
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	up := (<-g.events).(connUp)
-	g.unwait(a)
-	if g.handle(up); len(a.be.idle) != 1 {
-		t.Fatal("not idle")
-	}
-	leave <- struct{}{}
-	<-closed
-	t.Cleanup(func() { close(leave) })
-	if g.place(a); a.conn != nil || len(a.be.waiting) != 1 {
-		t.Fatal("written to a connection that is closed")
-	}
-}
-
-// A connection that has been idle for long is not used, also where the time in the settings is shorter than between two
-// looks at the idle ones.
-func TestOldIdleConnectionIsNotUsed(t *testing.T) {
-	be := named(t, "a")
-	g := idleGateway(t, be.addr)
-	g.net.Idle = 300 * time.Millisecond
-	a := waitingAttempt(g, "s0")
-	g.place(a)
-	up := (<-g.events).(connUp)
-	g.unwait(a)
-	g.handle(up)
-	g.now += 250 * time.Millisecond
-	if g.place(a); a.conn != nil || len(a.be.waiting) != 1 {
-		t.Fatal("written to a connection that the machine is about to close")
-	}
-}
-
 // Each command has its own time to end: a client that goes on sending was once cut off for the first half command in a row.
 func TestEachCommandHasItsTime(t *testing.T) {
 	near, far := net.Pipe()
@@ -593,15 +534,15 @@
 	sent := newClientRequest(g, c, 1, 0)
 	sent.Class = "write"
 	r := takeIn(g, sent)
-	up := (<-g.events).(connUp) // told of only after the drain
+	connected := awaitConnected(t, g) // handled only after the drain
 	f := fleetOf(a.addr, b.addr)
 	f.Targets[0].State = "DRAINING"
 	g.handle(f)
-	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].be.ID != "s1" {
+	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].endpoint.ID != "s1" {
 		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
 	}
-	g.handle(up)
-	if up.c.cur != nil {
+	g.handle(upstreamEvent{connected})
+	if !r.attempts[0].WaitsForConnection() {
 		t.Fatal("sent to a backend that drains")
 	}
 }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -17,6 +17,7 @@
 
 	"lemontack/internal/resp"
 	"lemontack/internal/subset"
+	"lemontack/internal/upstream"
 	"lemontack/internal/wire"
 	"lemontack/policy"
 )
@@ -52,6 +53,12 @@
 	Connections                wire.Connections
 }
 
+// upstreamEvent is for the pool.
+type upstreamEvent struct{ upstream.Event }
+
+// maxUpstreamConnections is the share of an ingress's descriptors that may be connections to endpoints.
+func maxUpstreamConnections(cfg Config) int { return cfg.Sockets * 3 / 8 }
+
 // event is what the gateway's goroutine is told by the others.
 type event any
 
@@ -80,27 +87,23 @@
 	start   time.Time
 	epoch   time.Duration // start on the clock that all ingresses share
 
-	mod       *policy.Gateway
-	now       time.Duration
-	alarms    alarms
-	requests  map[policy.RequestID]*request
-	keys      map[uint64]bool // ids of requests whose time is not up, ended or not
-	lastID    policy.RequestID
-	endBy     time.Duration // of a shutdown; 0: none
-	backends  map[policy.EndpointID]*backend
-	sharers   float64 // ingresses that share a backend, as last told
-	heldBytes int     // bytes of their commands
-	conns     int     // to backends
-	starved   bool    // an attempt waits because of mostConns
-	actions   []policy.Action
-	queue     []policy.Event // for the module, from actions that ended at once
+	mod                 *policy.Gateway
+	now                 time.Duration
+	alarms              alarms
+	requests            map[policy.RequestID]*request
+	keys                map[uint64]bool // ids of requests whose time is not up, ended or not
+	lastID              policy.RequestID
+	endBy               time.Duration // of a shutdown; 0: none
+	pool                *upstream.Pool
+	gatewaysPerEndpoint float64 // as last told
+	heldBytes           int     // bytes of their commands
+	actions             []policy.Action
+	queue               []policy.Event // for the module, from actions that ended at once
 
-	mostConns  int                // of conns
-	mostHeld   int                // of heldBytes
-	mostUnits  float64            // of one request
-	mostTries  int                // attempts of one request
-	turnedAway []byte             // the answer to what is not taken
-	frames     *resp.MemoryBudget // memory of answers that are coming in
+	mostHeld   int     // of heldBytes
+	mostUnits  float64 // of one request
+	mostTries  int     // attempts of one request
+	turnedAway []byte  // the answer to what is not taken
 }
 
 // New checks the configuration and returns an ingress that does not run yet.
@@ -139,9 +142,9 @@
 	g := &Gateway{cfg: cfg, net: cfg.Connections, log: log, observe: newObserver(log), holdUps: newHoldUps(start), classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), ready: make(chan struct{}), start: start,
 		epoch: time.Duration(start.UnixNano()), mod: mod, requests: map[policy.RequestID]*request{},
-		keys: map[uint64]bool{}, backends: map[policy.EndpointID]*backend{}, mostConns: cfg.Sockets * 3 / 8,
+		keys:     map[uint64]bool{},
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
-		frames: resp.NewMemoryBudget(cfg.Memory / memoryShare), mostTries: max(cfg.Settings.MaxAttempts, 1),
+		mostTries:  max(cfg.Settings.MaxAttempts, 1),
 		turnedAway: busy(min(busyAdvice, cfg.Settings.MaxRetryAfter))}
 	for _, c := range cfg.Settings.Classes {
 		g.classes[c.Name] = c
@@ -149,6 +152,16 @@
 	for _, p := range cfg.Settings.Plans {
 		g.plans[p.Name] = true
 	}
+	g.pool = upstream.NewPool(upstream.Config{
+		Now:            func() time.Duration { return g.now },
+		After:          g.after,
+		Post:           func(ev upstream.Event) { g.post(upstreamEvent{ev}) },
+		Go:             g.spawn,
+		MaxConnections: maxUpstreamConnections(cfg),
+		ConnectTimeout: cfg.Connections.ConnectTimeout,
+		IdleTimeout:    cfg.Connections.Idle,
+		ReplyMemory:    resp.NewMemoryBudget(cfg.Memory / memoryShare),
+	})
 	g.listen = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
 	g.counter = newCounter(cfg.Counter, cfg.Settings.CounterTimeout, g.post)
 	g.disc = newDiscovery(cfg.Discovery, cfg.Known.Rev,
@@ -202,7 +215,7 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	f := newFront(ln, g, g.cfg.Sockets-g.mostConns-spare, g.cfg.Memory/memoryShare)
+	f := newFront(ln, g, g.cfg.Sockets-maxUpstreamConnections(g.cfg)-spare, g.cfg.Memory/memoryShare)
 	g.spawn(func(context.Context) { f.accept() })
 	g.spawn(f.tidy)
 	g.addr = ln.Addr()
@@ -303,7 +316,7 @@
 }
 
 func (g *Gateway) checkIdle() {
-	g.retireIdle()
+	g.pool.RetireIdle()
 	g.after(idleCheck, g.checkIdle)
 }
 
@@ -317,16 +330,12 @@
 				g.abandon(r)
 			}
 		}
-	case connUp:
-		g.connUp(ev)
-	case connDown:
-		g.connDown(ev)
-	case replied:
-		g.replied(ev)
+	case upstreamEvent:
+		g.pool.HandleEvent(ev.Event)
 	case counted:
 		g.counted(ev)
 	case Fleet:
-		g.fleet(ev)
+		g.updateEndpoints(ev)
 	case ending:
 		g.endBy = ev.by
 		g.at(ev.by, func() {
@@ -359,7 +368,7 @@
 		g.send(a)
 	case policy.Cancel:
 		if r := g.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			g.giveUp(r.attempts[a.Attempt], policy.Cancelled)
+			g.pool.Abort(r.attempts[a.Attempt].Attempt, policy.Cancelled)
 		}
 	case policy.Reject:
 		g.refused(a)
@@ -370,15 +379,11 @@
 	case policy.IncrementCounter:
 		g.count(a)
 	case policy.CheckHealth:
-		g.probe(a.Endpoint)
+		g.checkHealth(a.Endpoint)
 	case policy.CloseIdleConnections:
-		if be := g.backends[a.Endpoint]; be != nil {
-			for len(be.idle) > 0 {
-				g.closeIdle(be)
-			}
-		}
+		g.pool.CloseIdle(a.Endpoint)
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
-		g.tell(g.held())
+		g.tell(g.endpointList())
 	case policy.Log:
 		g.log.Info(a.Text)
 	default:
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -63,41 +63,42 @@
 	errRepeat   = errors.New("an earlier attempt may have run")
 )
 
-// mayBegin is the guard before each attempt: when the module sends it, and again when it is handed to a connection. It
-// returns nil, or one of the reasons above.
-func (g *Gateway) mayBegin(a *attempt) error {
-	r := a.req
+// checkStart returns nil, or one of the reasons above. It is asked when the policy sends an attempt, and again when the attempt
+// is given to a connection.
+func (a *attempt) checkStart() error {
+	g, r := a.gateway, a.request
 	switch {
-	case r == nil: // a probe
-		return nil
 	case r.final:
 		return errOver
 	case r.left():
 		return errLeft
-	case a.stop <= g.now:
+	case a.deadline <= g.now:
 		return errNoTime
-	case a.n >= g.mostTries:
+	case a.number >= g.mostTries:
 		return errTooMany
-	case a.be.State != policy.Serving:
+	case a.endpoint.State != policy.Serving:
 		return errNotRunning
 	}
-	return g.mayRepeat(a)
+	return a.checkRetry()
 }
 
-// mayRepeat checks an attempt against those before it that are out or may have run.
-func (g *Gateway) mayRepeat(a *attempt) error {
-	class := g.classes[a.req.Class]
-	for _, b := range a.req.attempts {
-		if b == a || b.ended && b.outcome.NotExecuted() {
+// checkRetry checks an attempt against those before it that are open or may have been executed.
+func (a *attempt) checkRetry() error {
+	g := a.gateway
+	class := g.classes[a.request.Class]
+	for _, earlier := range a.request.attempts {
+		if earlier == a || earlier.ended && earlier.outcome.NotExecuted() {
 			continue
 		}
 		switch {
-		case !b.ended && !g.cfg.Settings.Hedging:
+		case !earlier.ended && !g.cfg.Settings.Hedging:
 			return errParallel
 		case class.Idempotency == policy.Idempotent:
-		case class.Idempotency == policy.NonIdempotent || !class.DeduplicationScope.Shares(a.be.Endpoint, b.be.Endpoint):
+		case class.Idempotency == policy.NonIdempotent:
 			return errRepeat
-		case g.now+heldUpMost >= b.began+class.DeduplicationWindow:
+		case !class.DeduplicationScope.Shares(a.endpoint.Endpoint, earlier.endpoint.Endpoint):
+			return errRepeat
+		case g.now+heldUpMost >= earlier.startedAt+class.DeduplicationWindow:
 			return errWindow
 		}
 	}
@@ -115,37 +116,37 @@
 	return 0, false
 }
 
-// begins asks the guard. Where it denies, the attempt ends as one that was never sent.
-func (g *Gateway) begins(a *attempt) bool {
-	reason := g.mayBegin(a)
+// MayStart implements upstream.Command. It reports what would be a fault of the policy, and ends the request of a client that
+// has left.
+func (a *attempt) MayStart() bool {
+	reason := a.checkStart()
 	if reason == nil {
 		return true
 	}
+	g := a.gateway
 	if which, fault := isFault(reason); fault {
-		g.observe.violated(which, a.req.clientRequest, g.now, reason.Error())
+		g.observe.violated(which, a.request.clientRequest, g.now, reason.Error())
 	}
 	if errors.Is(reason, errLeft) {
-		g.abandon(a.req)
+		g.abandon(a.request)
 	}
-	g.end(a, policy.NotSent, reply{})
 	return false
 }
 
-// checkBegun checks an attempt against the rules as its first byte is about to be written, on the goroutine of its connection.
-// told is the time that the command tells the backend.
-func (g *Gateway) checkBegun(a *attempt, told time.Duration) {
-	r := a.req
-	if r == nil || r.slot == nil {
+// BeforeFirstByte implements upstream.Command: it checks the attempt against the rules on the goroutine of its connection.
+func (a *attempt) BeforeFirstByte(timeLimit time.Duration) {
+	g, r := a.gateway, a.request
+	if r.slot == nil {
 		return
 	}
 	now := g.clock(time.Now())
 	if left := r.leftAt(); left != 0 && now-left > leftMost {
 		g.observe.violated(ruleClientLeft, r.clientRequest, now, "it left "+(now-left).String()+" before")
 	}
-	if ended := time.Duration(a.be.endedAt.Load()); ended != 0 && now-ended > drainMost {
-		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-ended).String()+" before")
+	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > drainMost {
+		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-stopped).String()+" before")
 	}
-	if told > max(r.until-now, 0)+heldUpMost {
-		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+told.String())
+	if timeLimit > max(r.until-now, 0)+heldUpMost {
+		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+timeLimit.String())
 	}
 }
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
 
@@ -26,7 +27,7 @@
 		t.Fatal(err)
 	}
 	run(t, g)
-	g.backends["s1"].Cell = 1
+	g.pool.Endpoint("s1").Cell = 1
 	type past struct {
 		ended   bool
 		outcome policy.Outcome
@@ -41,12 +42,14 @@
 		want   error
 		fault  bool
 	}{
-		"first":                       {"write", nil, nil, 0, nil, false},
-		"over":                        {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
-		"left":                        {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
-		"no time":                     {"read", func(_ *request, a *attempt) { a.stop = g.now }, nil, 0, errNoTime, false},
-		"drains":                      {"read", func(_ *request, a *attempt) { a.be = &backend{Endpoint: policy.Endpoint{State: policy.Draining}} }, nil, 0, errNotRunning, false},
-		"too many":                    {"read", func(_ *request, a *attempt) { a.n = 3 }, nil, 0, errTooMany, true},
+		"first":   {"write", nil, nil, 0, nil, false},
+		"over":    {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
+		"left":    {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
+		"no time": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTime, false},
+		"drains": {"read", func(_ *request, a *attempt) {
+			a.endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{State: policy.Draining}}
+		}, nil, 0, errNotRunning, false},
+		"too many":                    {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooMany, true},
 		"a copy":                      {"read", nil, []past{out}, 0, nil, false},
 		"unsafe, out":                 {"write", nil, []past{out}, 0, errRepeat, true},
 		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
@@ -61,15 +64,14 @@
 			r := &request{clientRequest: &clientRequest{slot: &slot{c: newClient(newFront(nil, g, 1, 1<<20), nil)}}}
 			r.Class = c.class
 			for i, b := range c.before {
-				r.attempts = append(r.attempts, &attempt{req: r, n: i, be: g.backends["s0"], began: g.now - c.ago, ended: b.ended,
-					outcome: b.outcome})
+				r.attempts = append(r.attempts, &attempt{gateway: g, request: r, number: i, endpoint: g.pool.Endpoint("s0"),
+					startedAt: g.now - c.ago, ended: b.ended, outcome: b.outcome})
 			}
-			a := &attempt{req: r, n: len(r.attempts), be: g.backends["s1"], began: g.now, stop: g.now + time.Minute}
-			r.attempts = append(r.attempts, a)
+			a := g.newAttempt(r, g.pool.Endpoint("s1"), g.now+time.Minute)
 			if c.change != nil {
 				c.change(r, a)
 			}
-			got := g.mayBegin(a)
+			got := a.checkStart()
 			if _, fault := isFault(got); !errors.Is(got, c.want) || fault != c.fault {
 				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
 			}
@@ -82,9 +84,10 @@
 	g := idleGateway(t, "127.0.0.1:1")
 	r := &request{clientRequest: &clientRequest{}}
 	r.Class = "read"
-	first, second := &attempt{req: r, be: g.backends["s0"]}, &attempt{req: r, n: 0, be: g.backends["s0"], stop: g.now + time.Minute}
-	r.attempts = []*attempt{first, second}
-	if err := g.mayBegin(second); !errors.Is(err, errParallel) {
+	g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
+	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
+	second.number = 0
+	if err := second.checkStart(); !errors.Is(err, errParallel) {
 		t.Fatal(err)
 	}
 }
@@ -92,12 +95,13 @@
 // What the guard denies as a fault of the module is counted, and the attempt ends unsent.
 func TestViolationsAreCounted(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	r := &request{clientRequest: &clientRequest{}, out: 2}
+	r := &request{clientRequest: &clientRequest{}}
 	r.Class = "write"
-	first := &attempt{req: r, be: g.backends["s0"], ended: true, outcome: policy.Reset}
-	second := &attempt{req: r, be: g.backends["s0"], stop: g.now + time.Minute}
-	r.attempts = []*attempt{first, second}
-	if g.begins(second) || !second.ended || second.outcome != policy.NotSent {
+	first := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
+	first.ended, first.outcome = true, policy.Reset
+	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
+	second.number = 0
+	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
 		t.Fatal("a request that may have run is sent again")
 	}
 	if n := g.observe.violations.Value(ruleRepeat); n != 1 {
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -202,7 +202,7 @@
 			cross: func(addr string) []event { return []event{fleetOf(addr)} }},
 		"a connection": {backend: true, before: func(g *Gateway, cross *[]event) {
 			g.handle(<-g.events)
-			*cross = append(*cross, <-g.events) // connUp
+			*cross = append(*cross, <-g.events) // it is open
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -256,7 +256,7 @@
 func (g *Gateway) carried() (n int) {
 	for _, r := range g.requests {
 		for _, a := range r.attempts {
-			if !a.ended && (a.conn != nil || !r.final) {
+			if !a.ended && (!a.WaitsForConnection() || !r.final) {
 				n++
 			}
 		}
@@ -332,50 +332,6 @@
 	}
 }
 
-// A command that a connection has been handed and has not begun to write is taken back, also where attempts may not be
-// called off and the connection has it in hand: it is none yet.
-func TestLeavesBeforeTheWrite(t *testing.T) {
-	for name, inHand := range map[string]bool{"handed": false, "in hand": true} {
-		t.Run(name, func(t *testing.T) {
-			g := idleGateway(t, newBackend(t, nil).addr)
-			near, far := net.Pipe()
-			be := g.backends["s0"]
-			c := &conn{be: be, addr: be.addr, nc: near, work: make(chan job, 1), dead: make(chan struct{}),
-				check: func(*attempt, time.Duration) {}}
-			r := &request{clientRequest: &clientRequest{args: make([][]byte, 4)}, out: 1}
-			a := &attempt{req: r, be: be, stop: g.now + time.Hour}
-			r.attempts = []*attempt{a}
-			g.write(c, a)
-			if inHand {
-				j := <-c.work
-				g.abandon(r)
-				c.work <- j
-			} else {
-				if g.abandon(r); len(c.work) != 0 {
-					t.Fatal("no room for the next command")
-				}
-			}
-			if !a.ended || c.cur != nil || len(be.idle) != 1 {
-				t.Fatalf("ended %v, the connection carries %v", a.ended, c.cur)
-			}
-			written := make(chan struct{})
-			go func() {
-				defer close(written)
-				c.write()
-			}()
-			next := waitingAttempt(g, "s0")
-			c.work <- job{a: next, buf: []byte("next")} // it goes on with the next one
-			got := make([]byte, 4)
-			if _, err := io.ReadFull(far, got); err != nil || string(got) != "next" {
-				t.Fatalf("%q is written, %v", got, err)
-			}
-			close(c.dead)
-			<-written
-			far.Close()
-		})
-	}
-}
-
 // leave ends a client's sending and returns once the ingress has ended the connection.
 func leave(t *testing.T, nc net.Conn, in *bufio.Reader) {
 	t.Helper()
--- a/internal/ingress/lists.go
+++ b/internal/ingress/lists.go
@@ -1,57 +1,30 @@
 package ingress
 
 import (
+	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
 
-// fleet takes over a list of backends, or changes of it.
-func (g *Gateway) fleet(f Fleet) {
-	g.sharers = f.Sharers
-	if !f.All && len(f.Targets) == 0 { // of backends that are not held
+// updateEndpoints takes over a list of endpoints, or changes of it.
+func (g *Gateway) updateEndpoints(list Fleet) {
+	g.gatewaysPerEndpoint = list.Sharers
+	if !list.All && len(list.Targets) == 0 { // changes of endpoints that are not kept
 		return
 	}
-	ev := policy.EndpointsChanged{Snapshot: f.All, GatewaysPerEndpoint: f.Sharers}
-	if f.All {
-		for _, be := range g.backends {
-			be.State = policy.Removed
-			be.noteState(g.now)
-		}
-	}
-	for _, t := range f.Targets {
-		s := t.server()
-		be := g.backends[s.ID]
-		if be == nil {
-			be = &backend{}
-			g.backends[s.ID] = be
-		}
-		be.Endpoint = s
-		be.noteState(g.now)
-		if s.State != policy.Removed {
-			be.addr = t.Endpoint
-		}
-		ev.Endpoints = append(ev.Endpoints, s)
-	}
-	g.retireIdle()
-	g.tell(ev)
-	for _, be := range g.backends {
-		for be.State != policy.Serving && len(be.waiting) > 0 { // nothing new goes there, so these go elsewhere now
-			a := be.waiting[0]
-			be.waiting = be.waiting[1:]
-			g.end(a, policy.NotSent, reply{})
-		}
-		g.drop(be)
+	changed := policy.EndpointsChanged{Snapshot: list.All, GatewaysPerEndpoint: list.Sharers}
+	updates := make([]upstream.EndpointUpdate, 0, len(list.Targets))
+	for _, target := range list.Targets {
+		endpoint := target.server()
+		changed.Endpoints = append(changed.Endpoints, endpoint)
+		updates = append(updates, upstream.EndpointUpdate{Endpoint: endpoint, Address: target.Endpoint})
 	}
+	g.tell(changed) // before the ends of the attempts that the update withdraws
+	g.pool.UpdateEndpoints(list.All, updates)
 }
 
-// held is the list as it stands.
-func (g *Gateway) held() policy.Event {
-	ev := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.sharers}
-	for _, be := range g.backends {
-		if be.State != policy.Removed {
-			ev.Endpoints = append(ev.Endpoints, be.Endpoint)
-		}
-	}
-	return ev
+// endpointList is the list as it stands, for the policy.
+func (g *Gateway) endpointList() policy.EndpointsChanged {
+	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
 
 func (g *Gateway) count(a policy.IncrementCounter) {
--- a/internal/ingress/members_test.go
+++ b/internal/ingress/members_test.go
@@ -68,7 +68,7 @@
 	f := fleetOf("127.0.0.1:9")
 	f.Sharers = 30
 	g.handle(f)
-	if ev := g.held().(policy.EndpointsChanged); ev.GatewaysPerEndpoint != 30 {
+	if ev := g.endpointList(); ev.GatewaysPerEndpoint != 30 {
 		t.Errorf("shared by %v, told 30", ev.GatewaysPerEndpoint)
 	}
 }
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -172,18 +172,20 @@
 	}
 }
 
-// attemptBegins traces the beginning of an attempt.
-func (o *observer) attemptBegins(a *attempt) {
+// attemptStarted traces the start of an attempt.
+func (o *observer) attemptStarted(a *attempt) {
 	if o.tracing {
-		o.log.Debug("attempt begins", "id", a.req.id(), "number", a.n, "server", a.be.ID, "left", a.stop-a.began)
+		o.log.Debug("attempt starts", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
+			"time_left", a.deadline-a.startedAt)
 	}
 }
 
 // attemptEnded counts and traces the end of an attempt.
-func (o *observer) attemptEnded(a *attempt, took time.Duration) {
+func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
 	o.outcomes.Add(a.outcome)
 	if o.tracing {
-		o.log.Debug("attempt ends", "id", a.req.id(), "number", a.n, "server", a.be.ID, "outcome", a.outcome, "took", took)
+		o.log.Debug("attempt ends", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
+			"outcome", a.outcome, "latency", latency)
 	}
 }
 
@@ -200,14 +202,14 @@
 	o.log.Warn(text, attrs...)
 }
 
-// String tells of an attempt for the log.
+// String describes an attempt for the log.
 func (a *attempt) String() string {
-	state := "out"
+	state := "open"
 	switch {
 	case a.ended:
 		state = a.outcome.String()
-	case a.conn == nil:
-		state = "waits for a connection"
+	case a.WaitsForConnection():
+		state = "waiting for a connection"
 	}
-	return fmt.Sprintf("%s +%v %s", a.be.ID, (a.began - a.req.readAt).Round(time.Millisecond), state)
+	return fmt.Sprintf("%s +%v %s", a.endpoint.ID, (a.startedAt - a.request.readAt).Round(time.Millisecond), state)
 }
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -7,9 +7,9 @@
 // request is a client's request that was taken, with its attempts.
 type request struct {
 	*clientRequest
-	attempts []*attempt
-	out      int  // attempts that have not ended
-	final    bool // it has had its final answer, or its client has left
+	attempts     []*attempt
+	openAttempts int  // that have not ended
+	final        bool // it has had its final answer, or its client has left
 }
 
 // arrived takes a request in, or turns it away.
@@ -91,14 +91,7 @@
 // not be sent any more, also where attempts that are out may not be called off.
 func (g *Gateway) unsend(r *request) {
 	for _, a := range r.attempts {
-		switch {
-		case a.ended:
-		case a.conn == nil:
-			g.unwait(a)
-			g.end(a, policy.NotSent, reply{})
-		case a.taken.CompareAndSwap(false, true):
-			g.takeBack(a)
-		}
+		g.pool.Withdraw(a.Attempt)
 	}
 }
 
@@ -130,7 +123,7 @@
 }
 
 func (g *Gateway) forget(r *request) {
-	if r.final && r.out == 0 && g.requests[r.ID] == r {
+	if r.final && r.openAttempts == 0 && g.requests[r.ID] == r {
 		g.heldBytes -= r.size
 		delete(g.requests, r.ID)
 		r.release() // its timer may hold it for seconds more
--- /dev/null
+++ b/internal/upstream/connection_test.go
@@ -0,0 +1,96 @@
+package upstream
+
+import (
+	"io"
+	"net"
+	"testing"
+)
+
+// An endpoint that answers what was not yet written to it must not block the event loop.
+func TestFullConnectionDoesNotBlockTheLoop(t *testing.T) {
+	pool, _ := newTestPool(t, nil, startServer(t, nil).address)
+	near, far := net.Pipe()
+	defer far.Close()
+	c := newConnection(pool.Endpoint("s0"), nil)
+	c.netConn = near
+	for range 2 {
+		attempt, _ := newTestAttempt(pool, "s0")
+		pool.assign(c, attempt)
+	}
+	if _, err := near.Write(nil); err == nil {
+		t.Fatal("the connection was kept")
+	}
+}
+
+// A command that was cut off before its last byte was not executed; one that was written whole may have been.
+func TestOnlyWholeCommandsCountAsWritten(t *testing.T) {
+	for name, c := range map[string]struct {
+		read  int
+		whole bool
+	}{"cut off": {3, false}, "whole": {9, true}} {
+		t.Run(name, func(t *testing.T) {
+			near, far := net.Pipe()
+			attempt := NewAttempt(&Endpoint{}, &testCommand{})
+			conn := newConnection(attempt.endpoint, nil)
+			conn.netConn = near
+			conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
+			written := make(chan struct{})
+			go func() {
+				defer close(written)
+				conn.write()
+			}()
+			io.ReadFull(far, make([]byte, c.read))
+			if c.whole {
+				close(conn.readEnded)
+			} else {
+				far.Close()
+			}
+			<-written
+			if got := conn.written.Load(); (got == attempt) != c.whole {
+				t.Fatalf("whole: %v, want %v", got == attempt, c.whole)
+			}
+		})
+	}
+}
+
+// An attempt that a connection has been given and has not begun to write is withdrawn, also where the connection has received
+// it: nothing of it was sent, and the connection goes on with the next one.
+func TestWithdrawnBeforeTheWriteIsNotSent(t *testing.T) {
+	for name, received := range map[string]bool{"assigned": false, "received": true} {
+		t.Run(name, func(t *testing.T) {
+			pool, _ := newTestPool(t, nil, startServer(t, nil).address)
+			near, far := net.Pipe()
+			endpoint := pool.Endpoint("s0")
+			c := newConnection(endpoint, nil)
+			c.netConn = near
+			attempt, _ := newTestAttempt(pool, "s0")
+			pool.assign(c, attempt)
+			if received {
+				next := <-c.assignments
+				pool.Withdraw(attempt)
+				c.assignments <- next
+			} else {
+				if pool.Withdraw(attempt); len(c.assignments) != 0 {
+					t.Fatal("no room for the next command")
+				}
+			}
+			if !attempt.ended || c.current != nil || len(endpoint.idle) != 1 {
+				t.Fatalf("ended %v, the connection carries %v", attempt.ended, c.current)
+			}
+			written := make(chan struct{})
+			go func() {
+				defer close(written)
+				c.write()
+			}()
+			next, _ := newTestAttempt(pool, "s0")
+			c.assignments <- assignment{next, EncodedCommand{Frame: []byte("next")}}
+			got := make([]byte, 4)
+			if _, err := io.ReadFull(far, got); err != nil || string(got) != "next" {
+				t.Fatalf("%q is written, %v", got, err)
+			}
+			close(c.readEnded)
+			<-written
+			far.Close()
+		})
+	}
+}
--- /dev/null
+++ b/internal/upstream/idle.go
@@ -0,0 +1,47 @@
+package upstream
+
+import "lemontack/policy"
+
+// isStale reports whether the endpoint is about to close an idle connection: a command that crossed that would be a reset, and
+// may not be sent again.
+func (pool *Pool) isStale(c *connection) bool {
+	return pool.config.Now()-c.idleSince > pool.config.IdleTimeout*2/3
+}
+
+// RetireIdle closes the idle connections that are stale or lead to where nothing is to be sent any more.
+func (pool *Pool) RetireIdle() {
+	for _, endpoint := range pool.endpoints {
+		for len(endpoint.idle) > 0 && pool.mustRetire(endpoint.idle[0]) {
+			endpoint.closeOldestIdle()
+		}
+	}
+}
+
+func (pool *Pool) mustRetire(c *connection) bool {
+	return c.endpoint.State != policy.Serving || c.address != c.endpoint.address || pool.isStale(c)
+}
+
+// CloseIdle closes the idle connections of one endpoint.
+func (pool *Pool) CloseIdle(id policy.EndpointID) {
+	if endpoint := pool.endpoints[id]; endpoint != nil {
+		endpoint.closeAllIdle()
+	}
+}
+
+// closeOldestIdle makes room for a new connection. It reports false where no connection is idle.
+func (pool *Pool) closeOldestIdle() bool {
+	var oldest *Endpoint
+	for _, endpoint := range pool.endpoints {
+		if len(endpoint.idle) == 0 {
+			continue
+		}
+		if oldest == nil || endpoint.idle[0].idleSince < oldest.idle[0].idleSince {
+			oldest = endpoint
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	oldest.closeOldestIdle()
+	return true
+}
