--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -42,7 +42,7 @@
 
 // send carries out the policy's Send action.
 func (g *Gateway) send(action policy.Send) {
-	r := g.requests[action.ID]
+	r := g.requests.open[action.ID]
 	if r == nil {
 		return
 	}
@@ -57,6 +57,14 @@
 	g.startAttempt(g.newAttempt(r, endpoint, deadline))
 }
 
+// cancelAttempt carries out the policy's Cancel action.
+func (g *Gateway) cancelAttempt(action policy.Cancel) {
+	r := g.requests.open[action.ID]
+	if r != nil && action.Attempt < len(r.attempts) {
+		g.pool.Abort(r.attempts[action.Attempt].Attempt, policy.Cancelled)
+	}
+}
+
 // startAttempt starts an attempt if it may start; otherwise it ends as not sent.
 func (g *Gateway) startAttempt(a *attempt) {
 	if !a.MayStart() {
@@ -103,15 +111,15 @@
 	latency := g.now - a.startedAt
 	g.observe.attemptEnded(a, latency)
 	if a.outcome == policy.Succeeded && !r.final {
-		g.noteLate(r)
+		g.checkAnswerTime(r)
 		r.final = true
 		g.observe.requestEnded(r, requestsServed)
 		r.respond(redcon.AppendBulk(make([]byte, 0, len(reply.Value)+16), reply.Value))
 	}
 	r.openAttempts--
 	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Outcome: a.outcome, Latency: latency,
-		RequestFinished: r.final, SettledUnits: min(reply.SettledUnits, g.mostUnits), LoadReport: reply.LoadReport})
-	g.forget(r)
+		RequestFinished: r.final, SettledUnits: min(reply.SettledUnits, g.maxUnits), LoadReport: reply.LoadReport})
+	g.requests.removeIfOver(r)
 }
 
 // healthCheck is the upstream.Command that asks an endpoint for its load.
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -118,7 +118,7 @@
 		close(g.stopped)
 		g.spawned.Wait()
 	})
-	g.known()
+	g.applyKnownEndpoints()
 }
 
 // A drain counts from when it was told: what waited for a connection then is not written any more. The module hears so at
@@ -185,7 +185,7 @@
 // awaitConnected returns the next event, which must tell of a new connection to an endpoint.
 func awaitConnected(t *testing.T, g *Gateway) upstream.Connected {
 	t.Helper()
-	connected, ok := (<-g.events).(upstreamEvent).Event.(upstream.Connected)
+	connected, ok := (<-g.events).(upstreamEvent).event.(upstream.Connected)
 	if !ok {
 		t.Fatal("the next event does not tell of a connection")
 	}
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -207,14 +207,14 @@
 func TestMostHeld(t *testing.T) {
 	g := idleGateway(t, newBackend(t, nil).addr)
 	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	first := newClientRequest(g, c, 1, g.mostHeld-1000)
-	second := newClientRequest(g, c, 2, g.mostHeld-1000)
+	first := newClientRequest(g, c, 1, g.requests.maxCommandBytes-1000)
+	second := newClientRequest(g, c, 2, g.requests.maxCommandBytes-1000)
 	taken := takeIn(g, first)
 	if taken == nil || taken.final || takeIn(g, second) != nil || string(second.slot.reply) != "-BUSY\r\n" {
 		t.Fatalf("first taken: %v; second answered %q", taken, second.slot.reply)
 	}
 	g.handle(abandoned{[]*clientRequest{first}})
-	third := newClientRequest(g, c, 3, g.mostHeld-1000)
+	third := newClientRequest(g, c, 3, g.requests.maxCommandBytes-1000)
 	if taken := takeIn(g, third); taken == nil || taken.final {
 		t.Fatalf("third answered %q after the first had ended", third.slot.reply)
 	}
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"container/heap"
 	"context"
 	"io"
 	"net"
@@ -174,8 +173,8 @@
 				}
 			}
 			g.now += g.cfg.Settings.CounterTimeout
-			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
-				heap.Pop(&g.alarms).(alarm).ring()
+			for do := g.timers.popDue(g.now); do != nil && len(g.queue) == 0; do = g.timers.popDue(g.now) {
+				do()
 			}
 			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
 				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -325,7 +325,7 @@
 func TestOverRequestIsNotSent(t *testing.T) {
 	for name, over := range map[string]func(g *Gateway, r *request){
 		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*clientRequest{r.clientRequest}}) },
-		"out of time":  func(g *Gateway, r *request) { g.cutOff(r) },
+		"out of time":  func(g *Gateway, r *request) { g.failOverdue(r) },
 		"other answer": func(_ *Gateway, r *request) { r.final = true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -354,8 +354,8 @@
 			if !a.ended || !a.WaitsForConnection() {
 				t.Fatalf("ended %v, the connection carries it: %v", a.ended, !a.WaitsForConnection())
 			}
-			if g.heldBytes != 0 || len(g.requests) != 0 {
-				t.Fatalf("%d bytes, %d requests kept", g.heldBytes, len(g.requests))
+			if g.requests.commandBytes != 0 || len(g.requests.open) != 0 {
+				t.Fatalf("%d bytes, %d requests kept", g.requests.commandBytes, len(g.requests.open))
 			}
 		})
 	}
@@ -366,8 +366,8 @@
 	for longest, kill := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
-		got := endTime([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
-		if got+goodbye >= kill || got < kill/2 || got < graceOpen {
+		got := timeToLastAnswer([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
+		if got+connectionsGrace >= kill || got < kill/2 || got < shutdownGrace {
 			t.Errorf("longest deadline %v: all answered after %v, SIGKILL comes after %v", longest, got, kill)
 		}
 	}
@@ -433,13 +433,13 @@
 	first := takeIn(g, newClientRequest(g, c, 1, 0))
 	waits := first.attempts // for a connection
 	by := g.now + time.Second
-	g.handle(ending{by})
+	g.handle(shutdownEvent{by})
 	second := newClientRequest(g, c, 2, 0)
 	if taken := takeIn(g, second); taken == nil || taken.final || second.Deadline != by {
 		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
 	}
 	g.now = by
-	g.ring()
+	g.runTimers()
 	third := newClientRequest(g, c, 3, 0)
 	if taken := takeIn(g, third); !first.final || taken != nil || string(third.slot.reply) != "-BUSY\r\n" {
 		t.Fatalf("first answered: %v; third %q", first.final, third.slot.reply)
--- a/internal/ingress/lists.go
+++ b/internal/ingress/endpoints.go
@@ -1,6 +1,8 @@
 package ingress
 
 import (
+	"time"
+
 	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
@@ -22,28 +24,15 @@
 	g.pool.UpdateEndpoints(list.All, updates)
 }
 
+// applyKnownEndpoints takes over the list that the configuration brought; the policy is told before anything else.
+func (g *Gateway) applyKnownEndpoints() {
+	g.now = g.clock(time.Now())
+	g.cfg.Known.All = true
+	g.handle(g.disc.known.news(g.cfg.Known))
+	g.cfg.Known.Targets = nil // a long list is not kept twice
+}
+
 // endpointList is the list as it stands, for the policy.
 func (g *Gateway) endpointList() policy.EndpointsChanged {
 	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
-
-func (g *Gateway) count(a policy.IncrementCounter) {
-	k := &call{name: a.Name, add: a.Add, keep: a.Keep}
-	g.counter.add(k)
-	g.after(g.cfg.Settings.CounterTimeout, func() {
-		if k.state.CompareAndSwap(callQueued, callDropped) {
-			g.counted(counted{call: k, outcome: policy.ConnectFailed}) // never written, and never will be
-			return
-		}
-		g.counted(counted{call: k, outcome: policy.TimedOut})
-	})
-}
-
-// counted passes a call's reply on, once: an answer after the time-out is dropped.
-func (g *Gateway) counted(ev counted) {
-	if ev.call.ended {
-		return
-	}
-	ev.call.ended = true
-	g.tell(policy.CounterReply{Name: ev.call.name, Outcome: ev.outcome, Total: ev.total})
-}
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -295,5 +295,5 @@
 // takeIn brings a request to the gateway; it returns nil where the gateway turned it away.
 func takeIn(g *Gateway, r *clientRequest) *request {
 	g.handle(arrived{r})
-	return g.requests[r.ID]
+	return g.requests.open[r.ID]
 }
--- /dev/null
+++ b/internal/ingress/invariants.go
@@ -0,0 +1,166 @@
+package ingress
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"lemontack/internal/telemetry"
+	"lemontack/policy"
+)
+
+// rule numbers the invariants that the program checks while it runs. A count other than 0 is a fault of the program.
+type rule int
+
+const (
+	ruleFinalAnswer rule = iota // a request that was read gets its final answer
+	ruleOneAnswer               // and only one
+	ruleInTime                  // at the latest maxAnswerDelay after its client's deadline
+	ruleStart                   // attempts start only for an open request, within their number, and in parallel only with hedging
+	ruleRetry                   // what may have been executed is retried only where its class allows it
+	ruleClientLeft              // no attempt starts maxStartAfterLeave after its client left
+	ruleDrain                   // none starts maxStartAfterDrain after its endpoint was told to drain
+	ruleDeadline                // none tells its endpoint more time than its client has left
+)
+
+// Delays that a rule allows, for events that cross.
+const (
+	maxAnswerDelay     = 500 * time.Millisecond
+	maxStartAfterLeave = 100 * time.Millisecond
+	maxStartAfterDrain = time.Second
+)
+
+// newViolations returns the counters of the rules; their names are those in the log.
+func newViolations() *telemetry.Counters[rule] {
+	return telemetry.NewCounters[rule]("final_answer", "one_answer", "in_time", "start", "retry", "client_left", "drain",
+		"deadline")
+}
+
+// violated counts a broken rule and logs what is known of the request.
+func (o *observer) violated(which rule, r *clientRequest, now time.Duration, reason string) {
+	o.violations.Add(which)
+	if ok, _ := o.anomalies.Allow(time.Now()); !ok {
+		return
+	}
+	o.log.Error("rule broken", "rule", o.violations.Name(which), "reason", reason, "request", r.describe(now))
+}
+
+// describe is what is known of a request, for the log.
+func (r *clientRequest) describe(now time.Duration) slog.Value {
+	return slog.GroupValue(slog.String("request_id", r.id()), slog.String("client", r.remote()), slog.String("class", r.Class),
+		slog.String("customer", r.Customer), slog.Duration("age", now-r.readAt), slog.Duration("timeout", r.until-r.readAt))
+}
+
+// checkAnswerTime reports a final answer that is given after the client's deadline.
+func (g *Gateway) checkAnswerTime(r *request) {
+	due := max(r.until, g.epoch+g.holdUps.last()) // nothing is answered while the process is stalled
+	if g.now > due+maxAnswerDelay {
+		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
+	}
+	if g.now > r.until && r.until > r.readAt { // else it was late when it came
+		g.observe.requests.Add(requestsLate)
+		g.observe.anomaly(r, "answered after the client's deadline", g.now)
+	}
+}
+
+// Reasons for which an attempt may not start now. Those of the first group come up in good order, where an event crosses the
+// policy's decision; those of the second would be faults of the policy.
+var (
+	errRequestOver         = errors.New("the request is over")
+	errClientLeft          = errors.New("the client has left")
+	errNoTimeLeft          = errors.New("no time is left")
+	errEndpointNotServing  = errors.New("the endpoint is draining or removed")
+	errDeduplicationWindow = errors.New("the deduplication window is over")
+
+	errTooManyAttempts = errors.New("the request has had all its attempts")
+	errParallelAttempt = errors.New("another attempt is open, and hedging is off")
+	errMayBeExecuted   = errors.New("an earlier attempt may have been executed")
+)
+
+// checkStart returns nil, or one of the reasons above. It is asked when the policy sends an attempt, and again when the attempt
+// is given to a connection.
+func (a *attempt) checkStart() error {
+	g, r := a.gateway, a.request
+	switch {
+	case r.final:
+		return errRequestOver
+	case r.left():
+		return errClientLeft
+	case a.deadline <= g.now:
+		return errNoTimeLeft
+	case a.number >= g.maxAttempts:
+		return errTooManyAttempts
+	case a.endpoint.State != policy.Serving:
+		return errEndpointNotServing
+	}
+	return a.checkRetry()
+}
+
+// checkRetry checks an attempt against those before it that are open or may have been executed.
+func (a *attempt) checkRetry() error {
+	g := a.gateway
+	class := g.classes[a.request.Class]
+	for _, earlier := range a.request.attempts {
+		if earlier == a || earlier.ended && earlier.outcome.NotExecuted() {
+			continue
+		}
+		switch {
+		case !earlier.ended && !g.cfg.Settings.Hedging:
+			return errParallelAttempt
+		case class.Idempotency == policy.Idempotent:
+		case class.Idempotency == policy.NonIdempotent:
+			return errMayBeExecuted
+		case !class.DeduplicationScope.Shares(a.endpoint.Endpoint, earlier.endpoint.Endpoint):
+			return errMayBeExecuted
+		case g.now+heldUpMost >= earlier.startedAt+class.DeduplicationWindow:
+			return errDeduplicationWindow
+		}
+	}
+	return nil
+}
+
+// brokenRule returns the rule that a reason for not starting would break, and false where the reason is no fault of the policy.
+func brokenRule(reason error) (rule, bool) {
+	switch {
+	case errors.Is(reason, errTooManyAttempts), errors.Is(reason, errParallelAttempt):
+		return ruleStart, true
+	case errors.Is(reason, errMayBeExecuted):
+		return ruleRetry, true
+	}
+	return 0, false
+}
+
+// MayStart implements upstream.Command. It reports what would be a fault of the policy, and ends the request of a client that
+// has left.
+func (a *attempt) MayStart() bool {
+	reason := a.checkStart()
+	if reason == nil {
+		return true
+	}
+	g := a.gateway
+	if which, broken := brokenRule(reason); broken {
+		g.observe.violated(which, a.request.clientRequest, g.now, reason.Error())
+	}
+	if errors.Is(reason, errClientLeft) {
+		g.clientLeft(a.request)
+	}
+	return false
+}
+
+// BeforeFirstByte implements upstream.Command: it checks the attempt against the rules on the goroutine of its connection.
+func (a *attempt) BeforeFirstByte(timeLimit time.Duration) {
+	g, r := a.gateway, a.request
+	if r.slot == nil {
+		return
+	}
+	now := g.clock(time.Now())
+	if left := r.leftAt(); left != 0 && now-left > maxStartAfterLeave {
+		g.observe.violated(ruleClientLeft, r.clientRequest, now, "it left "+(now-left).String()+" before")
+	}
+	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
+		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-stopped).String()+" before")
+	}
+	if timeLimit > max(r.until-now, 0)+heldUpMost {
+		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+timeLimit.String())
+	}
+}
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/invariants_test.go
@@ -43,21 +43,21 @@
 		fault  bool
 	}{
 		"first":   {"write", nil, nil, 0, nil, false},
-		"over":    {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errOver, false},
-		"left":    {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errLeft, false},
-		"no time": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTime, false},
+		"over":    {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
+		"left":    {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errClientLeft, false},
+		"no time": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
 		"drains": {"read", func(_ *request, a *attempt) {
 			a.endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{State: policy.Draining}}
-		}, nil, 0, errNotRunning, false},
-		"too many":                    {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooMany, true},
+		}, nil, 0, errEndpointNotServing, false},
+		"too many":                    {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooManyAttempts, true},
 		"a copy":                      {"read", nil, []past{out}, 0, nil, false},
-		"unsafe, out":                 {"write", nil, []past{out}, 0, errRepeat, true},
-		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
+		"unsafe, out":                 {"write", nil, []past{out}, 0, errMayBeExecuted, true},
+		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errMayBeExecuted, true},
 		"unsafe, never ran":           {"write", nil, []past{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
 		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
-		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errWindow, false},
-		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errWindow, false},
-		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errRepeat, true},
+		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errDeduplicationWindow, false},
+		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - heldUpMost, errDeduplicationWindow, false},
+		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errMayBeExecuted, true},
 		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 				c.change(r, a)
 			}
 			got := a.checkStart()
-			if _, fault := isFault(got); !errors.Is(got, c.want) || fault != c.fault {
+			if _, fault := brokenRule(got); !errors.Is(got, c.want) || fault != c.fault {
 				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
 			}
 		})
@@ -87,7 +87,7 @@
 	g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
-	if err := second.checkStart(); !errors.Is(err, errParallel) {
+	if err := second.checkStart(); !errors.Is(err, errParallelAttempt) {
 		t.Fatal(err)
 	}
 }
@@ -104,7 +104,7 @@
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
 		t.Fatal("a request that may have run is sent again")
 	}
-	if n := g.observe.violations.Value(ruleRepeat); n != 1 {
+	if n := g.observe.violations.Value(ruleRetry); n != 1 {
 		t.Fatalf("%d violations counted", n)
 	}
 }
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -242,11 +242,11 @@
 					t.Fatalf("%T: an attempt begins", ev)
 				}
 			}
-			if c.before == nil && g.lastID != 0 {
+			if c.before == nil && g.requests.lastID != 0 {
 				t.Fatal("the module is told of a request that nobody waits for")
 			}
-			if len(g.requests) != 0 || g.heldBytes != 0 {
-				t.Fatalf("%d requests of %d bytes kept", len(g.requests), g.heldBytes)
+			if len(g.requests.open) != 0 || g.requests.commandBytes != 0 {
+				t.Fatalf("%d requests of %d bytes kept", len(g.requests.open), g.requests.commandBytes)
 			}
 		})
 	}
@@ -254,7 +254,7 @@
 
 // carried is the number of attempts that wait for a connection of which no word is queued, or are on one.
 func (g *Gateway) carried() (n int) {
-	for _, r := range g.requests {
+	for _, r := range g.requests.open {
 		for _, a := range r.attempts {
 			if !a.ended && (!a.WaitsForConnection() || !r.final) {
 				n++
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -17,27 +16,6 @@
 	anomalySpan      = time.Second
 )
 
-// requestCount numbers the counters of what became of clients' requests.
-type requestCount int
-
-const (
-	requestsRead       requestCount = iota // whole and well formed
-	requestsExpired                        // had no time left when they were read
-	requestsTurnedAway                     // refused by the network code: no place, shutdown, a connection that is closing
-	requestsDuplicate                      // their id was taken
-	requestsRefused                        // by the decision module
-	requestsFailed                         // by the decision module
-	requestsServed
-	requestsCutOff    // left unanswered by the module until their time was up
-	requestsAbandoned // their client left before the answer
-	requestsLate      // answered after the client's time
-)
-
-func newRequestCounters() *telemetry.Counters[requestCount] {
-	return telemetry.NewCounters[requestCount]("read", "expired", "turned_away", "duplicate_id", "refused", "failed", "served",
-		"cut_off", "abandoned", "late")
-}
-
 // faultKind numbers the kinds of input that no client should send.
 type faultKind int
 
@@ -82,7 +60,7 @@
 	faults     *telemetry.Counters[faultKind]
 	closes     *telemetry.Counters[closeReason]
 	outcomes   *telemetry.Counters[policy.Outcome]
-	heldUp     atomic.Int64 // hold-ups of the process
+	stalls     atomic.Int64 // of the process
 	violations *telemetry.Counters[rule]
 	anomalies  *telemetry.Limiter
 }
@@ -118,7 +96,7 @@
 
 func (o *observer) writeCounters(text string) {
 	o.log.Info(text, "requests", o.requests, "attempts", o.outcomes, "faults", o.faults, "closes", o.closes,
-		"held up", o.heldUp.Load(), "violations", o.violations)
+		"stalls", o.stalls.Load(), "violations", o.violations)
 }
 
 // connectionClosed counts and traces the end of a client's connection. Requests without an answer were abandoned by their
@@ -148,68 +126,10 @@
 	}
 }
 
-// wasHeldUp counts and writes that the process did not run for a while.
-func (o *observer) wasHeldUp(gap time.Duration) {
-	o.heldUp.Add(1)
+// stalled counts and logs that the process did not run for a while.
+func (o *observer) stalled(duration time.Duration) {
+	o.stalls.Add(1)
 	if ok, _ := o.anomalies.Allow(time.Now()); ok {
-		o.log.Warn("the process was held up", "for", gap)
-	}
-}
-
-// turnedAway counts and traces a request that the network code refuses.
-func (o *observer) turnedAway(r *clientRequest, why string) {
-	o.requests.Add(requestsTurnedAway)
-	if o.tracing {
-		o.log.Debug("request turned away", "id", r.id(), "client", r.remote(), "reason", why)
-	}
-}
-
-// requestEnded counts and traces the end of a request.
-func (o *observer) requestEnded(r *request, how requestCount) {
-	o.requests.Add(how)
-	if o.tracing {
-		o.log.Debug("request ends", "id", r.id(), "client", r.remote(), "how", o.requests.Name(how), "attempts", r.attempts)
-	}
-}
-
-// attemptStarted traces the start of an attempt.
-func (o *observer) attemptStarted(a *attempt) {
-	if o.tracing {
-		o.log.Debug("attempt starts", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
-			"time_left", a.deadline-a.startedAt)
-	}
-}
-
-// attemptEnded counts and traces the end of an attempt.
-func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
-	o.outcomes.Add(a.outcome)
-	if o.tracing {
-		o.log.Debug("attempt ends", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
-			"outcome", a.outcome, "latency", latency)
-	}
-}
-
-// anomaly writes what is known of a request with which something went wrong.
-func (o *observer) anomaly(r *request, text string, now time.Duration) {
-	ok, suppressed := o.anomalies.Allow(time.Now())
-	if !ok {
-		return
-	}
-	attrs := []any{"request", r.describe(now), "attempts", r.attempts}
-	if suppressed > 0 {
-		attrs = append(attrs, "suppressed before", suppressed)
-	}
-	o.log.Warn(text, attrs...)
-}
-
-// String describes an attempt for the log.
-func (a *attempt) String() string {
-	state := "open"
-	switch {
-	case a.ended:
-		state = a.outcome.String()
-	case a.WaitsForConnection():
-		state = "waiting for a connection"
+		o.log.Warn("process stalled", "duration", duration)
 	}
-	return fmt.Sprintf("%s +%v %s", a.endpoint.ID, (a.startedAt - a.request.readAt).Round(time.Millisecond), state)
 }
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -129,7 +129,7 @@
 		return nil, errors.New("field d or first is missing")
 	case spread == 0 || spread > uint64(g.cfg.Settings.GatewayCount) || first >= uint64(g.cfg.Settings.GatewayCount):
 		return nil, errors.New("there is no such set of gateways")
-	case !(r.Units > 0) || r.Units > g.mostUnits:
+	case !(r.Units > 0) || r.Units > g.maxUnits:
 		return nil, errors.New("field units is missing or out of range")
 	}
 	// The module takes a customer's plan and set from the first request that names it, so only what can be true
--- a/internal/ingress/reader.go
+++ b/internal/ingress/reader.go
@@ -317,8 +317,8 @@
 	}
 	c.observe().requests.Add(requestsRead)
 	if c.refusing || c.blind || c.crowded(mostPipelined) {
-		c.observe().turnedAway(r, "the connection is closing, or has too many open commands")
-		c.reply(c.f.gw.turnedAway)
+		c.observe().requestRejected(r, "the connection is closing, or has too many open commands")
+		c.reply(c.f.gw.rejection)
 		return
 	}
 	s := c.open(r)
--- /dev/null
+++ b/internal/ingress/requestlog.go
@@ -0,0 +1,88 @@
+package ingress
+
+import (
+	"fmt"
+	"time"
+
+	"lemontack/internal/telemetry"
+)
+
+// requestCount numbers the counters of what became of clients' requests.
+type requestCount int
+
+const (
+	requestsRead      requestCount = iota // whole and well formed
+	requestsExpired                       // had no time left when they were read
+	requestsRejected                      // by the network code: no capacity, shutdown, a connection that is closing
+	requestsDuplicate                     // their id was taken
+	requestsRejectedByPolicy
+	requestsFailed // by the policy
+	requestsServed
+	requestsOverdue   // left unanswered by the policy until their deadline
+	requestsAbandoned // their client left before the answer
+	requestsLate      // answered after the client's deadline
+)
+
+func newRequestCounters() *telemetry.Counters[requestCount] {
+	return telemetry.NewCounters[requestCount]("read", "expired", "rejected", "duplicate_id", "rejected_by_policy", "failed",
+		"served", "overdue", "abandoned", "late")
+}
+
+// requestRejected counts and traces a request that the network code rejects.
+func (o *observer) requestRejected(r *clientRequest, reason string) {
+	o.requests.Add(requestsRejected)
+	if o.tracing {
+		o.log.Debug("request rejected", "request_id", r.id(), "client", r.remote(), "reason", reason)
+	}
+}
+
+// requestEnded counts and traces the end of a request.
+func (o *observer) requestEnded(r *request, result requestCount) {
+	o.requests.Add(result)
+	if o.tracing {
+		o.log.Debug("request ends", "request_id", r.id(), "client", r.remote(), "result", o.requests.Name(result),
+			"attempts", r.attempts)
+	}
+}
+
+// attemptStarted traces the start of an attempt.
+func (o *observer) attemptStarted(a *attempt) {
+	if o.tracing {
+		o.log.Debug("attempt starts", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
+			"time_left", a.deadline-a.startedAt)
+	}
+}
+
+// attemptEnded counts and traces the end of an attempt.
+func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
+	o.outcomes.Add(a.outcome)
+	if o.tracing {
+		o.log.Debug("attempt ends", "request_id", a.request.id(), "attempt", a.number, "endpoint", a.endpoint.ID,
+			"outcome", a.outcome, "latency", latency)
+	}
+}
+
+// anomaly logs what is known of a request with which something went wrong.
+func (o *observer) anomaly(r *request, text string, now time.Duration) {
+	ok, suppressed := o.anomalies.Allow(time.Now())
+	if !ok {
+		return
+	}
+	attrs := []any{"request", r.describe(now), "attempts", r.attempts}
+	if suppressed > 0 {
+		attrs = append(attrs, "suppressed", suppressed)
+	}
+	o.log.Warn(text, attrs...)
+}
+
+// String describes an attempt for the log.
+func (a *attempt) String() string {
+	state := "open"
+	switch {
+	case a.ended:
+		state = a.outcome.String()
+	case a.WaitsForConnection():
+		state = "waiting for a connection"
+	}
+	return fmt.Sprintf("%s +%v %s", a.endpoint.ID, (a.startedAt - a.request.readAt).Round(time.Millisecond), state)
+}
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -1,10 +1,16 @@
 package ingress
 
 import (
+	"time"
+
 	"lemontack/policy"
 )
 
-// request is a client's request that was taken, with its attempts.
+// overdueAfter is how long after its deadline a request is failed that the policy has not answered; it is a part of
+// answerMargin.
+const overdueAfter = 8 * time.Millisecond
+
+// request is a client's request that was admitted, with its attempts.
 type request struct {
 	*clientRequest
 	attempts     []*attempt
@@ -12,121 +18,142 @@
 	final        bool // it has had its final answer, or its client has left
 }
 
-// arrived takes a request in, or turns it away.
-func (g *Gateway) arrived(r *clientRequest) {
+// requestTable holds the requests that are admitted and not over: without a final answer, or with open attempts.
+type requestTable struct {
+	open            map[policy.RequestID]*request
+	takenKeys       map[uint64]bool // the clients' ids of requests whose time is not up, be they over or not
+	lastID          policy.RequestID
+	commandBytes    int // of the open requests
+	maxOpen         int
+	maxCommandBytes int
+}
+
+func newRequestTable(maxOpen, maxCommandBytes int) requestTable {
+	return requestTable{open: map[policy.RequestID]*request{}, takenKeys: map[uint64]bool{}, maxOpen: maxOpen,
+		maxCommandBytes: maxCommandBytes}
+}
+
+// hasRoom reports whether a request with a command of that size can be added: many clients with large bodies must not fill the
+// memory.
+func (t *requestTable) hasRoom(size int) bool {
+	return len(t.open) < t.maxOpen && t.commandBytes+size <= t.maxCommandBytes
+}
+
+// add adds a request under a new id.
+func (t *requestTable) add(r *clientRequest) *request {
+	t.lastID++
+	r.ID = t.lastID
+	added := &request{clientRequest: r}
+	t.open[r.ID] = added
+	t.takenKeys[r.key] = true
+	t.commandBytes += r.size
+	return added
+}
+
+// removeIfOver removes a request that is over.
+func (t *requestTable) removeIfOver(r *request) {
+	if !r.final || r.openAttempts > 0 || t.open[r.ID] != r {
+		return
+	}
+	t.commandBytes -= r.size
+	delete(t.open, r.ID)
+	r.release() // its timer may keep it for seconds more
+	r.attempts = nil
+}
+
+// admit admits a request, or rejects it.
+func (g *Gateway) admit(r *clientRequest) {
 	if r.left() {
 		return
 	}
-	// Many clients with large bodies must not fill the memory: beyond the bounds nothing is taken. Nor is at the end of
-	// a shutdown, while clients go on sending on what is still open.
-	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.size > g.mostHeld || g.endBy > 0 && g.now >= g.endBy {
-		g.observe.turnedAway(r, "no room, or shutting down")
-		r.respond(g.turnedAway)
+	if !g.requests.hasRoom(r.size) || g.shutdownIsOver() {
+		g.observe.requestRejected(r, "no capacity, or shutting down")
+		r.respond(g.rejection)
 		return
 	}
-	if g.keys[r.key] { // the one who asked first has its answer, and nobody else
+	if g.requests.takenKeys[r.key] { // the one who asked first has its answer, and nobody else
 		g.observe.requests.Add(requestsDuplicate)
 		r.respondDuplicate()
 		return
 	}
-	g.lastID++
-	r.ID = g.lastID
-	taken := &request{clientRequest: r}
-	g.requests[r.ID], g.keys[r.key] = taken, true
-	g.heldBytes += r.size
-	if g.endBy > 0 {
-		r.Deadline = min(r.Deadline, g.endBy)
+	taken := g.requests.add(r)
+	if g.shutdownDeadline > 0 {
+		r.Deadline = min(r.Deadline, g.shutdownDeadline)
 	}
 	if r.Deadline <= g.now {
 		g.observe.requests.Add(requestsExpired)
 	}
 	g.tell(policy.Arrival{Request: r.Request})
-	g.at(r.Deadline+overdue, func() {
-		delete(g.keys, r.key)
-		g.cutOff(taken)
+	g.at(r.Deadline+overdueAfter, func() {
+		delete(g.requests.takenKeys, r.key)
+		g.failOverdue(taken)
 	})
 }
 
-// refused gives a refusal of the module.
-func (g *Gateway) refused(a policy.Reject) {
-	if r := g.requests[a.ID]; r != nil && !r.final {
-		g.observe.requestEnded(r, requestsRefused)
-		g.answer(r, busy(a.RetryAfter))
-	}
+// shutdownIsOver reports whether the time for answers in a shutdown is over. Clients may go on sending on what is still open.
+func (g *Gateway) shutdownIsOver() bool {
+	return g.shutdownDeadline > 0 && g.now >= g.shutdownDeadline
 }
 
-// failed gives a failure of the module.
-func (g *Gateway) failed(a policy.Fail) {
-	if r := g.requests[a.ID]; r != nil && !r.final {
-		g.observe.requestEnded(r, requestsFailed)
-		g.answer(r, []byte("-ERR failed\r\n"))
+// reject carries out the policy's Reject action.
+func (g *Gateway) reject(action policy.Reject) {
+	if r := g.requests.open[action.ID]; r != nil && !r.final {
+		g.observe.requestEnded(r, requestsRejectedByPolicy)
+		g.answer(r, busyResponse(action.RetryAfter))
 	}
 }
 
-// noteLate tells of a request whose final answer comes after its client's time.
-func (g *Gateway) noteLate(r *request) {
-	due := max(r.until, g.epoch+g.holdUps.last()) // nothing is answered while the process does not run
-	if g.now > due+lateMost {
-		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
-	}
-	if g.now > r.until && r.until > r.readAt { // else it was late as it came
-		g.observe.requests.Add(requestsLate)
-		g.observe.anomaly(r, "answered after the client's time", g.now)
+// fail carries out the policy's Fail action.
+func (g *Gateway) fail(action policy.Fail) {
+	if r := g.requests.open[action.ID]; r != nil && !r.final {
+		g.observe.requestEnded(r, requestsFailed)
+		g.answer(r, []byte(failedResponse))
 	}
 }
 
-// answer gives the final answer, once.
-func (g *Gateway) answer(r *request, b []byte) {
-	if r == nil || r.final {
+// failOverdue fails a request that the policy has left unanswered until the last moment.
+func (g *Gateway) failOverdue(r *request) {
+	if r.final {
 		return
 	}
-	g.noteLate(r)
-	r.final = true
-	r.respond(b)
-	g.unsend(r)
-	g.forget(r)
-}
-
-// unsend ends the attempts of a request that is over which still wait for a connection, or for their turn on it: they must
-// not be sent any more, also where attempts that are out may not be called off.
-func (g *Gateway) unsend(r *request) {
-	for _, a := range r.attempts {
-		g.pool.Withdraw(a.Attempt)
+	g.observe.requests.Add(requestsOverdue)
+	g.observe.anomaly(r, "no answer from the policy in time", g.now)
+	response := []byte(failedResponse)
+	if len(r.attempts) == 0 { // it was never executed
+		response = g.rejection
 	}
+	g.tell(policy.ClientDisconnected{ID: r.ID})
+	g.answer(r, response)
 }
 
-// abandon ends a request whose client has gone.
-func (g *Gateway) abandon(r *request) {
+// clientLeft ends a request whose client has gone.
+func (g *Gateway) clientLeft(r *request) {
 	if r.final {
 		return
 	}
 	r.final = true
 	g.observe.requestEnded(r, requestsAbandoned)
 	g.tell(policy.ClientDisconnected{ID: r.ID})
-	g.unsend(r)
-	g.forget(r)
+	g.withdrawAttempts(r)
+	g.requests.removeIfOver(r)
 }
 
-// cutOff fails a request that the module has left unanswered until the last moment.
-func (g *Gateway) cutOff(r *request) {
+// answer gives the final answer, once.
+func (g *Gateway) answer(r *request, response []byte) {
 	if r.final {
 		return
 	}
-	g.observe.requests.Add(requestsCutOff)
-	g.observe.anomaly(r, "no answer in time", g.now)
-	text := []byte("-ERR failed\r\n")
-	if len(r.attempts) == 0 { // it never ran
-		text = g.turnedAway
-	}
-	g.tell(policy.ClientDisconnected{ID: r.ID})
-	g.answer(r, text)
+	g.checkAnswerTime(r)
+	r.final = true
+	r.respond(response)
+	g.withdrawAttempts(r)
+	g.requests.removeIfOver(r)
 }
 
-func (g *Gateway) forget(r *request) {
-	if r.final && r.openAttempts == 0 && g.requests[r.ID] == r {
-		g.heldBytes -= r.size
-		delete(g.requests, r.ID)
-		r.release() // its timer may hold it for seconds more
-		r.attempts = nil
+// withdrawAttempts ends the attempts of a request that is over whose first byte is not written: they must not be sent any more,
+// also where the settings don't allow to cancel those that are.
+func (g *Gateway) withdrawAttempts(r *request) {
+	for _, a := range r.attempts {
+		g.pool.Withdraw(a.Attempt)
 	}
 }
--- a/internal/ingress/timers.go
+++ b/internal/ingress/timers.go
@@ -5,30 +5,44 @@
 	"time"
 )
 
-// alarm is something to do at a time; alarms is a heap of them, earliest first.
-type alarm struct {
-	at   time.Duration
-	ring func()
+// timer is a function to call at a time.
+type timer struct {
+	at time.Duration
+	do func()
 }
 
-type alarms []alarm
+// timerQueue orders timers by their time. Its zero value is empty.
+type timerQueue struct{ heap timerHeap }
 
-func (h alarms) Len() int           { return len(h) }
-func (h alarms) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h alarms) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+// add adds a timer.
+func (q *timerQueue) add(at time.Duration, do func()) { heap.Push(&q.heap, timer{at, do}) }
+
+// next returns the earliest time; there must be a timer.
+func (q *timerQueue) next() time.Duration { return q.heap[0].at }
+
+// popDue removes the earliest timer and returns its function, or nil where none is due.
+func (q *timerQueue) popDue(now time.Duration) func() {
+	if len(q.heap) == 0 || q.heap[0].at > now {
+		return nil
+	}
+	return heap.Pop(&q.heap).(timer).do
+}
+
+// timerHeap implements heap.Interface.
+type timerHeap []timer
+
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push is for container/heap.
-func (h *alarms) Push(x any) { *h = append(*h, x.(alarm)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop is for container/heap.
-func (h *alarms) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = timer{} // frees what the function refers to
 	*h = old[:len(old)-1]
 	return last
 }
-
-func (g *Gateway) at(t time.Duration, ring func()) { heap.Push(&g.alarms, alarm{t, ring}) }
-
-func (g *Gateway) after(d time.Duration, ring func()) { g.at(g.now+d, ring) }
