--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/attempts_test.go
@@ -1,7 +1,6 @@
 package ingress
 
 import (
-	"context"
 	"io"
 	"net"
 	"strings"
@@ -9,7 +8,6 @@
 	"testing"
 	"time"
 
-	"lemontack/internal/upstream"
 	"lemontack/policy"
 )
 
@@ -28,8 +26,8 @@
 	}
 }
 
-// A silent backend's attempt ends at the request's time, before the client leaves; its connection is given up.
-func TestSilentBackendIsTimedOut(t *testing.T) {
+// A silent endpoint's attempt ends at the request's time, before the client leaves; its connection is given up.
+func TestSilentEndpointIsTimedOut(t *testing.T) {
 	be := newBackend(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
 			return ""
@@ -54,9 +52,9 @@
 	}
 }
 
-// What happened to an attempt decides what an unsafe request's client is told: harmless to try again only
+// What happened to an attempt decides what a non-idempotent request's client is told: harmless to try again only
 // where the command never ran.
-func TestUnsafeOutcomes(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnceAndAnsweredByItsOutcome(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,31 +97,9 @@
 	}
 }
 
-// idleGateway is one whose goroutine does not run: the test hands it the events itself.
-func idleGateway(t *testing.T, addr string) *Gateway {
-	g, err := New(testConfig("", fleetOf(addr)), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	run(t, g)
-	return g
-}
-
-// run prepares a gateway for events by hand.
-func run(t *testing.T, g *Gateway) {
-	ctx, cancel := context.WithCancel(context.Background())
-	g.ctx = ctx
-	t.Cleanup(func() {
-		cancel()
-		close(g.stopped)
-		g.spawned.Wait()
-	})
-	g.applyKnownEndpoints()
-}
-
-// A drain counts from when it was told: what waited for a connection then is not written any more. The module hears so at
+// A drain counts from when it was told: what waited for a connection then is not written any more. The policy hears so at
 // once, after the list, and not only when the connection has come up.
-func TestDrainStopsWhatWaits(t *testing.T) {
+func TestDrainWithdrawsWaitingAttempt(t *testing.T) {
 	be := serving(t, "value")
 	g := idleGateway(t, be.addr)
 	a := waitingAttempt(g, "s0")
@@ -143,7 +119,7 @@
 
 // A machine that has vanished answers nothing and resets nothing. Once an attempt shows that, its other idle
 // connections are not trusted with further requests: a new one tells within the connect time-out.
-func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
+func TestIdleConnectionsOfSilentEndpointAreClosed(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
 	be := newBackend(t, func(n int, _ []string, _ net.Conn) string {
@@ -176,22 +152,6 @@
 	}
 }
 
-// waitingAttempt is an attempt that has not started, of a request that the gateway does not know.
-func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
-	r := &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}}
-	return g.newAttempt(r, g.pool.Endpoint(id), g.now+time.Hour)
-}
-
-// awaitConnected returns the next event, which must tell of a new connection to an endpoint.
-func awaitConnected(t *testing.T, g *Gateway) upstream.Connected {
-	t.Helper()
-	connected, ok := (<-g.events).(upstreamEvent).event.(upstream.Connected)
-	if !ok {
-		t.Fatal("the next event does not tell of a connection")
-	}
-	return connected
-}
-
 // What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
 func TestUnsentIsGivenBack(t *testing.T) {
 	be := newBackend(t, nil)
@@ -213,3 +173,110 @@
 		t.Fatalf("%d requests abandoned", len(left))
 	}
 }
+
+// A request that is over is not sent when its connection comes up, also where attempts may not be cancelled.
+func TestOverRequestIsNotSent(t *testing.T) {
+	for name, over := range map[string]func(g *Gateway, r *request){
+		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*clientRequest{r.clientRequest}}) },
+		"out of time":  func(g *Gateway, r *request) { g.failOverdue(r) },
+		"other answer": func(_ *Gateway, r *request) { r.final = true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			be := named(t, "a")
+			g, err := New(func() Config {
+				cfg := testConfig("", fleetOf(be.addr))
+				cfg.Settings.MayCancel = false
+				return cfg
+			}(), quiet)
+			if err != nil {
+				t.Fatal(err)
+			}
+			run(t, g)
+			c := newClient(newFront(nil, g, 1, 1<<20), nil)
+			r := takeIn(g, newClientRequest(g, c, 1, 7))
+			if r == nil || len(r.attempts) != 1 {
+				t.Fatal("no attempt waits for a connection")
+			}
+			a := r.attempts[0]
+			connected := awaitConnected(t, g) // handled only after the request has ended
+			over(g, r)
+			if now := name != "other answer"; a.ended != now {
+				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, now)
+			}
+			g.handle(upstreamEvent{connected})
+			if !a.ended || !a.WaitsForConnection() {
+				t.Fatalf("ended %v, the connection carries it: %v", a.ended, !a.WaitsForConnection())
+			}
+			if g.requests.commandBytes != 0 || len(g.requests.open) != 0 {
+				t.Fatalf("%d bytes, %d requests kept", g.requests.commandBytes, len(g.requests.open))
+			}
+		})
+	}
+}
+
+// A connection that the endpoint has closed while it was idle is seen to be so, and the request goes on another.
+func TestRequestAvoidsConnectionClosedWhileIdle(t *testing.T) {
+	closed := make(chan struct{}, 1)
+	be := newBackend(t, func(n int, _ []string, nc net.Conn) string {
+		if n == 1 {
+			io.WriteString(nc, served)
+			nc.Close()
+			closed <- struct{}{}
+			return ""
+		}
+		return served
+	})
+	list := fleetOf(be.addr)
+	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
+	nc, in := dial(t, addr)
+	io.WriteString(nc, order(1))
+	wantValue(t, in)
+	await(t, "the backend closes", closed)
+	io.WriteString(nc, order(2))
+	wantValue(t, in)
+	if n := len(be.seen()); n != 2 {
+		t.Fatalf("%d commands, want each sent once", n)
+	}
+}
+
+// Settings without a number of attempts mean one.
+func TestSettingsWithoutMaxAttemptsMeanOne(t *testing.T) {
+	be := named(t, "a")
+	list := fleetOf(be.addr)
+	cfg := testConfig(registry(t, list, nil), list)
+	cfg.Settings.MaxAttempts = 0
+	addr, _ := startIngress(t, cfg)
+	nc, in := dial(t, addr)
+	io.WriteString(nc, ask(1, readFields))
+	if got := line(t, in); got != "$1" {
+		t.Fatalf("answer %q", got)
+	}
+}
+
+// An endpoint that drains while attempts wait for a connection to it gets none of them: they go elsewhere, also those that
+// may not be repeated, since they never ran.
+func TestDrainWhileConnectingSendsElsewhere(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	cfg := testConfig("", fleetOf(a.addr))
+	cfg.Settings.MaxAttempts = 2
+	g, err := New(cfg, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run(t, g)
+	c := newClient(newFront(nil, g, 1, 1<<20), nil)
+	sent := newClientRequest(g, c, 1, 0)
+	sent.Class = "write"
+	r := takeIn(g, sent)
+	connected := awaitConnected(t, g) // handled only after the drain
+	f := fleetOf(a.addr, b.addr)
+	f.Targets[0].State = "DRAINING"
+	g.handle(f)
+	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].endpoint.ID != "s1" {
+		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
+	}
+	g.handle(upstreamEvent{connected})
+	if !r.attempts[0].WaitsForConnection() {
+		t.Fatal("sent to a backend that drains")
+	}
+}
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -10,8 +10,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"lemontack/policy"
 )
 
 // await fails the test where a channel stays silent; how long it takes is not asserted.
@@ -321,134 +319,6 @@
 	}
 }
 
-// A request that is over is not sent when its connection comes up, also where attempts may not be called off.
-func TestOverRequestIsNotSent(t *testing.T) {
-	for name, over := range map[string]func(g *Gateway, r *request){
-		"client left":  func(g *Gateway, r *request) { g.handle(abandoned{[]*clientRequest{r.clientRequest}}) },
-		"out of time":  func(g *Gateway, r *request) { g.failOverdue(r) },
-		"other answer": func(_ *Gateway, r *request) { r.final = true },
-	} {
-		t.Run(name, func(t *testing.T) {
-			be := named(t, "a")
-			g, err := New(func() Config {
-				cfg := testConfig("", fleetOf(be.addr))
-				cfg.Settings.MayCancel = false
-				return cfg
-			}(), quiet)
-			if err != nil {
-				t.Fatal(err)
-			}
-			run(t, g)
-			c := newClient(newFront(nil, g, 1, 1<<20), nil)
-			r := takeIn(g, newClientRequest(g, c, 1, 7))
-			if r == nil || len(r.attempts) != 1 {
-				t.Fatal("no attempt waits for a connection")
-			}
-			a := r.attempts[0]
-			connected := awaitConnected(t, g) // handled only after the request has ended
-			over(g, r)
-			if now := name != "other answer"; a.ended != now {
-				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, now)
-			}
-			g.handle(upstreamEvent{connected})
-			if !a.ended || !a.WaitsForConnection() {
-				t.Fatalf("ended %v, the connection carries it: %v", a.ended, !a.WaitsForConnection())
-			}
-			if g.requests.commandBytes != 0 || len(g.requests.open) != 0 {
-				t.Fatalf("%d bytes, %d requests kept", g.requests.commandBytes, len(g.requests.open))
-			}
-		})
-	}
-}
-
-// The last answer comes before SIGKILL, which follows the longest deadline of the settings.
-func TestEndTimeFollowsTheDeadlines(t *testing.T) {
-	for longest, kill := range map[time.Duration]time.Duration{
-		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
-		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
-		got := timeToLastAnswer([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
-		if got+connectionsGrace >= kill || got < kill/2 || got < shutdownGrace {
-			t.Errorf("longest deadline %v: all answered after %v, SIGKILL comes after %v", longest, got, kill)
-		}
-	}
-}
-
-// A shutdown with requests out at a hung backend, held for one, and half read, while a client goes on sending: each taken
-// one has one whole answer, and the connections end between requests.
-func TestShutdownUnderLoad(t *testing.T) {
-	be := newBackend(t, nil)
-	list := fleetOf(be.addr)
-	cfg := testConfig(registry(t, list, nil), list)
-	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].LatencyObjective = 200 * time.Millisecond
-		cfg.Settings.Classes[i].Deadline = 400 * time.Millisecond
-	}
-	addr, stop := startIngress(t, cfg)
-	out, outIn := dial(t, addr)
-	io.WriteString(out, order(1)+ask(2, readFields)+order(3))
-	half, halfIn := dial(t, addr)
-	io.WriteString(half, ask(4, readFields)+ask(5, readFields)[:20])
-	busy, busyIn := dial(t, addr)
-	var sent atomic.Int32
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		for i := 100; ; i++ {
-			if _, err := io.WriteString(busy, ask(i, readFields)); err != nil {
-				return
-			}
-			sent.Add(1)
-			time.Sleep(time.Millisecond) // pace: not waited on
-		}
-	}()
-	for len(be.seen()) < 3 || sent.Load() < 3 {
-		time.Sleep(time.Millisecond)
-	}
-	if err := stop(); err != nil {
-		t.Fatal(err)
-	}
-	for name, c := range map[string]struct {
-		in          io.Reader
-		least, most int
-	}{"out": {outIn, 3, 3}, "half": {halfIn, 1, 2}, "busy": {busyIn, 1, 1 << 30}} {
-		text, err := io.ReadAll(c.in)
-		lines := strings.Split(strings.TrimSuffix(string(text), "\r\n"), "\r\n")
-		if err != nil || len(lines) < c.least || len(lines) > c.most || !strings.HasSuffix(string(text), "\r\n") {
-			t.Errorf("%s: %d answers, %v; want %d to %d and a clean end", name, len(lines), err, c.least, c.most)
-		}
-		for _, l := range lines {
-			if !strings.HasPrefix(l, "-BUSY") && !strings.HasPrefix(l, "-ERR") {
-				t.Errorf("%s: answer %q", name, l)
-			}
-		}
-	}
-	busy.Close()
-	await(t, "the sender ends", ended)
-}
-
-// At the end of a shutdown what still comes is turned away at once, and what came before has no longer than that.
-func TestArrivalsInAShutdown(t *testing.T) {
-	g := idleGateway(t, newBackend(t, nil).addr)
-	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	first := takeIn(g, newClientRequest(g, c, 1, 0))
-	waits := first.attempts // for a connection
-	by := g.now + time.Second
-	g.handle(shutdownEvent{by})
-	second := newClientRequest(g, c, 2, 0)
-	if taken := takeIn(g, second); taken == nil || taken.final || second.Deadline != by {
-		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
-	}
-	g.now = by
-	g.runTimers()
-	third := newClientRequest(g, c, 3, 0)
-	if taken := takeIn(g, third); !first.final || taken != nil || string(third.slot.reply) != "-BUSY\r\n" {
-		t.Fatalf("first answered: %v; third %q", first.final, third.slot.reply)
-	}
-	if len(waits) != 1 || !waits[0].ended {
-		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waits))
-	}
-}
-
 // A connection that is so new that its first command may be on its way is not closed unheard by a shutdown.
 func TestNewConnectionIsHeardInAShutdown(t *testing.T) {
 	for spoken, closing := range map[bool]bool{false: false, true: true} {
@@ -460,31 +330,6 @@
 	}
 }
 
-// A connection that the backend has closed while it was idle is seen to be so, and the request goes on another.
-func TestClosedWhileIdle(t *testing.T) {
-	closed := make(chan struct{}, 1)
-	be := newBackend(t, func(n int, _ []string, nc net.Conn) string {
-		if n == 1 {
-			io.WriteString(nc, served)
-			nc.Close()
-			closed <- struct{}{}
-			return ""
-		}
-		return served
-	})
-	list := fleetOf(be.addr)
-	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, order(1))
-	wantValue(t, in)
-	await(t, "the backend closes", closed)
-	io.WriteString(nc, order(2))
-	wantValue(t, in)
-	if n := len(be.seen()); n != 2 {
-		t.Fatalf("%d commands, want each sent once", n)
-	}
-}
-
 // Each command has its own time to end: a client that goes on sending was once cut off for the first half command in a row.
 func TestEachCommandHasItsTime(t *testing.T) {
 	near, far := net.Pipe()
@@ -504,45 +349,3 @@
 		t.Fatalf("limits set: %s, want one for each command", got)
 	}
 }
-
-// Settings without a number of attempts mean one.
-func TestOneAttemptWhereNoneIsNamed(t *testing.T) {
-	be := named(t, "a")
-	list := fleetOf(be.addr)
-	cfg := testConfig(registry(t, list, nil), list)
-	cfg.Settings.MaxAttempts = 0
-	addr, _ := startIngress(t, cfg)
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	if got := line(t, in); got != "$1" {
-		t.Fatalf("answer %q", got)
-	}
-}
-
-// A backend that drains while attempts wait for a connection to it gets none of them: they go elsewhere, also those that
-// may not be repeated, since they never ran.
-func TestDrainWhileConnecting(t *testing.T) {
-	a, b := named(t, "a"), named(t, "b")
-	cfg := testConfig("", fleetOf(a.addr))
-	cfg.Settings.MaxAttempts = 2
-	g, err := New(cfg, quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	run(t, g)
-	c := newClient(newFront(nil, g, 1, 1<<20), nil)
-	sent := newClientRequest(g, c, 1, 0)
-	sent.Class = "write"
-	r := takeIn(g, sent)
-	connected := awaitConnected(t, g) // handled only after the drain
-	f := fleetOf(a.addr, b.addr)
-	f.Targets[0].State = "DRAINING"
-	g.handle(f)
-	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].endpoint.ID != "s1" {
-		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
-	}
-	g.handle(upstreamEvent{connected})
-	if !r.attempts[0].WaitsForConnection() {
-		t.Fatal("sent to a backend that drains")
-	}
-}
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -16,6 +16,7 @@
 	"github.com/tidwall/redcon"
 
 	"lemontack/internal/standin"
+	"lemontack/internal/upstream"
 	"lemontack/internal/wire"
 	"lemontack/policy"
 )
@@ -106,7 +107,7 @@
 
 const served = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-// serving is a backend that serves every request with a value; a command in a form that no client sends fails the test.
+// serving is an endpoint that serves every request with a value; a command in a form that no client sends fails the test.
 func serving(t *testing.T, value string) *backendFake {
 	f := &backendFake{}
 	b := standin.NewBackend(standin.BackendConfig{Value: func(args []string) string {
@@ -297,3 +298,41 @@
 	g.handle(arrived{r})
 	return g.requests.open[r.ID]
 }
+
+// idleGateway is one whose goroutine does not run: the test hands it the events itself.
+func idleGateway(t *testing.T, addr string) *Gateway {
+	g, err := New(testConfig("", fleetOf(addr)), quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run(t, g)
+	return g
+}
+
+// run prepares a gateway for events by hand.
+func run(t *testing.T, g *Gateway) {
+	ctx, cancel := context.WithCancel(context.Background())
+	g.ctx = ctx
+	t.Cleanup(func() {
+		cancel()
+		close(g.stopped)
+		g.spawned.Wait()
+	})
+	g.applyKnownEndpoints()
+}
+
+// waitingAttempt is an attempt that has not started, of a request that the gateway does not know.
+func waitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
+	r := &request{clientRequest: &clientRequest{args: [][]byte{nil, nil, nil, nil}}}
+	return g.newAttempt(r, g.pool.Endpoint(id), g.now+time.Hour)
+}
+
+// awaitConnected returns the next event, which must tell of a new connection to an endpoint.
+func awaitConnected(t *testing.T, g *Gateway) upstream.Connected {
+	t.Helper()
+	connected, ok := (<-g.events).(upstreamEvent).event.(upstream.Connected)
+	if !ok {
+		t.Fatal("the next event does not tell of a connection")
+	}
+	return connected
+}
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -12,8 +12,8 @@
 	"lemontack/policy"
 )
 
-// The guard before attempts: what it denies, and whether that is a fault of the module.
-func TestGuard(t *testing.T) {
+// Why an attempt may not start, and whether that is a fault of the policy.
+func TestCheckStartGivesTheReason(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", fleetOf("127.0.0.1:1", "127.0.0.1:2"))
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
@@ -79,8 +79,8 @@
 	}
 }
 
-// Copies are out one at a time where the settings say so.
-func TestGuardOfCopies(t *testing.T) {
+// Attempts are open one at a time where the settings say so.
+func TestParallelAttemptIsDeniedWithoutHedging(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
 	r := &request{clientRequest: &clientRequest{}}
 	r.Class = "read"
@@ -92,8 +92,8 @@
 	}
 }
 
-// What the guard denies as a fault of the module is counted, and the attempt ends unsent.
-func TestViolationsAreCounted(t *testing.T) {
+// What is denied as a fault of the policy is counted, and the attempt ends as not sent.
+func TestDeniedRetryIsNotSentAndCounted(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
 	r := &request{clientRequest: &clientRequest{}}
 	r.Class = "write"
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -3,7 +3,12 @@
 import (
 	"io"
 	"net"
+	"strings"
+	"sync/atomic"
 	"testing"
+	"time"
+
+	"lemontack/policy"
 )
 
 // A shutdown answers what was taken, and what still comes on an open connection, before the connection ends.
@@ -33,3 +38,91 @@
 		t.Fatal(err)
 	}
 }
+
+// The last answer comes before SIGKILL, which follows the longest deadline of the settings.
+func TestTimeToLastAnswerFollowsTheDeadlines(t *testing.T) {
+	for longest, kill := range map[time.Duration]time.Duration{
+		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
+		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
+		got := timeToLastAnswer([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: longest}})
+		if got+connectionsGrace >= kill || got < kill/2 || got < shutdownGrace {
+			t.Errorf("longest deadline %v: all answered after %v, SIGKILL comes after %v", longest, got, kill)
+		}
+	}
+}
+
+// A shutdown with requests open at a hung endpoint, waiting for one, and half read, while a client goes on sending: each taken
+// one has one whole answer, and the connections end between requests.
+func TestShutdownUnderLoadAnswersAllThatWasTaken(t *testing.T) {
+	be := newBackend(t, nil)
+	list := fleetOf(be.addr)
+	cfg := testConfig(registry(t, list, nil), list)
+	for i := range cfg.Settings.Classes {
+		cfg.Settings.Classes[i].LatencyObjective = 200 * time.Millisecond
+		cfg.Settings.Classes[i].Deadline = 400 * time.Millisecond
+	}
+	addr, stop := startIngress(t, cfg)
+	out, outIn := dial(t, addr)
+	io.WriteString(out, order(1)+ask(2, readFields)+order(3))
+	half, halfIn := dial(t, addr)
+	io.WriteString(half, ask(4, readFields)+ask(5, readFields)[:20])
+	busy, busyIn := dial(t, addr)
+	var sent atomic.Int32
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for i := 100; ; i++ {
+			if _, err := io.WriteString(busy, ask(i, readFields)); err != nil {
+				return
+			}
+			sent.Add(1)
+			time.Sleep(time.Millisecond) // pace: not waited on
+		}
+	}()
+	for len(be.seen()) < 3 || sent.Load() < 3 {
+		time.Sleep(time.Millisecond)
+	}
+	if err := stop(); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		in          io.Reader
+		least, most int
+	}{"out": {outIn, 3, 3}, "half": {halfIn, 1, 2}, "busy": {busyIn, 1, 1 << 30}} {
+		text, err := io.ReadAll(c.in)
+		lines := strings.Split(strings.TrimSuffix(string(text), "\r\n"), "\r\n")
+		if err != nil || len(lines) < c.least || len(lines) > c.most || !strings.HasSuffix(string(text), "\r\n") {
+			t.Errorf("%s: %d answers, %v; want %d to %d and a clean end", name, len(lines), err, c.least, c.most)
+		}
+		for _, l := range lines {
+			if !strings.HasPrefix(l, "-BUSY") && !strings.HasPrefix(l, "-ERR") {
+				t.Errorf("%s: answer %q", name, l)
+			}
+		}
+	}
+	busy.Close()
+	await(t, "the sender ends", ended)
+}
+
+// At the end of a shutdown what still comes is rejected at once, and what came before has no longer than that.
+func TestArrivalsAtTheEndOfAShutdownAreRejected(t *testing.T) {
+	g := idleGateway(t, newBackend(t, nil).addr)
+	c := newClient(newFront(nil, g, 1, 1<<20), nil)
+	first := takeIn(g, newClientRequest(g, c, 1, 0))
+	waits := first.attempts // for a connection
+	by := g.now + time.Second
+	g.handle(shutdownEvent{by})
+	second := newClientRequest(g, c, 2, 0)
+	if taken := takeIn(g, second); taken == nil || taken.final || second.Deadline != by {
+		t.Fatalf("answered %q, has until %v of %v", second.slot.reply, second.Deadline, by)
+	}
+	g.now = by
+	g.runTimers()
+	third := newClientRequest(g, c, 3, 0)
+	if taken := takeIn(g, third); !first.final || taken != nil || string(third.slot.reply) != "-BUSY\r\n" {
+		t.Fatalf("first answered: %v; third %q", first.final, third.slot.reply)
+	}
+	if len(waits) != 1 || !waits[0].ended {
+		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waits))
+	}
+}
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -94,3 +94,20 @@
 		})
 	}
 }
+
+// An attempt whose client has left before its first byte is not written, and the connection is given up.
+func TestNothingIsWrittenOnceTheClientHasLeft(t *testing.T) {
+	near, far := net.Pipe()
+	defer far.Close()
+	attempt := NewAttempt(&Endpoint{}, &testCommand{clientLeft: true})
+	conn := newConnection(attempt.endpoint, nil)
+	conn.netConn = near
+	conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
+	conn.write()
+	if n, err := far.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Fatalf("%d bytes, %v; want the end", n, err)
+	}
+	if conn.written.Load() != nil {
+		t.Fatal("counts as written")
+	}
+}
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -167,16 +167,20 @@
 	return updates
 }
 
-// testCommand is a command that may always start and notes how its attempt ended.
+// testCommand is a command that notes how its attempt ended.
 type testCommand struct {
-	ends []Reply
+	denied     bool // it may not start
+	clientLeft bool
+	ends       []Reply
 }
 
-func (*testCommand) MayStart() bool { return true }
+func (c *testCommand) MayStart() bool { return !c.denied }
 
-func (*testCommand) Encode() EncodedCommand { return EncodedCommand{Frame: []byte("*1\r\n$4\r\nPING\r\n")} }
+func (*testCommand) Encode() EncodedCommand {
+	return EncodedCommand{Frame: []byte("*1\r\n$4\r\nPING\r\n")}
+}
 
-func (*testCommand) ClientLeft() bool { return false }
+func (c *testCommand) ClientLeft() bool { return c.clientLeft }
 
 func (*testCommand) BeforeFirstByte(time.Duration) {}
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -185,3 +185,42 @@
 		t.Fatal("written to a connection that the endpoint is about to close")
 	}
 }
+
+// A command that may not start any more when its connection comes up is not sent, and the next one that waits is.
+func TestDeniedCommandIsNotSentAndTheNextIs(t *testing.T) {
+	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+	denied, deniedCommand := newTestAttempt(pool, "s0")
+	next, _ := newTestAttempt(pool, "s0")
+	pool.Start(denied)
+	pool.Start(next)
+	deniedCommand.denied = true
+	pool.HandleEvent((<-loop.events).(Connected))
+	if len(deniedCommand.ends) != 1 || deniedCommand.ends[0].Outcome != policy.NotSent {
+		t.Fatalf("ends %v, want one as not sent", deniedCommand.ends)
+	}
+	if next.WaitsForConnection() || next.ended {
+		t.Fatal("the next one was not sent")
+	}
+}
+
+// What waits for a connection to an endpoint that begins to drain ends as not sent at once.
+func TestDrainEndsWaitingAttempts(t *testing.T) {
+	s := startServer(t, nil)
+	pool, loop := newTestPool(t, nil, s.address)
+	attempt, command := newTestAttempt(pool, "s0")
+	pool.Start(attempt)
+	connected := (<-loop.events).(Connected)
+	updates := endpointUpdates(s.address)
+	updates[0].State = policy.Draining
+	pool.UpdateEndpoints(false, updates)
+	if len(command.ends) != 1 || command.ends[0].Outcome != policy.NotSent {
+		t.Fatalf("ends %v, want one as not sent", command.ends)
+	}
+	if stopped := attempt.endpoint.StoppedAt(); stopped != loop.now {
+		t.Fatalf("stopped at %v, want %v", stopped, loop.now)
+	}
+	pool.HandleEvent(connected)
+	if connected.connection.current != nil || len(command.ends) != 1 {
+		t.Fatal("sent to an endpoint that drains")
+	}
+}
