--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -11,8 +11,6 @@
 )
 
 const (
-	// healthCheckTimeout limits a health check, which has no request whose deadline could end it.
-	healthCheckTimeout = 250 * time.Millisecond
 	// commandOverhead is room for the parts of a command that are not its body, in bytes: most commands fit without growing.
 	commandOverhead = 192
 	fieldsArgument  = 3 // the place of the fields among a command's arguments
@@ -121,45 +119,3 @@
 		RequestFinished: r.final, SettledUnits: min(reply.SettledUnits, g.maxUnits), LoadReport: reply.LoadReport})
 	g.requests.removeIfOver(r)
 }
-
-// healthCheck is the upstream.Command that asks an endpoint for its load.
-type healthCheck struct {
-	gateway   *Gateway
-	endpoint  policy.EndpointID
-	startedAt time.Duration
-}
-
-// checkHealth carries out the policy's CheckHealth action.
-func (g *Gateway) checkHealth(id policy.EndpointID) {
-	endpoint := g.pool.Endpoint(id)
-	if endpoint == nil {
-		return
-	}
-	check := upstream.NewAttempt(endpoint, &healthCheck{gateway: g, endpoint: id, startedAt: g.now})
-	g.after(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
-	g.pool.Start(check)
-}
-
-// MayStart implements upstream.Command.
-func (*healthCheck) MayStart() bool { return true }
-
-// Encode implements upstream.Command.
-func (*healthCheck) Encode() upstream.EncodedCommand {
-	frame := redcon.AppendArray(nil, 2)
-	frame = redcon.AppendBulkString(frame, "INFO")
-	frame = redcon.AppendBulkString(frame, "load")
-	return upstream.EncodedCommand{Frame: frame}
-}
-
-// ClientLeft implements upstream.Command: a health check has no client.
-func (*healthCheck) ClientLeft() bool { return false }
-
-// BeforeFirstByte implements upstream.Command.
-func (*healthCheck) BeforeFirstByte(time.Duration) {}
-
-// Ended implements upstream.Command.
-func (check *healthCheck) Ended(reply upstream.Reply) {
-	g := check.gateway
-	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
-		LoadReport: reply.LoadReport})
-}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"net"
@@ -50,13 +51,17 @@
 	if cfg.Settings.SharedCounter && cfg.Counter == "" {
 		return ErrNoCounterAddress
 	}
-	for _, address := range []string{cfg.Listen, cfg.Discovery, cfg.Counter} {
-		if address == "" {
-			continue
-		}
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fmt.Errorf("not an address: %w", err)
-		}
+	return cmp.Or(checkAddress("listen", cfg.Listen), checkAddress("discovery", cfg.Discovery),
+		checkAddress("counter", cfg.Counter))
+}
+
+// checkAddress reports why an address that is given cannot be one.
+func checkAddress(key, address string) error {
+	if address == "" {
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s is not an address: %w", key, err)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/ingress/healthcheck.go
@@ -0,0 +1,55 @@
+package ingress
+
+import (
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"lemontack/internal/upstream"
+	"lemontack/policy"
+)
+
+// healthCheckTimeout limits a health check, which has no request whose deadline could end it.
+const healthCheckTimeout = 250 * time.Millisecond
+
+// healthCheck is the upstream.Command that asks an endpoint for its load.
+type healthCheck struct {
+	gateway   *Gateway
+	endpoint  policy.EndpointID
+	startedAt time.Duration
+}
+
+// checkHealth carries out the policy's CheckHealth action.
+func (g *Gateway) checkHealth(id policy.EndpointID) {
+	endpoint := g.pool.Endpoint(id)
+	if endpoint == nil {
+		return
+	}
+	check := upstream.NewAttempt(endpoint, &healthCheck{gateway: g, endpoint: id, startedAt: g.now})
+	g.after(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
+	g.pool.Start(check)
+}
+
+// MayStart implements upstream.Command.
+func (*healthCheck) MayStart() bool { return true }
+
+// Encode implements upstream.Command.
+func (*healthCheck) Encode() upstream.EncodedCommand {
+	frame := redcon.AppendArray(nil, 2)
+	frame = redcon.AppendBulkString(frame, "INFO")
+	frame = redcon.AppendBulkString(frame, "load")
+	return upstream.EncodedCommand{Frame: frame}
+}
+
+// ClientLeft implements upstream.Command: a health check has no client.
+func (*healthCheck) ClientLeft() bool { return false }
+
+// BeforeFirstByte implements upstream.Command.
+func (*healthCheck) BeforeFirstByte(time.Duration) {}
+
+// Ended implements upstream.Command.
+func (check *healthCheck) Ended(reply upstream.Reply) {
+	g := check.gateway
+	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
+		LoadReport: reply.LoadReport})
+}
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -11,9 +11,12 @@
 )
 
 const (
-	countersEvery    = 10 * time.Second // between two records of the counters
-	anomaliesPerSpan = 20               // records of single requests in anomalySpan
-	anomalySpan      = time.Second
+	countersInterval = 10 * time.Second // between two records of the counters: a trend shows, and the log stays short
+
+	// maxAnomaliesPerPeriod bounds the records of single requests in anomalyPeriod: a fault that hits all requests must not
+	// fill the log.
+	maxAnomaliesPerPeriod = 20
+	anomalyPeriod         = time.Second
 )
 
 // faultKind numbers the kinds of input that no client should send.
@@ -51,7 +54,7 @@
 	return telemetry.NewCounters[closeReason]("by_client", "idle", "for_room", "for_faults", "shutdown", "stalled")
 }
 
-// observer is the log and the counters of one ingress. The counters are written to the log every countersEvery and at the end;
+// observer is the log and the counters of one ingress. The counters are written to the log every countersInterval and at the end;
 // single steps of requests and connections are records of level debug.
 type observer struct {
 	log        *slog.Logger
@@ -74,12 +77,12 @@
 		requests: newRequestCounters(), faults: newFaultCounters(), closes: newCloseCounters(),
 		violations: newViolations(),
 		outcomes:   telemetry.NewCounters[policy.Outcome](outcomes...),
-		anomalies:  telemetry.NewLimiter(anomaliesPerSpan, anomalySpan)}
+		anomalies:  telemetry.NewLimiter(maxAnomaliesPerPeriod, anomalyPeriod)}
 }
 
 // run writes the counters from time to time until ctx ends.
 func (o *observer) run(ctx context.Context) {
-	tick := time.NewTicker(countersEvery)
+	tick := time.NewTicker(countersInterval)
 	defer tick.Stop()
 	for before := int64(0); ; {
 		select {
