--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -280,3 +280,31 @@
 		t.Fatal("sent to a backend that drains")
 	}
 }
+
+// An endpoint receives the client's command with the time that is left in place of the client's, and never less than 1 ms.
+func TestCommandTellsTheTimeThatIsLeft(t *testing.T) {
+	fields := "c=read,d=50000,units=1"
+	for _, c := range []struct {
+		left  time.Duration
+		frame string
+	}{
+		{1500 * time.Millisecond, command("Q.ASK", "customer", "id", "c=read,d=1500,units=1", "body")},
+		{2 * time.Microsecond, command("Q.ASK", "customer", "id", "c=read,d=1,units=1", "body")},
+	} {
+		r := &request{clientRequest: &clientRequest{dFrom: len("c=read,d="), dTo: len("c=read,d=50000")}}
+		for _, argument := range []string{"Q.ASK", "customer", "id", fields, "body"} {
+			r.args = append(r.args, []byte(argument))
+		}
+		a := &attempt{gateway: &Gateway{}, request: r, deadline: c.left}
+		encoded := a.Encode()
+		if string(encoded.Frame) != c.frame || encoded.TimeLimit != max(c.left, time.Millisecond) {
+			t.Errorf("%v left: %q with limit %v, want %q", c.left, encoded.Frame, encoded.TimeLimit, c.frame)
+		}
+	}
+}
+
+func TestHealthCheckAsksForTheLoad(t *testing.T) {
+	if got := string((&healthCheck{}).Encode().Frame); got != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
+		t.Fatalf("%q", got)
+	}
+}
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -98,7 +98,7 @@
 	now := time.Now()
 	g.now = g.clock(now)
 	if gap := g.holdUps.pulse(now); gap > 0 {
-		g.observe.stalled(gap)
+		g.observe.processStalled(gap)
 	}
 }
 
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// stalled counts and logs that the process did not run for a while.
-func (o *observer) stalled(duration time.Duration) {
+// processStalled counts and logs that the process did not run for a while.
+func (o *observer) processStalled(duration time.Duration) {
 	o.stalls.Add(1)
 	if ok, _ := o.anomalies.Allow(time.Now()); ok {
 		o.log.Warn("process stalled", "duration", duration)
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -7,8 +7,8 @@
 	"lemontack/policy"
 )
 
-// A shutdown begins with SIGTERM and has to be over before SIGKILL. The order is: new connections are still served for
-// shutdownGrace, then the connections that wait to be accepted, until the last answer; then connections end.
+// A shutdown begins with SIGTERM and has to be over before SIGKILL. New connections are accepted for shutdownGrace, and those that
+// wait to be accepted for backlogTime more; open ones are served until the last answer, and end within connectionsGrace.
 const (
 	shutdownGrace    = 500 * time.Millisecond // for new connections: clients may not know of the shutdown yet
 	backlogTime      = 50 * time.Millisecond  // then, for those that came and were not accepted yet
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -8,7 +8,8 @@
 	"lemontack/policy"
 )
 
-// Endpoint is an entry of the endpoint list, with its connections and the attempts that wait for one.
+// Endpoint is an entry of the endpoint list, with its connections and the attempts that wait for one. It belongs to the loop's
+// goroutine, but for StoppedAt.
 type Endpoint struct {
 	policy.Endpoint
 
