--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -96,8 +96,8 @@
 	return frame
 }
 
-// ClientLeft implements upstream.Command.
-func (a *attempt) ClientLeft() bool { return a.request.left() }
+// Abandoned implements upstream.Command.
+func (a *attempt) Abandoned() bool { return a.request.left() }
 
 // Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
 func (a *attempt) Ended(reply upstream.Reply) {
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -19,7 +19,7 @@
 func (ev abandoned) apply(g *Gateway) {
 	for _, unanswered := range ev.reqs {
 		if r := g.requests.open[unanswered.ID]; r != nil { // else it is over, or was never admitted
-			g.clientLeft(r)
+			g.clientDisconnected(r)
 		}
 	}
 }
--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -41,8 +41,8 @@
 	return upstream.EncodedCommand{Frame: frame}
 }
 
-// ClientLeft implements upstream.Command: a health check has no client.
-func (*healthCheck) ClientLeft() bool { return false }
+// Abandoned implements upstream.Command: a health check has no client.
+func (*healthCheck) Abandoned() bool { return false }
 
 // BeforeFirstByte implements upstream.Command.
 func (*healthCheck) BeforeFirstByte(time.Duration) {}
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -18,16 +18,16 @@
 	ruleInTime                  // at the latest maxAnswerDelay after its client's deadline
 	ruleStart                   // attempts start only for an open request, within their number, and in parallel only with hedging
 	ruleRetry                   // what may have been executed is retried only where its class allows it
-	ruleClientLeft              // no attempt starts maxStartAfterLeave after its client left
+	ruleClientLeft              // no attempt starts maxStartAfterDisconnect after its client left
 	ruleDrain                   // none starts maxStartAfterDrain after its endpoint was told to drain
 	ruleDeadline                // none tells its endpoint more time than its client has left
 )
 
 // Delays that a rule allows, for events that cross.
 const (
-	maxAnswerDelay     = 500 * time.Millisecond
-	maxStartAfterLeave = 100 * time.Millisecond
-	maxStartAfterDrain = time.Second
+	maxAnswerDelay          = 500 * time.Millisecond
+	maxStartAfterDisconnect = 100 * time.Millisecond
+	maxStartAfterDrain      = time.Second
 )
 
 // newViolations returns the counters of the rules; their names are those in the log.
@@ -55,7 +55,7 @@
 func (g *Gateway) checkAnswerTime(r *request) {
 	due := max(r.until, g.epoch+g.holdUps.last()) // nothing is answered while the process is stalled
 	if g.now > due+maxAnswerDelay {
-		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered late")
+		g.observe.violated(ruleInTime, r.clientRequest, g.now, "answered "+(g.now-due).String()+" late")
 	}
 	if g.now > r.until && r.until > r.readAt { // else it was late when it came
 		g.observe.requests.Add(requestsLate)
@@ -67,7 +67,7 @@
 // policy's decision; those of the second would be faults of the policy.
 var (
 	errRequestOver         = errors.New("the request is over")
-	errClientLeft          = errors.New("the client has left")
+	errClientDisconnected  = errors.New("the client has disconnected")
 	errNoTimeLeft          = errors.New("no time is left")
 	errEndpointNotServing  = errors.New("the endpoint is draining or removed")
 	errDeduplicationWindow = errors.New("the deduplication window is over")
@@ -85,7 +85,7 @@
 	case r.final:
 		return errRequestOver
 	case r.left():
-		return errClientLeft
+		return errClientDisconnected
 	case a.deadline <= g.now:
 		return errNoTimeLeft
 	case a.number >= g.maxAttempts:
@@ -141,8 +141,8 @@
 	if which, broken := brokenRule(reason); broken {
 		g.observe.violated(which, a.request.clientRequest, g.now, reason.Error())
 	}
-	if errors.Is(reason, errClientLeft) {
-		g.clientLeft(a.request)
+	if errors.Is(reason, errClientDisconnected) {
+		g.clientDisconnected(a.request)
 	}
 	return false
 }
@@ -154,13 +154,13 @@
 		return
 	}
 	now := g.clock(time.Now())
-	if left := r.leftAt(); left != 0 && now-left > maxStartAfterLeave {
-		g.observe.violated(ruleClientLeft, r.clientRequest, now, "it left "+(now-left).String()+" before")
+	if left := r.leftAt(); left != 0 && now-left > maxStartAfterDisconnect {
+		g.observe.violated(ruleClientLeft, r.clientRequest, now, "the client left "+(now-left).String()+" before")
 	}
 	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
-		g.observe.violated(ruleDrain, r.clientRequest, now, "it was told "+(now-stopped).String()+" before")
+		g.observe.violated(ruleDrain, r.clientRequest, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
 	}
 	if timeLimit > max(r.until-now, 0)+heldUpMost {
-		g.observe.violated(ruleDeadline, r.clientRequest, now, "told "+timeLimit.String())
+		g.observe.violated(ruleDeadline, r.clientRequest, now, "time limit "+timeLimit.String())
 	}
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -44,7 +44,7 @@
 	}{
 		"first":   {"write", nil, nil, 0, nil, false},
 		"over":    {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
-		"left":    {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errClientLeft, false},
+		"left":    {"read", func(r *request, _ *attempt) { r.slot.c.gone.Store(true) }, nil, 0, errClientDisconnected, false},
 		"no time": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
 		"drains": {"read", func(_ *request, a *attempt) {
 			a.endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{State: policy.Draining}}
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -126,8 +126,8 @@
 	g.answer(r, response)
 }
 
-// clientLeft ends a request whose client has gone.
-func (g *Gateway) clientLeft(r *request) {
+// clientDisconnected ends a request whose client has gone.
+func (g *Gateway) clientDisconnected(r *request) {
 	if r.final {
 		return
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -15,8 +15,8 @@
 	MayStart() bool
 	// Encode returns what is written. It is called when the attempt is given to a connection.
 	Encode() EncodedCommand
-	// ClientLeft reports whether nobody waits for the reply any more. It is safe for concurrent use.
-	ClientLeft() bool
+	// Abandoned reports whether nobody waits for the reply any more. It is safe for concurrent use.
+	Abandoned() bool
 	// BeforeFirstByte is called on a goroutine of the connection, just before it writes. timeLimit is that of the
 	// EncodedCommand.
 	BeforeFirstByte(timeLimit time.Duration)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -163,8 +163,8 @@
 
 // writeAttempt writes one attempt and reports whether the connection may carry another.
 func (c *connection) writeAttempt(next assignment) bool {
-	// The client may have left since the attempt was assigned. What has not begun was never executed.
-	if next.attempt.command.ClientLeft() {
+	// The command may have been abandoned since it was assigned. What has not begun was never executed.
+	if next.attempt.command.Abandoned() {
 		return false
 	}
 	next.attempt.command.BeforeFirstByte(next.TimeLimit)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -95,11 +95,11 @@
 	}
 }
 
-// An attempt whose client has left before its first byte is not written, and the connection is given up.
-func TestNothingIsWrittenOnceTheClientHasLeft(t *testing.T) {
+// A command that is abandoned before its first byte is not written, and the connection is given up.
+func TestAbandonedCommandIsNotWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	attempt := NewAttempt(&Endpoint{}, &testCommand{clientLeft: true})
+	attempt := NewAttempt(&Endpoint{}, &testCommand{abandoned: true})
 	conn := newConnection(attempt.endpoint, nil)
 	conn.netConn = near
 	conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -169,9 +169,9 @@
 
 // testCommand is a command that notes how its attempt ended.
 type testCommand struct {
-	denied     bool // it may not start
-	clientLeft bool
-	ends       []Reply
+	denied    bool // it may not start
+	abandoned bool
+	ends      []Reply
 }
 
 func (c *testCommand) MayStart() bool { return !c.denied }
@@ -180,7 +180,7 @@
 	return EncodedCommand{Frame: []byte("*1\r\n$4\r\nPING\r\n")}
 }
 
-func (c *testCommand) ClientLeft() bool { return c.clientLeft }
+func (c *testCommand) Abandoned() bool { return c.abandoned }
 
 func (*testCommand) BeforeFirstByte(time.Duration) {}
 
