--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -7,27 +7,21 @@
 	"lemontack/internal/listener"
 )
 
-// The events of a client.
-type (
-	arrived   struct{ r *listener.Request }
-	abandoned struct{ reqs []*listener.Request }
-)
-
 // newListener returns the server of the clients' connections that come on ln.
 func (g *Gateway) newListener(ln net.Listener) *listener.Server {
 	return listener.New(ln, g.listenerConfig())
 }
 
-// listenerConfig is what the server of the clients' connections is told.
+// listenerConfig returns the configuration of the server of the clients' connections.
 func (g *Gateway) listenerConfig() listener.Config {
 	return listener.Config{
 		Classes:        g.classes,
 		Plans:          g.plans,
 		GatewayCount:   g.cfg.Settings.GatewayCount,
-		MaxUnits:       g.mostUnits,
-		MaxConnections: g.cfg.Sockets - g.mostConns - spare,
-		Memory:         g.cfg.Memory / memoryShare,
-		RejectedReply:  g.turnedAway,
+		MaxUnits:       g.maxUnits,
+		MaxConnections: g.cfg.maxClientConnections(),
+		Memory:         g.cfg.memoryPart(),
+		RejectedReply:  g.rejection,
 		Clock:          g.clock,
 		Stalls:         g.stalls,
 		Log:            g.log,
@@ -38,15 +32,15 @@
 	}
 }
 
-// clientEvents brings what the listener tells to the gateway's goroutine and to the counters.
+// clientEvents passes what the listener reports on to the event loop and to the counters.
 type clientEvents struct{ g *Gateway }
 
 // RequestReceived implements listener.Handler.
-func (e clientEvents) RequestReceived(r *listener.Request) { e.g.post(arrived{r}) }
+func (e clientEvents) RequestReceived(r *listener.Request) { e.g.post(requestReceived{r}) }
 
 // ClientDisconnected implements listener.Handler.
 func (e clientEvents) ClientDisconnected(unanswered []*listener.Request) {
-	e.g.post(abandoned{unanswered})
+	e.g.post(clientDisconnected{unanswered})
 }
 
 // RequestRead implements listener.Observer.
