--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -29,8 +29,13 @@
 }
 
 func newEventLoop(start time.Time) eventLoop {
-	return eventLoop{start: start, epoch: time.Duration(start.UnixNano()), events: make(chan event, eventQueueLength),
-		stopped: make(chan struct{})}
+	return eventLoop{
+		start:   start,
+		epoch:   time.Duration(start.UnixNano()),
+		timers:  newTimerQueue(),
+		events:  make(chan event, eventQueueLength),
+		stopped: make(chan struct{}),
+	}
 }
 
 // spawn starts a goroutine that the gateway's end cancels through its context, and that Run waits for.
--- a/internal/ingress/timers_test.go
+++ b/internal/ingress/timers_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestTimersAreCalledInTheOrderOfTime(t *testing.T) {
-	var q timerQueue
+	q := newTimerQueue()
 	var called []int
 	for _, at := range []int{30, 10, 40, 20} {
 		q.add(time.Duration(at), func() { called = append(called, at) })
