--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -53,8 +53,8 @@
 
 // RequestUnanswered implements listener.Observer.
 func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
-	e.g.observe.violated(ruleFinalAnswer, r, e.g.clock(time.Now()), cause)
+	e.g.observe.violated(invariantFinalAnswer, r, e.g.clock(time.Now()), cause)
 }
 
 // RequestAnsweredTwice implements listener.Observer.
-func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(ruleOneAnswer) }
+func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantOneAnswer) }
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -11,40 +11,40 @@
 	"lemontack/policy"
 )
 
-// rule numbers the invariants that the program checks while it runs. A count other than 0 is a fault of the program.
-type rule int
+// invariant numbers the invariants that the program checks while it runs. A count other than 0 is a fault of the program.
+type invariant int
 
 const (
-	ruleFinalAnswer rule = iota // a request that was read gets its final answer
-	ruleOneAnswer               // and only one
-	ruleInTime                  // at the latest maxAnswerDelay after its client's deadline
-	ruleStart                   // attempts start only for an open request, within their number, and in parallel only with hedging
-	ruleRetry                   // what may have been executed is retried only where its class allows it
-	ruleClientLeft              // no attempt starts maxStartAfterDisconnect after its client left
-	ruleDrain                   // none starts maxStartAfterDrain after its endpoint was told to drain
-	ruleDeadline                // none tells its endpoint more time than its client has left
+	invariantFinalAnswer     invariant = iota // a request that was read gets its final answer
+	invariantOneAnswer                        // and only one
+	invariantAnswerInTime                     // at the latest maxAnswerDelay after its client's deadline
+	invariantStart                            // attempts start only for an open request, within their number, and in parallel only with hedging
+	invariantRetry                            // what may have been executed is retried only where its class allows it
+	invariantClientConnected                  // no attempt starts maxStartAfterDisconnect after its client left
+	invariantDrain                            // none starts maxStartAfterDrain after its endpoint was told to drain
+	invariantDeadline                         // none tells its endpoint more time than its client has left
 )
 
-// Delays that a rule allows, for events that cross.
+// Delays that an invariant allows, for events that cross.
 const (
 	maxAnswerDelay          = 500 * time.Millisecond
 	maxStartAfterDisconnect = 100 * time.Millisecond
 	maxStartAfterDrain      = time.Second
 )
 
-// newViolations returns the counters of the rules; their names are those in the log.
-func newViolations() *telemetry.Counters[rule] {
-	return telemetry.NewCounters[rule]("final_answer", "one_answer", "in_time", "start", "retry", "client_left", "drain",
+// newViolations returns the counters of violated invariants; their names are those in the log.
+func newViolations() *telemetry.Counters[invariant] {
+	return telemetry.NewCounters[invariant]("final_answer", "one_answer", "in_time", "start", "retry", "client_left", "drain",
 		"deadline")
 }
 
-// violated counts a broken rule and logs what is known of the request.
-func (o *observer) violated(which rule, r *listener.Request, now time.Duration, reason string) {
+// violated counts a violated invariant and logs what is known of the request.
+func (o *observer) violated(which invariant, r *listener.Request, now time.Duration, reason string) {
 	o.violations.Add(which)
 	if ok, _ := o.anomalies.Allow(time.Now()); !ok {
 		return
 	}
-	o.log.Error("rule broken", "rule", o.violations.Name(which), "reason", reason, "request", describe(r, now))
+	o.log.Error("invariant violated", "invariant", o.violations.Name(which), "reason", reason, "request", describe(r, now))
 }
 
 // describe is what is known of a request, for the log.
@@ -57,7 +57,7 @@
 func (g *Gateway) checkAnswerTime(r *request) {
 	due := max(r.GiveUpAt, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process is stalled
 	if g.now > due+maxAnswerDelay {
-		g.observe.violated(ruleInTime, r.Request, g.now, "answered "+(g.now-due).String()+" late")
+		g.observe.violated(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-due).String()+" late")
 	}
 	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // else it was late when it came
 		g.observe.requests.Add(requestsLate)
@@ -121,13 +121,13 @@
 	return nil
 }
 
-// brokenRule returns the rule that a reason for not starting would break, and false where the reason is no fault of the policy.
-func brokenRule(reason error) (rule, bool) {
+// brokenInvariant returns the invariant that a reason for not starting would violate, and false where the reason is no fault of the policy.
+func brokenInvariant(reason error) (invariant, bool) {
 	switch {
 	case errors.Is(reason, errTooManyAttempts), errors.Is(reason, errParallelAttempt):
-		return ruleStart, true
+		return invariantStart, true
 	case errors.Is(reason, errMayBeExecuted):
-		return ruleRetry, true
+		return invariantRetry, true
 	}
 	return 0, false
 }
@@ -140,7 +140,7 @@
 		return true
 	}
 	g := a.gateway
-	if which, broken := brokenRule(reason); broken {
+	if which, broken := brokenInvariant(reason); broken {
 		g.observe.violated(which, a.request.Request, g.now, reason.Error())
 	}
 	if errors.Is(reason, errClientDisconnected) {
@@ -149,7 +149,7 @@
 	return false
 }
 
-// BeforeFirstByte implements upstream.Command: it checks the attempt against the rules on the goroutine of its connection.
+// BeforeFirstByte implements upstream.Command: it checks the invariants on the goroutine of its connection.
 func (a *attempt) BeforeFirstByte(timeLimit time.Duration) {
 	g, r := a.gateway, a.request
 	if r.Released() {
@@ -157,12 +157,12 @@
 	}
 	now := g.clock(time.Now())
 	if left := r.ClientGoneAt(); left != 0 && now-left > maxStartAfterDisconnect {
-		g.observe.violated(ruleClientLeft, r.Request, now, "the client left "+(now-left).String()+" before")
+		g.observe.violated(invariantClientConnected, r.Request, now, "the client left "+(now-left).String()+" before")
 	}
 	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
-		g.observe.violated(ruleDrain, r.Request, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
+		g.observe.violated(invariantDrain, r.Request, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
-		g.observe.violated(ruleDeadline, r.Request, now, "time limit "+timeLimit.String())
+		g.observe.violated(invariantDeadline, r.Request, now, "time limit "+timeLimit.String())
 	}
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -72,7 +72,7 @@
 				c.change(r, a)
 			}
 			got := a.checkStart()
-			if _, fault := brokenRule(got); !errors.Is(got, c.want) || fault != c.fault {
+			if _, fault := brokenInvariant(got); !errors.Is(got, c.want) || fault != c.fault {
 				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
 			}
 		})
@@ -104,7 +104,7 @@
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
 		t.Fatal("a request that may have run is sent again")
 	}
-	if n := g.observe.violations.Value(ruleRetry); n != 1 {
+	if n := g.observe.violations.Value(invariantRetry); n != 1 {
 		t.Fatalf("%d violations counted", n)
 	}
 }
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -29,7 +29,7 @@
 	clients    *listener.Counters
 	outcomes   *telemetry.Counters[policy.Outcome]
 	stalls     atomic.Int64 // of the process
-	violations *telemetry.Counters[rule]
+	violations *telemetry.Counters[invariant]
 	anomalies  *telemetry.Limiter
 }
 
--- /dev/null
+++ b/internal/ingress/violationlog_test.go
@@ -0,0 +1,29 @@
+package ingress
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"lemontack/internal/listener"
+)
+
+// The fault soak finds violated invariants by this text in the logs of ingresses (internal/soak/processlog.go).
+func TestViolationIsLoggedInTheFormThatTheSoakLooksFor(t *testing.T) {
+	var log bytes.Buffer
+	o := newObserver(slog.New(slog.NewTextHandler(&log, nil)))
+	for which, want := range map[invariant]string{
+		invariantAnswerInTime:    "invariant=in_time ",
+		invariantClientConnected: "invariant=client_left ",
+		invariantDrain:           "invariant=drain ",
+		invariantDeadline:        "invariant=deadline ",
+	} {
+		log.Reset()
+		o.violated(which, &listener.Request{}, time.Second, "a reason")
+		if got := log.String(); !strings.Contains(got, `msg="invariant violated" `+want) {
+			t.Errorf("logged %q, want it with %q", got, want)
+		}
+	}
+}
--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if ok, suppressed := s.cfg.LogLimit.Allow(called); ok {
-		s.cfg.Log.Warn("accept failed", "err", err, "suppressed_before", suppressed)
+		s.cfg.Log.Warn("accept failed", "err", err, "suppressed", suppressed)
 	}
 	time.Sleep(acceptRetryPause)
 	s.acceptDelay.failed(called, time.Now())
--- a/internal/listener/telemetry.go
+++ b/internal/listener/telemetry.go
@@ -50,7 +50,7 @@
 	counters := c.server.cfg.Counters
 	counters.Faults.Add(kind)
 	if c.server.tracing {
-		c.server.cfg.Log.Debug("client fault", "client", c.remoteAddr(), "kind", counters.Faults.Name(kind), "cause", text,
+		c.server.cfg.Log.Debug("client fault", "client", c.remoteAddr(), "kind", counters.Faults.Name(kind), "reason", text,
 			"number", number)
 	}
 }
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -10,14 +10,14 @@
 // What is looked for in the log of an ingress. The message and the names of the invariants are those of package ingress,
 // the others those of the Go runtime and its race detector.
 const (
-	logInvariantViolated = "rule broken"
+	logInvariantViolated = "invariant violated"
 	logPanic             = "panic: "       // at the beginning of a line
 	logFatalError        = "fatal error: " // at the beginning of a line
 	logDataRace          = "DATA RACE"
 )
 
 // timingInvariants are the invariants, as the log names them, that a slow machine can make an ingress violate.
-var timingInvariants = []string{"rule=in_time", "rule=client_left", "rule=drain", "rule=deadline"}
+var timingInvariants = []string{"invariant=in_time", "invariant=client_left", "invariant=drain", "invariant=deadline"}
 
 // logViolation returns the kind of violation that a line of an ingress's log tells; "": none.
 func logViolation(line string, checkTiming bool) ViolationKind {
