--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 const (
@@ -95,7 +97,7 @@
 		known = append(known, endpoint{fmt.Sprint("o", i), oldBackend})
 	}
 	changed := endpointList(2, endpoint{"n", serveBackend(t, "new", nil, &newCommands)})
-	counter := serveConns(t, func(nc net.Conn) {
+	counter := nettest.Serve(t, func(nc net.Conn) {
 		for in := bufio.NewScanner(nc); in.Scan(); {
 			counterCalls.Add(1)
 			io.WriteString(nc, "ok 1\r\n")
@@ -149,16 +151,16 @@
 	for i := range concurrentAttempts {
 		blocked.Write(request{id: i, customer: 4, class: "read", plan: "free", timeLeft: 60_000}.encode())
 	}
-	eventually(t, "all connections to backends are in use", func() bool { return oldCommands.Load() >= concurrentAttempts })
+	nettest.Eventually(t, "all connections to backends are in use", func() bool { return oldCommands.Load() >= concurrentAttempts })
 	connectIdleClients(t, listen.addr)
-	eventually(t, "the descriptors are full", func() bool { return usedDescriptors() >= fullDescriptors })
+	nettest.Eventually(t, "the descriptors are full", func() bool { return usedDescriptors() >= fullDescriptors })
 	openGate()
 	for in, i := bufio.NewReader(blocked), 0; i < 2*concurrentAttempts; i++ { // idle from now on: may be closed for others
 		if line, err := in.ReadString('\n'); err != nil {
 			t.Fatalf("reply %q: %v", line, err)
 		}
 	}
-	eventually(t, "the descriptors are full while discovery is still down",
+	nettest.Eventually(t, "the descriptors are full while discovery is still down",
 		func() bool { return usedDescriptors() >= fullDescriptors })
 
 	callsBefore := counterCalls.Load()
@@ -173,12 +175,12 @@
 		got, err := exchange(listen.addr, request{id: id, customer: 7, class: "read", plan: "metered", timeLeft: 60_000}.encode(), 2)
 		return err == nil && got == "$3\r\nnew\r\n"
 	}
-	eventually(t, "the new backend serves", newClientIsServed)
-	eventually(t, "the counter is called", func() bool { return newClientIsServed() && counterCalls.Load() > callsBefore })
+	nettest.Eventually(t, "the new backend serves", newClientIsServed)
+	nettest.Eventually(t, "the counter is called", func() bool { return newClientIsServed() && counterCalls.Load() > callsBefore })
 	for range 20 {
-		eventually(t, "another working client is served", newClientIsServed)
+		nettest.Eventually(t, "another working client is served", newClientIsServed)
 	}
-	eventually(t, "idle clients have filled the descriptors again",
+	nettest.Eventually(t, "idle clients have filled the descriptors again",
 		func() bool { return usedDescriptors() >= fullDescriptors-concurrentAttempts })
 	if maxUsed > minDescriptors-reservedDescriptors {
 		t.Errorf("%d of %d descriptors were in use", maxUsed, minDescriptors)
--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -11,7 +11,6 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -21,6 +20,7 @@
 
 	"lemontack/internal/discovery"
 	"lemontack/internal/loopback"
+	"lemontack/internal/nettest"
 )
 
 // descriptorsEnv names the environment variable that makes the test binary run as the ingress, with so many file
@@ -41,21 +41,11 @@
 
 const (
 	minDescriptors = 128              // the minimum that an ingress accepts
-	testTimeout    = 90 * time.Second // for a condition to hold or a reply to come, however busy the machine is
+	testTimeout    = 90 * time.Second // for a reply to come, however busy the machine is
 	ping           = "*1\r\n$4\r\nPING\r\n"
 	unknownCommand = "*1\r\n$5\r\nHELLO\r\n"
 )
 
-// eventually fails the test if a condition never holds; how long it takes is not asserted.
-func eventually(t *testing.T, description string, holds func() bool) {
-	t.Helper()
-	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatal("never: ", description)
-		}
-	}
-}
-
 // reservedAddress is a loopback address that no other socket gets and that refuses connections until listen.
 type reservedAddress struct {
 	*loopback.Reservation
@@ -83,49 +73,11 @@
 	return ln
 }
 
-// serveConns listens on a loopback address and hands each connection to handle, on a goroutine of its own. At the end of the
-// test the connections are closed and their goroutines waited for.
-func serveConns(t *testing.T, handle func(net.Conn)) (addr string) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var serving sync.WaitGroup
-	var mu sync.Mutex // guards conns
-	var conns []net.Conn
-	serving.Go(func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			conns = append(conns, nc)
-			mu.Unlock()
-			serving.Go(func() {
-				defer nc.Close()
-				handle(nc)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		ln.Close()
-		mu.Lock()
-		for _, nc := range conns {
-			nc.Close()
-		}
-		mu.Unlock()
-		serving.Wait()
-	})
-	return ln.Addr().String()
-}
-
 // serveBackend runs a backend that replies with its name to each command and counts them. If gate is not nil, it replies
 // only once gate is closed.
 func serveBackend(t *testing.T, name string, gate <-chan struct{}, commands *atomic.Int32) (addr string) {
 	t.Helper()
-	return serveConns(t, func(nc net.Conn) {
+	return nettest.Serve(t, func(nc net.Conn) {
 		for in := redcon.NewReader(nc); ; {
 			if _, err := in.ReadCommand(); err != nil {
 				return
@@ -149,12 +101,8 @@
 }
 
 func (r request) encode() []byte {
-	b := redcon.AppendArray(nil, 4)
-	for _, arg := range []string{"Q.ASK", fmt.Sprintf("%016x", r.customer), fmt.Sprintf("%016x", r.id),
-		fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", r.class, r.plan, r.timeLeft)} {
-		b = redcon.AppendBulkString(b, arg)
-	}
-	return b
+	return []byte(nettest.Command("Q.ASK", fmt.Sprintf("%016x", r.customer), fmt.Sprintf("%016x", r.id),
+		fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", r.class, r.plan, r.timeLeft)))
 }
 
 // exchange sends bytes on a new connection and returns the first lines of the reply.
@@ -202,20 +150,11 @@
 // reply reads one reply: the value of a bulk string, or else the only line.
 func (c *testClient) reply() string {
 	c.t.Helper()
-	first := c.line()
+	first := nettest.ReadLine(c.t, c.in)
 	if first[0] != '$' {
 		return first
 	}
-	return c.line()
-}
-
-func (c *testClient) line() string {
-	c.t.Helper()
-	line, err := c.in.ReadString('\n')
-	if err != nil {
-		c.t.Fatalf("incomplete reply: %q, %v", line, err)
-	}
-	return strings.TrimRight(line, "\r\n")
+	return nettest.ReadLine(c.t, c.in)
 }
 
 // configuration is the configuration file of an ingress.
@@ -276,7 +215,7 @@
 
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
-	eventually(t, "the ingress replies to PING", func() bool {
+	nettest.Eventually(t, "the ingress replies to PING", func() bool {
 		got, err := exchange(addr, []byte(ping), 1)
 		return err == nil && got == "+PONG\r\n"
 	})
--- a/cmd/ingress/incident_test.go
+++ b/cmd/ingress/incident_test.go
@@ -15,6 +15,7 @@
 	"github.com/tidwall/redcon"
 
 	"lemontack/internal/faults"
+	"lemontack/internal/nettest"
 )
 
 // shortDeadlineSettings let the clients of class read run out of time while a backend is silent.
@@ -113,7 +114,7 @@
 		t.Fatalf("the request behind unknown commands has not reached a backend when another client had %d replies",
 			sequentialRequests)
 	}
-	eventually(t, "the request behind unknown commands is served", func() bool { return served.Load() == 1 })
+	nettest.Eventually(t, "the request behind unknown commands is served", func() bool { return served.Load() == 1 })
 }
 
 // A request behind the last unknown command that a connection is allowed is answered too, before the connection ends.
@@ -138,7 +139,7 @@
 func TestTimeWhileStoppedCountsAgainstDeadline(t *testing.T) {
 	const timeLeft, stopped = 10_000, 300 * time.Millisecond
 	forwardedTimeLeft := make(chan int, 1)
-	backend := serveConns(t, func(nc net.Conn) {
+	backend := nettest.Serve(t, func(nc net.Conn) {
 		for in := redcon.NewReader(nc); ; {
 			cmd, err := in.ReadCommand()
 			if err != nil {
@@ -153,7 +154,7 @@
 	addr, pid := startIngressFor(t, backend)
 	client, r := dialClient(t, addr), slowRequest(0)
 	r.timeLeft = timeLeft
-	eventually(t, "a backend is told what is left", func() bool {
+	nettest.Eventually(t, "a backend is told what is left", func() bool {
 		r.id++
 		syscall.Kill(pid, syscall.SIGSTOP)
 		client.send(r)
--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -6,57 +6,19 @@
 	"io"
 	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
-// listen accepts connections on the loopback address, hands each to serve, and returns the address. The end of the test
-// closes them and waits for serve.
-func listen(t *testing.T, serve func(conn net.Conn)) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var serving sync.WaitGroup
-	var mu sync.Mutex // guards open
-	var open []net.Conn
-	serving.Go(func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open = append(open, conn)
-			mu.Unlock()
-			serving.Go(func() {
-				defer conn.Close()
-				serve(conn)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		listener.Close()
-		mu.Lock()
-		for _, conn := range open {
-			conn.Close()
-		}
-		mu.Unlock()
-		serving.Wait()
-	})
-	return listener.Addr().String()
-}
-
 // startConnection runs one connection to a counter that serve plays, and returns it with the results of its calls.
 func startConnection(t *testing.T, serve func(conn net.Conn, lines *bufio.Reader)) (*connection, <-chan Result) {
 	t.Helper()
 	results := make(chan Result, 64)
-	address := listen(t, func(conn net.Conn) { serve(conn, bufio.NewReader(conn)) })
+	address := nettest.Serve(t, func(conn net.Conn) { serve(conn, bufio.NewReader(conn)) })
 	c := newConnection(address, 5*time.Second, func(result Result) { results <- result })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -174,12 +136,7 @@
 
 // A counter that nobody listens at has added nothing.
 func TestCallFailsToConnectWhereNobodyListens(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	listener.Close()
+	address := nettest.RefusedAddress(t)
 	results := make(chan Result, 1)
 	c := newConnection(address, 5*time.Second, func(result Result) { results <- result })
 	c.serve(context.Background(), callOf("a"))
@@ -236,7 +193,7 @@
 		io.WriteString(conn, "ok 1\r\n")
 		in.ReadString('\n') // until it is closed
 	})
-	next := listen(t, func(conn net.Conn) {
+	next := nettest.Serve(t, func(conn net.Conn) {
 		if _, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
 			io.WriteString(conn, "ok 2\r\n")
 		}
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -4,11 +4,11 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"sync"
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/standin"
 	"lemontack/policy"
 )
@@ -38,10 +38,7 @@
 // serveDiscovery serves a stand-in on the loopback address until the end of the test, and returns its address.
 func serveDiscovery(t *testing.T, service *standin.Discovery) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := nettest.Listen(t)
 	go service.Serve(listener)
 	t.Cleanup(func() { service.Close() })
 	return listener.Addr().String()
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -6,29 +6,14 @@
 	"net"
 	"testing"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 // startEchoServer is a service that gives back what it gets.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nc.Close()
-				io.Copy(nc, nc)
-			}()
-		}
-	}()
-	return ln.Addr().String()
+	return nettest.Serve(t, func(conn net.Conn) { io.Copy(conn, conn) })
 }
 
 func startProxy(t *testing.T) (*Proxy, net.Conn) {
--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"lemontack/internal/listener"
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
@@ -17,10 +18,10 @@
 	be := serving(t, "value")
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	for i := range 5 {
-		io.WriteString(nc, ask(i, readFields))
-		wantValue(t, in)
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		nettest.WantValue(t, in)
 	}
 	if n := be.conns.Load(); n != 1 {
 		t.Fatalf("%d connections for requests one after another, want 1", n)
@@ -37,17 +38,17 @@
 	})
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	began := time.Now()
-	io.WriteString(nc, ask(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
-	if got := line(t, in); !strings.HasPrefix(got, "-BUSY") {
+	io.WriteString(nc, nettest.Ask(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
+	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("answer %q, want the module's refusal of a read that timed out", got)
 	}
 	if took := time.Since(began); took < 900*time.Millisecond {
 		t.Fatalf("given up after %v of 1 s", took)
 	}
-	io.WriteString(nc, ask(2, readFields))
-	wantValue(t, in)
+	io.WriteString(nc, nettest.Ask(2, nettest.ReadFields))
+	nettest.WantValue(t, in)
 	if n := be.conns.Load(); n != 2 {
 		t.Fatalf("%d connections, want a new one after the given-up one", n)
 	}
@@ -56,11 +57,7 @@
 // What happened to an attempt decides what a non-idempotent request's client is told: harmless to try again only
 // where the command never ran.
 func TestNonIdempotentRequestIsSentOnceAndAnsweredByItsOutcome(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	dead.Close()
+	refused := nettest.RefusedAddress(t)
 	for name, c := range map[string]struct {
 		say  func(int, []string, net.Conn) string
 		want string
@@ -80,15 +77,15 @@
 		}, "-ERR"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := &backendFake{addr: dead.Addr().String()}
+			be := &backendFake{addr: refused}
 			if c.say != nil {
 				be = newBackend(t, c.say)
 			}
 			list := fleetOf(be.addr)
 			addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-			nc, in := dial(t, addr)
-			io.WriteString(nc, command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
-			if got := line(t, in); !strings.HasPrefix(got, c.want) {
+			nc, in := nettest.Dial(t, addr)
+			io.WriteString(nc, nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
+			if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, c.want) {
 				t.Fatalf("answer %q, want %s", got, c.want)
 			}
 			if n := len(be.seen()); n > 1 {
@@ -137,17 +134,17 @@
 	cfg := testConfig(registry(t, list, nil), list)
 	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // less than the silent request's time
 	addr, _ := startIngress(t, cfg)
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields)+ask(2, readFields)+ask(3, readFields))
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)+nettest.Ask(2, nettest.ReadFields)+nettest.Ask(3, nettest.ReadFields))
 	for range 3 {
-		wantValue(t, in)
+		nettest.WantValue(t, in)
 	}
-	io.WriteString(nc, ask(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
-	if got := line(t, in); !strings.HasPrefix(got, "-BUSY") {
+	io.WriteString(nc, nettest.Ask(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
+	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("answer %q", got)
 	}
-	io.WriteString(nc, ask(5, readFields))
-	wantValue(t, in)
+	io.WriteString(nc, nettest.Ask(5, nettest.ReadFields))
+	nettest.WantValue(t, in)
 	if n := be.conns.Load(); n != 4 {
 		t.Fatalf("%d connections, want a new one after the silence", n)
 	}
@@ -207,12 +204,12 @@
 	})
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, order(1))
-	wantValue(t, in)
-	await(t, "the backend closes", closed)
-	io.WriteString(nc, order(2))
-	wantValue(t, in)
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Do(1, nettest.WriteFields))
+	nettest.WantValue(t, in)
+	nettest.Await(t, "the backend closes", closed)
+	io.WriteString(nc, nettest.Do(2, nettest.WriteFields))
+	nettest.WantValue(t, in)
 	if n := len(be.seen()); n != 2 {
 		t.Fatalf("%d commands, want each sent once", n)
 	}
@@ -225,9 +222,9 @@
 	cfg := testConfig(registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 0
 	addr, _ := startIngress(t, cfg)
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	if got := line(t, in); got != "$1" {
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+	if got := nettest.ReadLine(t, in); got != "$1" {
 		t.Fatalf("answer %q", got)
 	}
 }
@@ -266,8 +263,8 @@
 		left  time.Duration
 		frame string
 	}{
-		{1500 * time.Millisecond, command("Q.ASK", "customer", "id", "c=read,d=1500,units=1", "body")},
-		{2 * time.Microsecond, command("Q.ASK", "customer", "id", "c=read,d=1,units=1", "body")},
+		{1500 * time.Millisecond, nettest.Command("Q.ASK", "customer", "id", "c=read,d=1500,units=1", "body")},
+		{2 * time.Microsecond, nettest.Command("Q.ASK", "customer", "id", "c=read,d=1,units=1", "body")},
 	} {
 		r := &request{Request: &listener.Request{TimeoutStart: len("c=read,d="), TimeoutEnd: len("c=read,d=50000")}}
 		for _, argument := range []string{"Q.ASK", "customer", "id", fields, "body"} {
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"lemontack/internal/listener"
+	"lemontack/internal/nettest"
 	"lemontack/internal/resp"
 )
 
@@ -17,10 +18,10 @@
 	be := serving(t, "value")
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
 		"c=keyed,t=p,d=9000,k=5c0f,units=2,spread=1,first=0,r=1", "BODY\r\n"))
-	wantValue(t, in)
+	nettest.WantValue(t, in)
 	got := be.seen()[0]
 	var left int
 	if _, err := fmt.Sscanf(got[3], "c=keyed,t=p,d=%d,k=5c0f,units=2,spread=1,first=0,r=1", &left); err != nil {
@@ -45,41 +46,41 @@
 		in     string
 		closed bool
 	}{
-		"unknown command":  {command("HELLO", "3"), false},
-		"no fields":        {command("Q.ASK"), false},
-		"bad customer":     {command("Q.ASK", "zz", "9b1f03aa5c7e2d41", readFields), false},
-		"large customer":   {command("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", readFields), false},
-		"bad id":           {command("Q.ASK", "00000000b4d65521", "9", readFields), false},
-		"no d":             {ask(1, "c=read,t=p,units=1,spread=1,first=0"), false},
-		"bad d":            {ask(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
-		"huge d":           {ask(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
-		"many units":       {ask(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
-		"odd units":        {ask(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
-		"wide set":         {ask(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
-		"set elsewhere":    {ask(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
-		"long key":         {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
+		"unknown command":  {nettest.Command("HELLO", "3"), false},
+		"no fields":        {nettest.Command("Q.ASK"), false},
+		"bad customer":     {nettest.Command("Q.ASK", "zz", "9b1f03aa5c7e2d41", nettest.ReadFields), false},
+		"large customer":   {nettest.Command("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", nettest.ReadFields), false},
+		"bad id":           {nettest.Command("Q.ASK", "00000000b4d65521", "9", nettest.ReadFields), false},
+		"no d":             {nettest.Ask(1, "c=read,t=p,units=1,spread=1,first=0"), false},
+		"bad d":            {nettest.Ask(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
+		"huge d":           {nettest.Ask(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
+		"many units":       {nettest.Ask(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
+		"odd units":        {nettest.Ask(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
+		"wide set":         {nettest.Ask(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
+		"set elsewhere":    {nettest.Ask(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
+		"long key":         {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
 		"empty array":      {"*0\r\n", false},
 		"null array":       {"*-1\r\n", false},
 		"60 MB":            {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
-		"bad units":        {ask(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
-		"no value":         {ask(1, "c=read,t=p,d"), false},
-		"twice":            {ask(1, readFields+",d=7"), false},
-		"unknown class":    {ask(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
-		"unknown plan":     {ask(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
-		"wrong command":    {ask(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
-		"no key":           {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
+		"bad units":        {nettest.Ask(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
+		"no value":         {nettest.Ask(1, "c=read,t=p,d"), false},
+		"twice":            {nettest.Ask(1, nettest.ReadFields+",d=7"), false},
+		"unknown class":    {nettest.Ask(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
+		"unknown plan":     {nettest.Ask(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
+		"wrong command":    {nettest.Ask(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
+		"no key":           {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
 		"not an array":     {"PING\r\n", true},
 		"negative bulk":    {"*1\r\n$-5\r\n", true},
 		"null bulk":        {"*1\r\n$-1\r\n", false},
 		"overflowing bulk": {"*1\r\n$9223372036854775807\r\n", true},
 		"many elements":    {"*1000000\r\n", true},
-		"oversized":        {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
+		"oversized":        {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
 		"endless line":     {"*" + strings.Repeat("1", 4000), true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			nc, in := dial(t, addr)
+			nc, in := nettest.Dial(t, addr)
 			go io.WriteString(nc, c.in)
-			if got := line(t, in); !strings.HasPrefix(got, "-ERR ") {
+			if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-ERR ") {
 				t.Fatalf("answer %q", got)
 			}
 			if c.closed {
@@ -88,8 +89,8 @@
 				}
 				return
 			}
-			io.WriteString(nc, command("PING"))
-			if got := line(t, in); got != "+PONG" {
+			io.WriteString(nc, nettest.Command("PING"))
+			if got := nettest.ReadLine(t, in); got != "+PONG" {
 				t.Fatalf("PING after the error: %q", got)
 			}
 		})
@@ -112,10 +113,10 @@
 	})
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields)+ask(2, readFields)+command("PING"))
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)+nettest.Ask(2, nettest.ReadFields)+nettest.Command("PING"))
 	for _, want := range []string{"$1", "1", "$1", "2", "+PONG"} {
-		if got := line(t, in); got != want {
+		if got := nettest.ReadLine(t, in); got != want {
 			t.Fatalf("%q, want %q", got, want)
 		}
 	}
@@ -142,10 +143,10 @@
 			be := newBackend(t, say)
 			list := fleetOf(be.addr)
 			addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-			nc, in := dial(t, addr)
+			nc, in := nettest.Dial(t, addr)
 			for i := range 20 {
-				io.WriteString(nc, ask(i, readFields))
-				if a, b := line(t, in), line(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
+				io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+				if a, b := nettest.ReadLine(t, in), nettest.ReadLine(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
 					t.Fatalf("request %d: answer %q %q", i, a, b)
 				}
 				if name == "copy apart" {
@@ -167,9 +168,9 @@
 	cfg.Sockets = 128 // 16 for clients
 	addr, _ := startIngress(t, cfg)
 	for range 22 {
-		nc, in := dial(t, addr)
-		io.WriteString(nc, command("PING"))
-		if got := line(t, in); got != "+PONG" {
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Command("PING"))
+		if got := nettest.ReadLine(t, in); got != "+PONG" {
 			t.Fatal(got)
 		}
 	}
@@ -190,14 +191,14 @@
 	cfg.Connections.MaxOpen = 2
 	cfg.Settings.MaxRetryAfter = longest
 	addr, _ := startIngress(t, cfg)
-	first, _ := dial(t, addr)
-	io.WriteString(first, ask(1, readFields)+ask(2, readFields))
+	first, _ := nettest.Dial(t, addr)
+	io.WriteString(first, nettest.Ask(1, nettest.ReadFields)+nettest.Ask(2, nettest.ReadFields))
 	for len(be.seen()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(3, readFields))
-	if got := line(t, in); got != want {
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(3, nettest.ReadFields))
+	if got := nettest.ReadLine(t, in); got != want {
 		t.Fatalf("answer %q, want %q", got, want)
 	}
 }
@@ -211,7 +212,7 @@
 	if taken == nil || taken.final || takeIn(g, second) != nil {
 		t.Fatalf("first taken: %v; second too", taken)
 	}
-	if got := line(t, secondIn); got != "-BUSY" {
+	if got := nettest.ReadLine(t, secondIn); got != "-BUSY" {
 		t.Fatalf("second answered %q", got)
 	}
 	g.handle(clientDisconnected{[]*listener.Request{first}})
@@ -234,8 +235,8 @@
 	})
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, _ := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
+	nc, _ := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 	for len(be.seen()) < 1 {
 		time.Sleep(time.Millisecond)
 	}
@@ -254,13 +255,13 @@
 	began := time.Now()
 	var silent []net.Conn
 	for i := range 40 {
-		nc, in := dial(t, addr)
+		nc, in := nettest.Dial(t, addr)
 		switch i % 3 {
 		case 1:
 			io.WriteString(nc, "*5\r\n$4\r\nQ.")
 		case 2:
-			io.WriteString(nc, command("PING"))
-			line(t, in)
+			io.WriteString(nc, nettest.Command("PING"))
+			nettest.ReadLine(t, in)
 		}
 		silent = append(silent, nc)
 	}
@@ -273,12 +274,12 @@
 		t.Fatalf("closed after %v", took)
 	}
 	for range 200 {
-		dial(t, addr)
+		nettest.Dial(t, addr)
 	}
 	for i := range 20 {
-		nc, in := dial(t, addr)
-		io.WriteString(nc, ask(i, readFields))
-		wantValue(t, in)
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		nettest.WantValue(t, in)
 	}
 }
 
@@ -287,12 +288,12 @@
 	be := serving(t, "value")
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	wantValue(t, in)
-	other, in := dial(t, addr)
-	io.WriteString(other, ask(1, readFields))
-	if got := line(t, in); !strings.HasPrefix(got, "-ERR") {
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+	nettest.WantValue(t, in)
+	other, in := nettest.Dial(t, addr)
+	io.WriteString(other, nettest.Ask(1, nettest.ReadFields))
+	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-ERR") {
 		t.Fatalf("answer %q", got)
 	}
 }
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -8,6 +8,7 @@
 
 	"lemontack/internal/counterclient"
 	"lemontack/internal/discovery"
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
@@ -34,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := idleGateway(t, "127.0.0.1:1")
 			lines := make(chan string, 1)
-			address := listen(t, func(conn net.Conn) {
+			address := nettest.Serve(t, func(conn net.Conn) {
 				in := bufio.NewReader(conn)
 				line, _ := in.ReadString('\n')
 				lines <- line
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -12,31 +12,15 @@
 	"time"
 
 	"lemontack/internal/listener"
+	"lemontack/internal/nettest"
 )
 
-// await fails the test where a channel stays silent; how long it takes is not asserted.
-func await(t *testing.T, what string, done <-chan struct{}) {
-	t.Helper()
-	select {
-	case <-done:
-	case <-time.After(20 * time.Second):
-		t.Fatal("never: ", what)
-	}
-}
-
 // valueOf is a backend's answer that holds a value.
 func valueOf(s string) string { return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(s), s) }
 
 // named is a backend that serves its own name.
 func named(t *testing.T, name string) *backendFake { return serving(t, name) }
 
-// writeFields is a request that may not be repeated.
-const writeFields = "c=write,t=p,d=50000,units=1,spread=1,first=0"
-
-func order(id int) string {
-	return command("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id), writeFields)
-}
-
 // moveTo is the change that drains the first backend of a list and brings in another one.
 func moveTo(from, to string) string {
 	return fmt.Sprintf(`{"rev":2,"all":false,"targets":[{"uid":"s0","endpoint":%q,"state":"DRAINING"},
@@ -113,11 +97,11 @@
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), fleetOf(a.addr)))
 	until(t, addr, "b")
 	seen := len(a.seen())
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	for i := range 20 {
-		io.WriteString(nc, ask(1000+i, readFields))
-		line(t, in)
-		line(t, in)
+		io.WriteString(nc, nettest.Ask(1000+i, nettest.ReadFields))
+		nettest.ReadLine(t, in)
+		nettest.ReadLine(t, in)
 	}
 	if n := len(a.seen()); n != seen {
 		t.Fatalf("%d commands to a backend that drains", n-seen)
@@ -127,13 +111,13 @@
 // until asks until the backend of that name serves.
 func until(t *testing.T, addr, name string) {
 	t.Helper()
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	for i := 0; ; i++ {
-		io.WriteString(nc, ask(i, readFields))
-		if got := line(t, in); got != "$1" {
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		if got := nettest.ReadLine(t, in); got != "$1" {
 			t.Fatalf("answer %q: no list is in force", got)
 		}
-		if line(t, in) == name {
+		if nettest.ReadLine(t, in) == name {
 			return
 		}
 	}
@@ -181,7 +165,7 @@
 		"many commands": func() string {
 			var b strings.Builder
 			for i := range 3 * listener.MaxPipelined {
-				b.WriteString(ask(10+i, readFields))
+				b.WriteString(nettest.Ask(10+i, nettest.ReadFields))
 			}
 			return b.String()
 		}(),
@@ -192,14 +176,14 @@
 			be := held(t, ended)
 			list := fleetOf(be.addr)
 			addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-			nc, _ := dial(t, addr)
-			io.WriteString(nc, ask(1, readFields))
+			nc, _ := nettest.Dial(t, addr)
+			io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 			for len(be.seen()) < 1 {
 				time.Sleep(time.Millisecond)
 			}
 			io.WriteString(nc, more)
 			nc.Close()
-			await(t, "the attempt is given up", ended)
+			nettest.Await(t, "the attempt is given up", ended)
 		})
 	}
 }
@@ -216,21 +200,21 @@
 	})
 	list := fleetOf(be.addr)
 	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
-	leaves, _ := dial(t, addr)
+	leaves, _ := nettest.Dial(t, addr)
 	for i := range of {
-		io.WriteString(leaves, command("Q.ASK", "00000000b4d65521", fmt.Sprintf("a%015x", i), readFields))
+		io.WriteString(leaves, nettest.Command("Q.ASK", "00000000b4d65521", fmt.Sprintf("a%015x", i), nettest.ReadFields))
 	}
 	for len(be.seen()) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	stays, in := dial(t, addr)
-	io.WriteString(stays, command("PING"))
-	line(t, in)
-	io.WriteString(stays, ask(1, readFields))
+	stays, in := nettest.Dial(t, addr)
+	io.WriteString(stays, nettest.Command("PING"))
+	nettest.ReadLine(t, in)
+	io.WriteString(stays, nettest.Ask(1, nettest.ReadFields))
 	leaves.Close()
-	wantValue(t, in)
-	io.WriteString(stays, ask(2, readFields))
-	wantValue(t, in)
+	nettest.WantValue(t, in)
+	io.WriteString(stays, nettest.Ask(2, nettest.ReadFields))
+	nettest.WantValue(t, in)
 	if n := len(be.seen()) - 2; n >= of || n < 1 {
 		t.Fatalf("%d of %d commands of the client that left were sent", n, of)
 	}
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"lemontack/internal/discovery"
+	"lemontack/internal/nettest"
 	"lemontack/internal/standin"
 )
 
@@ -47,7 +48,7 @@
 		return targets
 	}
 	at.SetList(list(200_000, a.addr))
-	ln := loopback(t)
+	ln := nettest.Listen(t)
 	go at.Serve(ln)
 	t.Cleanup(func() { at.Close() })
 	cfg := testConfig(ln.Addr().String(), discovery.EndpointList{})
@@ -56,11 +57,11 @@
 	until(t, addr, "a")
 	b := named(t, "b")
 	at.SetList(list(200_000, b.addr))
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	for i := 1_000_000; ; i++ {
-		io.WriteString(nc, ask(i, readFields))
-		line(t, in)
-		if line(t, in) == "b" {
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		nettest.ReadLine(t, in)
+		if nettest.ReadLine(t, in) == "b" {
 			break
 		}
 	}
@@ -74,9 +75,9 @@
 	list.Revision = 2
 	from, to := registry(t, fleetOf(), nil), registry(t, list, nil)
 	addr, g := startGateway(t, testConfig(from, fleetOf()))
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	g.Move("127.0.0.1:1", "")
 	g.Move(to, "")
-	io.WriteString(nc, ask(1, readFields)) // waits for a backend
-	wantValue(t, in)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)) // waits for a backend
+	nettest.WantValue(t, in)
 }
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"log/slog"
 	"net"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -17,53 +16,13 @@
 
 	"lemontack/internal/discovery"
 	"lemontack/internal/listener"
+	"lemontack/internal/nettest"
 	"lemontack/internal/standin"
 	"lemontack/internal/upstream"
 	"lemontack/internal/wire"
 	"lemontack/policy"
 )
 
-// listen opens an ephemeral port on the loopback address and hands every connection to serve.
-func listen(t *testing.T, serve func(net.Conn)) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var open []net.Conn
-	wg.Add(1)
-	go func() {
-		defer wg.Done()
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open = append(open, nc)
-			mu.Unlock()
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				defer nc.Close()
-				serve(nc)
-			}()
-		}
-	}()
-	t.Cleanup(func() {
-		ln.Close()
-		mu.Lock()
-		for _, nc := range open {
-			nc.Close()
-		}
-		mu.Unlock()
-		wg.Wait()
-	})
-	return ln.Addr().String()
-}
-
 // backendFake answers commands by their order: what say returns goes out as it is, "" is silence.
 type backendFake struct {
 	addr     string
@@ -74,7 +33,7 @@
 
 func newBackend(t *testing.T, say func(n int, args []string, nc net.Conn) string) *backendFake {
 	b := &backendFake{}
-	b.addr = listen(t, func(nc net.Conn) {
+	b.addr = nettest.Serve(t, func(nc net.Conn) {
 		b.conns.Add(1)
 		in := redcon.NewReader(nc)
 		for {
@@ -118,7 +77,7 @@
 		f.commands = append(f.commands, args)
 		return value
 	}})
-	ln := loopback(t)
+	ln := nettest.Listen(t)
 	f.addr = ln.Addr().String()
 	go b.Serve(&countedListener{ln, &f.conns})
 	t.Cleanup(func() {
@@ -144,18 +103,9 @@
 	return nc, err
 }
 
-func loopback(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
-
 // registry is discovery's agent: a list, and a watch that tells what is sent to changes, as versions of its own count.
 func registry(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
-	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1}), loopback(t), make(chan struct{})
+	d, ln, done := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1}), nettest.Listen(t), make(chan struct{})
 	d.SetList(standinTargets(list))
 	go d.Serve(ln)
 	go func() {
@@ -244,48 +194,6 @@
 	return g, stop
 }
 
-// dial opens a client's connection; every read of it ends the test after a minute.
-func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetReadDeadline(time.Now().Add(time.Minute))
-	return nc, bufio.NewReader(nc)
-}
-
-func command(args ...string) string {
-	b := redcon.AppendArray(nil, len(args))
-	for _, a := range args {
-		b = redcon.AppendBulkString(b, a)
-	}
-	return string(b)
-}
-
-func ask(id int, fields string) string {
-	return command("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), fields)
-}
-
-const readFields = "c=read,t=p,d=50000,units=1,spread=1,first=0"
-
-func line(t *testing.T, in *bufio.Reader) string {
-	t.Helper()
-	s, err := in.ReadString('\n')
-	if err != nil {
-		t.Fatalf("read %q: %v", s, err)
-	}
-	return strings.TrimRight(s, "\r\n")
-}
-
-func wantValue(t *testing.T, in *bufio.Reader) {
-	t.Helper()
-	if a, b := line(t, in), line(t, in); a != "$5" || b != "value" {
-		t.Fatalf("answer %q %q, want the backend's value", a, b)
-	}
-}
-
 var quiet = slog.New(slog.DiscardHandler)
 
 // requestSource is a client's connection of which the test takes the requests in place of the gateway.
@@ -319,7 +227,7 @@
 	}
 	t.Cleanup(leave)
 	far.SetDeadline(time.Now().Add(time.Minute))
-	if _, err := io.WriteString(far, ask(id, readFields)); err != nil {
+	if _, err := io.WriteString(far, nettest.Ask(id, nettest.ReadFields)); err != nil {
 		t.Fatal(err)
 	}
 	return <-source.received, bufio.NewReader(far), leave
--- a/internal/ingress/leave_test.go
+++ b/internal/ingress/leave_test.go
@@ -10,32 +10,10 @@
 	"time"
 
 	"lemontack/internal/discovery"
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
-// accepted is a connection over the loopback address: the ingress's end and the client's.
-func accepted(t *testing.T) (near, far *net.TCPConn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	in, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		nc.Close()
-		in.Close()
-	})
-	return in.(*net.TCPConn), nc.(*net.TCPConn)
-}
-
 // Whatever stands in the gateway's queue before the word that a client has left, no attempt of that client begins.
 func TestLeftWithTheWordStillQueued(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -64,9 +42,9 @@
 				t.Fatal(err)
 			}
 			run(t, g)
-			near, far := accepted(t)
+			near, far := nettest.ConnPair(t)
 			done := serveClient(g, near)
-			io.WriteString(far, order(1))
+			io.WriteString(far, nettest.Do(1, nettest.WriteFields))
 			for len(g.events) < 1 {
 				time.Sleep(time.Millisecond)
 			}
@@ -75,7 +53,7 @@
 				c.before(g, &cross)
 			}
 			far.Close()
-			await(t, "the connection's end", done)
+			nettest.Await(t, "the connection's end", done)
 			if c.cross != nil {
 				cross = c.cross(be.addr)
 			}
@@ -123,7 +101,7 @@
 func TestLeavesBeforeWhatItWaitsFor(t *testing.T) {
 	t.Run("the counter", func(t *testing.T) {
 		asked, answer := make(chan struct{}, 16), make(chan struct{})
-		counter := listen(t, func(nc net.Conn) {
+		counter := nettest.Serve(t, func(nc net.Conn) {
 			for in := bufio.NewScanner(nc); in.Scan(); {
 				asked <- struct{}{}
 				<-answer
@@ -137,9 +115,9 @@
 		cfg.Settings.Plans = append(cfg.Settings.Plans,
 			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, OverQuotaCost: 1})
 		addr, _ := startIngress(t, cfg)
-		nc, in := dial(t, addr)
-		io.WriteString(nc, ask(1, "c=read,t=sparse,d=50000,units=1,spread=60,first=0"))
-		await(t, "the counter is asked", asked)
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(1, "c=read,t=sparse,d=50000,units=1,spread=60,first=0"))
+		nettest.Await(t, "the counter is asked", asked)
 		leave(t, nc, in)
 		close(answer)
 		wantAttempts(t, addr, be, 0)
@@ -147,10 +125,10 @@
 	t.Run("a backend", func(t *testing.T) {
 		be, changes := named(t, "a"), make(chan discovery.EndpointList)
 		addr, _ := startIngress(t, testConfig(registry(t, fleetOf(), changes), fleetOf()))
-		nc, in := dial(t, addr)
-		io.WriteString(nc, command("PING"))
-		line(t, in)
-		io.WriteString(nc, ask(1, readFields))
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Command("PING"))
+		nettest.ReadLine(t, in)
+		io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 		leave(t, nc, in)
 		list := fleetOf(be.addr)
 		list.Revision = 2
@@ -170,9 +148,9 @@
 		cfg := testConfig(registry(t, fleetOf(be.addr), nil), fleetOf(be.addr))
 		cfg.Settings.MayCancel, cfg.Settings.MaxAttempts = false, 4
 		addr, _ := startIngress(t, cfg)
-		nc, in := dial(t, addr)
-		io.WriteString(nc, ask(1, readFields))
-		await(t, "the first attempt", first)
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+		nettest.Await(t, "the first attempt", first)
 		leave(t, nc, in)
 		close(fail)
 		wantAttempts(t, addr, be, 1)
@@ -182,13 +160,13 @@
 // wantAttempts wants so many attempts of request 1 at a backend, by when another client's requests have been served there.
 func wantAttempts(t *testing.T, addr string, be *backendFake, want int) {
 	t.Helper()
-	nc, in := dial(t, addr)
+	nc, in := nettest.Dial(t, addr)
 	for i := range 5 {
-		io.WriteString(nc, command("Q.ASK", "00000000b4d65522", fmt.Sprintf("%016x", 100+i), readFields))
-		if got := line(t, in); got != "$1" {
+		io.WriteString(nc, nettest.Command("Q.ASK", "00000000b4d65522", fmt.Sprintf("%016x", 100+i), nettest.ReadFields))
+		if got := nettest.ReadLine(t, in); got != "$1" {
 			t.Fatalf("answer %q", got)
 		}
-		line(t, in)
+		nettest.ReadLine(t, in)
 	}
 	n := 0
 	for _, args := range be.seen() {
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
@@ -21,16 +22,16 @@
 	})
 	list := fleetOf(be.addr)
 	addr, stop := startIngress(t, testConfig(registry(t, list, nil), list))
-	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
+	nc, in := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 	<-taken
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	io.WriteString(nc, ask(2, readFields))
+	io.WriteString(nc, nettest.Ask(2, nettest.ReadFields))
 	<-taken
 	close(release)
-	wantValue(t, in)
-	wantValue(t, in)
+	nettest.WantValue(t, in)
+	nettest.WantValue(t, in)
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 		t.Fatalf("after the answers: %q, %v; want a clean end", rest, err)
 	}
@@ -62,17 +63,17 @@
 		cfg.Settings.Classes[i].Deadline = 400 * time.Millisecond
 	}
 	addr, stop := startIngress(t, cfg)
-	out, outIn := dial(t, addr)
-	io.WriteString(out, order(1)+ask(2, readFields)+order(3))
-	half, halfIn := dial(t, addr)
-	io.WriteString(half, ask(4, readFields)+ask(5, readFields)[:20])
-	busy, busyIn := dial(t, addr)
+	out, outIn := nettest.Dial(t, addr)
+	io.WriteString(out, nettest.Do(1, nettest.WriteFields)+nettest.Ask(2, nettest.ReadFields)+nettest.Do(3, nettest.WriteFields))
+	half, halfIn := nettest.Dial(t, addr)
+	io.WriteString(half, nettest.Ask(4, nettest.ReadFields)+nettest.Ask(5, nettest.ReadFields)[:20])
+	busy, busyIn := nettest.Dial(t, addr)
 	var sent atomic.Int32
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for i := 100; ; i++ {
-			if _, err := io.WriteString(busy, ask(i, readFields)); err != nil {
+			if _, err := io.WriteString(busy, nettest.Ask(i, nettest.ReadFields)); err != nil {
 				return
 			}
 			sent.Add(1)
@@ -101,7 +102,7 @@
 		}
 	}
 	busy.Close()
-	await(t, "the sender ends", ended)
+	nettest.Await(t, "the sender ends", ended)
 }
 
 // At the end of a shutdown what still comes is rejected at once, and what came before has no longer than that.
@@ -122,7 +123,7 @@
 	if taken := takeIn(g, third); !first.final || taken != nil {
 		t.Fatalf("first answered: %v; third taken: %v", first.final, taken != nil)
 	}
-	if got := line(t, thirdIn); got != "-BUSY" {
+	if got := nettest.ReadLine(t, thirdIn); got != "-BUSY" {
 		t.Fatalf("third answered %q", got)
 	}
 	if len(waits) != 1 || !waits[0].ended {
--- a/internal/listener/accept_test.go
+++ b/internal/listener/accept_test.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
+
+	"lemontack/internal/nettest"
 )
 
 // failingListener is a listener whose calls fail, each error once, before they go through.
@@ -26,16 +28,16 @@
 
 // Whatever accept fails with, the connections that come after are taken, with no slot lost for the failures.
 func TestAcceptGoesOnAfterErrors(t *testing.T) {
-	ln := loopback(t)
+	ln := nettest.Listen(t)
 	errs := []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO,
 		syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unheard of")}
 	const slots = 2 // fewer than the errors
 	s, _ := newServer(&failingListener{Listener: ln, errs: errs}, slots, 1<<20)
 	go s.Serve() // ends with the listener
 	for range slots {
-		socket, in := dial(t, ln)
-		io.WriteString(socket, command(commandPing))
-		if got := line(t, in); got != "+PONG" {
+		socket, in := nettest.Dial(t, ln.Addr().String())
+		io.WriteString(socket, nettest.Command(commandPing))
+		if got := nettest.ReadLine(t, in); got != "+PONG" {
 			t.Fatal(got)
 		}
 	}
--- a/internal/listener/conn_test.go
+++ b/internal/listener/conn_test.go
@@ -8,6 +8,8 @@
 	"os"
 	"testing"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 // What comes on a connection that is closing is dropped, however much: a reader that waited there for room
@@ -55,7 +57,7 @@
 // A request that was read as its connection was told to end is answered before the end.
 func TestRequestReadAsItsConnectionClosesIsAnswered(t *testing.T) {
 	for _, reason := range []CloseReason{CloseIdle, CloseForSlot, CloseShutdown} {
-		near, far := accepted(t)
+		near, far := nettest.ConnPair(t)
 		s, rec := newServer(nil, 1, 1<<20)
 		socket := &crossedConn{TCPConn: near}
 		c := newConn(s, socket)
@@ -69,7 +71,7 @@
 			}
 		}
 		done := serve(c)
-		io.WriteString(far, ask(1, readFields))
+		io.WriteString(far, nettest.Ask(1, nettest.ReadFields))
 		select {
 		case request := <-rec.received:
 			request.Respond(value)
@@ -79,11 +81,11 @@
 			t.Fatal("the connection ended with a request that had been read")
 		}
 		in := bufio.NewReader(far)
-		wantValue(t, in)
+		nettest.WantValue(t, in)
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 			t.Fatalf("%q, %v after the answer", rest, err)
 		}
-		await(t, "the connection's end", done)
+		nettest.Await(t, "the connection's end", done)
 	}
 }
 
--- a/internal/listener/presence_test.go
+++ b/internal/listener/presence_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/resp"
 )
 
@@ -64,24 +65,24 @@
 func TestRequestsOfAClientGoneBeforeTheReadAreNotTaken(t *testing.T) {
 	var many strings.Builder
 	for i := range 30 {
-		many.WriteString(ask(10+i, readFields))
+		many.WriteString(nettest.Ask(10+i, nettest.ReadFields))
 	}
-	long := command(commandDo, "00000000b4d65521", "9b1f03aa5c7e2d41", writeFields, strings.Repeat("x", resp.MaxValueLength))
+	long := nettest.Command(commandDo, "00000000b4d65521", "9b1f03aa5c7e2d41", nettest.WriteFields, strings.Repeat("x", resp.MaxValueLength))
 	for name, test := range map[string]struct {
 		first, then string
 		half        bool
 	}{
-		"one command":            {"", ask(1, readFields), false},
-		"its sending only":       {"", ask(1, readFields), true},
+		"one command":            {"", nettest.Ask(1, nettest.ReadFields), false},
+		"its sending only":       {"", nettest.Ask(1, nettest.ReadFields), true},
 		"many commands":          {"", many.String(), false},
 		"a long command":         {"", long, false},
-		"behind nonsense":        {command(commandPing), command("HELLO") + ask(1, readFields), false},
-		"many behind nonsense":   {command(commandPing), command("HELLO") + many.String(), false},
-		"long behind nonsense":   {command(commandPing), command("HELLO") + long, false},
-		"a flood after nonsense": {command(commandPing), command("HELLO") + strings.Repeat(many.String(), 40), false},
+		"behind nonsense":        {nettest.Command(commandPing), nettest.Command("HELLO") + nettest.Ask(1, nettest.ReadFields), false},
+		"many behind nonsense":   {nettest.Command(commandPing), nettest.Command("HELLO") + many.String(), false},
+		"long behind nonsense":   {nettest.Command(commandPing), nettest.Command("HELLO") + long, false},
+		"a flood after nonsense": {nettest.Command(commandPing), nettest.Command("HELLO") + strings.Repeat(many.String(), 40), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := accepted(t)
+			near, far := nettest.ConnPair(t)
 			s, rec := newServer(nil, 1, 1<<20)
 			reads := make(chan struct{}, 1)
 			c := newConn(s, &gatedConn{TCPConn: near, reads: reads})
@@ -107,7 +108,7 @@
 				awaitEnd(t, near)
 			}
 			close(reads)
-			await(t, "reading ends", done)
+			nettest.Await(t, "reading ends", done)
 			if n := len(rec.received); n > 0 {
 				t.Fatalf("%d commands of a client that had left are taken", n)
 			}
@@ -117,7 +118,7 @@
 
 // The handler hears that a client has left before the last write to it has returned.
 func TestDisconnectIsToldBeforeTheWriterEnds(t *testing.T) {
-	near, far := accepted(t)
+	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
 	writes := make(chan struct{})
 	c := newConn(s, &gatedConn{TCPConn: near, writes: writes})
@@ -133,7 +134,7 @@
 	far.Close()
 	wantOneUnanswered(t, rec)
 	close(writes)
-	await(t, "the connection's end", done)
+	nettest.Await(t, "the connection's end", done)
 	if n := s.unsentBytes.Load(); n != 0 {
 		t.Fatalf("%d bytes unsent of nobody", n)
 	}
@@ -171,10 +172,10 @@
 	}{
 		"lost framing":         {"?\r\n" + flood, 0, true, 0},
 		"lost framing, late":   {"?\r\n" + flood, maxFaults - 1, true, 0},
-		"a pause":              {command("HELLO") + strings.Repeat(command(commandPing), 300), maxFaults / 2, true, 0},
-		"the last pause":       {command("HELLO") + flood, maxFaults - 1, true, 0},
+		"a pause":              {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), maxFaults / 2, true, 0},
+		"the last pause":       {nettest.Command("HELLO") + flood, maxFaults - 1, true, 0},
 		"lost, nothing open":   {"?\r\n" + flood, 0, false, time.Second},
-		"a pause without open": {command("HELLO") + strings.Repeat(command(commandPing), 300), 4, false, 5 * faultPause},
+		"a pause without open": {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), 4, false, 5 * faultPause},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -206,7 +207,7 @@
 
 // A client that leaves in a pause after nonsense is noticed, however long the pause is.
 func TestClientThatGoesInAPauseIsNoticed(t *testing.T) {
-	near, far := accepted(t)
+	near, far := nettest.ConnPair(t)
 	s, _ := newServer(nil, 1, 1<<20)
 	s.maxUnread = math.MaxInt64
 	c := newConn(s, near)
@@ -217,5 +218,5 @@
 		}
 	}()
 	far.Close()
-	await(t, "the client's leaving", noticed)
+	nettest.Await(t, "the client's leaving", noticed)
 }
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/resp"
 )
 
@@ -46,7 +47,7 @@
 // A command that has begun must end in time, so that a half-open client does not stay for good; between
 // commands a client may be silent.
 func TestOnlyPartialCommandsHaveADeadline(t *testing.T) {
-	ping := command(commandPing)
+	ping := nettest.Command(commandPing)
 	if got := deadlinesSet(t, ping, ping[:5], ping[5:], ping); got != "[true false]" {
 		t.Fatalf("deadlines set: %v, want one inside the split command, taken off after it", got)
 	}
@@ -54,7 +55,7 @@
 
 // Each command has its own time to end: a client that goes on sending was once cut off for the first half command in a row.
 func TestEachCommandHasItsOwnDeadline(t *testing.T) {
-	ping := command(commandPing)
+	ping := nettest.Command(commandPing)
 	got := deadlinesSet(t, ping[:5], ping[5:]+ping[:5], ping[5:]+ping[:5], ping[5:])
 	if got != "[true false true false true false]" {
 		t.Fatalf("deadlines set: %s, want one for each command", got)
@@ -64,7 +65,7 @@
 // Nonsense over and over is answered ever more slowly, and ends the connection: what had been read by then has its answers in
 // order, which is what one connection may hold unread beyond the last fault at most.
 func TestRepeatedNonsenseEndsTheConnection(t *testing.T) {
-	ln := loopback(t)
+	ln := nettest.Listen(t)
 	s, _ := newServer(ln, 16, 1<<20)
 	ctx, stop := context.WithCancel(context.Background())
 	swept := make(chan struct{})
@@ -77,8 +78,8 @@
 		stop()
 		<-swept
 	})
-	socket, in := dial(t, ln)
-	hello, answer := command("HELLO"), "-ERR unknown command\r\n"
+	socket, in := nettest.Dial(t, ln.Addr().String())
+	hello, answer := nettest.Command("HELLO"), "-ERR unknown command\r\n"
 	go io.WriteString(socket, strings.Repeat(hello, 10_000))
 	rest, err := io.ReadAll(in)
 	n, most := strings.Count(string(rest), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
@@ -93,9 +94,9 @@
 	const behind = 39
 	var b strings.Builder
 	for i := range maxUnwritten + 1 + behind {
-		b.WriteString(ask(i, readFields))
+		b.WriteString(nettest.Ask(i, nettest.ReadFields))
 	}
-	near, far := accepted(t)
+	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
 	c := newConn(s, near)
 	done := serve(c)
@@ -115,7 +116,7 @@
 	if got, err := io.ReadAll(far); string(got) != want || err != nil {
 		t.Fatalf("answers %q, %v", got, err)
 	}
-	await(t, "the connection's end", done)
+	nettest.Await(t, "the connection's end", done)
 	if n, gone := len(rec.received), len(rec.disconnected); n > 0 || gone > 0 {
 		t.Fatalf("%d requests and %d disconnects after the commands that were taken", n, gone)
 	}
--- a/internal/listener/transient_test.go
+++ b/internal/listener/transient_test.go
@@ -7,6 +7,8 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
+
+	"lemontack/internal/nettest"
 )
 
 // scarceConn is a connection whose reads and writes fail in turn for want of memory, and whose writes fall short.
@@ -32,15 +34,15 @@
 
 // A client's requests are read and answered whole over calls that the system has no memory for.
 func TestAnswersGoOnOverTransientErrors(t *testing.T) {
-	near, far := accepted(t)
+	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
 	done := serve(newConn(s, &scarceConn{TCPConn: near}))
 	in := bufio.NewReader(far)
 	for i := range 5 {
-		io.WriteString(far, ask(i, readFields))
+		io.WriteString(far, nettest.Ask(i, nettest.ReadFields))
 		(<-rec.received).Respond(value)
-		wantValue(t, in)
+		nettest.WantValue(t, in)
 	}
 	far.Close()
-	await(t, "the connection's end", done)
+	nettest.Await(t, "the connection's end", done)
 }
--- a/internal/scale/load_generator_test.go
+++ b/internal/scale/load_generator_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"math/rand/v2"
-	"net"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/resp"
 	"lemontack/internal/standin"
 )
@@ -46,10 +46,7 @@
 		"another's ones": func([]string) string { return "another's" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			listener, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
+			listener := nettest.Listen(t)
 			backend := standin.NewBackend(standin.BackendConfig{LoadReports: true, Value: value})
 			var serving sync.WaitGroup
 			serving.Go(func() { backend.Serve(listener) })
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 func constantServiceTime(d time.Duration) func(*rand.Rand) time.Duration {
@@ -347,7 +349,7 @@
 func TestBackendOnLoopback(t *testing.T) {
 	b := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10,
 		ServiceTime: constantServiceTime(100 * time.Microsecond)})
-	ln := listenLoopback(t)
+	ln := nettest.Listen(t)
 	done := make(chan error, 1)
 	go func() { done <- b.Serve(ln) }()
 	const conns, requests = 4, 50
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 func TestCounterAnswersCallsByTheirForm(t *testing.T) {
@@ -260,7 +262,7 @@
 }
 
 func TestCounterOnLoopback(t *testing.T) {
-	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), listenLoopback(t)
+	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), nettest.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- counter.Serve(ln) }()
 	const callers, calls = 8, 200
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"lemontack/internal/nettest"
 )
 
 // testDiscovery is a Discovery on pipes, with a client of its own.
@@ -399,7 +401,7 @@
 }
 
 func TestDiscoveryOnLoopback(t *testing.T) {
-	d, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), listenLoopback(t)
+	d, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), nettest.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- d.Serve(ln) }()
 	d.SetList([]Target{{UID: "a"}})
--- a/internal/standin/fixtures_test.go
+++ b/internal/standin/fixtures_test.go
@@ -81,12 +81,3 @@
 	}
 	return got
 }
-
-func listenLoopback(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
@@ -29,7 +30,7 @@
 func startServer(t *testing.T, reply func(n int) string) *server {
 	t.Helper()
 	s := &server{}
-	s.address = listen(t, func(conn net.Conn) {
+	s.address = nettest.Serve(t, func(conn net.Conn) {
 		in := redcon.NewReader(conn)
 		for {
 			if _, err := in.ReadCommand(); err != nil {
@@ -54,43 +55,6 @@
 	return s.commands
 }
 
-// listen opens an ephemeral port on the loopback address and hands every connection to serve, which the end of the test ends.
-func listen(t *testing.T, serve func(net.Conn)) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var running sync.WaitGroup
-	var mu sync.Mutex
-	var open []net.Conn // guarded by mu
-	running.Go(func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open = append(open, conn)
-			mu.Unlock()
-			running.Go(func() {
-				defer conn.Close()
-				serve(conn)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		listener.Close()
-		mu.Lock()
-		for _, conn := range open {
-			conn.Close()
-		}
-		mu.Unlock()
-		running.Wait()
-	})
-	return listener.Addr().String()
-}
-
 // testLoop is an event loop that the test turns by hand, on a clock that stands still.
 type testLoop struct {
 	now    time.Duration
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
@@ -150,7 +151,7 @@
 // A connection that the endpoint has closed while it was idle is not used, also where its Disconnected event has not come yet.
 func TestConnectionClosedJustBeforeUseIsNotUsed(t *testing.T) {
 	leave, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
-	pool, loop := newTestPool(t, nil, listen(t, func(conn net.Conn) {
+	pool, loop := newTestPool(t, nil, nettest.Serve(t, func(conn net.Conn) {
 		<-leave
 		conn.Close()
 		closed <- struct{}{}
