--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -13,126 +14,122 @@
 	"lemontack/policy"
 )
 
-// An answered attempt must free its connection: once all of them were taken for given up.
+// An attempt that was answered returns its connection to the pool. Once all of them were taken for abandoned.
 func TestConnectionIsReused(t *testing.T) {
-	be := serving(t, "value")
-	list := fleetOf(be.addr)
-	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
+	endpoint := startServingEndpoint(t, "value")
+	addr := startIngressFor(t, endpoint)
 	nc, in := nettest.Dial(t, addr)
 	for i := range 5 {
 		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
 		nettest.WantValue(t, in)
 	}
-	if n := be.conns.Load(); n != 1 {
+	if n := endpoint.conns.Load(); n != 1 {
 		t.Fatalf("%d connections for requests one after another, want 1", n)
 	}
 }
 
-// A silent endpoint's attempt ends at the request's time, before the client leaves; its connection is given up.
+// An attempt at a silent endpoint ends at the request's deadline, before the client disconnects, and its connection is closed.
 func TestSilentEndpointIsTimedOut(t *testing.T) {
-	be := newBackend(t, func(n int, _ []string, _ net.Conn) string {
+	endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
 			return ""
 		}
-		return served
+		return valueReply("value")
 	})
-	list := fleetOf(be.addr)
-	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
+	addr := startIngressFor(t, endpoint)
 	nc, in := nettest.Dial(t, addr)
 	began := time.Now()
 	io.WriteString(nc, nettest.Ask(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
-		t.Fatalf("answer %q, want the module's refusal of a read that timed out", got)
+		t.Fatalf("reply %q, want the rejection of a read that timed out", got)
 	}
 	if took := time.Since(began); took < 900*time.Millisecond {
-		t.Fatalf("given up after %v of 1 s", took)
+		t.Fatalf("rejected after %v of 1 s", took)
 	}
 	io.WriteString(nc, nettest.Ask(2, nettest.ReadFields))
 	nettest.WantValue(t, in)
-	if n := be.conns.Load(); n != 2 {
-		t.Fatalf("%d connections, want a new one after the given-up one", n)
+	if n := endpoint.conns.Load(); n != 2 {
+		t.Fatalf("%d connections, want a new one after the one that timed out", n)
 	}
 }
 
-// What happened to an attempt decides what a non-idempotent request's client is told: harmless to try again only
-// where the command never ran.
+// The outcome of its attempt decides the reply to a non-idempotent request: -BUSY, which invites a retry, only where the
+// command was not executed.
 func TestNonIdempotentRequestIsSentOnceAndAnsweredByItsOutcome(t *testing.T) {
 	refused := nettest.RefusedAddress(t)
 	for name, c := range map[string]struct {
-		say  func(int, []string, net.Conn) string
-		want string
+		reply func(int, []string, net.Conn) string
+		want  string
 	}{
-		"refused":     {nil, "-BUSY"},
-		"turned away": {func(int, []string, net.Conn) string { return "-BUSY\r\n" }, "-BUSY"},
-		"error":       {func(int, []string, net.Conn) string { return "-ERR failed\r\n" }, "-ERR"},
-		"null value":  {func(int, []string, net.Conn) string { return "*3\r\n$-1\r\n$-1\r\n$-1\r\n" }, "-ERR"},
-		"value alone": {func(int, []string, net.Conn) string { return "*1\r\n$1\r\nx\r\n" }, "-ERR"},
-		"endless":     {func(int, []string, net.Conn) string { return "*3\r\n$9\r\nx" }, "-ERR"},
-		"3 GB":        {func(int, []string, net.Conn) string { return "*3\r\n$3000000000\r\nx" }, "-ERR"},
-		"not RESP":    {func(int, []string, net.Conn) string { return "hello\r\n" }, "-ERR"},
-		"overflow":    {func(int, []string, net.Conn) string { return "*1\r\n$9223372036854775807\r\n" }, "-ERR"},
+		"connection refused": {nil, "-BUSY"},
+		"rejected":           {func(int, []string, net.Conn) string { return "-BUSY\r\n" }, "-BUSY"},
+		"error":              {func(int, []string, net.Conn) string { return "-ERR failed\r\n" }, "-ERR"},
+		"null value":         {func(int, []string, net.Conn) string { return "*3\r\n$-1\r\n$-1\r\n$-1\r\n" }, "-ERR"},
+		"value alone":        {func(int, []string, net.Conn) string { return "*1\r\n$1\r\nx\r\n" }, "-ERR"},
+		"incomplete":         {func(int, []string, net.Conn) string { return "*3\r\n$9\r\nx" }, "-ERR"},
+		"3 GB":               {func(int, []string, net.Conn) string { return "*3\r\n$3000000000\r\nx" }, "-ERR"},
+		"not RESP":           {func(int, []string, net.Conn) string { return "hello\r\n" }, "-ERR"},
+		"overflow":           {func(int, []string, net.Conn) string { return "*1\r\n$9223372036854775807\r\n" }, "-ERR"},
 		"reset": {func(_ int, _ []string, nc net.Conn) string {
 			nc.Close()
 			return ""
 		}, "-ERR"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := &backendFake{addr: refused}
-			if c.say != nil {
-				be = newBackend(t, c.say)
+			endpoint := &testEndpoint{addr: refused}
+			if c.reply != nil {
+				endpoint = startEndpoint(t, c.reply)
 			}
-			list := fleetOf(be.addr)
-			addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
+			addr := startIngressFor(t, endpoint)
 			nc, in := nettest.Dial(t, addr)
-			io.WriteString(nc, nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
+			io.WriteString(nc, nettest.Do(1, nettest.WriteFields))
 			if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, c.want) {
-				t.Fatalf("answer %q, want %s", got, c.want)
+				t.Fatalf("reply %q, want %s", got, c.want)
 			}
-			if n := len(be.seen()); n > 1 {
+			if n := len(endpoint.received()); n > 1 {
 				t.Fatalf("sent %d times", n)
 			}
 		})
 	}
 }
 
-// A drain counts from when it was told: what waited for a connection then is not written any more. The policy hears so at
-// once, after the list, and not only when the connection has come up.
+// A drain takes effect with its watch event: an attempt that waits for a connection then is not written any more. The policy
+// is notified at once, after the list, and not only when the connection is established.
 func TestDrainWithdrawsWaitingAttempt(t *testing.T) {
-	be := serving(t, "value")
-	g := idleGateway(t, be.addr)
-	a := waitingAttempt(g, "s0")
+	endpoint := startServingEndpoint(t, "value")
+	g := idleGateway(t, testConfig("", endpointsAt(endpoint.addr)))
+	a := newWaitingAttempt(g, "s0")
 	g.pool.Start(a.Attempt)
 	connected := awaitConnected(t, g)
-	f := fleetOf(be.addr)
-	f.Snapshot, f.Entries[0].State = false, "DRAINING"
-	g.updateEndpoints(f)
+	change := endpointsAt(endpoint.addr)
+	change.Snapshot, change.Entries[0].State = false, "DRAINING"
+	g.updateEndpoints(change)
 	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.queue) != 2 {
-		t.Fatalf("told %v, want the list and then the end of what was not sent", g.queue)
+		t.Fatalf("policy events %v, want the list and then the end of the attempt that was not sent", g.queue)
 	}
 	g.pool.HandleEvent(connected)
 	if !a.WaitsForConnection() || len(g.queue) != 2 {
-		t.Fatalf("told %v, want nothing more, and nothing on the connection", g.queue)
+		t.Fatalf("policy events %v, want no further one, and nothing written to the connection", g.queue)
 	}
 }
 
-// A machine that has vanished answers nothing and resets nothing. Once an attempt shows that, its other idle
-// connections are not trusted with further requests: a new one tells within the connect time-out.
+// A host that has vanished neither answers nor resets. Once an attempt times out there, the other idle connections to it are
+// not used again: a new one fails within the connect timeout.
 func TestIdleConnectionsOfSilentEndpointAreClosed(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
-	be := newBackend(t, func(n int, _ []string, _ net.Conn) string {
+	endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
-		case n <= 3: // all three are out at once, each on its own connection
+		case n <= 3: // all three are in flight at once, each on its own connection
 			together.Done()
 			together.Wait()
 		case n == 4:
 			return ""
 		}
-		return served
+		return valueReply("value")
 	})
-	list := fleetOf(be.addr)
-	cfg := testConfig(registry(t, list, nil), list)
-	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // less than the silent request's time
+	cfg := configFor(t, endpoint)
+	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // less than the timeout of the silent request
 	addr, _ := startIngress(t, cfg)
 	nc, in := nettest.Dial(t, addr)
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)+nettest.Ask(2, nettest.ReadFields)+nettest.Ask(3, nettest.ReadFields))
@@ -141,35 +138,29 @@
 	}
 	io.WriteString(nc, nettest.Ask(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
-		t.Fatalf("answer %q", got)
+		t.Fatalf("reply %q", got)
 	}
 	io.WriteString(nc, nettest.Ask(5, nettest.ReadFields))
 	nettest.WantValue(t, in)
-	if n := be.conns.Load(); n != 4 {
-		t.Fatalf("%d connections, want a new one after the silence", n)
+	if n := endpoint.conns.Load(); n != 4 {
+		t.Fatalf("%d connections, want a new one after the timeout", n)
 	}
 }
 
-// A request that is over is not sent when its connection comes up, also where attempts may not be cancelled.
+// A request that has ended is not sent when its connection is established, also where attempts may not be cancelled.
 func TestOverRequestIsNotSent(t *testing.T) {
 	for name, over := range map[string]func(g *Gateway, r *request){
-		"client left":  func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
-		"out of time":  func(g *Gateway, r *request) { g.failOverdue(r) },
-		"other answer": func(_ *Gateway, r *request) { r.final = true },
+		"client disconnected": func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
+		"deadline exceeded":   func(g *Gateway, r *request) { g.failOverdue(r) },
+		"other answer":        func(_ *Gateway, r *request) { r.final = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := named(t, "a")
-			g, err := New(func() Config {
-				cfg := testConfig("", fleetOf(be.addr))
-				cfg.Settings.MayCancel = false
-				return cfg
-			}(), quiet)
-			if err != nil {
-				t.Fatal(err)
-			}
-			run(t, g)
+			endpoint := startServingEndpoint(t, "a")
+			cfg := testConfig("", endpointsAt(endpoint.addr))
+			cfg.Settings.MayCancel = false
+			g := idleGateway(t, cfg)
 			sent, _ := newClientRequest(t, g, 1, 7)
-			r := takeIn(g, sent)
+			r := admit(g, sent)
 			if r == nil || len(r.attempts) != 1 {
 				t.Fatal("no attempt waits for a connection")
 			}
@@ -181,83 +172,77 @@
 			}
 			g.handle(upstreamEvent{connected})
 			if !a.ended || !a.WaitsForConnection() {
-				t.Fatalf("ended %v, the connection carries it: %v", a.ended, !a.WaitsForConnection())
+				t.Fatalf("ended %v, written to the connection: %v", a.ended, !a.WaitsForConnection())
 			}
 			if g.requests.commandBytes != 0 || len(g.requests.open) != 0 {
-				t.Fatalf("%d bytes, %d requests kept", g.requests.commandBytes, len(g.requests.open))
+				t.Fatalf("%d bytes and %d requests remain", g.requests.commandBytes, len(g.requests.open))
 			}
 		})
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is seen to be so, and the request goes on another.
+// A connection that the endpoint closed while it was idle is not used; the request is sent on another.
 func TestRequestAvoidsConnectionClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	be := newBackend(t, func(n int, _ []string, nc net.Conn) string {
+	endpoint := startEndpoint(t, func(n int, _ []string, nc net.Conn) string {
 		if n == 1 {
-			io.WriteString(nc, served)
+			io.WriteString(nc, valueReply("value"))
 			nc.Close()
 			closed <- struct{}{}
 			return ""
 		}
-		return served
+		return valueReply("value")
 	})
-	list := fleetOf(be.addr)
-	addr, _ := startIngress(t, testConfig(registry(t, list, nil), list))
+	addr := startIngressFor(t, endpoint)
 	nc, in := nettest.Dial(t, addr)
 	io.WriteString(nc, nettest.Do(1, nettest.WriteFields))
 	nettest.WantValue(t, in)
-	nettest.Await(t, "the backend closes", closed)
+	nettest.Await(t, "the endpoint closes its connection", closed)
 	io.WriteString(nc, nettest.Do(2, nettest.WriteFields))
 	nettest.WantValue(t, in)
-	if n := len(be.seen()); n != 2 {
+	if n := len(endpoint.received()); n != 2 {
 		t.Fatalf("%d commands, want each sent once", n)
 	}
 }
 
-// Settings without a number of attempts mean one.
+// Settings without a maximum of attempts allow one.
 func TestSettingsWithoutMaxAttemptsMeanOne(t *testing.T) {
-	be := named(t, "a")
-	list := fleetOf(be.addr)
-	cfg := testConfig(registry(t, list, nil), list)
+	endpoint := startServingEndpoint(t, "a")
+	cfg := configFor(t, endpoint)
 	cfg.Settings.MaxAttempts = 0
 	addr, _ := startIngress(t, cfg)
 	nc, in := nettest.Dial(t, addr)
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 	if got := nettest.ReadLine(t, in); got != "$1" {
-		t.Fatalf("answer %q", got)
+		t.Fatalf("reply %q", got)
 	}
 }
 
-// An endpoint that drains while attempts wait for a connection to it gets none of them: they go elsewhere, also those that
-// may not be repeated, since they never ran.
+// Attempts that wait for a connection to an endpoint as it starts draining are sent to another one, also non-idempotent ones,
+// since they were never executed.
 func TestDrainWhileConnectingSendsElsewhere(t *testing.T) {
-	a, b := named(t, "a"), named(t, "b")
-	cfg := testConfig("", fleetOf(a.addr))
+	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
+	cfg := testConfig("", endpointsAt(a.addr))
 	cfg.Settings.MaxAttempts = 2
-	g, err := New(cfg, quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	run(t, g)
+	g := idleGateway(t, cfg)
 	sent, _ := newClientRequest(t, g, 1, 0)
 	sent.Class = "write"
-	r := takeIn(g, sent)
+	r := admit(g, sent)
 	connected := awaitConnected(t, g) // handled only after the drain
-	f := fleetOf(a.addr, b.addr)
-	f.Entries[0].State = "DRAINING"
-	g.handle(endpointsUpdated{f})
+	list := endpointsAt(a.addr, b.addr)
+	list.Entries[0].State = "DRAINING"
+	g.handle(endpointsUpdated{list})
 	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].endpoint.ID != "s1" {
 		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
 	}
 	g.handle(upstreamEvent{connected})
 	if !r.attempts[0].WaitsForConnection() {
-		t.Fatal("sent to a backend that drains")
+		t.Fatal("sent to a draining endpoint")
 	}
 }
 
 // An endpoint receives the client's command with the time that is left in place of the client's, and never less than 1 ms.
-func TestCommandTellsTheTimeThatIsLeft(t *testing.T) {
+func TestForwardedCommandHasTheTimeLeft(t *testing.T) {
 	fields := "c=read,d=50000,units=1"
 	for _, c := range []struct {
 		left  time.Duration
@@ -278,8 +263,46 @@
 	}
 }
 
-func TestHealthCheckAsksForTheLoad(t *testing.T) {
+// A health check is the command that returns a load report.
+func TestHealthCheckRequestsTheLoadReport(t *testing.T) {
 	if got := string((&healthCheck{}).Encode().Frame); got != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
 		t.Fatalf("%q", got)
 	}
 }
+
+// Bytes after a reply close the connection of their attempt, so that no later request gets them as its reply. Once a
+// duplicate was served to the next request.
+func TestEachCommandGetsItsOwnReply(t *testing.T) {
+	value := func(args []string) string {
+		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
+	}
+	sent := make(chan struct{}, 1) // the duplicate has been written too
+	for name, reply := range map[string]func(n int, args []string, nc net.Conn) string{
+		"duplicate": func(_ int, args []string, _ net.Conn) string { return value(args) + value(args) },
+		"noise":     func(_ int, args []string, _ net.Conn) string { return value(args) + "\x00\xff" },
+		"duplicate in a write of its own": func(_ int, args []string, nc net.Conn) string {
+			io.WriteString(nc, value(args))
+			io.WriteString(nc, value(args))
+			sent <- struct{}{}
+			return ""
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			endpoint := startEndpoint(t, reply)
+			addr := startIngressFor(t, endpoint)
+			nc, in := nettest.Dial(t, addr)
+			for i := range 20 {
+				io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+				if a, b := nettest.ReadLine(t, in), nettest.ReadLine(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
+					t.Fatalf("request %d: reply %q %q", i, a, b)
+				}
+				if name == "duplicate in a write of its own" {
+					<-sent
+				}
+			}
+			if n := endpoint.conns.Load(); n != 20 {
+				t.Fatalf("%d connections, want a new one each time", n)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/ingress/clients_test.go
@@ -0,0 +1,63 @@
+package ingress
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"lemontack/internal/nettest"
+)
+
+// With all descriptors for clients in use, an idle connection is closed for a new one.
+func TestIdleConnectionIsClosedForANewClient(t *testing.T) {
+	endpoint := startEndpoint(t, nil)
+	cfg := configFor(t, endpoint)
+	cfg.Sockets = 128 // 16 for clients
+	addr, _ := startIngress(t, cfg)
+	for range 22 {
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Command("PING"))
+		if got := nettest.ReadLine(t, in); got != "+PONG" {
+			t.Fatal(got)
+		}
+	}
+}
+
+// Clients that send nothing or an incomplete command are disconnected within 3 s, those that are idle after a command shortly
+// after 2 s. While hundreds of them are connected, other clients are still served.
+func TestSilentClientsAreDisconnectedAndOthersServed(t *testing.T) {
+	endpoint := startServingEndpoint(t, "value")
+	cfg := configFor(t, endpoint)
+	cfg.Sockets = 128 // 48 for clients
+	addr, _ := startIngress(t, cfg)
+	began := time.Now()
+	var silent []net.Conn
+	for i := range 40 {
+		nc, in := nettest.Dial(t, addr)
+		switch i % 3 {
+		case 1:
+			io.WriteString(nc, "*5\r\n$4\r\nQ.")
+		case 2:
+			io.WriteString(nc, nettest.Command("PING"))
+			nettest.ReadLine(t, in)
+		}
+		silent = append(silent, nc)
+	}
+	for _, nc := range silent {
+		if _, err := io.ReadAll(nc); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if took := time.Since(began); took < 2*time.Second || took > 20*time.Second {
+		t.Fatalf("closed after %v", took)
+	}
+	for range 200 {
+		nettest.Dial(t, addr)
+	}
+	for i := range 20 {
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		nettest.WantValue(t, in)
+	}
+}
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -12,9 +12,9 @@
 	"lemontack/policy"
 )
 
-// The module hears of each call once: an answer after the timeout is dropped.
-func TestModuleHearsOfACounterCallOnce(t *testing.T) {
-	g, err := New(testConfig("", discovery.EndpointList{}), quiet)
+// The policy is notified of the end of each call once: an answer after the timeout is dropped.
+func TestCounterCallIsReportedOnce(t *testing.T) {
+	g, err := New(testConfig("", discovery.EndpointList{}), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,18 +22,18 @@
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.TimedOut})
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.Succeeded, Total: 7})
 	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
-		t.Fatalf("told: %v", g.queue)
+		t.Fatalf("policy events %v, want the timeout only", g.queue)
 	}
 }
 
-// A counter that says nothing is given up in time; a call that was never written has added nothing.
+// A call to a silent counter times out; one that was never written is known to have added nothing.
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		written bool
 		want    policy.Outcome
 	}{"unwritten": {false, policy.ConnectFailed}, "written": {true, policy.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
-			g := idleGateway(t, "127.0.0.1:1")
+			g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 			lines := make(chan string, 1)
 			address := nettest.Serve(t, func(conn net.Conn) {
 				in := bufio.NewReader(conn)
@@ -54,7 +54,7 @@
 				do()
 			}
 			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
-				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
+				t.Fatalf("policy events %v, want outcome %v", g.queue, c.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/ingress/disconnect_test.go
@@ -0,0 +1,255 @@
+package ingress
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lemontack/internal/discovery"
+	"lemontack/internal/listener"
+	"lemontack/internal/nettest"
+	"lemontack/policy"
+)
+
+// The attempt of a client that disconnects is abandoned: its connection to the endpoint is closed.
+func TestDisconnectAbandonsTheAttempt(t *testing.T) {
+	abandoned := make(chan struct{}, 1)
+	endpoint := startSilentEndpoint(t, abandoned)
+	addr := startIngressFor(t, endpoint)
+	nc, _ := nettest.Dial(t, addr)
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+	endpoint.awaitCommands(t, 1)
+	nc.Close()
+	nettest.Await(t, "the attempt is abandoned", abandoned)
+}
+
+// A disconnect is noticed also while no further command is read: behind more commands than may be pipelined, and behind an
+// invalid one after which the framing is lost.
+func TestDisconnectIsNoticedWhileCommandsAreNotRead(t *testing.T) {
+	for name, unread := range map[string]string{
+		"pipelined commands": func() string {
+			var b strings.Builder
+			for i := range 3 * listener.MaxPipelined {
+				b.WriteString(nettest.Ask(10+i, nettest.ReadFields))
+			}
+			return b.String()
+		}(),
+		"lost framing": "?\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			abandoned := make(chan struct{}, 1000)
+			endpoint := startSilentEndpoint(t, abandoned)
+			addr := startIngressFor(t, endpoint)
+			nc, _ := nettest.Dial(t, addr)
+			io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+			endpoint.awaitCommands(t, 1)
+			io.WriteString(nc, unread)
+			nc.Close()
+			nettest.Await(t, "the attempt is abandoned", abandoned)
+		})
+	}
+}
+
+// The queued requests of a client that disconnects are not sent, though its abandoned attempts free capacity: the next
+// request of the queue is another client's.
+func TestQueuedRequestsOfADisconnectedClientAreNotSent(t *testing.T) {
+	const requests = 10
+	endpoint := startEndpoint(t, func(_ int, args []string, _ net.Conn) string {
+		if strings.HasPrefix(args[2], "a") {
+			return ""
+		}
+		return valueReply("value")
+	})
+	addr := startIngressFor(t, endpoint)
+	disconnecting, _ := nettest.Dial(t, addr)
+	for i := range requests {
+		io.WriteString(disconnecting, nettest.Command("Q.ASK", "00000000b4d65521", fmt.Sprintf("a%015x", i), nettest.ReadFields))
+	}
+	endpoint.awaitCommands(t, 1)
+	remaining, in := nettest.Dial(t, addr)
+	io.WriteString(remaining, nettest.Command("PING"))
+	nettest.ReadLine(t, in)
+	io.WriteString(remaining, nettest.Ask(1, nettest.ReadFields))
+	disconnecting.Close()
+	nettest.WantValue(t, in)
+	io.WriteString(remaining, nettest.Ask(2, nettest.ReadFields))
+	nettest.WantValue(t, in)
+	if n := len(endpoint.received()) - 2; n >= requests || n < 1 {
+		t.Fatalf("%d of %d commands of the disconnected client were sent", n, requests)
+	}
+}
+
+// Whatever events precede a client's disconnect in the queue of the gateway, no attempt of that client starts.
+func TestNoAttemptStartsWhileTheDisconnectIsQueued(t *testing.T) {
+	for name, c := range map[string]struct {
+		known   bool                               // the endpoint is known from the start
+		before  func(g *Gateway) (pending []event) // what the gateway handles, and what is pending, when the client disconnects
+		pending func(addr string) []event          // events that are handled before the disconnect
+	}{
+		"its command": {known: true},
+		"an endpoint list": {before: func(g *Gateway) []event { g.handle(<-g.events); return nil },
+			pending: func(addr string) []event { return []event{endpointsUpdated{endpointsAt(addr)}} }},
+		"a connection": {known: true, before: func(g *Gateway) []event {
+			g.handle(<-g.events)
+			return []event{<-g.events} // the connection is established
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			endpoint := startEndpoint(t, nil)
+			list := endpointsAt()
+			if c.known {
+				list = endpointsAt(endpoint.addr)
+			}
+			cfg := testConfig("", list)
+			cfg.Settings.MayCancel = false
+			g := idleGateway(t, cfg)
+			near, far := nettest.ConnPair(t)
+			done := serveClient(g, near)
+			io.WriteString(far, nettest.Do(1, nettest.WriteFields))
+			nettest.Eventually(t, "the request is queued", func() bool { return len(g.events) > 0 })
+			var pending []event
+			if c.before != nil {
+				pending = c.before(g)
+			}
+			far.Close()
+			nettest.Await(t, "the connection's end", done)
+			if c.pending != nil {
+				pending = c.pending(endpoint.addr)
+			}
+			for len(g.events) > 0 {
+				pending = append(pending, <-g.events)
+			}
+			for _, ev := range pending {
+				if g.handle(ev); activeAttempts(g) > 0 {
+					t.Fatalf("%T: an attempt starts", ev)
+				}
+			}
+			if c.before == nil && g.requests.lastID != 0 {
+				t.Fatal("the policy is notified of a request that no client waits for")
+			}
+			if len(g.requests.open) != 0 || g.requests.commandBytes != 0 {
+				t.Fatalf("%d requests of %d bytes remain", len(g.requests.open), g.requests.commandBytes)
+			}
+		})
+	}
+}
+
+// Once the connection of a disconnected client has ended, none of its attempts starts, though what its request waited for
+// arrives then.
+func TestNoAttemptStartsAfterTheDisconnect(t *testing.T) {
+	t.Run("waiting for the counter", func(t *testing.T) {
+		called, answer := make(chan struct{}, 16), make(chan struct{})
+		counter := nettest.Serve(t, func(nc net.Conn) {
+			for in := bufio.NewScanner(nc); in.Scan(); {
+				called <- struct{}{}
+				<-answer
+				fmt.Fprintf(nc, "ok %s\r\n", strings.Fields(in.Text())[2])
+			}
+		})
+		endpoint := startServingEndpoint(t, "a")
+		cfg := configFor(t, endpoint)
+		cfg.Counter = counter
+		cfg.Settings.GatewayCount, cfg.Settings.SharedCounter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
+		cfg.Settings.Plans = append(cfg.Settings.Plans,
+			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, OverQuotaCost: 1})
+		addr, _ := startIngress(t, cfg)
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(1, "c=read,t=sparse,d=50000,units=1,spread=60,first=0"))
+		nettest.Await(t, "the counter is called", called)
+		closeWrite(t, nc, in)
+		close(answer)
+		wantAttempts(t, addr, endpoint, 0)
+	})
+	t.Run("waiting for an endpoint", func(t *testing.T) {
+		endpoint, changes := startServingEndpoint(t, "a"), make(chan discovery.EndpointList)
+		addr, _ := startIngress(t, testConfig(startDiscovery(t, endpointsAt(), changes), endpointsAt()))
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Command("PING"))
+		nettest.ReadLine(t, in)
+		io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+		closeWrite(t, nc, in)
+		list := endpointsAt(endpoint.addr)
+		list.Revision = 2
+		changes <- list
+		wantAttempts(t, addr, endpoint, 0)
+	})
+	t.Run("waiting for the end of an attempt", func(t *testing.T) {
+		fail, first := make(chan struct{}), make(chan struct{}, 1)
+		endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
+			if n > 1 {
+				return valueReply("a")
+			}
+			first <- struct{}{}
+			<-fail
+			return "-BUSY\r\n"
+		})
+		cfg := configFor(t, endpoint)
+		cfg.Settings.MayCancel, cfg.Settings.MaxAttempts = false, 4
+		addr, _ := startIngress(t, cfg)
+		nc, in := nettest.Dial(t, addr)
+		io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
+		nettest.Await(t, "the first attempt", first)
+		closeWrite(t, nc, in)
+		close(fail)
+		wantAttempts(t, addr, endpoint, 1)
+	})
+}
+
+// activeAttempts counts the attempts that are on a connection, or wait for one for a request without a final answer.
+func activeAttempts(g *Gateway) (n int) {
+	for _, r := range g.requests.open {
+		for _, a := range r.attempts {
+			if !a.ended && (!a.WaitsForConnection() || !r.final) {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// closeWrite closes a client's side of its connection and returns once the ingress has closed the other.
+func closeWrite(t *testing.T, nc net.Conn, in *bufio.Reader) {
+	t.Helper()
+	nc.(*net.TCPConn).CloseWrite()
+	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
+		t.Fatalf("reply %q, %v; want the end of the connection", rest, err)
+	}
+}
+
+// wantAttempts serves requests of another client and then checks the number of attempts of request 1 at the endpoint.
+func wantAttempts(t *testing.T, addr string, endpoint *testEndpoint, want int) {
+	t.Helper()
+	nc, in := nettest.Dial(t, addr)
+	for i := range 5 {
+		io.WriteString(nc, nettest.Command("Q.ASK", "00000000b4d65522", fmt.Sprintf("%016x", 100+i), nettest.ReadFields))
+		if got := nettest.ReadLine(t, in); got != "$1" {
+			t.Fatalf("reply %q", got)
+		}
+		nettest.ReadLine(t, in)
+	}
+	n := 0
+	for _, args := range endpoint.received() {
+		if args[2] == fmt.Sprintf("%016x", 1) {
+			n++
+		}
+	}
+	if n != want {
+		t.Fatalf("%d attempts of the disconnected client, want %d", n, want)
+	}
+}
+
+// startSilentEndpoint starts an endpoint that never replies and signals when a connection with a command is closed.
+func startSilentEndpoint(t *testing.T, closed chan<- struct{}) *testEndpoint {
+	t.Helper()
+	return startEndpoint(t, func(_ int, _ []string, nc net.Conn) string {
+		go func() { // ends with the connection
+			nc.Read(make([]byte, 1))
+			closed <- struct{}{}
+		}()
+		return ""
+	})
+}
--- /dev/null
+++ b/internal/ingress/endpointfixtures_test.go
@@ -0,0 +1,181 @@
+package ingress
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"github.com/tidwall/redcon"
+
+	"lemontack/internal/discovery"
+	"lemontack/internal/nettest"
+	"lemontack/internal/standin"
+)
+
+// testEndpoint is an endpoint that records the commands that it receives.
+type testEndpoint struct {
+	addr  string
+	conns atomic.Int32 // accepted so far
+
+	mu       sync.Mutex
+	commands [][]string // guarded by mu
+}
+
+// startEndpoint starts an endpoint that writes what reply returns for the n-th command; "" and a nil reply are silence.
+func startEndpoint(t *testing.T, reply func(n int, args []string, nc net.Conn) string) *testEndpoint {
+	t.Helper()
+	e := &testEndpoint{}
+	e.addr = nettest.Serve(t, func(nc net.Conn) {
+		e.conns.Add(1)
+		in := redcon.NewReader(nc)
+		for {
+			cmd, err := in.ReadCommand()
+			if err != nil {
+				return
+			}
+			var args []string
+			for _, a := range cmd.Args {
+				args = append(args, string(a))
+			}
+			e.mu.Lock()
+			e.commands = append(e.commands, args)
+			n := len(e.commands)
+			e.mu.Unlock()
+			if reply != nil {
+				io.WriteString(nc, reply(n, args, nc))
+			}
+		}
+	})
+	return e
+}
+
+// received returns the commands that have come by now.
+func (e *testEndpoint) received() [][]string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.commands
+}
+
+// valueReply is an endpoint's reply with a value.
+func valueReply(value string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+}
+
+// startServingEndpoint starts an endpoint that serves every request with a value. A malformed command fails the test.
+func startServingEndpoint(t *testing.T, value string) *testEndpoint {
+	e := &testEndpoint{}
+	backend := standin.NewBackend(standin.BackendConfig{Value: func(args []string) string {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.commands = append(e.commands, args)
+		return value
+	}})
+	ln := nettest.Listen(t)
+	e.addr = ln.Addr().String()
+	go backend.Serve(&countedListener{ln, &e.conns}) // ended by Close
+	t.Cleanup(func() {
+		backend.Close()
+		if n := backend.Stats().Malformed; n > 0 {
+			t.Errorf("%d malformed commands", n)
+		}
+	})
+	return e
+}
+
+// countedListener counts the connections that it accepts.
+type countedListener struct {
+	net.Listener
+	conns *atomic.Int32
+}
+
+func (l *countedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	if err == nil {
+		l.conns.Add(1)
+	}
+	return nc, err
+}
+
+// startDiscovery starts a discovery service with a list. What is sent to changes becomes watch events, with revisions that count up.
+func startDiscovery(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
+	t.Helper()
+	service := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1})
+	service.SetList(standinTargets(list))
+	ln, done := nettest.Listen(t), make(chan struct{})
+	go service.Serve(ln) // ended by Close
+	go func() {          // ended by done
+		for {
+			select {
+			case <-done:
+				return
+			case change := <-changes:
+				if change.Snapshot {
+					service.SetList(standinTargets(change))
+				} else {
+					service.Change(standinTargets(change)...)
+				}
+			}
+		}
+	}()
+	t.Cleanup(func() {
+		close(done)
+		service.Close()
+	})
+	return ln.Addr().String()
+}
+
+// standinTargets are the entries of a list in the form of the stand-in.
+func standinTargets(list discovery.EndpointList) []standin.Target {
+	targets := make([]standin.Target, len(list.Entries))
+	for i, entry := range list.Entries {
+		targets[i] = standin.Target(entry)
+	}
+	return targets
+}
+
+// endpointsAt is a list of serving endpoints s0, s1 and so on at these addresses.
+func endpointsAt(addrs ...string) discovery.EndpointList {
+	list := discovery.EndpointList{Revision: 1, Snapshot: true}
+	for i, addr := range addrs {
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"})
+	}
+	return list
+}
+
+// awaitServedBy sends requests until one is served with this value. The ingress must have endpoints in the meantime.
+func awaitServedBy(t *testing.T, addr, value string) {
+	t.Helper()
+	nc, in := nettest.Dial(t, addr)
+	for i := 0; ; i++ {
+		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
+		if got := nettest.ReadLine(t, in); got != "$1" {
+			t.Fatalf("reply %q, want a value", got)
+		}
+		if nettest.ReadLine(t, in) == value {
+			return
+		}
+	}
+}
+
+// awaitCommands waits until the endpoint has received n commands.
+func (e *testEndpoint) awaitCommands(t *testing.T, n int) {
+	t.Helper()
+	nettest.Eventually(t, fmt.Sprint(n, " commands at the endpoint"), func() bool { return len(e.received()) >= n })
+}
+
+// configFor returns the configuration of an ingress whose known list and discovery have this endpoint only.
+func configFor(t *testing.T, endpoint *testEndpoint) Config {
+	t.Helper()
+	list := endpointsAt(endpoint.addr)
+	return testConfig(startDiscovery(t, list, nil), list)
+}
+
+// startIngressFor runs an ingress with this endpoint only and returns its address.
+func startIngressFor(t *testing.T, endpoint *testEndpoint) (addr string) {
+	t.Helper()
+	addr, _ = startIngress(t, configFor(t, endpoint))
+	return addr
+}
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -12,9 +12,9 @@
 
 // The client polls, and spreads its first calls, as the settings and the known list of the configuration say.
 func TestDiscoveryClientIsConfiguredAsTheGateway(t *testing.T) {
-	cfg := testConfig("127.0.0.1:1", fleetOf("127.0.0.1:2"))
+	cfg := testConfig("127.0.0.1:1", endpointsAt("127.0.0.1:2"))
 	cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = 9, true
-	g, err := New(cfg, quiet)
+	g, err := New(cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,10 +25,10 @@
 	}
 }
 
-// The list that the module fetches has the estimate of how many gateways share each endpoint, as the latest change had.
+// The list that the policy fetches has the estimate of how many gateways share each endpoint, as the latest change had.
 func TestFetchedListHasTheLatestGatewaysPerEndpoint(t *testing.T) {
-	g := idleGateway(t, named(t, "a").addr)
-	list := fleetOf("127.0.0.1:9")
+	g := idleGateway(t, testConfig("", endpointsAt(startServingEndpoint(t, "a").addr)))
+	list := endpointsAt("127.0.0.1:9")
 	list.GatewaysPerEndpoint = 30
 	g.handle(endpointsUpdated{list})
 	if ev := g.endpointList(); ev.GatewaysPerEndpoint != 30 {
@@ -36,10 +36,10 @@
 	}
 }
 
-// A gateway of a large fleet takes a whole list of 200,000 from its agent, serves from it, and follows its changes.
+// A gateway of a large deployment decodes a list of 200,000 endpoints, serves from it, and follows its changes.
 func TestGatewayServesFromALongList(t *testing.T) {
-	a := named(t, "a")
-	at := standin.NewDiscovery(standin.DiscoveryConfig{})
+	a := startServingEndpoint(t, "a")
+	service := standin.NewDiscovery(standin.DiscoveryConfig{})
 	list := func(n int, addr string) (targets []standin.Target) {
 		for i := range n {
 			targets = append(targets, standin.Target{UID: fmt.Sprintf("s-%08x", i), Endpoint: addr, Zone: fmt.Sprint("z", i%9),
@@ -47,18 +47,18 @@
 		}
 		return targets
 	}
-	at.SetList(list(200_000, a.addr))
+	service.SetList(list(200_000, a.addr))
 	ln := nettest.Listen(t)
-	go at.Serve(ln)
-	t.Cleanup(func() { at.Close() })
+	go service.Serve(ln) // ended by Close
+	t.Cleanup(func() { service.Close() })
 	cfg := testConfig(ln.Addr().String(), discovery.EndpointList{})
 	cfg.Settings.Index, cfg.Settings.GatewayCount = 4711, 6400
 	addr, _ := startIngress(t, cfg)
-	until(t, addr, "a")
-	b := named(t, "b")
-	at.SetList(list(200_000, b.addr))
+	awaitServedBy(t, addr, "a")
+	b := startServingEndpoint(t, "b")
+	service.SetList(list(200_000, b.addr))
 	nc, in := nettest.Dial(t, addr)
-	for i := 1_000_000; ; i++ {
+	for i := 1_000_000; ; i++ { // ids that awaitServedBy has not used
 		io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
 		nettest.ReadLine(t, in)
 		if nettest.ReadLine(t, in) == "b" {
@@ -68,16 +68,35 @@
 }
 
 // After a change of discovery's address the list is polled at the new one at once, the watch goes on there, and no client
-// or backend notices.
-func TestMoveOfDiscoveryIsNotNoticedByClients(t *testing.T) {
-	be := serving(t, "value")
-	list := fleetOf(be.addr)
+// or endpoint notices.
+func TestDiscoveryAddressChangeIsNotNoticedByClients(t *testing.T) {
+	endpoint := startServingEndpoint(t, "value")
+	list := endpointsAt(endpoint.addr)
 	list.Revision = 2
-	from, to := registry(t, fleetOf(), nil), registry(t, list, nil)
-	addr, g := startGateway(t, testConfig(from, fleetOf()))
+	from, to := startDiscovery(t, endpointsAt(), nil), startDiscovery(t, list, nil)
+	addr, g := startGateway(t, testConfig(from, endpointsAt()))
 	nc, in := nettest.Dial(t, addr)
 	g.Move("127.0.0.1:1", "")
 	g.Move(to, "")
-	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)) // waits for a backend
+	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)) // waits for an endpoint
 	nettest.WantValue(t, in)
 }
+
+// A new process follows the list of discovery as soon as it has it: the known list may be old.
+func TestListOfDiscoveryReplacesTheKnownOneAtStart(t *testing.T) {
+	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
+	list := endpointsAt(a.addr, b.addr)
+	list.Revision, list.Entries[0].State = 2, "DRAINING"
+	addr, _ := startIngress(t, testConfig(startDiscovery(t, list, nil), endpointsAt(a.addr)))
+	awaitServedBy(t, addr, "b")
+	before := len(a.received())
+	nc, in := nettest.Dial(t, addr)
+	for i := range 20 {
+		io.WriteString(nc, nettest.Ask(1000+i, nettest.ReadFields))
+		nettest.ReadLine(t, in)
+		nettest.ReadLine(t, in)
+	}
+	if n := len(a.received()); n != before {
+		t.Fatalf("%d commands to a draining endpoint", n-before)
+	}
+}
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -11,54 +11,50 @@
 	"lemontack/policy"
 )
 
-// Why an attempt may not start, and whether that is a fault of the policy.
+// checkStart gives the reason why an attempt may not start; brokenRule says whether that is a fault of the policy.
 func TestCheckStartGivesTheReason(t *testing.T) {
 	const window = 4 * time.Second
-	cfg := testConfig("", fleetOf("127.0.0.1:1", "127.0.0.1:2"))
+	cfg := testConfig("", endpointsAt("127.0.0.1:1", "127.0.0.1:2"))
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
 	cfg.Settings.Classes[2].DeduplicationWindow = window
 	cfg.Settings.Classes[2].DeduplicationScope = policy.ScopeAll
-	groups := append([]policy.Class{}, cfg.Settings.Classes...)
-	groups[2].Name, groups[2].DeduplicationScope = "cell", policy.ScopeCell
-	cfg.Settings.Classes = append(cfg.Settings.Classes, groups[2])
-	g, err := New(cfg, quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	run(t, g)
+	classes := append([]policy.Class{}, cfg.Settings.Classes...)
+	classes[2].Name, classes[2].DeduplicationScope = "cell", policy.ScopeCell
+	cfg.Settings.Classes = append(cfg.Settings.Classes, classes[2])
+	g := idleGateway(t, cfg)
 	g.pool.Endpoint("s1").Cell = 1
-	left := requestOfAClientThatLeft(t, g)
-	type past struct {
+	disconnected := requestOfDisconnectedClient(t, g)
+	type earlierAttempt struct {
 		ended   bool
 		outcome policy.Outcome
 	}
-	ended := func(o policy.Outcome) past { return past{true, o} }
-	out := past{}
+	ended := func(o policy.Outcome) earlierAttempt { return earlierAttempt{true, o} }
+	inFlight := earlierAttempt{}
 	for name, c := range map[string]struct {
 		class  string
 		change func(r *request, a *attempt)
-		before []past
-		ago    time.Duration // when they began
+		before []earlierAttempt
+		ago    time.Duration // since they started
 		want   error
 		fault  bool
 	}{
-		"first":   {"write", nil, nil, 0, nil, false},
-		"over":    {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
-		"left":    {"read", func(r *request, _ *attempt) { r.Request = left }, nil, 0, errClientDisconnected, false},
-		"no time": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
-		"drains": {"read", func(_ *request, a *attempt) {
+		"first":               {"write", nil, nil, 0, nil, false},
+		"ended":               {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
+		"client disconnected": {"read", func(r *request, _ *attempt) { r.Request = disconnected }, nil, 0, errClientDisconnected, false},
+		"deadline exceeded":   {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
+		"draining": {"read", func(_ *request, a *attempt) {
 			a.endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{State: policy.Draining}}
 		}, nil, 0, errEndpointNotServing, false},
-		"too many":                    {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooManyAttempts, true},
-		"a copy":                      {"read", nil, []past{out}, 0, nil, false},
-		"unsafe, out":                 {"write", nil, []past{out}, 0, errMayBeExecuted, true},
-		"unsafe, reset":               {"write", nil, []past{ended(policy.Reset)}, 0, errMayBeExecuted, true},
-		"unsafe, never ran":           {"write", nil, []past{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
-		"keyed":                       {"keyed", nil, []past{ended(policy.Reset)}, time.Second, nil, false},
-		"keyed, window over":          {"keyed", nil, []past{ended(policy.Reset)}, window, errDeduplicationWindow, false},
-		"keyed, window nearly over":   {"keyed", nil, []past{ended(policy.Reset)}, window - stall.MaxStall, errDeduplicationWindow, false},
-		"keyed, another cell":         {"cell", nil, []past{ended(policy.Reset)}, 0, errMayBeExecuted, true},
-		"keyed, never ran, elsewhere": {"cell", nil, []past{ended(policy.NotSent)}, 0, nil, false},
+		"too many":                          {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooManyAttempts, true},
+		"hedge":                             {"read", nil, []earlierAttempt{inFlight}, 0, nil, false},
+		"non-idempotent, in flight":         {"write", nil, []earlierAttempt{inFlight}, 0, errMayBeExecuted, true},
+		"non-idempotent, reset":             {"write", nil, []earlierAttempt{ended(policy.Reset)}, 0, errMayBeExecuted, true},
+		"non-idempotent, not executed":      {"write", nil, []earlierAttempt{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
+		"keyed":                             {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, time.Second, nil, false},
+		"keyed, window over":                {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window, errDeduplicationWindow, false},
+		"keyed, window nearly over":         {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window - stall.MaxStall, errDeduplicationWindow, false},
+		"keyed, another cell":               {"cell", nil, []earlierAttempt{ended(policy.Reset)}, 0, errMayBeExecuted, true},
+		"keyed, not executed, another cell": {"cell", nil, []earlierAttempt{ended(policy.NotSent)}, 0, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{Request: &listener.Request{}}
@@ -79,9 +75,9 @@
 	}
 }
 
-// Attempts are open one at a time where the settings say so.
+// Without hedging a request has one attempt in flight at a time.
 func TestParallelAttemptIsDeniedWithoutHedging(t *testing.T) {
-	g := idleGateway(t, "127.0.0.1:1")
+	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
 	r.Class = "read"
 	g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
@@ -92,9 +88,9 @@
 	}
 }
 
-// What is denied as a fault of the policy is counted, and the attempt ends as not sent.
+// A retry that is denied as a fault of the policy is counted, and the attempt ends as not sent.
 func TestDeniedRetryIsNotSentAndCounted(t *testing.T) {
-	g := idleGateway(t, "127.0.0.1:1")
+	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
 	r.Class = "write"
 	first := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
@@ -102,7 +98,7 @@
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
-		t.Fatal("a request that may have run is sent again")
+		t.Fatal("a request that may have been executed is retried")
 	}
 	if n := g.observe.violations.Value(ruleRetry); n != 1 {
 		t.Fatalf("%d violations counted", n)
--- a/internal/ingress/ready_test.go
+++ b/internal/ingress/readiness_test.go
@@ -13,10 +13,10 @@
 	"lemontack/internal/standin"
 )
 
-// readyClock is the time within which nine in ten restarted processes are ready.
-const readyClock = 10 * time.Second
+// readyDeadline is the time within which nine in ten restarted processes have to be ready.
+const readyDeadline = 10 * time.Second
 
-// longList is a known list of so many backends.
+// longList is a list of n endpoints.
 func longList(n int) discovery.EndpointList {
 	f := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range n {
@@ -25,46 +25,46 @@
 	return f
 }
 
-// A fleet that restarts at one moment is ready on its known lists, whatever discovery does: 300 ingresses on a driven clock,
-// before one discovery that is up and slow, silent or down, told or asking, with lists of any length. What a long list costs in
-// processor time stays out of it.
-func TestFleetIsReadyWithoutDiscovery(t *testing.T) {
+// Gateways that all restart at one moment are ready on their known lists, whatever discovery does: 300 of them on a simulated
+// clock, with a discovery service that is up, slow, silent or down, by watch and by poll, with lists of any length. The
+// processor time of a long list is not measured.
+func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		state    standin.State
-		perCall  time.Duration // at discovery, one after another
+		perCall  time.Duration // time of a call at discovery, which handles them one by one
 		n, known int
 	}{
 		{"up", standin.Up, 0, 300, 200},
 		{"slow", standin.Up, 100 * time.Millisecond, 300, 200},
 		{"silent", standin.Silent, 0, 300, 200},
 		{"down", standin.Down, 0, 300, 200},
-		{"slow, nothing known", standin.Up, 100 * time.Millisecond, 300, 0},
-		{"silent, nothing known", standin.Silent, 0, 300, 0},
-		{"silent, a long list", standin.Silent, 0, 3, 50_000},
+		{"slow, no known list", standin.Up, 100 * time.Millisecond, 300, 0},
+		{"silent, no known list", standin.Silent, 0, 300, 0},
+		{"silent, long known list", standin.Silent, 0, 3, 50_000},
 	} {
-		for _, asked := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, asking %v", c.name, asked), func(t *testing.T) {
+		for _, poll := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, poll %v", c.name, poll), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					cfg := standin.DiscoveryConfig{}
 					if c.perCall > 0 {
 						cfg.CallsPerSecond = float64(time.Second / c.perCall)
 					}
-					at := standin.NewDiscovery(cfg)
-					at.SetState(c.state)
+					service := standin.NewDiscovery(cfg)
+					service.SetState(c.state)
 					began := time.Now()
-					gateways, stop := startFleet(t, c.n, asked, longList(c.known), at)
+					gateways, stop := startGateways(t, c.n, poll, longList(c.known), service)
 					defer stop()
 					ready := 0
 					for _, g := range gateways {
 						<-g.Ready()
-						if time.Since(began) <= readyClock/10 {
+						if time.Since(began) <= readyDeadline/10 {
 							ready++
 						}
 					}
 					if ready < c.n*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the clock, the last after %v", ready, c.n, time.Since(began))
+						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.n, time.Since(began))
 					}
 				})
 			})
@@ -72,24 +72,24 @@
 	}
 }
 
-// startFleet runs n ingresses in memory; stop ends them all.
-func startFleet(t *testing.T, n int, asked bool, known discovery.EndpointList, at *standin.Discovery) (all []*Gateway, stop func()) {
+// startGateways runs n gateways that reach discovery over pipes in memory; stop ends them all and waits.
+func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	registry := standin.NewPipeListener()
+	pipes := standin.NewPipeListener()
 	var running sync.WaitGroup
-	running.Go(func() { at.Serve(registry) })
+	running.Go(func() { service.Serve(pipes) })
 	for i := range n {
 		cfg := testConfig("127.0.0.1:1", known)
 		cfg.Seed = uint64(i)
-		cfg.Settings.Index, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, asked
-		g, err := New(cfg, quiet)
+		cfg.Settings.Index, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, poll
+		g, err := New(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		g.listen = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
 		config := g.discoveryConfig()
-		config.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return registry.Dial(ctx) }
+		config.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return pipes.Dial(ctx) }
 		g.discovery = g.newDiscoveryClient(config)
 		all = append(all, g)
 		running.Go(func() {
@@ -100,7 +100,7 @@
 	}
 	return all, func() {
 		cancel()
-		at.Close()
+		service.Close()
 		running.Wait()
 	}
 }
