--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// fleetSettings are those of one gateway of a large fleet: requests of a customer arrive at all of its gateways.
-func fleetSettings() Settings {
+// manyGatewaySettings are those of one of many gateways: the requests of a customer arrive at all of them.
+func manyGatewaySettings() Settings {
 	set := settings()
 	set.GatewayCount, set.MaxUnits = 60, 4
 	set.Plans = append(set.Plans,
@@ -18,35 +18,35 @@
 // Wherever a request waits when its client disconnects, nothing of it is sent from then on, whatever comes later: replies of
 // the counter, ends of attempts, capacity of the window or the concurrency limit, endpoints.
 func TestNothingIsSentAfterTheClientDisconnects(t *testing.T) {
-	fleet := []Endpoint{{ID: "s", State: Serving}, {ID: "u", State: Serving}}
+	endpoints := []Endpoint{{ID: "s", State: Serving}, {ID: "u", State: Serving}}
 	ended := func(o Outcome) AttemptEnded {
 		return AttemptEnded{ID: 1, Endpoint: "s", Outcome: o, Latency: 20 * ms}
 	}
-	of := func(r *rig, id RequestID, plan string, spread int) []Action {
-		return r.tell(Arrival{Request{ID: id, Class: "read", Plan: plan, Customer: "c", Units: 1,
-			Deadline: r.now + 2*time.Second, GatewaySpan: spread}})
+	of := func(g *testGateway, id RequestID, plan string, spread int) []Action {
+		return g.handle(Arrival{Request{ID: id, Class: "read", Plan: plan, Customer: "c", Units: 1,
+			Deadline: g.now + 2*time.Second, GatewaySpan: spread}})
 	}
-	counted := func(o Outcome, total float64) func(r *rig, calls []IncrementCounter) []Action {
-		return func(r *rig, calls []IncrementCounter) (acts []Action) {
+	counted := func(o Outcome, total float64) func(g *testGateway, calls []IncrementCounter) []Action {
+		return func(g *testGateway, calls []IncrementCounter) (acts []Action) {
 			for _, c := range calls {
-				acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: o, Total: total})...)
+				acts = append(acts, g.handle(CounterReply{Name: c.Name, Outcome: o, Total: total})...)
 			}
 			return acts
 		}
 	}
 	// loseCall lets a call for another customer time out, after which not all requests call the counter.
-	loseCall := func(r *rig) {
-		calls := only[IncrementCounter](r.tell(Arrival{Request{ID: 9, Class: "read", Plan: "thin", Customer: "other", Units: 1,
-			Deadline: r.now + 2*time.Second, GatewaySpan: 60}}))
-		r.tell(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
+	loseCall := func(g *testGateway) {
+		calls := only[IncrementCounter](g.handle(Arrival{Request{ID: 9, Class: "read", Plan: "thin", Customer: "other", Units: 1,
+			Deadline: g.now + 2*time.Second, GatewaySpan: 60}}))
+		g.handle(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
 	}
 	for name, c := range map[string]struct {
 		plan     string
-		rejected bool // where its client stays
+		rejected bool // unless its client disconnects
 		spread   int
-		ready    func(r *rig)                                    // before the request comes
-		waits    func(r *rig)                                    // after, up to where it waits
-		later    func(r *rig, calls []IncrementCounter) []Action // after its client has disconnected
+		ready    func(g *testGateway)                                    // before the request arrives
+		waits    func(g *testGateway)                                    // after, until it waits
+		later    func(g *testGateway, calls []IncrementCounter) []Action // after its client has disconnected
 	}{
 		"for the counter, which grants":             {"thin", false, 60, nil, nil, counted(Succeeded, 1)},
 		"for the counter, which rejects":            {"thin", true, 60, nil, nil, counted(Succeeded, 1000)},
@@ -56,58 +56,58 @@
 			counted(Succeeded, 1)},
 		"for the counter, over the quota": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
 		"for a ceiling's window":          {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
-		"in the queue":                    {"free", false, 2, func(r *rig) { r.g.limiter.SetWindow(0) }, nil, nil},
-		"for an endpoint": {"free", false, 2, func(r *rig) { r.tell(EndpointsChanged{Snapshot: true}) }, nil,
-			func(r *rig, _ []IncrementCounter) []Action {
-				return r.tell(EndpointsChanged{Snapshot: true, Endpoints: fleet})
+		"in the queue":                    {"free", false, 2, func(g *testGateway) { g.gateway.limiter.SetWindow(0) }, nil, nil},
+		"for an endpoint": {"free", false, 2, func(g *testGateway) { g.handle(EndpointsChanged{Snapshot: true}) }, nil,
+			func(g *testGateway, _ []IncrementCounter) []Action {
+				return g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
 			}},
-		"at the concurrency limit": {"open", false, 1, func(r *rig) { of(r, 9, "open", 1) }, nil,
-			func(r *rig, _ []IncrementCounter) []Action {
-				return r.tell(AttemptEnded{ID: 9, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
+		"at the concurrency limit": {"open", false, 1, func(g *testGateway) { of(g, 9, "open", 1) }, nil,
+			func(g *testGateway, _ []IncrementCounter) []Action {
+				return g.handle(AttemptEnded{ID: 9, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 			}},
 		"for an answer, before a hedge": {"free", false, 2,
-			func(r *rig) { r.g.classes["read"].latency.Record(20 * ms) }, nil, nil},
+			func(g *testGateway) { g.gateway.classes["read"].latency.Record(20 * ms) }, nil, nil},
 		"for an answer that is a rejection": {"free", false, 2, nil, nil,
-			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(Rejected)) }},
+			func(g *testGateway, _ []IncrementCounter) []Action { return g.handle(ended(Rejected)) }},
 		"for a connection that never comes": {"free", false, 2, nil, nil,
-			func(r *rig, _ []IncrementCounter) []Action { return r.tell(ended(ConnectFailed)) }},
-		"for a retry": {"free", false, 2, nil, func(r *rig) {
-			r.g.limiter.SetWindow(0) // it shrinks in the meantime
-			r.tell(ended(Rejected))
+			func(g *testGateway, _ []IncrementCounter) []Action { return g.handle(ended(ConnectFailed)) }},
+		"for a retry": {"free", false, 2, nil, func(g *testGateway) {
+			g.gateway.limiter.SetWindow(0) // it shrinks in the meantime
+			g.handle(ended(Rejected))
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play := func(leaves, mayCancel bool) (acts []Action) {
-				set := fleetSettings()
+			play := func(disconnects, mayCancel bool) (acts []Action) {
+				set := manyGatewaySettings()
 				set.MayCancel = mayCancel
 				set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, MaxConcurrency: 1, OverQuotaCost: 1},
 					Plan{Name: "excess", Price: 1, Rate: 0.8, Burst: 8, OverQuotaWeight: 1, OverQuotaCost: 0.1},
 					Plan{Name: "lid", Price: 1, Rate: 0.8, Burst: 8, CeilingRate: 2, CeilingBurst: 16})
-				r := newRig(t, set, fleet...)
-				r.g.limiter.SetWindow(10)
-				r.g.retryBudget = 10
+				g := newTestGateway(t, set, endpoints...)
+				g.gateway.limiter.SetWindow(10)
+				g.gateway.retryBudget = 10
 				if c.ready != nil {
-					c.ready(r)
+					c.ready(g)
 				}
-				calls := only[IncrementCounter](of(r, 1, c.plan, c.spread))
+				calls := only[IncrementCounter](of(g, 1, c.plan, c.spread))
 				if c.waits != nil {
-					c.waits(r)
+					c.waits(g)
 				}
-				r.now += ms
-				if leaves {
-					acts = r.tell(ClientDisconnected{ID: 1})
+				g.now += ms
+				if disconnects {
+					acts = g.handle(ClientDisconnected{ID: 1})
 				}
-				r.g.limiter.SetWindow(max(r.g.limiter.Window(), 10))
-				r.now += ms
+				g.gateway.limiter.SetWindow(max(g.gateway.limiter.Window(), 10))
+				g.now += ms
 				if c.later != nil {
-					acts = append(acts, c.later(r, calls)...)
+					acts = append(acts, c.later(g, calls)...)
 				}
-				return append(acts, r.pass(3*time.Second)...)
+				return append(acts, g.advance(3*time.Second)...)
 			}
 			for _, mayCancel := range []bool{true, false} {
-				for _, leaves := range []bool{true, false} {
+				for _, disconnects := range []bool{true, false} {
 					sends, answers := 0, 0
-					for _, a := range play(leaves, mayCancel) {
+					for _, a := range play(disconnects, mayCancel) {
 						switch a := a.(type) {
 						case Send:
 							if a.ID == 1 {
@@ -118,10 +118,10 @@
 						}
 					}
 					switch {
-					case leaves && sends+answers > 0:
+					case disconnects && sends+answers > 0:
 						t.Errorf("may cancel %v: %d attempts, %d answers", mayCancel, sends, answers)
-					case !leaves && sends == 0 && !c.rejected:
-						t.Errorf("may cancel %v: not sent for a client that stays", mayCancel)
+					case !disconnects && sends == 0 && !c.rejected:
+						t.Errorf("may cancel %v: not sent for a connected client", mayCancel)
 					}
 				}
 			}
@@ -129,7 +129,7 @@
 	}
 }
 
-// A request that arrives at its deadline is rejected at once and takes nothing of its customer's quota.
+// A request that arrives at its deadline is rejected at once and uses nothing of its customer's quota.
 func TestRequestThatArrivesAtItsDeadlineIsRejected(t *testing.T) {
 	g, err := New(settings(), 1)
 	if err != nil {
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -1,14 +1,17 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"lemontack/policy/balancer"
+	"lemontack/policy/limiter"
 )
 
 const ms = time.Millisecond
 
+// settings are those of one of two gateways that share a counter.
 func settings() Settings {
 	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, Hedging: true, SharedCounter: true, CounterTimeout: 50 * ms,
@@ -24,48 +27,52 @@
 	}
 }
 
-type rig struct {
+// testGateway is a gateway on a simulated clock.
+type testGateway struct {
 	*testing.T
-	g   *Gateway
-	now time.Duration
+	gateway *Gateway
+	now     time.Duration
 }
 
-func newRig(t *testing.T, set Settings, endpoints ...Endpoint) *rig {
+// newTestGateway returns a gateway that has just started and knows these endpoints.
+func newTestGateway(t *testing.T, set Settings, endpoints ...Endpoint) *testGateway {
 	t.Helper()
-	g, err := New(set, 7)
+	gateway, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, g: g, now: time.Minute}
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
-	return r
+	g := &testGateway{T: t, gateway: gateway, now: time.Minute}
+	g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+	return g
 }
 
-func (r *rig) tell(ev Event) []Action { return r.g.Handle(r.now, ev, nil) }
+// handle gives the gateway an event now and returns its actions.
+func (g *testGateway) handle(ev Event) []Action { return g.gateway.Handle(g.now, ev, nil) }
 
-func (r *rig) arrive(id RequestID, class, plan string) []Action {
-	return r.tell(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
-		Deadline: r.now + 2*time.Second, GatewaySpan: 2}})
+// arrive brings a request of one unit of customer c.
+func (g *testGateway) arrive(id RequestID, class, plan string) []Action {
+	return g.handle(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
+		Deadline: g.now + 2*time.Second, GatewaySpan: 2}})
 }
 
-// pass lets time pass in ticks.
-func (r *rig) pass(d time.Duration) (out []Action) {
-	for end := r.now + d; r.now < end; {
-		r.now += 10 * ms
-		out = append(out, r.tell(TimerFired{})...)
+// advance moves the clock on in ticks and returns all actions.
+func (g *testGateway) advance(d time.Duration) (out []Action) {
+	for end := g.now + d; g.now < end; {
+		g.now += 10 * ms
+		out = append(out, g.handle(TimerFired{})...)
 	}
 	return out
 }
 
 // endpoint returns a serving endpoint.
-func (r *rig) endpoint(id EndpointID) *balancer.Endpoint {
-	r.Helper()
-	for _, e := range r.g.balancer.Serving() {
+func (g *testGateway) endpoint(id EndpointID) *balancer.Endpoint {
+	g.Helper()
+	for _, e := range g.gateway.balancer.Serving() {
 		if e.ID == id {
 			return e
 		}
 	}
-	r.Fatalf("no serving endpoint %s", id)
+	g.Fatalf("no serving endpoint %s", id)
 	return nil
 }
 
@@ -76,8 +83,8 @@
 }
 
 // attemptsInFlight returns all attempts that have not ended, in the order of their requests' arrival.
-func (r *rig) attemptsInFlight() (all []inFlight) {
-	for _, q := range r.g.activeRequests {
+func (g *testGateway) attemptsInFlight() (all []inFlight) {
+	for _, q := range g.gateway.activeRequests {
 		for _, a := range q.attempts {
 			if !a.ended {
 				all = append(all, inFlight{a, q.ID})
@@ -87,6 +94,7 @@
 	return all
 }
 
+// only returns the actions of one type.
 func only[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -97,38 +105,38 @@
 }
 
 func TestRequestIsSentAtOnceWhileTheWindowHasCapacity(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	if got := only[Send](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
+	if got := only[Send](g.arrive(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
 
 func TestCapacityThatBecomesFreeGoesToTheHighestPriority(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	r.arrive(1, "read", "free")
-	r.arrive(2, "read", "free")
-	r.arrive(3, "read", "free")
-	r.arrive(4, "read", "dear")
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
+	g.arrive(1, "read", "free")
+	g.arrive(2, "read", "free")
+	g.arrive(3, "read", "free")
+	g.arrive(4, "read", "dear")
+	got := only[Send](g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("sends %v, want request 4 first", got)
 	}
 }
 
 func TestRequestWithLessTimeThanATickIsAnsweredAtOnce(t *testing.T) {
-	r := newRig(t, settings()) // no endpoints: nothing can be sent
-	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + ms}})
+	g := newTestGateway(t, settings()) // no endpoints: nothing can be sent
+	got := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, Deadline: g.now + ms}})
 	if len(only[Reject](got)) != 1 {
 		t.Fatalf("actions %v, want a rejection", got)
 	}
 }
 
 func TestRejectedRequestsRefundNoUnits(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
-		sent += len(only[Send](r.arrive(id, "read", "small")))
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
+		sent += len(only[Send](g.arrive(id, "read", "small")))
+		g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if sent < 4 || sent > 8 {
 		t.Fatalf("sent %d of 59, the whole burst is 8", sent)
@@ -137,24 +145,24 @@
 
 // An endpoint that restarts keeps its attempts in flight until they end.
 func TestRestartedEndpointKeepsItsAttemptsInFlight(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
-	r.arrive(1, "read", "free")
-	r.arrive(2, "read", "free")
-	before := r.endpoint("s").InFlight()
-	r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
-	if now := r.endpoint("s").InFlight(); now != before || before == 0 {
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
+	g.arrive(1, "read", "free")
+	g.arrive(2, "read", "free")
+	before := g.endpoint("s").InFlight()
+	g.handle(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
+	if now := g.endpoint("s").InFlight(); now != before || before == 0 {
 		t.Fatalf("%d attempts in flight before the restart, %d after", before, now)
 	}
-	r.tell(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
-	r.tell(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
-	r.pass(time.Second)
-	if got, want := r.endpoint("s").InFlight(), len(r.attemptsInFlight()); got != want {
+	g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
+	g.handle(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
+	g.advance(time.Second)
+	if got, want := g.endpoint("s").InFlight(), len(g.attemptsInFlight()); got != want {
 		t.Fatalf("%d attempts in flight at the endpoint, %d have not ended", got, want)
 	}
-	for left := r.attemptsInFlight(); len(left) > 0; left = r.attemptsInFlight() {
-		r.tell(AttemptEnded{ID: left[0].id, Attempt: left[0].number, Endpoint: "s", Outcome: Reset})
+	for left := g.attemptsInFlight(); len(left) > 0; left = g.attemptsInFlight() {
+		g.handle(AttemptEnded{ID: left[0].id, Attempt: left[0].number, Endpoint: "s", Outcome: Reset})
 	}
-	if got := r.endpoint("s").InFlight(); got != 0 {
+	if got := g.endpoint("s").InFlight(); got != 0 {
 		t.Fatalf("%d attempts in flight at the endpoint after all have ended", got)
 	}
 }
@@ -169,13 +177,13 @@
 		totals, sent := map[string]float64{}, 0
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
 			set.Index = i % n
-			r := newRig(t, set, Endpoint{ID: "s", State: Serving})
-			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
-				Deadline: r.now + time.Second, GatewaySpan: n}})
+			g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving})
+			acts := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
+				Deadline: g.now + time.Second, GatewaySpan: n}})
 			for k := 0; k < len(acts); k++ {
 				if c, ok := acts[k].(IncrementCounter); ok {
 					totals[c.Name] += c.Add
-					acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
+					acts = append(acts, g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 				}
 			}
 			sent += len(only[Send](acts))
@@ -185,3 +193,55 @@
 		}
 	}
 }
+
+// The windows of many gateways add up: with late answers of several endpoints a window falls below one attempt, and the
+// attempts are spaced from then on.
+func TestWindowBelowOneAttemptSpacesAttempts(t *testing.T) {
+	set := settings()
+	set.GatewayCount = 300
+	var endpoints []Endpoint
+	for i := range 60 {
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
+	}
+	g := newTestGateway(t, set, endpoints...)
+	for i := range 12 {
+		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.Serving()[i], limiter.Sample{Outcome: TimedOut})
+		g.advance(time.Second)
+	}
+	if g.gateway.limiter.Window() >= 1 {
+		t.Fatalf("window %v after late answers only", g.gateway.limiter.Window())
+	}
+	g.gateway.classes["read"].latency.Record(100 * ms)
+	g.gateway.limiter.SetWindow(0.5)
+	first := only[Send](g.arrive(1, "read", "free"))
+	g.handle(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 100 * ms, RequestFinished: true})
+	second := only[Send](g.arrive(2, "read", "free"))
+	if len(first) != 1 || len(second) != 0 {
+		t.Fatalf("sent %v, then %v at once", first, second)
+	}
+	if got := only[Send](g.advance(time.Second)); len(got) == 0 || got[0].ID != 2 {
+		t.Fatalf("sent %v in the second after, want the queued one", got)
+	}
+}
+
+// Out-of-range gateway spans and indexes lead to valid decisions without a panic.
+func TestOutOfRangeGatewaySpansStillDecide(t *testing.T) {
+	set := settings()
+	set.GatewayCount = 100
+	for _, q := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
+		g := newTestGateway(t, set)
+		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.Deadline = 1, "read", "small", "c", 1, g.now+time.Second
+		calls := only[IncrementCounter](g.handle(Arrival{q}))
+		for _, c := range calls {
+			g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Add})
+		}
+		var endpoints []Endpoint
+		for i := range 100 {
+			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
+		}
+		acts := g.handle(EndpointsChanged{Endpoints: endpoints})
+		if got := only[Send](append(acts, g.advance(20*ms)...)); len(got) != 1 {
+			t.Errorf("request %+v: sent %v, want it sent once there are endpoints", q, got)
+		}
+	}
+}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -29,26 +29,26 @@
 }
 
 const (
-	goldenSeeds    = 3
-	goldenLength   = 20 * time.Second
-	goldenGateways = 4
-	goldenServers  = 24
+	goldenSeeds     = 3
+	goldenLength    = 20 * time.Second
+	goldenGateways  = 4
+	goldenEndpoints = 24
 )
 
 // goldenScenario is a variant of the settings and of what happens.
 type goldenScenario struct {
-	name          string
-	adjust        func(*Settings)
-	servers       int
-	counterDelay  time.Duration // mean of a call's time
-	counterFaults float64       // share of the calls that end otherwise than done
-	serverFaults  float64       // share of the attempts that do
-	changeEvery   time.Duration // mean time between two changes of the fleet list of one gateway
-	requestEvery  time.Duration // mean time between two requests of one gateway
+	name           string
+	adjust         func(*Settings)
+	endpointCount  int
+	counterDelay   time.Duration // mean of a call's time
+	counterFaults  float64       // share of the calls that end otherwise than done
+	endpointFaults float64       // share of the attempts that do
+	changeEvery    time.Duration // mean time between two changes of the endpoint list of one gateway
+	requestEvery   time.Duration // mean time between two requests of one gateway
 }
 
 func goldenScenarios() []goldenScenario {
-	base := goldenScenario{servers: goldenServers, counterDelay: 4 * ms, counterFaults: 0.02, serverFaults: 0.05,
+	base := goldenScenario{endpointCount: goldenEndpoints, counterDelay: 4 * ms, counterFaults: 0.02, endpointFaults: 0.05,
 		changeEvery: 800 * ms, requestEvery: 9 * ms}
 	with := func(name string, change func(*goldenScenario)) goldenScenario {
 		s := base
@@ -71,15 +71,15 @@
 			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
 			s.counterDelay, s.counterFaults = 30*ms, 0.4
 		}),
-		with("overload", func(s *goldenScenario) { s.requestEvery, s.serverFaults, s.servers = 2*ms, 0.3, 6 }),
+		with("overload", func(s *goldenScenario) { s.requestEvery, s.endpointFaults, s.endpointCount = 2*ms, 0.3, 6 }),
 		with("slow start", func(s *goldenScenario) {
 			s.adjust = func(set *Settings) { set.HandshakePrice, set.CrossZonePrice = 0.2, 0.1 }
 			s.changeEvery = 150 * ms
 		}),
-		with("long list", func(s *goldenScenario) { s.servers = 600 }),
+		with("long list", func(s *goldenScenario) { s.endpointCount = 600 }),
 		with("asked list", func(s *goldenScenario) {
 			s.adjust = func(set *Settings) { set.PollEndpoints, set.MayCheckHealth = true, true }
-			s.counterFaults, s.serverFaults = 0.2, 0.2
+			s.counterFaults, s.endpointFaults = 0.2, 0.2
 		}),
 	}
 }
@@ -131,20 +131,20 @@
 // goldenRun is one run of a scenario on a driven clock.
 type goldenRun struct {
 	goldenScenario
-	t        *testing.T
-	rng      *rand.Rand
-	sum      hash.Hash
-	now      time.Duration
-	queue    goldenQueue
-	number   int
-	gateways []*Gateway
-	totals   map[string]float64
-	servers  []Endpoint
-	lastID   RequestID
-	seen     map[string]int // actions by kind
-	attempts map[RequestID]int
-	ended    map[string]bool // attempts that have had their end
-	final    map[RequestID]bool
+	t         *testing.T
+	rng       *rand.Rand
+	sum       hash.Hash
+	now       time.Duration
+	queue     goldenQueue
+	number    int
+	gateways  []*Gateway
+	totals    map[string]float64
+	endpoints []Endpoint
+	lastID    RequestID
+	seen      map[string]int // actions by kind
+	attempts  map[RequestID]int
+	ended     map[string]bool // attempts that have had their end
+	final     map[RequestID]bool
 }
 
 func (run *goldenRun) push(after time.Duration, gateway int, event Event, then func()) {
@@ -160,8 +160,8 @@
 func (run *goldenRun) play() {
 	set := goldenSettings()
 	run.adjust(&set)
-	for i := range run.goldenScenario.servers {
-		run.servers = append(run.servers, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
+	for i := range run.goldenScenario.endpointCount {
+		run.endpoints = append(run.endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
 			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Serving, Capacity: 1 + float64(i%3)})
 	}
 	for i := range goldenGateways {
@@ -171,7 +171,7 @@
 			run.t.Fatal(err)
 		}
 		run.gateways = append(run.gateways, g)
-		run.push(0, i, EndpointsChanged{Snapshot: true, Endpoints: append([]Endpoint{}, run.servers...)}, nil)
+		run.push(0, i, EndpointsChanged{Snapshot: true, Endpoints: append([]Endpoint{}, run.endpoints...)}, nil)
 		run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
 		run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
 	}
@@ -212,11 +212,11 @@
 	run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
 }
 
-// change tells a gateway of changes of the fleet list, or of a failure, and has it told again later.
+// change notifies a gateway of changes of the endpoint list, or of a failure, and schedules the next notification.
 func (run *goldenRun) change(i int) {
 	ev := EndpointsChanged{GatewaysPerEndpoint: float64(1 + run.rng.IntN(goldenGateways))}
 	for range 1 + run.rng.IntN(3) {
-		s := &run.servers[run.rng.IntN(len(run.servers))]
+		s := &run.endpoints[run.rng.IntN(len(run.endpoints))]
 		switch run.rng.IntN(5) {
 		case 0:
 			s.State = Draining
@@ -233,7 +233,7 @@
 	switch run.rng.IntN(10) {
 	case 0:
 		ev = EndpointsChanged{Snapshot: true}
-		for _, s := range run.servers {
+		for _, s := range run.endpoints {
 			if s.State != Removed {
 				ev.Endpoints = append(ev.Endpoints, s)
 			}
@@ -243,7 +243,7 @@
 	}
 	run.push(0, i, ev, nil)
 	if run.rng.IntN(8) == 0 {
-		run.push(0, i, HealthCheckEnded{Endpoint: run.servers[0].ID, Outcome: Succeeded, Latency: ms}, nil)
+		run.push(0, i, HealthCheckEnded{Endpoint: run.endpoints[0].ID, Outcome: Succeeded, Latency: ms}, nil)
 		run.push(0, i, GossipReceived{From: 1, Body: []byte("x")}, nil)
 	}
 	run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
@@ -301,29 +301,29 @@
 	run.final[id] = true
 }
 
-// attempt lets an attempt end, by a server's latency and luck.
-func (run *goldenRun) attempt(i int, id RequestID, n int, server EndpointID) {
+// attempt lets an attempt end, with the latency and the faults of an endpoint.
+func (run *goldenRun) attempt(i int, id RequestID, n int, endpoint EndpointID) {
 	took, outcome := 5*ms+run.about(20*ms), Succeeded
 	if run.rng.IntN(25) == 0 {
 		took += run.about(400 * ms)
 	}
-	if run.rng.Float64() < run.serverFaults {
+	if run.rng.Float64() < run.endpointFaults {
 		outcome = Outcome(run.rng.IntN(int(OutcomeCount)))
 	}
 	if outcome == Succeeded && run.rng.IntN(30) == 0 {
 		run.push(took/2, i, StreamStarted{ID: id, Attempt: n}, nil)
 	}
-	run.push(took, i, nil, func() { run.end(i, id, n, server, outcome, took) })
+	run.push(took, i, nil, func() { run.end(i, id, n, endpoint, outcome, took) })
 }
 
 // end tells of an attempt's end, once.
-func (run *goldenRun) end(i int, id RequestID, n int, server EndpointID, outcome Outcome, took time.Duration) {
+func (run *goldenRun) end(i int, id RequestID, n int, endpoint EndpointID, outcome Outcome, took time.Duration) {
 	key := fmt.Sprint(id, "/", n)
 	if run.ended[key] {
 		return
 	}
 	run.ended[key] = true
-	ev := AttemptEnded{ID: id, Attempt: n, Endpoint: server, Outcome: outcome, Latency: took}
+	ev := AttemptEnded{ID: id, Attempt: n, Endpoint: endpoint, Outcome: outcome, Latency: took}
 	if run.rng.IntN(2) == 0 {
 		ev.LoadReport = LoadReport{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
 	}
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -10,7 +10,7 @@
 
 // Rule 1: each request has exactly one final answer before its client gives up.
 func TestEveryRequestHasOneFinalAnswer(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
 	final := map[RequestID]int{}
 	count := func(acts []Action) {
 		for _, a := range only[Reject](acts) {
@@ -21,11 +21,11 @@
 		}
 	}
 	for id := RequestID(1); id <= 40; id++ {
-		count(r.arrive(id, []string{"read", "book", "pay"}[id%3], "free"))
+		count(g.arrive(id, []string{"read", "book", "pay"}[id%3], "free"))
 	}
-	count(r.pass(1990 * ms))
+	count(g.advance(1990 * ms))
 	for id := RequestID(1); id <= 40; id++ {
-		q := r.g.requests[id]
+		q := g.gateway.requests[id]
 		if q == nil || q.finished {
 			continue
 		}
@@ -33,7 +33,7 @@
 			t.Fatalf("request %d is still queued at its deadline", id)
 		}
 		for _, a := range q.attempts {
-			count(r.tell(AttemptEnded{ID: id, Attempt: a.number, Endpoint: "s", Outcome: TimedOut}))
+			count(g.handle(AttemptEnded{ID: id, Attempt: a.number, Endpoint: "s", Outcome: TimedOut}))
 		}
 	}
 	for id := RequestID(1); id <= 40; id++ {
@@ -46,9 +46,9 @@
 // Rule 2: a non-idempotent request that may have been executed is neither retried nor rejected.
 func TestNonIdempotentRequestThatMayHaveBeenExecutedFails(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
-		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-		s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
-		got := r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: o})
+		g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		s := only[Send](g.arrive(1, "pay", "free"))[0].Endpoint
+		got := g.handle(AttemptEnded{ID: 1, Endpoint: s, Outcome: o})
 		if len(only[Send](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
 			t.Errorf("outcome %v: actions %v, want one failure", o, got)
 		}
@@ -56,9 +56,9 @@
 }
 
 func TestRequestThatWasNotExecutedIsRetried(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	s := only[Send](r.arrive(1, "pay", "free"))[0].Endpoint
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: ConnectFailed}))
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	s := only[Send](g.arrive(1, "pay", "free"))[0].Endpoint
+	got := only[Send](g.handle(AttemptEnded{ID: 1, Endpoint: s, Outcome: ConnectFailed}))
 	if len(got) != 1 || got[0].Endpoint == s {
 		t.Fatalf("sends %v, want one to the other endpoint", got)
 	}
@@ -70,17 +70,17 @@
 	set := settings()
 	set.Classes[1].Deadline, set.Classes[1].DeduplicationWindow = 60*time.Second, time.Second
 	for wait, want := range map[time.Duration]int{100 * ms: 1, 1200 * ms: 0} {
-		r := newRig(t, set, Endpoint{ID: "s", State: Serving, Cell: 1}, Endpoint{ID: "u", State: Serving, Cell: 1},
+		g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving, Cell: 1}, Endpoint{ID: "u", State: Serving, Cell: 1},
 			Endpoint{ID: "v", State: Serving, Cell: 2}, Endpoint{ID: "w", State: Serving, Cell: 2})
-		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
-		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
-		r.now += wait
-		got := r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset})
+		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: g.now + time.Minute}
+		s := only[Send](g.handle(Arrival{q}))[0].Endpoint
+		g.now += wait
+		got := g.handle(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset})
 		sends := only[Send](got)
 		if len(sends) != want || len(only[Reject](got)) > 0 {
 			t.Fatalf("after %v: actions %v, want %d sends and no rejection", wait, got, want)
 		}
-		if want == 1 && r.endpoint(sends[0].Endpoint).Cell != r.endpoint(s).Cell {
+		if want == 1 && g.endpoint(sends[0].Endpoint).Cell != g.endpoint(s).Cell {
 			t.Fatalf("sent to %v after %v: another cell", sends[0].Endpoint, s)
 		}
 	}
@@ -89,20 +89,20 @@
 // Rule 3: no attempt goes to an endpoint that is draining or removed.
 func TestNoAttemptGoesToADrainingEndpoint(t *testing.T) {
 	for _, state := range []EndpointState{Draining, Removed, EndpointState(9)} {
-		r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-		r.tell(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: state}}})
+		g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		g.handle(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: state}}})
 		for id := RequestID(1); id < 20; id++ {
-			for _, a := range only[Send](r.arrive(id, "read", "free")) {
+			for _, a := range only[Send](g.arrive(id, "read", "free")) {
 				if a.Endpoint == "s" {
 					t.Fatalf("state %v: sent to it", state)
 				}
 			}
-			r.tell(AttemptEnded{ID: id, Endpoint: "u", Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true})
+			g.handle(AttemptEnded{ID: id, Endpoint: "u", Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true})
 		}
 	}
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
-	if len(r.g.balancer.Serving()) != 1 {
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
+	if len(g.gateway.balancer.Serving()) != 1 {
 		t.Fatal("an endpoint that is not in a snapshot still serves")
 	}
 }
@@ -110,20 +110,20 @@
 // Rule 4: an endpoint in slow start gets one attempt at a time at first, also from a gateway that has just started, and
 // also where all endpoints are in slow start.
 func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
-	r := newRig(t, settings())
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: r.now}}})
-	r.g.limiter.SetWindow(100)
+	g := newTestGateway(t, settings())
+	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
+	g.gateway.limiter.SetWindow(100)
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the endpoint at once
 		id := RequestID(i + 1)
-		r.arrive(id, "read", "free")
-		for r.endpoint("s").InFlight() > 0 {
-			for _, a := range r.attemptsInFlight() {
+		g.arrive(id, "read", "free")
+		for g.endpoint("s").InFlight() > 0 {
+			for _, a := range g.attemptsInFlight() {
 				sent++
-				r.tell(AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: "s", Outcome: Rejected})
+				g.handle(AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: "s", Outcome: Rejected})
 			}
 		}
-		r.pass(10 * ms)
+		g.advance(10 * ms)
 	}
 	// An endpoint that answers 20 a second when warm answers 4 now; 4 times that for 3 s, halved for two gateways, is 24.
 	if sent == 0 || sent > 24 {
@@ -135,12 +135,12 @@
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	set := settings()
 	set.Plans[3].Rate = 0 // the ceiling is the only limit
-	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	r.g.limiter.SetWindow(1000)
+	g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	g.gateway.limiter.SetWindow(1000)
 	sent := 0
 	for i := range 400 {
-		acts := r.arrive(RequestID(i+1), "read", "capped")
-		acts = append(acts, r.pass(10*ms)...)
+		acts := g.arrive(RequestID(i+1), "read", "capped")
+		acts = append(acts, g.advance(10*ms)...)
 		sent += len(only[Send](acts))
 	}
 	if max := 4*20/2 + 1; sent == 0 || sent > max { // 4 s of half the ceiling's rate
@@ -151,16 +151,16 @@
 func TestConcurrencyQuotaIsSharedAndRequestsWaitForIt(t *testing.T) {
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4, OverQuotaCost: 1})
-	r := newRig(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	r.g.limiter.SetWindow(100)
+	g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	g.gateway.limiter.SetWindow(100)
 	sends := 0
 	for id := RequestID(1); id <= 5; id++ {
-		sends += len(only[Send](r.arrive(id, "read", "open")))
+		sends += len(only[Send](g.arrive(id, "read", "open")))
 	}
 	if sends != 2 {
 		t.Fatalf("%d in flight, this gateway's share is 2", sends)
 	}
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true}))
+	got := only[Send](g.handle(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 5 * ms, RequestFinished: true}))
 	if len(got) != 1 {
 		t.Fatalf("sends %v, want one of a request that waits", got)
 	}
@@ -168,12 +168,12 @@
 
 // After a stall no capacity goes to requests that can no longer be answered: they end before dispatch.
 func TestStalledGatewayExpiresRequestsBeforeItDispatches(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
 	for id := RequestID(1); id <= 10; id++ {
-		r.arrive(id, "read", "free")
+		g.arrive(id, "read", "free")
 	}
-	r.now += 1900 * ms
-	if got := only[Send](r.tell(TimerFired{})); len(got) > 0 {
+	g.now += 1900 * ms
+	if got := only[Send](g.handle(TimerFired{})); len(got) > 0 {
 		t.Fatalf("sent %v after the stall", got)
 	}
 }
@@ -199,11 +199,11 @@
 	set := settings()
 	set.SharedCounter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
-	r := newRig(t, set, Endpoint{ID: "s", State: Serving})
+	g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving})
 	sends := 0
 	for id := RequestID(1); id <= 20; id++ {
-		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
-		acts = append(acts, r.pass(200*ms)...)
+		acts := append(g.arrive(id, "read", "small"), g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
+		acts = append(acts, g.advance(200*ms)...)
 		sends += len(only[Send](acts))
 		if len(only[IncrementCounter](acts)) > 0 {
 			t.Fatal("called a counter that is not there")
@@ -216,14 +216,14 @@
 
 func TestGatewaysOfOneProcessShareNoState(t *testing.T) {
 	play := func(beside bool) string {
-		a := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-		b := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+		a := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		b := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
 		log := ""
 		for id := RequestID(1); id <= 200; id++ {
 			if beside {
 				b.arrive(id, "read", "small")
 			}
-			log += fmt.Sprint(a.arrive(id, "read", "small"), a.pass(30*ms))
+			log += fmt.Sprint(a.arrive(id, "read", "small"), a.advance(30*ms))
 		}
 		return log
 	}
@@ -234,15 +234,15 @@
 
 // The lease is renewed once half of it is spent, without a request that waits for it; one call is in flight at a time.
 func TestLeaseIsRenewedAtHalfSpent(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving})
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
 	var calls []IncrementCounter
 	for id := RequestID(1); id <= 3; id++ {
-		acts := r.arrive(id, "read", "small")
+		acts := g.arrive(id, "read", "small")
 		if len(only[Send](acts)) != 1 {
 			t.Fatalf("request %d did not go at once", id)
 		}
 		calls = append(calls, only[IncrementCounter](acts)...)
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
+		g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if len(calls) != 1 || calls[0].Add < 4 {
 		t.Fatalf("calls %v, want one that adds the first lease and the next", calls)
@@ -255,36 +255,36 @@
 	for i := range 12 {
 		endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
-	r := newRig(t, settings(), endpoints...)
-	before := r.g.limiter.Window()
-	c := r.g.classes["read"]
+	g := newTestGateway(t, settings(), endpoints...)
+	before := g.gateway.limiter.Window()
+	c := g.gateway.classes["read"]
 	for range 50 {
-		r.g.recordSample(c, r.g.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
 	}
-	r.pass(100 * ms)
-	if r.g.limiter.Window() < before {
+	g.advance(100 * ms)
+	if g.gateway.limiter.Window() < before {
 		t.Fatal("narrowed by one endpoint")
 	}
 	for i := range 50 {
-		r.g.recordSample(c, r.g.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
-	r.pass(2 * time.Second)
-	if r.g.limiter.Window() >= before {
+	g.advance(2 * time.Second)
+	if g.gateway.limiter.Window() >= before {
 		t.Fatal("not narrowed by late answers of all endpoints")
 	}
 }
 
 // Long requests of one class are no overload: while another class is answered in time the window stays.
 func TestLongRequestsOfOneClassDoNotNarrowTheWindow(t *testing.T) {
-	r := newRig(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	before := r.g.limiter.Window()
+	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	before := g.gateway.limiter.Window()
 	for i := range 40 {
-		s := r.g.balancer.Serving()[i%2]
-		r.g.recordSample(r.g.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
-		r.g.recordSample(r.g.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
+		s := g.gateway.balancer.Serving()[i%2]
+		g.gateway.recordSample(g.gateway.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
+		g.gateway.recordSample(g.gateway.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
 	}
-	r.pass(2 * time.Second)
-	if r.g.limiter.Window() < before {
+	g.advance(2 * time.Second)
+	if g.gateway.limiter.Window() < before {
 		t.Fatal("narrowed by long requests of one class")
 	}
 }
--- a/policy/longlist_test.go
+++ b/policy/longlist_test.go
@@ -31,19 +31,19 @@
 // The cost of a choice does not grow with the list; of a list of usual length it looks at every endpoint.
 func TestChoiceLooksAtMaxCandidatesOfALongList(t *testing.T) {
 	for _, n := range []int{1, 8, 200, balancer.MaxCandidates, balancer.MaxCandidates + 1, 1000, 1024, 4096, 20_000} {
-		r := newRig(t, settings(), longList(n)...)
+		g := newTestGateway(t, settings(), longList(n)...)
 		src := &countingSource{Source: rand.NewPCG(1, 2)}
-		*r.g.rng = *rand.New(src) // in place: the balancer has it too
+		*g.gateway.rng = *rand.New(src) // in place: the balancer has it too
 		for id := range RequestID(40) {
 			src.draws = 0
-			sends := only[Send](r.arrive(id+1, "read", "free"))
+			sends := only[Send](g.arrive(id+1, "read", "free"))
 			if len(sends) != 1 {
 				t.Fatalf("%d endpoints: sends %v", n, sends)
 			}
 			if looked := src.draws; looked > balancer.MaxCandidates+1 || n <= balancer.MaxCandidates && looked != n {
 				t.Fatalf("%d endpoints: %d looked at, want %d at most", n, looked, balancer.MaxCandidates)
 			}
-			r.tell(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
+			g.handle(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		}
 	}
 }
@@ -51,15 +51,15 @@
 // The endpoints of a long list share the attempts as evenly as those of a short one.
 func TestLongListIsUsedEvenly(t *testing.T) {
 	const endpoints, attemptsEach = 1000, 60
-	r := newRig(t, settings(), longList(endpoints)...)
+	g := newTestGateway(t, settings(), longList(endpoints)...)
 	sent := map[EndpointID]int{}
 	for id := range RequestID(endpoints * attemptsEach) {
-		r.now += ms
-		s := only[Send](r.arrive(id+1, "read", "free"))[0].Endpoint
+		g.now += ms
+		s := only[Send](g.arrive(id+1, "read", "free"))[0].Endpoint
 		sent[s]++
-		r.tell(AttemptEnded{ID: id + 1, Endpoint: s, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
+		g.handle(AttemptEnded{ID: id + 1, Endpoint: s, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
 		if id%10 == 0 {
-			r.tell(TimerFired{})
+			g.handle(TimerFired{})
 		}
 	}
 	counts := []int{}
@@ -77,12 +77,12 @@
 	set := settings()
 	set.Classes[1].Deadline = time.Minute
 	for seed := range uint64(20) {
-		r := newRig(t, set, longList(4000)...)
-		*r.g.rng = *rand.New(rand.NewPCG(seed, 5))
-		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: r.now + time.Minute}
-		s := only[Send](r.tell(Arrival{q}))[0].Endpoint
-		got := only[Send](r.tell(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset}))
-		if len(got) != 1 || r.endpoint(got[0].Endpoint).Cell != r.endpoint(s).Cell || got[0].Endpoint == s {
+		g := newTestGateway(t, set, longList(4000)...)
+		*g.gateway.rng = *rand.New(rand.NewPCG(seed, 5))
+		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, Deadline: g.now + time.Minute}
+		s := only[Send](g.handle(Arrival{q}))[0].Endpoint
+		got := only[Send](g.handle(AttemptEnded{ID: 1, Endpoint: s, Outcome: Reset}))
+		if len(got) != 1 || g.endpoint(got[0].Endpoint).Cell != g.endpoint(s).Cell || got[0].Endpoint == s {
 			t.Fatalf("after %s: sends %v", s, got)
 		}
 	}
@@ -92,13 +92,13 @@
 func TestFirstEndpointsSetTheWindowToTheGatewaysShare(t *testing.T) {
 	set := settings()
 	set.GatewayCount = 6400
-	r := newRig(t, set)
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longList(900), GatewaysPerEndpoint: 30})
-	if got, want := r.g.balancer.InitialAttempts(), 4.0*900/30; got != want || r.g.limiter.Window() != want {
-		t.Errorf("initial attempts %v, window %v; want %v", got, r.g.limiter.Window(), want)
+	g := newTestGateway(t, set)
+	g.handle(EndpointsChanged{Snapshot: true, Endpoints: longList(900), GatewaysPerEndpoint: 30})
+	if got, want := g.gateway.balancer.InitialAttempts(), 4.0*900/30; got != want || g.gateway.limiter.Window() != want {
+		t.Errorf("initial attempts %v, window %v; want %v", got, g.gateway.limiter.Window(), want)
 	}
-	r.tell(EndpointsChanged{Snapshot: true, Endpoints: longList(200)})
-	if got, want := r.g.balancer.InitialAttempts(), 1.0; got != want {
+	g.handle(EndpointsChanged{Snapshot: true, Endpoints: longList(200)})
+	if got, want := g.gateway.balancer.InitialAttempts(), 1.0; got != want {
 		t.Errorf("initial attempts %v for the entire list, want %v", got, want)
 	}
 }
--- a/policy/overquotacost_test.go
+++ b/policy/overquotacost_test.go
@@ -13,24 +13,24 @@
 	counter := counterCase{callsPerRequest: 2, delay: 2 * ms}
 	slow := counterCase{callsPerRequest: 2, delay: 12 * ms, loss: 0.01}
 	for _, c := range []struct {
-		fleetCase
+		simulationCase
 		served float64 // minimum, of what the reference serves inside
 	}{
-		{fleetCase{gateways: 4, cost: 1.2, counter: counter}, 0.9},
-		{fleetCase{gateways: 30, cost: 0.5, counter: counter}, 0.9},
-		{fleetCase{gateways: 30, cost: 4, counter: slow}, 0.9},
-		{fleetCase{gateways: 30, cost: 1.2, limits: limitConcurrency, counter: counter}, 0.75},
-		{fleetCase{gateways: 30, cost: 4, limits: limitBoth, counter: counter}, 0.7},
-		{fleetCase{gateways: 150, cost: 1.2, counter: counter, length: 8 * time.Second}, 0.9},
-		{fleetCase{gateways: 150, cost: 4, counter: counter, length: 8 * time.Second}, 0.9},
-		{fleetCase{gateways: 30, cost: 1.2, counter: counter, restartAt: 7 * time.Second, restarted: 0.7}, 0.9},
-		{fleetCase{gateways: 30, cost: 1.2, counter: counterCase{callsPerRequest: 2, delay: 2 * ms, silentFrom: 5 * time.Second,
+		{simulationCase{gateways: 4, cost: 1.2, counter: counter}, 0.9},
+		{simulationCase{gateways: 30, cost: 0.5, counter: counter}, 0.9},
+		{simulationCase{gateways: 30, cost: 4, counter: slow}, 0.9},
+		{simulationCase{gateways: 30, cost: 1.2, limits: limitConcurrency, counter: counter}, 0.75},
+		{simulationCase{gateways: 30, cost: 4, limits: limitBoth, counter: counter}, 0.7},
+		{simulationCase{gateways: 150, cost: 1.2, counter: counter, length: 8 * time.Second}, 0.9},
+		{simulationCase{gateways: 150, cost: 4, counter: counter, length: 8 * time.Second}, 0.9},
+		{simulationCase{gateways: 30, cost: 1.2, counter: counter, restartAt: 7 * time.Second, restarted: 0.7}, 0.9},
+		{simulationCase{gateways: 30, cost: 1.2, counter: counterCase{callsPerRequest: 2, delay: 2 * ms, silentFrom: 5 * time.Second,
 			silentFor: 4 * time.Second, losesNumbers: true}}, 0.7},
-		{fleetCase{gateways: 100, cost: 2, counter: counterCase{absent: true}, length: 8 * time.Second}, 0.4},
-		{fleetCase{gateways: 300, cost: 2, limits: limitConcurrency, counter: counter, length: 8 * time.Second}, 0.75},
+		{simulationCase{gateways: 100, cost: 2, counter: counterCase{absent: true}, length: 8 * time.Second}, 0.4},
+		{simulationCase{gateways: 300, cost: 2, limits: limitConcurrency, counter: counter, length: 8 * time.Second}, 0.75},
 	} {
 		t.Run(fmt.Sprint(c.gateways, " gateways, cost ", c.cost, ", limits ", c.limits, ", counter ", !c.counter.absent), func(t *testing.T) {
-			actual, reference := newFleetSimulation(t, c.fleetCase, 1).play()
+			actual, reference := newQuotaSimulation(t, c.simulationCase, 1).play()
 			t.Logf("served %.2f (reference %.2f), over-quota cost %.3f (%.3f), %d calls for %d requests", actual.servedShare(), reference.servedShare(),
 				actual.costShare(), reference.costShare(), actual.calls, actual.requests)
 			if bound := reference.costShare() + 0.05; actual.costShare() > bound {
--- a/policy/permits_test.go
+++ b/policy/permits_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// permitFleet is gateways of a customer with a limit of two concurrent attempts.
-func permitFleet(t *testing.T, n int) *cluster {
+// newPermitCluster returns gateways with a plan that is limited to two concurrent attempts.
+func newPermitCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, MaxConcurrency: 2, OverQuotaCost: 2})
@@ -15,17 +15,17 @@
 
 // The gateways together hold a limit on concurrent attempts, and an attempt that ends lets one start at any other gateway.
 func TestPermitsHoldTheConcurrencyLimitInTheSum(t *testing.T) {
-	c := permitFleet(t, 100)
+	c := newPermitCluster(t, 100)
 	var sent []Send
-	for i, r := range c.rigs {
-		sent = append(sent, c.arrive(r, i+1, "read", "open")...)
+	for i, g := range c.gateways {
+		sent = append(sent, c.arrive(g, i+1, "read", "open")...)
 	}
 	if len(sent) != 2 {
-		t.Fatalf("%d out, the limit is 2", len(sent))
+		t.Fatalf("%d in flight, the limit is 2", len(sent))
 	}
-	first := c.rigs[sent[0].ID-1]
-	c.tell(first, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})
-	other := c.rigs[50]
+	first := c.gateways[sent[0].ID-1]
+	c.handle(first, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})
+	other := c.gateways[50]
 	other.now += time.Second
 	if got := c.arrive(other, 1000, "read", "open"); len(got) != 1 {
 		t.Errorf("%d sent after one has ended, want one", len(got))
@@ -34,30 +34,30 @@
 
 // A counter that has lost its numbers is corrected by the permits that a gateway holds.
 func TestPermitsAreKeptWhenTheCounterLosesItsNumbers(t *testing.T) {
-	c := permitFleet(t, 100)
-	r := c.rigs[0]
-	c.arrive(r, 1, "read", "open")
+	c := newPermitCluster(t, 100)
+	g := c.gateways[0]
+	c.arrive(g, 1, "read", "open")
 	clear(c.totals)
-	c.arrive(r, 2, "read", "open")
+	c.arrive(g, 2, "read", "open")
 	for name, total := range c.totals {
 		if total != 2 {
-			t.Errorf("%s counts %v, this gateway holds 2", name, total)
+			t.Errorf("%s counts %v, this gateway has 2", name, total)
 		}
 	}
-	if got := c.arrive(c.rigs[1], 3, "read", "open"); len(got) != 0 {
+	if got := c.arrive(c.gateways[1], 3, "read", "open"); len(got) != 0 {
 		t.Errorf("sent %v beyond the limit", got)
 	}
 }
 
 // The permits of gateways that have crashed end with the window of their name.
 func TestPermitsOfACrashedGatewayEndWithTheirWindow(t *testing.T) {
-	c := permitFleet(t, 100)
-	for i, r := range c.rigs {
-		c.arrive(r, i+1, "read", "open") // and never ends
+	c := newPermitCluster(t, 100)
+	for i, g := range c.gateways {
+		c.arrive(g, i+1, "read", "open") // and never ends
 	}
-	r := c.rigs[50]
-	r.now += 8 * time.Second // the window of the name: four of the longest deadline, 2 s
-	if got := c.arrive(r, 1000, "read", "open"); len(got) != 1 {
+	g := c.gateways[50]
+	g.now += 8 * time.Second // the window of the name: four of the longest deadline, 2 s
+	if got := c.arrive(g, 1000, "read", "open"); len(got) != 1 {
 		t.Errorf("%d sent a window after the crash, want one", len(got))
 	}
 }
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -9,35 +9,35 @@
 // Many gateways with few requests each: none has much in flight anywhere, and an endpoint in slow start must not look worse
 // than all the warm ones that are idle.
 func TestEndpointsInSlowStartAreChosenByGatewaysWithFewRequests(t *testing.T) {
-	set := fleetSettings()
+	set := manyGatewaySettings()
 	set.SlowStartMinWeight, set.SlowStartWindow = 0.3, 18*time.Second
 	sent := map[bool]int{}
 	for me := range 20 {
 		set.Index = me
-		r := newRig(t, set)
+		g := newTestGateway(t, set)
 		var endpoints []Endpoint
 		for i := range 20 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprintf("old%d", i)), State: Serving})
 		}
-		r.tell(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+		g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
 		starting := map[EndpointID]bool{}
 		for step := range 300 { // 30 s
 			if step == 150 {
 				for i := range 20 {
 					id := EndpointID(fmt.Sprintf("new%d", i))
 					starting[id] = true
-					endpoints = append(endpoints, Endpoint{ID: id, State: Serving, StartedAt: r.now})
+					endpoints = append(endpoints, Endpoint{ID: id, State: Serving, StartedAt: g.now})
 				}
-				r.tell(EndpointsChanged{Endpoints: endpoints[20:]})
+				g.handle(EndpointsChanged{Endpoints: endpoints[20:]})
 			}
-			r.now += 100 * ms
-			for _, s := range only[Send](r.tell(Arrival{Request{ID: RequestID(step + 1), Class: "read", Plan: "free",
-				Customer: "c", Units: 1, Deadline: r.now + time.Second, GatewaySpan: 1}})) {
+			g.now += 100 * ms
+			for _, s := range only[Send](g.handle(Arrival{Request{ID: RequestID(step + 1), Class: "read", Plan: "free",
+				Customer: "c", Units: 1, Deadline: g.now + time.Second, GatewaySpan: 1}})) {
 				if step >= 150 {
 					sent[starting[s.Endpoint]]++
 				}
-				took := 20*ms + time.Duration(r.g.rng.Int64N(int64(80*ms)))
-				r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: took, RequestFinished: true})
+				took := 20*ms + time.Duration(g.gateway.rng.Int64N(int64(80*ms)))
+				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: took, RequestFinished: true})
 			}
 		}
 	}
@@ -49,20 +49,20 @@
 // Where handshakes are expensive a gateway prefers endpoints with a warm connection; where they cost nothing, it does not.
 func TestExpensiveHandshakesPreferWarmConnections(t *testing.T) {
 	endpointsUsed := func(price float64) int {
-		set := fleetSettings()
+		set := manyGatewaySettings()
 		set.HandshakePrice, set.ConnectionIdleTimeout = price, 15*time.Second
 		var endpoints []Endpoint
 		for i := range 30 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprintf("s%d", i)), State: Serving})
 		}
-		r := newRig(t, set, endpoints...)
+		g := newTestGateway(t, set, endpoints...)
 		used := map[EndpointID]bool{}
 		for i := range 40 {
-			r.now += 200 * ms
-			for _, s := range only[Send](r.tell(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
-				Customer: "c", Units: 1, Deadline: r.now + time.Second, GatewaySpan: 1}})) {
+			g.now += 200 * ms
+			for _, s := range only[Send](g.handle(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
+				Customer: "c", Units: 1, Deadline: g.now + time.Second, GatewaySpan: 1}})) {
 				used[s.Endpoint] = true
-				r.tell(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms, RequestFinished: true})
+				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms, RequestFinished: true})
 			}
 		}
 		return len(used)
--- a/policy/quietday_test.go
+++ b/policy/quietday_test.go
@@ -95,7 +95,7 @@
 // delayedEvent is an event that a gateway gets later.
 type delayedEvent struct {
 	at time.Duration
-	to *rig
+	to *testGateway
 	ev Event
 }
 
@@ -121,29 +121,29 @@
 	}
 	var inTransit []delayedEvent
 	undecided := map[RequestID]customerDemand{}
-	do := func(r *rig, acts []Action) {
+	do := func(g *testGateway, acts []Action) {
 		for _, act := range acts {
 			switch act := act.(type) {
 			case Send:
 				if demand, first := undecided[act.ID]; first {
-					actual.add(buckets[demand.id].take(2, r.now), demand.plan, 2)
+					actual.add(buckets[demand.id].take(2, g.now), demand.plan, 2)
 					delete(undecided, act.ID)
 				}
-				inTransit = append(inTransit, delayedEvent{r.now + 30*ms, r, AttemptEnded{ID: act.ID, Endpoint: act.Endpoint, Outcome: Succeeded,
+				inTransit = append(inTransit, delayedEvent{g.now + 30*ms, g, AttemptEnded{ID: act.ID, Endpoint: act.Endpoint, Outcome: Succeeded,
 					Latency: 30 * ms, RequestFinished: true}})
 			case Reject:
 				delete(undecided, act.ID)
 			case IncrementCounter:
 				c.totals[act.Name] += act.Add // adds in the order of the calls
-				inTransit = append(inTransit, delayedEvent{r.now + 10*ms, r, CounterReply{Name: act.Name, Outcome: Succeeded,
+				inTransit = append(inTransit, delayedEvent{g.now + 10*ms, g, CounterReply{Name: act.Name, Outcome: Succeeded,
 					Total: c.totals[act.Name]}})
 			}
 		}
 	}
 	id := RequestID(0)
 	for now := time.Minute; now < time.Minute+quietDayLength; now += stepLength {
-		for _, r := range c.rigs {
-			r.now = now
+		for _, g := range c.gateways {
+			g.now = now
 		}
 		due := inTransit
 		inTransit = nil
@@ -152,7 +152,7 @@
 				inTransit = append(inTransit, u)
 				continue
 			}
-			do(u.to, u.to.tell(u.ev))
+			do(u.to, u.to.handle(u.ev))
 		}
 		for _, demand := range demands {
 			bucket := referenceBuckets[demand.id]
@@ -165,14 +165,14 @@
 				if seen >= 2 {
 					reference.add(bucket.take(2, now), demand.plan, 2)
 				}
-				r := c.rigs[(demand.firstGateway+rng.IntN(demand.gatewaySpan))%n]
+				g := c.gateways[(demand.firstGateway+rng.IntN(demand.gatewaySpan))%n]
 				undecided[id] = demand
-				do(r, r.tell(Arrival{Request{ID: id, Class: "read", Plan: demand.plan.Name, Customer: demand.id, Units: 2,
+				do(g, g.handle(Arrival{Request{ID: id, Class: "read", Plan: demand.plan.Name, Customer: demand.id, Units: 2,
 					Deadline: now + 2*time.Second, GatewaySpan: demand.gatewaySpan, FirstGateway: demand.firstGateway}}))
 			}
 		}
-		for _, r := range c.rigs {
-			do(r, r.tell(TimerFired{}))
+		for _, g := range c.gateways {
+			do(g, g.handle(TimerFired{}))
 		}
 	}
 	return actual, reference
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// This file simulates a whole deployment on a driven clock: gateways, one counter with delay and capacity, customers that
+// This file simulates a complete deployment on a simulated clock: gateways, one counter with delay and capacity, customers that
 // stay far below, reach or exceed their quotas, and beside them the exact state of each quota. It does not depend on the
 // machine's clock.
 
 const (
-	fleetSimulationLength = 16 * time.Second
-	maxRequestUnits       = 4 // units of the largest request
+	simulationLength = 16 * time.Second
+	maxRequestUnits  = 4 // units of the largest request
 )
 
-// fleetCase is the parameters of one simulation.
-type fleetCase struct {
+// simulationCase is the parameters of one simulation.
+type simulationCase struct {
 	gateways  int
-	rps       float64 // first tries a second that each gateway gets
+	rps       float64 // first attempts a second that each gateway gets
 	cost      float64 // OverQuotaCost of each plan
 	limits    quotaLimits
 	counter   counterCase
@@ -53,8 +53,8 @@
 	losesNumbers    bool // it loses its numbers while it is silent
 }
 
-// fleetCustomer is a customer and its exact quota.
-type fleetCustomer struct {
+// simulatedCustomer is a customer and its exact quota.
+type simulatedCustomer struct {
 	id                        string
 	plan                      Plan
 	gatewaySpan, firstGateway int
@@ -128,88 +128,88 @@
 	return state
 }
 
-// fleetWeight is the weight of the requests that a policy has admitted.
-type fleetWeight struct {
+// policyWeight is the weight of the requests that a policy has admitted.
+type policyWeight struct {
 	offered, inside, overQuotaCost float64 // weights; overQuotaCost times the cost of each
 	rejectedInside, requests       int
 	calls                          int
 }
 
-func (weight fleetWeight) servedShare() float64 { return weight.inside / weight.offered }
-func (weight fleetWeight) costShare() float64   { return weight.overQuotaCost / weight.offered }
+func (weight policyWeight) servedShare() float64 { return weight.inside / weight.offered }
+func (weight policyWeight) costShare() float64   { return weight.overQuotaCost / weight.offered }
 
-// fleetEvent is an event of the simulation. Events are in the order of their times, then of their creation.
-type fleetEvent struct {
+// simulationEvent is an event of the simulation. Events are in the order of their times, then of their creation.
+type simulationEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type fleetEvents []fleetEvent
+type simulationEvents []simulationEvent
 
-func (q fleetEvents) Len() int { return len(q) }
-func (q fleetEvents) Less(i, j int) bool {
+func (q simulationEvents) Len() int { return len(q) }
+func (q simulationEvents) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q fleetEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *fleetEvents) Push(x any)   { *q = append(*q, x.(fleetEvent)) }
-func (q *fleetEvents) Pop() any {
+func (q simulationEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *simulationEvents) Push(x any)   { *q = append(*q, x.(simulationEvent)) }
+func (q *simulationEvents) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// fleetSimulation is a running simulation.
-type fleetSimulation struct {
+// quotaSimulation is a running simulation.
+type quotaSimulation struct {
 	testing.TB
-	fleetCase
+	simulationCase
 	rng            *rand.Rand
 	now            time.Duration
-	events         fleetEvents
+	events         simulationEvents
 	seq            int
 	set            Settings
 	endpoints      []Endpoint
-	instances      []*fleetGateway
-	customers      []*fleetCustomer
+	instances      []*simulatedGateway
+	customers      []*simulatedCustomer
 	totals         map[string]float64
 	shardBusyUntil [counterShards]time.Duration // end of the queue of each shard of the counter
-	requests       map[RequestID]*fleetRequest
+	requests       map[RequestID]*simulatedRequest
 	lastID         RequestID
-	actual         fleetWeight
-	delayed        fleetWeight
+	actual         policyWeight
+	delayed        policyWeight
 }
 
-type fleetGateway struct {
+type simulatedGateway struct {
 	gateway     *Gateway
 	incarnation int // counts restarts
 }
 
-// fleetRequest is a request of a client: a first request or a retry.
-type fleetRequest struct {
-	customer     *fleetCustomer
+// simulatedRequest is a request of a client: a first request or a retry.
+type simulatedRequest struct {
+	customer     *simulatedCustomer
 	gateway      int
 	units        float64
 	settled      float64
 	retries      int
-	attempts     []*fleetAttempt
+	attempts     []*simulatedAttempt
 	answered     bool
 	work         time.Duration
 	firstArrival time.Duration
 }
 
-// fleetAttempt is an attempt at an endpoint.
-type fleetAttempt struct {
+// simulatedAttempt is an attempt at an endpoint.
+type simulatedAttempt struct {
 	inside, ended bool // inside the quota; only first attempts
 	end           func(Outcome)
 }
 
-// newFleetSimulation draws the customers of a simulation and starts its gateways.
-func newFleetSimulation(t testing.TB, c fleetCase, seed uint64) *fleetSimulation {
-	d := &fleetSimulation{TB: t, fleetCase: c, rng: rand.New(rand.NewPCG(seed, 11)), totals: map[string]float64{},
-		requests: map[RequestID]*fleetRequest{}}
+// newQuotaSimulation draws the customers of a simulation and starts its gateways.
+func newQuotaSimulation(t testing.TB, c simulationCase, seed uint64) *quotaSimulation {
+	d := &quotaSimulation{TB: t, simulationCase: c, rng: rand.New(rand.NewPCG(seed, 11)), totals: map[string]float64{},
+		requests: map[RequestID]*simulatedRequest{}}
 	if d.length == 0 {
-		d.length = fleetSimulationLength
+		d.length = simulationLength
 	}
 	if d.rps == 0 {
 		d.rps = 10
@@ -227,7 +227,7 @@
 		p := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate, Burst: max(rate*d.bursts[i], 2*maxRequestUnits),
 			OverQuotaCost: c.cost, SettledByReply: true}
 		if c.limits != limitRate {
-			p.MaxConcurrency = max(2, int(math.Ceil(2*rate*fleetWork.Seconds()/fleetMeanUnits)))
+			p.MaxConcurrency = max(2, int(math.Ceil(2*rate*meanWork.Seconds()/meanRequestUnits)))
 		}
 		if c.limits == limitConcurrency {
 			p.Rate, p.Burst = 0, 0
@@ -239,7 +239,7 @@
 	}
 	d.now = time.Hour
 	for i := range c.gateways {
-		d.instances = append(d.instances, &fleetGateway{})
+		d.instances = append(d.instances, &simulatedGateway{})
 		d.start(i)
 	}
 	d.drawCustomers()
@@ -247,25 +247,25 @@
 }
 
 const (
-	fleetWork      = 120 * ms
-	fleetMeanUnits = 1.8
-	counterShards  = 3
-	burstFrom      = 6 * time.Second // all demand is burstFactor times as high
-	burstFor       = 5 * time.Second
-	burstFactor    = 1.5
-	hotFrom        = 4 * time.Second // one customer has hotShare of all demand
-	hotFor         = 7 * time.Second
-	hotShare       = 0.1
-	guessError     = 0.33 // deviation of a request's true units from those that it names, as a logarithm
+	meanWork         = 120 * ms
+	meanRequestUnits = 1.8
+	counterShards    = 3
+	burstFrom        = 6 * time.Second // all demand is burstFactor times as high
+	burstFor         = 5 * time.Second
+	burstFactor      = 1.5
+	hotFrom          = 4 * time.Second // one customer has hotShare of all demand
+	hotFor           = 7 * time.Second
+	hotShare         = 0.1
+	guessError       = 0.33 // deviation of a request's true units from those that it names, as a logarithm
 )
 
-func (d *fleetSimulation) schedule(t time.Duration, do func()) {
+func (d *quotaSimulation) schedule(t time.Duration, do func()) {
 	d.seq++
-	heap.Push(&d.events, fleetEvent{t, d.seq, do})
+	heap.Push(&d.events, simulationEvent{t, d.seq, do})
 }
 
 // start starts or restarts a gateway.
-func (d *fleetSimulation) start(i int) {
+func (d *quotaSimulation) start(i int) {
 	set := d.set
 	set.Index = i
 	g, err := New(set, d.rng.Uint64())
@@ -278,13 +278,13 @@
 }
 
 // drawCustomers draws customers until their demand is what the gateways are to get.
-func (d *fleetSimulation) drawCustomers() {
+func (d *quotaSimulation) drawCustomers() {
 	rng, n := d.rng, d.gateways
-	wanted := d.rps * float64(n) * fleetMeanUnits
+	wanted := d.rps * float64(n) * meanRequestUnits
 	for i, p := range d.set.Plans {
 		rate := d.rates[i]
 		for asked := 0.0; asked < wanted/float64(len(d.rates)); {
-			c := &fleetCustomer{id: fmt.Sprintf("%d-%07x", i, len(d.customers)), plan: p, firstGateway: rng.IntN(n),
+			c := &simulatedCustomer{id: fmt.Sprintf("%d-%07x", i, len(d.customers)), plan: p, firstGateway: rng.IntN(n),
 				rate: rate * (0.18 + 0.3*rng.Float64())}
 			switch x := rng.Float64(); {
 			case x < 0.12:
@@ -313,7 +313,7 @@
 }
 
 // shiftGateways draws new weights of a customer's gateways, and schedules the next draw.
-func (d *fleetSimulation) shiftGateways(c *fleetCustomer) {
+func (d *quotaSimulation) shiftGateways(c *simulatedCustomer) {
 	c.weights = c.weights[:0]
 	sum := 0.0
 	for range c.gatewaySpan {
@@ -323,16 +323,16 @@
 	d.schedule(d.now+time.Duration((4+4*d.rng.Float64())*float64(time.Second)), func() { d.shiftGateways(c) })
 }
 
-func (c *fleetCustomer) pick(rng *rand.Rand, n int) int {
+func (c *simulatedCustomer) pick(rng *rand.Rand, n int) int {
 	x := rng.Float64() * c.weights[len(c.weights)-1]
 	i, _ := slices.BinarySearch(c.weights, x)
 	return (c.firstGateway + min(i, c.gatewaySpan-1)) % n
 }
 
-func (d *fleetSimulation) scheduleNextArrival(c *fleetCustomer) {
+func (d *quotaSimulation) scheduleNextArrival(c *simulatedCustomer) {
 	use := c.rate
 	top := max(c.rate, c.burstRate) * burstFactor
-	gap := d.rng.ExpFloat64() * fleetMeanUnits / top
+	gap := d.rng.ExpFloat64() * meanRequestUnits / top
 	d.schedule(d.now+time.Duration(gap*float64(time.Second)), func() {
 		if c.burstRate > 0 && (d.now+c.phase)%c.burstInterval < c.burstLength {
 			use = c.burstRate
@@ -348,21 +348,21 @@
 }
 
 // arriveFirstTry brings a first request to the gateways and to the reference.
-func (d *fleetSimulation) arriveFirstTry(c *fleetCustomer) {
+func (d *quotaSimulation) arriveFirstTry(c *simulatedCustomer) {
 	units := []float64{1, 1, 1, 2, 2, 2, 4}[d.rng.IntN(7)]
-	work := time.Duration(d.rng.ExpFloat64() * float64(fleetWork))
+	work := time.Duration(d.rng.ExpFloat64() * float64(meanWork))
 	settled := units * math.Exp(guessError*(d.rng.NormFloat64()-guessError/2))
 	if c.reference.allows(c.plan, units, d.now) {
 		d.actual.offered += c.plan.Price * units
 		c.reference.start(c.plan, units, d.now)
 		d.schedule(d.now+work, func() { c.reference.end(d.now, settled-units) })
 	}
-	d.arrive(&fleetRequest{customer: c, gateway: c.pick(d.rng, d.gateways), units: units, settled: settled, work: work, firstArrival: d.now})
+	d.arrive(&simulatedRequest{customer: c, gateway: c.pick(d.rng, d.gateways), units: units, settled: settled, work: work, firstArrival: d.now})
 	d.decideByDelayedState(c, units, work, settled-units)
 }
 
 // decideByDelayedState is the reference: it decides by the true state of stateDelay ago.
-func (d *fleetSimulation) decideByDelayedState(c *fleetCustomer, units float64, work time.Duration, guessedLess float64) {
+func (d *quotaSimulation) decideByDelayedState(c *simulatedCustomer, units float64, work time.Duration, guessedLess float64) {
 	seen := c.delayed.delayedState(c.plan, d.now)
 	if c.plan.Rate > 0 && seen.level < units || c.plan.MaxConcurrency > 0 && seen.attempts >= c.plan.MaxConcurrency {
 		return
@@ -375,7 +375,7 @@
 	d.schedule(d.now+work, func() { c.delayed.end(d.now, guessedLess) })
 }
 
-func (weight *fleetWeight) add(p Plan, units float64, inside bool) {
+func (weight *policyWeight) add(p Plan, units float64, inside bool) {
 	if inside {
 		weight.inside += p.Price * units
 	} else {
@@ -383,7 +383,7 @@
 	}
 }
 
-func (d *fleetSimulation) arrive(request *fleetRequest) {
+func (d *quotaSimulation) arrive(request *simulatedRequest) {
 	d.lastID++
 	id := d.lastID
 	d.requests[id] = request
@@ -394,7 +394,7 @@
 }
 
 // handle gives a gateway an event and carries out its actions.
-func (d *fleetSimulation) handle(i int, ev Event) {
+func (d *quotaSimulation) handle(i int, ev Event) {
 	instance := d.instances[i]
 	incarnation := instance.incarnation
 	later := func(after time.Duration, ev func() Event) {
@@ -421,11 +421,11 @@
 }
 
 // send starts an attempt; the first that succeeds answers the request.
-func (d *fleetSimulation) send(act Send, later func(time.Duration, func() Event)) {
+func (d *quotaSimulation) send(act Send, later func(time.Duration, func() Event)) {
 	request := d.requests[act.ID]
 	c := request.customer
 	number := len(request.attempts)
-	attempt := &fleetAttempt{}
+	attempt := &simulatedAttempt{}
 	request.attempts = append(request.attempts, attempt)
 	work := request.work
 	if number == 0 {
@@ -433,7 +433,7 @@
 		d.actual.add(c.plan, request.units, attempt.inside)
 	} else {
 		c.actual.attempts++
-		work = time.Duration(d.rng.ExpFloat64() * float64(fleetWork))
+		work = time.Duration(d.rng.ExpFloat64() * float64(meanWork))
 	}
 	attempt.end = func(o Outcome) {
 		if attempt.ended {
@@ -454,8 +454,8 @@
 	d.schedule(d.now+work, func() { attempt.end(Succeeded) })
 }
 
-// handleReject lets clients retry, usually at the same gateway; half of them after the time that they were told.
-func (d *fleetSimulation) handleReject(act Reject) {
+// handleReject lets clients retry, usually at the same gateway; half of them after the Retry-After of the rejection.
+func (d *quotaSimulation) handleReject(act Reject) {
 	request := d.requests[act.ID]
 	delete(d.requests, act.ID)
 	c := request.customer
@@ -470,7 +470,7 @@
 	if d.rng.Float64() < 0.5 {
 		wait = max(wait, min(act.RetryAfter, d.set.MaxRetryAfter))
 	}
-	next := &fleetRequest{customer: c, gateway: request.gateway, units: request.units, settled: request.settled, retries: request.retries + 1, work: request.work, firstArrival: request.firstArrival}
+	next := &simulatedRequest{customer: c, gateway: request.gateway, units: request.units, settled: request.settled, retries: request.retries + 1, work: request.work, firstArrival: request.firstArrival}
 	if d.rng.Float64() < 0.2 {
 		next.gateway = c.pick(d.rng, d.gateways)
 	}
@@ -482,7 +482,7 @@
 }
 
 // handleCounterCall is the counter: each shard has one queue of calls, served in order.
-func (d *fleetSimulation) handleCounterCall(act IncrementCounter, later func(time.Duration, func() Event)) {
+func (d *quotaSimulation) handleCounterCall(act IncrementCounter, later func(time.Duration, func() Event)) {
 	d.actual.calls++
 	fail := func(after time.Duration, o Outcome) {
 		later(after, func() Event { return CounterReply{Name: act.Name, Outcome: o} })
@@ -525,7 +525,7 @@
 }
 
 // play runs the simulation to its end.
-func (d *fleetSimulation) play() (actual, reference fleetWeight) {
+func (d *quotaSimulation) play() (actual, reference policyWeight) {
 	end := time.Hour + d.length
 	if d.restarted > 0 {
 		d.schedule(time.Hour+d.restartAt, func() {
@@ -537,7 +537,7 @@
 		})
 	}
 	for d.events.Len() > 0 {
-		e := heap.Pop(&d.events).(fleetEvent)
+		e := heap.Pop(&d.events).(simulationEvent)
 		if e.at > end {
 			break
 		}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -34,7 +34,7 @@
 type slowStartCase struct {
 	started   string  // which endpoints start: see slowStartRun.startEndpoints
 	warmFault string  // the fault of the endpoints that stay warm: "", slow, full or silent
-	delayed   bool    // the gateways are told after 1 to 5 s, each at its own time
+	delayed   bool    // the gateways are notified after 1 to 5 s, each at its own time
 	restart   string  // which gateways restart: "", "all" (a second after the endpoints), "tenths" (a tenth each 0.5 s)
 	load      float64 // offered, as a share of what all endpoints answer when warm
 	multiple  float64 // SlowStartBudgetMultiple of the settings
@@ -47,11 +47,11 @@
 
 // slowStartAttempt is an attempt at a modelled endpoint.
 type slowStartAttempt struct {
-	r       *rig
+	gateway *testGateway
 	id      RequestID
 	attempt int
 	sent    time.Duration
-	over    bool // the gateway has been told of its end
+	over    bool // the gateway has been notified of its end
 }
 
 // modelEndpoint is a modelled endpoint: some slots, a queue, and the least capacity that the settings promise.
@@ -66,14 +66,14 @@
 
 // slowStartEvent is due at a gateway, or ends an attempt at an endpoint.
 type slowStartEvent struct {
-	r           *rig
+	gateway     *testGateway
 	ev          Event
 	s           *modelEndpoint
 	w           *slowStartAttempt
 	incarnation int
 }
 
-// slowStartRun plays one seeded cell on a driven clock.
+// slowStartRun plays one seeded cell on a simulated clock.
 type slowStartRun struct {
 	slowStartCell
 	t               *testing.T
@@ -81,11 +81,11 @@
 	rng             *rand.Rand
 	seed            uint64
 	now             time.Duration
-	rigs            []*rig
+	gateways        []*testGateway
 	share           []float64 // cumulative, of the traffic
 	endpoints       map[EndpointID]*modelEndpoint
 	starting        []*modelEndpoint // those that startEndpoints has started
-	subsets         map[*rig]*endpointSubset
+	subsets         map[*testGateway]*endpointSubset
 	due             map[time.Duration][]slowStartEvent
 	requests        map[RequestID]*slowStartRequest
 	lastID          RequestID
@@ -102,7 +102,7 @@
 
 func newSlowStartRun(t *testing.T, c slowStartCell, seed uint64) *slowStartRun {
 	d := &slowStartRun{slowStartCell: c, t: t, set: settings(), rng: rand.New(rand.NewPCG(seed, 11)), seed: seed, now: time.Minute,
-		endpoints: map[EndpointID]*modelEndpoint{}, subsets: map[*rig]*endpointSubset{}, due: map[time.Duration][]slowStartEvent{}, requests: map[RequestID]*slowStartRequest{}}
+		endpoints: map[EndpointID]*modelEndpoint{}, subsets: map[*testGateway]*endpointSubset{}, due: map[time.Duration][]slowStartEvent{}, requests: map[RequestID]*slowStartRequest{}}
 	for i := range d.set.Classes {
 		d.set.Classes[i].LatencyObjective = ticksPerObjective * slowStartStep
 	}
@@ -118,25 +118,26 @@
 		}
 		sum += weight
 		d.share = append(d.share, sum)
-		d.rigs = append(d.rigs, d.gateway(i))
+		d.gateways = append(d.gateways, d.startGateway(i))
 	}
 	return d
 }
 
-func (d *slowStartRun) gateway(me int) *rig {
+// startGateway starts a gateway that knows the endpoints of now.
+func (d *slowStartRun) startGateway(me int) *testGateway {
 	set := d.set
 	set.Index = me
 	d.seed += 1 << 20
-	g, err := New(set, d.seed+uint64(me))
+	gateway, err := New(set, d.seed+uint64(me))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	r := &rig{T: d.t, g: g, now: d.now}
+	g := &testGateway{T: d.t, gateway: gateway, now: d.now}
 	if d.subsetSize > 0 {
-		d.subsets[r] = newEndpointSubset(me, set.GatewayCount, d.subsetSize, d.slowStartCell.endpoints)
+		d.subsets[g] = newEndpointSubset(me, set.GatewayCount, d.subsetSize, d.slowStartCell.endpoints)
 	}
-	d.tell(r, d.subsetOf(r, EndpointsChanged{Snapshot: true, Endpoints: d.list()}))
-	return r
+	d.notify(g, d.subsetOf(g, EndpointsChanged{Snapshot: true, Endpoints: d.list()}))
+	return g
 }
 
 // endpointSubset reads a long list as a gateway does that keeps a subset.
@@ -161,8 +162,8 @@
 }
 
 // subsetOf is what a gateway is given of a list or a change.
-func (d *slowStartRun) subsetOf(r *rig, ev EndpointsChanged) EndpointsChanged {
-	k := d.subsets[r]
+func (d *slowStartRun) subsetOf(g *testGateway, ev EndpointsChanged) EndpointsChanged {
+	k := d.subsets[g]
 	if k == nil {
 		return ev
 	}
@@ -198,12 +199,13 @@
 	return min(1, d.set.SlowStartMinWeight+(1-d.set.SlowStartMinWeight)*(at-s.StartedAt).Seconds()/d.set.SlowStartWindow.Seconds())
 }
 
-func (d *slowStartRun) tell(r *rig, ev Event) {
-	r.now = d.now
-	for _, act := range r.tell(ev) {
+// notify gives a gateway an event and carries out its actions.
+func (d *slowStartRun) notify(g *testGateway, ev Event) {
+	g.now = d.now
+	for _, act := range g.handle(ev) {
 		switch act := act.(type) {
 		case Send:
-			d.send(r, act)
+			d.send(g, act)
 		case Cancel:
 			w := d.requests[act.ID].attempts[act.Attempt]
 			d.end(w, Cancelled, d.now+slowStartStep, nil)
@@ -221,9 +223,9 @@
 }
 
 // send brings an attempt to its endpoint, which counts it however it ends.
-func (d *slowStartRun) send(r *rig, act Send) {
+func (d *slowStartRun) send(g *testGateway, act Send) {
 	q, s := d.requests[act.ID], d.endpoints[act.Endpoint]
-	w := &slowStartAttempt{r: r, id: act.ID, attempt: len(q.attempts), sent: d.now}
+	w := &slowStartAttempt{gateway: g, id: act.ID, attempt: len(q.attempts), sent: d.now}
 	q.attempts = append(q.attempts, w)
 	if d.now >= time.Minute+timeBeforeStart {
 		d.sent++
@@ -268,13 +270,13 @@
 	}
 }
 
-// end tells the gateway of an attempt's end, once.
+// end notifies the gateway of an attempt's end, once.
 func (d *slowStartRun) end(w *slowStartAttempt, o Outcome, at time.Duration, load LoadReport) {
 	if w.over {
 		return
 	}
 	w.over = true
-	d.after(at, slowStartEvent{r: w.r, w: w,
+	d.after(at, slowStartEvent{gateway: w.gateway, w: w,
 		ev: AttemptEnded{ID: w.id, Attempt: w.attempt, Outcome: o, Latency: at - w.sent, LoadReport: load}})
 }
 
@@ -288,7 +290,7 @@
 	case e.ev == nil: // its deadline is over
 		d.end(e.w, TimedOut, d.now, nil)
 	default:
-		if !slices.Contains(d.rigs, e.r) {
+		if !slices.Contains(d.gateways, e.gateway) {
 			return // the gateway has restarted meanwhile
 		}
 		if ended, ok := e.ev.(AttemptEnded); ok {
@@ -297,11 +299,11 @@
 			ended.RequestFinished = q.final
 			e.ev = ended
 		}
-		d.tell(e.r, e.ev)
+		d.notify(e.gateway, e.ev)
 	}
 }
 
-// startEndpoints starts endpoints and tells the gateways: "one" or "plus" (as many again) join; "half" or "all" of the old
+// startEndpoints starts endpoints and notifies the gateways: "one" or "plus" (as many again) join; "half" or "all" of the old
 // ones are replaced and drain, all by "few" (half as many) or by "quarter" as many; "same half" or "same all" restart under
 // their ids.
 func (d *slowStartRun) startEndpoints() {
@@ -335,23 +337,23 @@
 	for _, s := range d.starting {
 		news = append(news, s.Endpoint)
 	}
-	for _, r := range d.rigs {
+	for _, g := range d.gateways {
 		at := d.now + slowStartStep + time.Duration(d.rng.Int64N(int64(100*ms)))
 		if d.delayed {
 			at = d.now + time.Second + time.Duration(d.rng.Int64N(int64(4*time.Second)))
 		}
-		d.after(at, slowStartEvent{r: r, ev: d.subsetOf(r, EndpointsChanged{Endpoints: news})})
+		d.after(at, slowStartEvent{gateway: g, ev: d.subsetOf(g, EndpointsChanged{Endpoints: news})})
 	}
 }
 
 // restartGateways replaces gateways by new ones; what the old ones knew is lost.
 func (d *slowStartRun) restartGateways(since time.Duration) {
-	n := len(d.rigs)
+	n := len(d.gateways)
 	tenth := int((since - time.Second) / (500 * ms))
-	for i := range d.rigs {
+	for i := range d.gateways {
 		all := d.restart == "all" && since == time.Second
 		if all || d.restart == "tenths" && since >= time.Second && (since-time.Second)%(500*ms) == 0 && i*10/n == tenth {
-			d.rigs[i] = d.gateway(i)
+			d.gateways[i] = d.startGateway(i)
 		}
 	}
 }
@@ -381,11 +383,11 @@
 			q := &slowStartRequest{deadline: d.now + 2*time.Second}
 			d.requests[d.lastID] = q
 			class := []string{"read", "read", "read", "book", "pay"}[d.rng.IntN(5)]
-			d.tell(d.rigs[i], Arrival{Request{ID: d.lastID, Class: class, Plan: "free", Customer: "c", Units: 1,
-				Deadline: q.deadline, GatewaySpan: d.gateways}})
+			d.notify(d.gateways[i], Arrival{Request{ID: d.lastID, Class: class, Plan: "free", Customer: "c", Units: 1,
+				Deadline: q.deadline, GatewaySpan: d.slowStartCell.gateways}})
 		}
-		for _, r := range d.rigs {
-			d.tell(r, TimerFired{})
+		for _, g := range d.gateways {
+			d.notify(g, TimerFired{})
 		}
 	}
 }
