--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -18,8 +18,8 @@
 
 const (
 	reservedDescriptors = 4   // of minDescriptors, never in use
-	fullDescriptors     = 100 // in use once the places for clients and for connections to backends are all taken
-	concurrentAttempts  = 48  // each on a connection of its own: as many as an ingress opens to backends
+	fullDescriptors     = 100 // in use once the descriptors for clients and for connections to endpoints are all taken
+	concurrentAttempts  = 48  // each on a connection of its own: as many as an ingress opens to endpoints
 	idleClients         = 200
 )
 
@@ -31,7 +31,7 @@
 	"familyInfo":{"sharedCounter":true,"counterTimeoutUs":10e6,"maxUnits":4},
 	"permissions":{"connIdleUs":120e6,"connectTimeoutUs":10e6,"maxAttempts":3,"mayCancel":true}}`
 
-// connectIdleClients keeps idle clients connected until the end of the test: half of them say PING and rest, the others say
+// connectIdleClients keeps idle clients connected until the end of the test: half of them send PING first, the others
 // nothing.
 func connectIdleClients(t *testing.T, addr string) {
 	t.Helper()
@@ -56,12 +56,12 @@
 }
 
 // stayIdle keeps one connection open until the ingress closes it or stop is closed.
-func stayIdle(addr string, sayPing bool, stop <-chan struct{}) {
+func stayIdle(addr string, sendPing bool, stop <-chan struct{}) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	if sayPing {
+	if sendPing {
 		io.WriteString(nc, ping)
 	}
 	ended := make(chan struct{})
@@ -77,11 +77,11 @@
 	<-ended
 }
 
-// Idle clients fill the descriptors, and connections to backends the rest, while discovery is down. When it is back, its list
-// still arrives, the counter and the backends are still reached, and working clients are still accepted, while the idle
+// Idle clients fill the descriptors, and connections to endpoints the rest, while discovery is down. When it is back, its list
+// still arrives, the counter and the endpoints are still reached, and working clients are still accepted, while the idle
 // clients go on.
 func TestIngressFullOfIdleClientsStillServes(t *testing.T) {
-	for name, silent := range map[string]bool{"discovery refuses": false, "discovery says nothing": true} {
+	for name, silent := range map[string]bool{"discovery refuses": false, "discovery is silent": true} {
 		t.Run(name, func(t *testing.T) { testFullOfIdleClients(t, silent) })
 	}
 }
@@ -91,12 +91,12 @@
 	openGate := sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(openGate)
 	var oldCommands, newCommands, counterCalls atomic.Int32
-	oldBackend := serveBackend(t, "old", gate, &oldCommands)
+	oldEndpoint := serveEndpoint(t, "old", gate, &oldCommands)
 	var known []endpoint
 	for i := range concurrentAttempts/4 + 1 { // an ingress sends each endpoint four attempts at its start
-		known = append(known, endpoint{fmt.Sprint("o", i), oldBackend})
+		known = append(known, endpoint{fmt.Sprint("o", i), oldEndpoint})
 	}
-	changed := endpointList(2, endpoint{"n", serveBackend(t, "new", nil, &newCommands)})
+	changed := endpointList(2, endpoint{"n", serveEndpoint(t, "new", nil, &newCommands)})
 	counter := nettest.Serve(t, func(nc net.Conn) {
 		for in := bufio.NewScanner(nc); in.Scan(); {
 			counterCalls.Add(1)
@@ -151,7 +151,7 @@
 	for i := range concurrentAttempts {
 		blocked.Write(request{id: i, customer: 4, class: "read", plan: "free", timeLeft: 60_000}.encode())
 	}
-	nettest.Eventually(t, "all connections to backends are in use", func() bool { return oldCommands.Load() >= concurrentAttempts })
+	nettest.Eventually(t, "all connections to endpoints are in use", func() bool { return oldCommands.Load() >= concurrentAttempts })
 	connectIdleClients(t, listen.addr)
 	nettest.Eventually(t, "the descriptors are full", func() bool { return usedDescriptors() >= fullDescriptors })
 	openGate()
@@ -169,13 +169,13 @@
 		serveDiscovery()
 	}
 	id := concurrentAttempts
-	newClientIsServed := func() bool { // by the new backend; tried again where the connection is closed
+	newClientIsServed := func() bool { // by the new endpoint; retried if the connection is closed
 		usedDescriptors()
 		id++
 		got, err := exchange(listen.addr, request{id: id, customer: 7, class: "read", plan: "metered", timeLeft: 60_000}.encode(), 2)
 		return err == nil && got == "$3\r\nnew\r\n"
 	}
-	nettest.Eventually(t, "the new backend serves", newClientIsServed)
+	nettest.Eventually(t, "the new endpoint serves", newClientIsServed)
 	nettest.Eventually(t, "the counter is called", func() bool { return newClientIsServed() && counterCalls.Load() > callsBefore })
 	for range 20 {
 		nettest.Eventually(t, "another working client is served", newClientIsServed)
--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -73,9 +73,9 @@
 	return ln
 }
 
-// serveBackend runs a backend that replies with its name to each command and counts them. If gate is not nil, it replies
+// serveEndpoint runs an endpoint that replies with its name to each command and counts them. If gate is not nil, it replies
 // only once gate is closed.
-func serveBackend(t *testing.T, name string, gate <-chan struct{}, commands *atomic.Int32) (addr string) {
+func serveEndpoint(t *testing.T, name string, gate <-chan struct{}, commands *atomic.Int32) (addr string) {
 	t.Helper()
 	return nettest.Serve(t, func(nc net.Conn) {
 		for in := redcon.NewReader(nc); ; {
--- a/cmd/ingress/incident_test.go
+++ b/cmd/ingress/incident_test.go
@@ -18,19 +18,19 @@
 	"lemontack/internal/nettest"
 )
 
-// shortDeadlineSettings let the clients of class read run out of time while a backend is silent.
+// shortDeadlineSettings have a class read whose deadlines pass while an endpoint is silent.
 const shortDeadlineSettings = `{"replicasOfMe":1,"registryMode":"push",
 	"classes":[{"name":"read","value":1,"objectiveUs":100e3,"deadlineUs":200e3,"effect":"read_like"},
 		{"name":"slow","value":1,"objectiveUs":60e6,"deadlineUs":60e6,"effect":"read_like"}],
 	"contracts":[{"name":"free","price":1}],
 	"permissions":{"connIdleUs":120e6,"connectTimeoutUs":10e6,"maxAttempts":3,"mayCancel":true,"retryAfter":true}}`
 
-// startIngressFor runs an ingress as a process with one backend and waits until it serves.
-func startIngressFor(t *testing.T, backend string) (addr string, pid int) {
+// startIngressFor runs an ingress as a process with one endpoint and waits until it is ready.
+func startIngressFor(t *testing.T, endpointAddr string) (addr string, pid int) {
 	t.Helper()
 	listen := reserveAddress(t)
 	pid = startIngress(t, configuration{Listen: listen.addr, Discovery: reserveAddress(t).addr, Seed: "1",
-		Known:  endpointList(1, endpoint{"b", backend}),
+		Known:  endpointList(1, endpoint{"b", endpointAddr}),
 		Limits: limits{Cores: 1, Sockets: minDescriptors}, Settings: json.RawMessage(shortDeadlineSettings)})
 	awaitReady(t, listen.addr)
 	return listen.addr, pid
@@ -46,7 +46,7 @@
 func TestRetriesThatRunOutOfTimeAreAnswered(t *testing.T) {
 	const processes, requests = 6, 5
 	var commands atomic.Int32
-	silent, err := faults.NewProxy(serveBackend(t, "value", nil, &commands))
+	silent, err := faults.NewProxy(serveEndpoint(t, "value", nil, &commands))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 func TestRequestBehindUnknownCommandsIsNotDelayed(t *testing.T) {
 	const unknownCommands, sequentialRequests = 9, 60
 	var served, commands atomic.Int32
-	addr, _ := startIngressFor(t, serveBackend(t, "value", nil, &commands))
+	addr, _ := startIngressFor(t, serveEndpoint(t, "value", nil, &commands))
 	var reading sync.WaitGroup
 	t.Cleanup(reading.Wait)
 	shared := dialClient(t, addr)
@@ -111,7 +111,7 @@
 		}
 	}
 	if commands.Load() <= sequentialRequests {
-		t.Fatalf("the request behind unknown commands has not reached a backend when another client had %d replies",
+		t.Fatalf("the request behind unknown commands has not reached the endpoint when another client had %d replies",
 			sequentialRequests)
 	}
 	nettest.Eventually(t, "the request behind unknown commands is served", func() bool { return served.Load() == 1 })
@@ -120,7 +120,7 @@
 // A request behind the last unknown command that a connection is allowed is answered too, before the connection ends.
 func TestRequestBehindLastAllowedUnknownCommandIsAnswered(t *testing.T) {
 	var commands atomic.Int32
-	addr, _ := startIngressFor(t, serveBackend(t, "value", nil, &commands))
+	addr, _ := startIngressFor(t, serveEndpoint(t, "value", nil, &commands))
 	client := dialClient(t, addr)
 	io.WriteString(client.nc, strings.Repeat(unknownCommand, 12))
 	client.send(slowRequest(1))
@@ -134,12 +134,12 @@
 	}
 }
 
-// The time of a request that comes while the process is stopped counts from then: its backend is told what its client has
-// left. A machine that is busy may hide one stop from the process, not each of many.
+// The time of a request that comes while the process is stopped counts against its deadline: the endpoint receives the time
+// left of it. A busy machine may hide one stop from the process, not each of many.
 func TestTimeWhileStoppedCountsAgainstDeadline(t *testing.T) {
 	const timeLeft, stopped = 10_000, 300 * time.Millisecond
 	forwardedTimeLeft := make(chan int, 1)
-	backend := nettest.Serve(t, func(nc net.Conn) {
+	endpointAddr := nettest.Serve(t, func(nc net.Conn) {
 		for in := redcon.NewReader(nc); ; {
 			cmd, err := in.ReadCommand()
 			if err != nil {
@@ -151,10 +151,10 @@
 			io.WriteString(nc, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
 		}
 	})
-	addr, pid := startIngressFor(t, backend)
+	addr, pid := startIngressFor(t, endpointAddr)
 	client, r := dialClient(t, addr), slowRequest(0)
 	r.timeLeft = timeLeft
-	nettest.Eventually(t, "a backend is told what is left", func() bool {
+	nettest.Eventually(t, "the endpoint receives the time left", func() bool {
 		r.id++
 		syscall.Kill(pid, syscall.SIGSTOP)
 		client.send(r)
--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -36,7 +36,7 @@
 // callOf returns a queued call of that name.
 func callOf(name string) *Call { return &Call{increment: policy.IncrementCounter{Name: name}} }
 
-// Each form of answer means what the protocol says, in the order of the calls.
+// Answers of each form become outcomes in the order of the calls.
 func TestAnswersBecomeOutcomesInTheOrderOfTheCalls(t *testing.T) {
 	c, results := startConnection(t, func(conn net.Conn, in *bufio.Reader) {
 		for _, answer := range []string{"ok 3.5\r\n", "busy\r\n", "error\r\n", ""} {
@@ -61,12 +61,12 @@
 	}
 }
 
-// After an answer that cannot be read its connection is of no use: the call was added, the one behind it may have been,
-// and the next goes out on a new connection at once. Once the calls of such a connection timed out for 3 s.
+// A connection is closed after an answer that cannot be decoded: the call was counted, the one behind it may have been, and the
+// next is sent on a new connection at once. Once the calls of such a connection timed out for 3 s.
 func TestConnectionIsReplacedAfterAnUnreadableAnswer(t *testing.T) {
 	began := time.Now()
 	defer func() {
-		if took := time.Since(began); took > 10*time.Second { // half of the silence that ends a connection here
+		if took := time.Since(began); took > 10*time.Second { // half of the time after which a silent connection is closed
 			t.Fatalf("took %v", took)
 		}
 	}()
@@ -134,7 +134,7 @@
 	}
 }
 
-// A counter that nobody listens at has added nothing.
+// A call to a counter that refuses connections has added nothing.
 func TestCallFailsToConnectWhereNobodyListens(t *testing.T) {
 	address := nettest.RefusedAddress(t)
 	results := make(chan Result, 1)
@@ -182,8 +182,8 @@
 	}
 }
 
-// After a move the call that is pending has its answer from the old counter, and only then does the next one of its name go
-// to the new one.
+// After a change of the address a pending call has its answer from the old counter; only then is the next one of its name sent
+// to the new counter.
 func TestMoveWaitsForTheCallsThatArePending(t *testing.T) {
 	received, answer := make(chan struct{}), make(chan struct{})
 	c, results := startConnection(t, func(conn net.Conn, in *bufio.Reader) {
@@ -201,9 +201,7 @@
 	c.queue <- callOf("a")
 	<-received
 	c.addresses.Set(next)
-	for len(c.addresses) > 0 { // fetched
-		time.Sleep(time.Millisecond)
-	}
+	nettest.Eventually(t, "the connection has the new address", func() bool { return len(c.addresses) == 0 })
 	c.queue <- callOf("a")
 	close(answer)
 	for want := 1.0; want <= 2; want++ {
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -33,7 +33,7 @@
 // the subset, and the estimate of how many gateways share it is near the truth.
 func TestCacheDecodesALongListAsAStream(t *testing.T) {
 	const listed = 200_000
-	cache := NewCache(largeFleet(), quiet)
+	cache := NewCache(manyGateways(), quiet)
 	entries := 0
 	h, list, err := cache.decode(json.NewDecoder(longSnapshot(listed)), func() { entries++ })
 	if err != nil || !h.Snapshot || *h.Revision != 5 || entries != listed {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Every gateway caches the whole of a short list, and all gateways share it.
+// Every gateway caches all of a short list, and all gateways share it.
 func TestCacheHoldsTheWholeOfAShortList(t *testing.T) {
-	for _, settings := range []policy.Settings{largeFleet(), {GatewayCount: 1}, {Index: 299, GatewayCount: 300, Zone: "z0"}} {
+	for _, settings := range []policy.Settings{manyGateways(), {GatewayCount: 1}, {Index: 299, GatewayCount: 300, Zone: "z0"}} {
 		cache := NewCache(settings, quiet)
 		_, list, err := cache.decode(json.NewDecoder(longSnapshot(targetCacheSize)), func() {})
 		list = cache.apply(list)
@@ -76,7 +76,7 @@
 // Changes are applied one by one: every change of a cached endpoint counts, in whatever form it comes; others cost nothing;
 // and endpoints that have to leave a narrowed subset are published as removed.
 func TestCacheAppliesChangesOfALongList(t *testing.T) {
-	cache := NewCache(largeFleet(), quiet)
+	cache := NewCache(manyGateways(), quiet)
 	_, list, err := cache.decode(json.NewDecoder(longSnapshot(20_000)), func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	}
 }
 
-// When a long list grows short it is read again, until all of it is cached; that takes up to three polls.
+// When a long list becomes short it is polled again until all of it is cached, up to three times.
 func TestClientResyncsWhenALongListGrowsShort(t *testing.T) {
 	service := standin.NewDiscovery(standin.DiscoveryConfig{})
 	set := func(n int) {
@@ -134,7 +134,7 @@
 	}
 	set(20_000)
 	lists := make(chan EndpointList, 64)
-	client := NewClient(Config{Address: serveDiscovery(t, service), Settings: largeFleet()},
+	client := NewClient(Config{Address: serveDiscovery(t, service), Settings: manyGateways()},
 		func(list EndpointList) { lists <- list }, quiet)
 	stop := runClient(t, client)
 	for n := len((<-lists).Entries); n < 300; { // cached of the long list
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,8 +10,8 @@
 	"lemontack/policy"
 )
 
-// A gateway of a large fleet that polls takes the known list as it is: it only watches, from its revision on.
-func TestClientOfALargeFleetStartsWithAWatchOnly(t *testing.T) {
+// A polling client with a spread start uses the known list as it is: it only watches, from its revision on.
+func TestClientOfManyGatewaysStartsWithAWatchOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		spread time.Duration
@@ -54,9 +54,9 @@
 	}
 }
 
-// The first calls of a fleet are spread over a time that grows with it, as far as the deadline allows. A small fleet, one
-// that an agent pushes to, and one without a known list call at once.
-func TestStartSpreadGrowsWithTheFleet(t *testing.T) {
+// The first calls of many gateways are spread over a time that grows with their number, as far as the deadline allows. Few
+// gateways, gateways that an agent pushes to, and gateways without a known list call at once.
+func TestStartSpreadGrowsWithTheNumberOfGateways(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
 		polls    bool
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -13,8 +13,8 @@
 	"lemontack/internal/standin"
 )
 
-// fleet is a fleet's discovery clients before one discovery, on a driven clock.
-type fleet struct {
+// clientGroup is the clients of many gateways with one discovery service, on a simulated clock.
+type clientGroup struct {
 	service   *standin.Discovery
 	listener  *standin.PipeListener
 	cancel    context.CancelFunc
@@ -24,11 +24,11 @@
 	published []map[int64]time.Time // by client, when it first published a revision
 }
 
-// startFleet starts n clients that know revision 1 at one moment, before a discovery in the given state.
-func startFleet(n int, polls bool, seed uint64, service *standin.Discovery) *fleet {
+// startClients starts n clients that know revision 1 at one moment.
+func startClients(n int, polls bool, seed uint64, service *standin.Discovery) *clientGroup {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &fleet{service: service, listener: standin.NewPipeListener(), cancel: cancel}
-	f.running.Go(func() { service.Serve(f.listener) })
+	group := &clientGroup{service: service, listener: standin.NewPipeListener(), cancel: cancel}
+	group.running.Go(func() { service.Serve(group.listener) })
 	for i := range n {
 		published := map[int64]time.Time{}
 		config := Config{
@@ -37,34 +37,34 @@
 			Settings: singleGateway(),
 			Random:   rand.New(rand.NewPCG(seed, uint64(i))),
 			DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-				return f.listener.Dial(ctx)
+				return group.listener.Dial(ctx)
 			},
 		}
 		client := NewClient(config, func(list EndpointList) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
+			group.mu.Lock()
+			defer group.mu.Unlock()
 			if published[list.Revision].IsZero() {
 				published[list.Revision] = time.Now()
 			}
 		}, quiet)
 		client.policy = newPollPolicy(polls, n, true)
-		f.published, f.clients = append(f.published, published), append(f.clients, client)
-		f.running.Go(func() { client.Run(ctx) })
+		group.published, group.clients = append(group.published, published), append(group.clients, client)
+		group.running.Go(func() { client.Run(ctx) })
 	}
-	return f
+	return group
 }
 
-func (f *fleet) close() {
-	f.cancel()
-	f.service.Close()
-	f.running.Wait()
+func (group *clientGroup) close() {
+	group.cancel()
+	group.service.Close()
+	group.running.Wait()
 }
 
 // latest returns how long after a moment the last client published a revision, and how many did not.
-func (f *fleet) latest(revision int64, since time.Time) (last time.Duration, missing int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, published := range f.published {
+func (group *clientGroup) latest(revision int64, since time.Time) (last time.Duration, missing int) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	for _, published := range group.published {
 		at := time.Time{}
 		for r, t := range published {
 			if r >= revision && (at.IsZero() || t.Before(at)) {
@@ -84,9 +84,9 @@
 	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: "127.0.0.1:9", State: state}
 }
 
-// outage is a fault of a fleet's discovery. It returns the revision that is to be published, and the moment from which on
+// outage is a fault of discovery. It returns the revision that is to be published, and the moment from which on
 // discovery had it and could be reached (or the watch was silent).
-type outage func(f *fleet) (revision int64, since time.Time)
+type outage func(group *clientGroup) (revision int64, since time.Time)
 
 // isShortSilence reports whether the fault leaves open watches silent for too short a time to be noticed before it is over:
 // these have the deadline of a silent watch, also where lists are pushed.
@@ -95,36 +95,38 @@
 }
 
 // unavailable lets discovery be in a state for a while, some time after the start of all clients; meanwhile an endpoint
-// begins to drain.
+// starts draining.
 func unavailable(start time.Duration, state standin.State, d time.Duration) outage {
-	return func(f *fleet) (int64, time.Time) {
+	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
-		f.service.SetState(state)
+		group.service.SetState(state)
 		time.Sleep(d)
-		revision := f.service.Change(target(0, "DRAINING"))
-		f.service.SetState(standin.Up)
+		revision := group.service.Change(target(0, "DRAINING"))
+		group.service.SetState(standin.Up)
 		return revision, time.Now()
 	}
 }
 
-// outages are all the ways in which a fleet may miss a change.
+// outages are all the ways in which a client may miss a change.
 func outages() map[string]outage {
 	all := map[string]outage{
-		"start": func(f *fleet) (int64, time.Time) { return f.service.Change(target(0, "DRAINING")), time.Now() },
-		"watches fall silent": func(f *fleet) (int64, time.Time) {
+		"start": func(group *clientGroup) (int64, time.Time) {
+			return group.service.Change(target(0, "DRAINING")), time.Now()
+		},
+		"watches fall silent": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20*time.Second + heartbeatInterval/2)
-			f.service.SilenceWatches()
-			return f.service.Change(target(0, "DRAINING")), time.Now()
+			group.service.SilenceWatches()
+			return group.service.Change(target(0, "DRAINING")), time.Now()
 		},
-		"watches end": func(f *fleet) (int64, time.Time) {
+		"watches end": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20 * time.Second)
-			f.service.BreakWatches()
-			return f.service.Change(target(0, "DRAINING")), time.Now()
+			group.service.BreakWatches()
+			return group.service.Change(target(0, "DRAINING")), time.Now()
 		},
-		"watches end, then silence": func(f *fleet) (int64, time.Time) {
+		"watches end, then silence": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20 * time.Second)
-			f.service.BreakWatches()
-			return unavailable(20*time.Second, standin.Silent, 3*time.Second)(f)
+			group.service.BreakWatches()
+			return unavailable(20*time.Second, standin.Silent, 3*time.Second)(group)
 		},
 	}
 	for name, state := range map[string]standin.State{"silent": standin.Silent, "down": standin.Down} {
@@ -137,10 +139,10 @@
 	return all
 }
 
-// Whatever has happened to its calls, each gateway of a fleet publishes a change within the deadline after discovery had it
+// Whatever has happened to its calls, each client publishes a change within the deadline after discovery had it
 // and could be reached, and 300 of them do not overload a discovery that serves 100 calls a second, one after another, those
-// of callers that have gone too.
-func TestFleetLearnsChangesWithinTheDeadline(t *testing.T) {
+// of disconnected callers too.
+func TestAllClientsLearnChangesWithinTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		n        int
@@ -149,7 +151,7 @@
 		config   standin.DiscoveryConfig
 	}{
 		{"300 polling", 300, true, changeDeadline, standin.DiscoveryConfig{CallsPerSecond: 100}},
-		{"300 polling, calls fail in the line", 300, true, changeDeadline,
+		{"300 polling, calls time out in the queue", 300, true, changeDeadline,
 			standin.DiscoveryConfig{CallsPerSecond: 120, QueueTimeout: time.Second}},
 		{"9 polling", 9, true, changeDeadline, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"4 polling", 4, true, changeDeadline, standin.DiscoveryConfig{CallsPerSecond: 100}},
@@ -165,11 +167,11 @@
 				synctest.Test(t, func(t *testing.T) {
 					service := standin.NewDiscovery(c.config)
 					service.SetList([]standin.Target{target(0, stateServing), target(1, stateServing)})
-					f := startFleet(c.n, c.polls, 7, service)
-					defer f.close()
-					revision, since := fail(f)
+					group := startClients(c.n, c.polls, 7, service)
+					defer group.close()
+					revision, since := fail(group)
 					time.Sleep(3 * changeDeadline)
-					last, missing := f.latest(revision, since)
+					last, missing := group.latest(revision, since)
 					if missing > 0 || last > deadline {
 						t.Errorf("%d without the change, the last after %v; %+v", missing, last, service.Stats())
 					}
@@ -179,21 +181,21 @@
 	}
 }
 
-// When the address changes for a whole fleet at one moment, all learn from the new discovery within the deadline of a move.
-func TestFleetMovesWithinTheDeadline(t *testing.T) {
+// When the address changes for all clients at one moment, all learn from the new discovery within the deadline of a move.
+func TestAllClientsFollowAnAddressChangeWithinTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewDiscovery(standin.DiscoveryConfig{CallsPerSecond: 100})
 		service.SetList([]standin.Target{target(0, stateServing)})
-		f := startFleet(300, true, 7, service)
-		defer f.close()
+		group := startClients(300, true, 7, service)
+		defer group.close()
 		time.Sleep(20 * time.Second)
-		service.SilenceWatches() // the old address brings nothing more
+		service.SilenceWatches() // the old address delivers nothing more
 		revision, since := service.Change(target(0, "DRAINING")), time.Now()
-		for _, client := range f.clients {
+		for _, client := range group.clients {
 			client.Move("127.0.0.1:2")
 		}
 		time.Sleep(3 * moveDeadline)
-		if last, missing := f.latest(revision, since); missing > 0 || last > moveDeadline {
+		if last, missing := group.latest(revision, since); missing > 0 || last > moveDeadline {
 			t.Errorf("%d without the change, the last after %v", missing, last)
 		}
 	})
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -28,12 +28,12 @@
 		`{"rev":7,"targets":[],"targets":[{"uid":"late"}]}`:                                                   "7 false true late//0",
 		strings.Replace(`{"rev":7,"all":true,"targets":[X]}`, "X", strings.Repeat(`{"uid":"a"},`, 2)+"{}", 1): "7 true true a//0 a//0 //0",
 	} {
-		var taken []string
+		var decoded []string
 		entries := 0
 		h, err := decodeList(json.NewDecoder(strings.NewReader(text)), entryHandlers{
 			before: func() { entries++ },
 			take: func(entry Entry) {
-				taken = append(taken, fmt.Sprintf("%s/%s/%d", entry.UID, entry.Zone, entry.BootMS))
+				decoded = append(decoded, fmt.Sprintf("%s/%s/%d", entry.UID, entry.Zone, entry.BootMS))
 			},
 		})
 		rev := "-"
@@ -44,11 +44,11 @@
 		if err != nil {
 			got = "error"
 		}
-		if got = strings.TrimSpace(got + " " + strings.Join(taken, " ")); got != want {
+		if got = strings.TrimSpace(got + " " + strings.Join(decoded, " ")); got != want {
 			t.Errorf("%s: %s, want %s", text, got, want)
 		}
-		if entries < len(taken) {
-			t.Errorf("%s: called before %d of %d entries", text, entries, len(taken))
+		if entries < len(decoded) {
+			t.Errorf("%s: called before %d of %d entries", text, entries, len(decoded))
 		}
 	}
 }
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -22,8 +22,8 @@
 	pushDeadline   = time.Second     // after discovery had it and could be reached, where an agent pushes lists
 )
 
-// largeFleet are the settings of one gateway of a large fleet.
-func largeFleet() policy.Settings {
+// manyGateways are the settings of one of many gateways.
+func manyGateways() policy.Settings {
 	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
--- a/internal/discovery/pollpolicy_test.go
+++ b/internal/discovery/pollpolicy_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A change is known within the deadlines, for any size of fleet: where an agent pushes lists within a second
-// of discovery's return, where gateways poll within changeDeadline, a failed call on the way or not. What is left of the
-// deadline is for the answer: at 100 calls a second 300 gateways that call over pollInterval wait for up to as long.
+// A change is known within the deadlines, for any number of gateways: where an agent pushes lists within a second of
+// discovery's return, where gateways poll within changeDeadline, with or without a failed call. The rest of the deadline is
+// for the answer: at 100 calls a second 300 gateways that call within pollInterval wait for up to as long.
 func TestPollPolicyMeetsTheDeadlines(t *testing.T) {
 	for _, n := range []int{1, 8, 9, 80, 300, 3000} {
 		pushed, polled := newPollPolicy(false, n, true), newPollPolicy(true, n, true)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Pauses double up to the maximum, and begin anew after a reset.
+// Pauses double up to the maximum, and restart from the minimum after a reset.
 func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
 	pauses := newBackoff(100*time.Millisecond, 350*time.Millisecond)
 	for i, want := range []time.Duration{100, 200, 350, 350} {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 	"lemontack/policy"
 )
 
-// A watch that breaks is resumed: a change that the next one brings still arrives.
+// A broken watch is resumed from the latest revision: a change that the next one delivers still arrives.
 func TestBrokenWatchResumesFromTheLatestRevision(t *testing.T) {
 	since := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Only what can be true is taken from discovery: a stale list would bring back endpoints that are removed.
+// Stale lists, which would bring back removed endpoints, and invalid entries are ignored.
 func TestClientIgnoresStaleListsAndInvalidEntries(t *testing.T) {
 	var published []EndpointList
 	client := NewClient(Config{Address: "127.0.0.1:1", Known: EndpointList{Revision: 7}, Settings: singleGateway()},
--- a/internal/listener/accept_test.go
+++ b/internal/listener/accept_test.go
@@ -26,11 +26,11 @@
 	return l.Listener.Accept()
 }
 
-// Whatever accept fails with, the connections that come after are taken, with no slot lost for the failures.
+// Whatever accept fails with, later connections are accepted, and no slot is lost to the failures.
 func TestAcceptGoesOnAfterErrors(t *testing.T) {
 	ln := nettest.Listen(t)
 	errs := []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO,
-		syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unheard of")}
+		syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unknown error")}
 	const slots = 2 // fewer than the errors
 	s, _ := newServer(&failingListener{Listener: ln, errs: errs}, slots, 1<<20)
 	go s.Serve() // ends with the listener
--- a/internal/listener/acceptdelay_test.go
+++ b/internal/listener/acceptdelay_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	want(1, 1)
-	for ms := 10; ms < 1000; ms += 10 { // a crowd that never ends
+	for ms := 10; ms < 1000; ms += 10 { // clients that keep all slots in use
 		delay.waitedForSlot(at(ms), at(ms+6))
 		want(ms+6, ms)
 	}
@@ -29,6 +29,6 @@
 		delay.waitedForSlot(at(ms+5), at(ms+7))
 	}
 	want(2301, 2000)
-	want(2310, 2000) // what came in the delay is taken within a moment
+	want(2310, 2000) // connections that arrived in the delay are accepted shortly after
 	want(2400, 2400)
 }
--- a/internal/listener/conn_test.go
+++ b/internal/listener/conn_test.go
@@ -12,21 +12,21 @@
 	"lemontack/internal/nettest"
 )
 
-// What comes on a connection that is closing is dropped, however much: a reader that waited there for room
-// kept a shutdown from ending.
-func TestEndedConnectionTakesNoCommand(t *testing.T) {
+// Commands on a connection that is closing are dropped, however many: a reader that waited for capacity there kept a shutdown
+// from ending.
+func TestClosingConnectionReadsNoCommand(t *testing.T) {
 	s, _ := newServer(nil, 1, 1<<20)
 	c := newConn(s, nil)
 	c.state = stateEnded
 	for range MaxPipelined + 1 {
 		if c.openResponse(nil) != nil {
-			t.Fatal("a command was taken")
+			t.Fatal("a command was read")
 		}
 	}
 }
 
-// A connection that is so new that its first command may be on its way is not closed unheard by a shutdown.
-func TestNewConnectionIsHeardInAShutdown(t *testing.T) {
+// A shutdown does not close a connection that is so new that its first command may still be in transit.
+func TestNewConnectionIsServedDuringAShutdown(t *testing.T) {
 	for received, closing := range map[bool]bool{false: false, true: true} {
 		s, _ := newServer(nil, 1, 1<<20)
 		c := newConn(s, nil)
@@ -40,7 +40,7 @@
 	}
 }
 
-// crossedConn is a connection on which something happens between the read of the system and the reader's next step.
+// crossedConn is a connection that calls meanwhile between a read from the socket and the reader's next step.
 type crossedConn struct {
 	*net.TCPConn
 	meanwhile func()
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// A request that was read as its connection was told to end is answered before the end.
+// A request that was read as its connection began to close is answered before it is closed.
 func TestRequestReadAsItsConnectionClosesIsAnswered(t *testing.T) {
 	for _, reason := range []CloseReason{CloseIdle, CloseForSlot, CloseShutdown} {
 		near, far := nettest.ConnPair(t)
@@ -64,9 +64,9 @@
 		socket.meanwhile = func() {
 			socket.meanwhile = nil
 			c.close(reason)
-			for asked := false; !asked; time.Sleep(time.Millisecond) { // until the writer wants the end
+			for proposed := false; !proposed; time.Sleep(time.Millisecond) { // until the writer proposes the end
 				c.mu.Lock()
-				asked = c.state == stateConfirming || c.state == stateEnded
+				proposed = c.state == stateConfirming || c.state == stateEnded
 				c.mu.Unlock()
 			}
 		}
@@ -76,7 +76,7 @@
 		case request := <-rec.received:
 			request.Respond(value)
 		case <-rec.disconnected:
-			t.Fatal("the request is taken for one of a client that has gone")
+			t.Fatal("the request counts as one of a disconnected client")
 		case <-done:
 			t.Fatal("the connection ended with a request that had been read")
 		}
@@ -89,7 +89,8 @@
 	}
 }
 
-// A client that leaves its answers unread loses its connection before they fill the memory, and not one that reads.
+// The connection of a client that does not read its answers is closed before they fill the memory; one that is read remains
+// open.
 func TestSlowReaderIsClosed(t *testing.T) {
 	s, _ := newServer(nil, 2, 1000)
 	var ends [2]net.Conn
@@ -103,14 +104,14 @@
 	conns[1].openResponse(nil).respond(make([]byte, 200))
 	ends[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
 	if _, err := ends[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Fatalf("the slow reader's connection was kept: %v", err)
+		t.Fatalf("the slow reader's connection is open: %v", err)
 	}
 	if _, err := ends[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the other's was closed: %v", err)
+		t.Fatalf("the other connection was closed: %v", err)
 	}
 }
 
-// What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
+// Unsent bytes are released with their connection, also after the client has disconnected: the count once only rose.
 func TestUnsentBytesAreReleasedWithTheConnection(t *testing.T) {
 	s, rec := newServer(nil, 1, 1<<20)
 	near, far := net.Pipe()
@@ -123,7 +124,7 @@
 	c.serve()
 	first.respond([]byte("-ERR failed\r\n"))
 	if n := s.unsentBytes.Load(); n != 0 {
-		t.Fatalf("%d bytes unsent of nobody", n)
+		t.Fatalf("%d unsent bytes remain", n)
 	}
 	if unanswered := <-rec.disconnected; len(unanswered) != 1 {
 		t.Fatalf("%d requests abandoned", len(unanswered))
--- a/internal/listener/fixtures_test.go
+++ b/internal/listener/fixtures_test.go
@@ -7,12 +7,13 @@
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/stall"
 	"lemontack/internal/telemetry"
 	"lemontack/policy"
 )
 
-// recorder is a handler that keeps what it is told until the test asks.
+// recorder is a handler that queues the events for the test.
 type recorder struct {
 	received      chan *Request
 	disconnected  chan []*Request
@@ -32,7 +33,7 @@
 
 func (r *recorder) RequestAnsweredTwice() { r.answeredTwice.Add(1) }
 
-// newServer returns a server for so many connections, with so many bytes for commands and for answers.
+// newServer returns a server with these limits of connections and of bytes of commands and answers.
 func newServer(ln net.Listener, connections, memory int) (*Server, *recorder) {
 	rec := &recorder{received: make(chan *Request, 256), disconnected: make(chan []*Request, 256)}
 	start := time.Now()
@@ -73,7 +74,7 @@
 
 var value = []byte("$5\r\nvalue\r\n")
 
-// wantOneUnanswered takes the word that a client has gone that waits for one answer.
+// wantOneUnanswered receives the disconnect of a client that waits for one answer.
 func wantOneUnanswered(t *testing.T, rec *recorder) {
 	t.Helper()
 	select {
@@ -83,7 +84,7 @@
 		if len(unanswered) != 1 {
 			t.Errorf("%d requests disconnected, want one", len(unanswered))
 		}
-	case <-time.After(20 * time.Second):
-		t.Error("not told that the client has gone")
+	case <-time.After(nettest.SignalTimeout):
+		t.Error("the disconnect was not reported")
 	}
 }
--- a/internal/listener/presence_test.go
+++ b/internal/listener/presence_test.go
@@ -14,11 +14,10 @@
 	"lemontack/internal/resp"
 )
 
-// maxNoticeTime is how long after a client's close an attempt of it may still begin, on a driven clock.
+// maxNoticeTime is the time after a client's disconnect within which an attempt of it may still start, on a simulated clock.
 const maxNoticeTime = 100 * time.Millisecond
 
-// gatedConn is a connection whose reads and writes wait until the test lets them go on, one for each token; nil lets
-// them all.
+// gatedConn is a connection whose reads and writes each wait for a token of the test. A nil channel does not block.
 type gatedConn struct {
 	*net.TCPConn
 	reads, writes chan struct{}
@@ -38,15 +37,15 @@
 	return g.TCPConn.Write(b)
 }
 
-// awaitEnd returns once the peer's end has come to a connection, whatever lies unread before it.
-func awaitEnd(t *testing.T, socket *net.TCPConn) {
+// awaitPeerClose returns once the peer's FIN has arrived at a connection, whatever is unread before it.
+func awaitPeerClose(t *testing.T, socket *net.TCPConn) {
 	t.Helper()
-	const closeWait = 8 // of the kernel's states: the first byte of TCP_INFO
+	const closeWait = 8 // the state CLOSE_WAIT, in the first byte of TCP_INFO
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(nettest.SignalTimeout); ; time.Sleep(time.Millisecond) {
 		state := 0
 		raw.Control(func(fd uintptr) { state, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) })
 		switch {
@@ -55,31 +54,31 @@
 		case state&0xff == closeWait:
 			return
 		case time.Now().After(limit):
-			t.Fatal("the end never came")
+			t.Fatal("never: the FIN arrives")
 		}
 	}
 }
 
-// What a connection brings that was closed before anybody read it is not taken: not from the accept queue, where it may have
-// lain for long, and not after a pause that follows nonsense.
-func TestRequestsOfAClientGoneBeforeTheReadAreNotTaken(t *testing.T) {
+// Commands of a connection that the client closed before they were read are dropped: those in the accept queue, where they may
+// have waited for long, and those behind the pause after an invalid command.
+func TestRequestsOfADisconnectedClientAreNotRead(t *testing.T) {
 	var many strings.Builder
 	for i := range 30 {
 		many.WriteString(nettest.Ask(10+i, nettest.ReadFields))
 	}
 	long := nettest.Command(commandDo, "00000000b4d65521", "9b1f03aa5c7e2d41", nettest.WriteFields, strings.Repeat("x", resp.MaxValueLength))
 	for name, test := range map[string]struct {
-		first, then string
-		half        bool
+		first, then string // first is read before the disconnect
+		halfClose   bool
 	}{
-		"one command":            {"", nettest.Ask(1, nettest.ReadFields), false},
-		"its sending only":       {"", nettest.Ask(1, nettest.ReadFields), true},
-		"many commands":          {"", many.String(), false},
-		"a long command":         {"", long, false},
-		"behind nonsense":        {nettest.Command(commandPing), nettest.Command("HELLO") + nettest.Ask(1, nettest.ReadFields), false},
-		"many behind nonsense":   {nettest.Command(commandPing), nettest.Command("HELLO") + many.String(), false},
-		"long behind nonsense":   {nettest.Command(commandPing), nettest.Command("HELLO") + long, false},
-		"a flood after nonsense": {nettest.Command(commandPing), nettest.Command("HELLO") + strings.Repeat(many.String(), 40), false},
+		"one command":                 {"", nettest.Ask(1, nettest.ReadFields), false},
+		"half-close":                  {"", nettest.Ask(1, nettest.ReadFields), true},
+		"many commands":               {"", many.String(), false},
+		"a long command":              {"", long, false},
+		"behind an invalid command":   {nettest.Command(commandPing), nettest.Command("HELLO") + nettest.Ask(1, nettest.ReadFields), false},
+		"many behind an invalid one":  {nettest.Command(commandPing), nettest.Command("HELLO") + many.String(), false},
+		"long behind an invalid one":  {nettest.Command(commandPing), nettest.Command("HELLO") + long, false},
+		"flood behind an invalid one": {nettest.Command(commandPing), nettest.Command("HELLO") + strings.Repeat(many.String(), 40), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := nettest.ConnPair(t)
@@ -95,29 +94,29 @@
 				defer close(done)
 				c.read()
 			}()
-			for test.first != "" && !c.hasReceived() {
-				time.Sleep(time.Millisecond)
+			if test.first != "" {
+				nettest.Eventually(t, "the first command is read", c.hasReceived)
 			}
 			io.WriteString(far, test.then)
-			if test.half {
+			if test.halfClose {
 				far.CloseWrite()
 			} else {
 				far.Close()
 			}
-			if len(test.then) <= resp.MaxFrameLength+resp.MaxLineLength { // else the end stays behind what the system can take
-				awaitEnd(t, near)
+			if len(test.then) <= resp.MaxFrameLength+resp.MaxLineLength { // else the FIN stays behind what the socket buffers hold
+				awaitPeerClose(t, near)
 			}
 			close(reads)
 			nettest.Await(t, "reading ends", done)
 			if n := len(rec.received); n > 0 {
-				t.Fatalf("%d commands of a client that had left are taken", n)
+				t.Fatalf("%d commands of a disconnected client are read", n)
 			}
 		})
 	}
 }
 
-// The handler hears that a client has left before the last write to it has returned.
-func TestDisconnectIsToldBeforeTheWriterEnds(t *testing.T) {
+// The handler is notified of a disconnect before the last write to the client has returned.
+func TestDisconnectIsReportedBeforeTheWriterEnds(t *testing.T) {
 	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
 	writes := make(chan struct{})
@@ -126,7 +125,7 @@
 	c.openResponse(&Request{})
 	first.respond([]byte("+PONG\r\n"))
 	done := serve(c)
-	for waiting := true; waiting; time.Sleep(time.Millisecond) { // until the writer holds the answer
+	for waiting := true; waiting; time.Sleep(time.Millisecond) { // until the writer has the answer
 		c.mu.Lock()
 		waiting = c.outCount > 0
 		c.mu.Unlock()
@@ -136,13 +135,13 @@
 	close(writes)
 	nettest.Await(t, "the connection's end", done)
 	if n := s.unsentBytes.Load(); n != 0 {
-		t.Fatalf("%d bytes unsent of nobody", n)
+		t.Fatalf("%d unsent bytes remain", n)
 	}
 }
 
-// scriptedConn is a connection that brings a text at once, then its end; what is written to it is dropped.
+// scriptedConn is a connection from which a text and then EOF are read at once; what is written to it is discarded.
 type scriptedConn struct {
-	net.Conn // none: what is not below is not called
+	net.Conn // nil: no other method is called
 	in       *strings.Reader
 	closed   bool
 }
@@ -160,22 +159,22 @@
 	return nil
 }
 
-// A client with an open request that sends much of no use and goes is noticed in time, however much lies before its end.
-// Where it has none, a flood still costs its sender's time.
-func TestClientThatGoesBehindAFloodIsNoticed(t *testing.T) {
+// The disconnect of a client with an open request is noticed in time, however many invalid bytes precede it. A client without
+// an open request is slowed down by its flood.
+func TestDisconnectBehindAFloodIsNoticed(t *testing.T) {
 	flood := strings.Repeat("x", 8<<20)
 	for name, test := range map[string]struct {
 		text    string
 		faults  int32
-		owed    bool
+		open    bool // a request is open
 		minTime time.Duration
 	}{
-		"lost framing":         {"?\r\n" + flood, 0, true, 0},
-		"lost framing, late":   {"?\r\n" + flood, maxFaults - 1, true, 0},
-		"a pause":              {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), maxFaults / 2, true, 0},
-		"the last pause":       {nettest.Command("HELLO") + flood, maxFaults - 1, true, 0},
-		"lost, nothing open":   {"?\r\n" + flood, 0, false, time.Second},
-		"a pause without open": {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), 4, false, 5 * faultPause},
+		"lost framing":               {"?\r\n" + flood, 0, true, 0},
+		"lost framing, late":         {"?\r\n" + flood, maxFaults - 1, true, 0},
+		"a pause":                    {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), maxFaults / 2, true, 0},
+		"the last pause":             {nettest.Command("HELLO") + flood, maxFaults - 1, true, 0},
+		"lost framing, nothing open": {"?\r\n" + flood, 0, false, time.Second},
+		"a pause, nothing open":      {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), 4, false, 5 * faultPause},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -183,15 +182,15 @@
 				c := newConn(s, &scriptedConn{in: strings.NewReader(test.text)})
 				c.faults.Store(test.faults)
 				c.reader.pausedFaults = test.faults
-				if test.owed {
+				if test.open {
 					c.openResponse(&Request{})
 				}
 				began := time.Now()
 				done := serve(c)
-				if !test.owed {
+				if !test.open {
 					<-done
 					if took := time.Since(began); took < test.minTime {
-						t.Fatalf("over after %v, want %v at least", took, test.minTime)
+						t.Fatalf("closed after %v, want %v at least", took, test.minTime)
 					}
 					return
 				}
@@ -205,8 +204,8 @@
 	}
 }
 
-// A client that leaves in a pause after nonsense is noticed, however long the pause is.
-func TestClientThatGoesInAPauseIsNoticed(t *testing.T) {
+// A disconnect in the pause after an invalid command is noticed, however long the pause is.
+func TestDisconnectInAPauseIsNoticed(t *testing.T) {
 	near, far := nettest.ConnPair(t)
 	s, _ := newServer(nil, 1, 1<<20)
 	s.maxUnread = math.MaxInt64
@@ -218,5 +217,5 @@
 		}
 	}()
 	far.Close()
-	nettest.Await(t, "the client's leaving", noticed)
+	nettest.Await(t, "the disconnect", noticed)
 }
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -13,7 +13,7 @@
 	"lemontack/internal/resp"
 )
 
-// deadlineConn notes whether the read deadlines that are set on a connection are ones, or take one off.
+// deadlineConn records for each call of SetReadDeadline whether it sets a deadline or clears it.
 type deadlineConn struct {
 	net.Conn
 	set []bool
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// deadlinesSet reads the parts one after another and returns the read deadlines that were set meanwhile.
+// deadlinesSet sends the parts in writes of their own and returns the calls of SetReadDeadline in the meantime.
 func deadlinesSet(t *testing.T, parts ...string) string {
 	t.Helper()
 	near, far := net.Pipe()
@@ -44,16 +44,16 @@
 	return fmt.Sprint(socket.set)
 }
 
-// A command that has begun must end in time, so that a half-open client does not stay for good; between
-// commands a client may be silent.
+// A command that has begun has a deadline, so that a half-open connection does not remain; between commands a client may be
+// idle.
 func TestOnlyPartialCommandsHaveADeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
 	if got := deadlinesSet(t, ping, ping[:5], ping[5:], ping); got != "[true false]" {
-		t.Fatalf("deadlines set: %v, want one inside the split command, taken off after it", got)
+		t.Fatalf("deadlines set: %v, want one inside the split command, cleared after it", got)
 	}
 }
 
-// Each command has its own time to end: a client that goes on sending was once cut off for the first half command in a row.
+// Each partial command has its own deadline: a client that goes on sending was once disconnected by that of the first one.
 func TestEachCommandHasItsOwnDeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
 	got := deadlinesSet(t, ping[:5], ping[5:]+ping[:5], ping[5:]+ping[:5], ping[5:])
@@ -62,9 +62,9 @@
 	}
 }
 
-// Nonsense over and over is answered ever more slowly, and ends the connection: what had been read by then has its answers in
-// order, which is what one connection may hold unread beyond the last fault at most.
-func TestRepeatedNonsenseEndsTheConnection(t *testing.T) {
+// Repeated invalid commands are answered ever more slowly, and at last the connection is closed. Those that were read by then
+// have their answers in order: beyond the last fault, what one connection may buffer at most.
+func TestRepeatedInvalidCommandsCloseTheConnection(t *testing.T) {
 	ln := nettest.Listen(t)
 	s, _ := newServer(ln, 16, 1<<20)
 	ctx, stop := context.WithCancel(context.Background())
@@ -82,15 +82,15 @@
 	hello, answer := nettest.Command("HELLO"), "-ERR unknown command\r\n"
 	go io.WriteString(socket, strings.Repeat(hello, 10_000))
 	rest, err := io.ReadAll(in)
-	n, most := strings.Count(string(rest), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
-	if n < maxFaults || n > most || len(rest) != n*len(answer) {
-		t.Fatalf("%d errors in %d bytes, %v; want %d to %d and the end", n, len(rest), err, maxFaults, most)
+	n, limit := strings.Count(string(rest), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
+	if n < maxFaults || n > limit || len(rest) != n*len(answer) {
+		t.Fatalf("%d errors in %d bytes, %v; want %d to %d and the end", n, len(rest), err, maxFaults, limit)
 	}
 }
 
-// Commands beyond the number that may wait are rejected in their order, and far beyond it the connection ends, after
-// all answers: each of what was read has one, also behind the command that was one too many.
-func TestManyCommandsAtOnceAreRejectedInOrder(t *testing.T) {
+// Commands beyond the pipeline limit are rejected in their order. Far beyond it the connection is closed, after all answers:
+// each command that was read has one, also those behind the one that exceeded the limit.
+func TestCommandsBeyondThePipelineLimitAreRejectedInOrder(t *testing.T) {
 	const behind = 39
 	var b strings.Builder
 	for i := range maxUnwritten + 1 + behind {
@@ -101,23 +101,21 @@
 	c := newConn(s, near)
 	done := serve(c)
 	io.WriteString(far, b.String())
-	var taken []*Request
+	var admitted []*Request
 	for range MaxPipelined {
-		taken = append(taken, <-rec.received)
+		admitted = append(admitted, <-rec.received)
 	}
-	for !c.unwrittenAtLeast(maxUnwritten + 1 + behind) {
-		time.Sleep(time.Millisecond)
+	nettest.Eventually(t, "all commands are read", func() bool { return c.unwrittenAtLeast(maxUnwritten + 1 + behind) })
+	for _, request := range admitted { // no command is answered before
+		request.Respond([]byte("+admitted\r\n"))
 	}
-	for _, request := range taken { // nothing is answered before
-		request.Respond([]byte("+taken\r\n"))
-	}
-	want := strings.Repeat("+taken\r\n", MaxPipelined) + strings.Repeat("-BUSY\r\n", maxUnwritten-MaxPipelined) +
+	want := strings.Repeat("+admitted\r\n", MaxPipelined) + strings.Repeat("-BUSY\r\n", maxUnwritten-MaxPipelined) +
 		"-ERR too many commands at once\r\n" + strings.Repeat("-BUSY\r\n", behind)
 	if got, err := io.ReadAll(far); string(got) != want || err != nil {
 		t.Fatalf("answers %q, %v", got, err)
 	}
 	nettest.Await(t, "the connection's end", done)
-	if n, gone := len(rec.received), len(rec.disconnected); n > 0 || gone > 0 {
-		t.Fatalf("%d requests and %d disconnects after the commands that were taken", n, gone)
+	if n, disconnects := len(rec.received), len(rec.disconnected); n > 0 || disconnects > 0 {
+		t.Fatalf("%d requests and %d disconnects after the admitted commands", n, disconnects)
 	}
 }
--- a/internal/listener/transient_test.go
+++ b/internal/listener/transient_test.go
@@ -11,7 +11,7 @@
 	"lemontack/internal/nettest"
 )
 
-// scarceConn is a connection whose reads and writes fail in turn for want of memory, and whose writes fall short.
+// scarceConn is a connection of which every second read and write fails for lack of memory, the writes after half their bytes.
 type scarceConn struct {
 	*net.TCPConn
 	reads, writes atomic.Int32
@@ -32,7 +32,7 @@
 	return s.TCPConn.Write(b)
 }
 
-// A client's requests are read and answered whole over calls that the system has no memory for.
+// Requests are read and answered completely though system calls fail for lack of memory.
 func TestAnswersGoOnOverTransientErrors(t *testing.T) {
 	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// An endpoint that answers what was not yet written to it must not block the event loop.
+// A connection whose queue is full does not block the event loop; it is closed.
 func TestFullConnectionDoesNotBlockTheLoop(t *testing.T) {
-	pool, _ := newTestPool(t, nil, startServer(t, nil).address)
+	pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
 	near, far := net.Pipe()
 	defer far.Close()
 	c := newConnection(pool.Endpoint("s0"), nil)
@@ -18,16 +18,16 @@
 		pool.assign(c, attempt)
 	}
 	if _, err := near.Write(nil); err == nil {
-		t.Fatal("the connection was kept")
+		t.Fatal("the connection is open")
 	}
 }
 
-// A command that was cut off before its last byte was not executed; one that was written whole may have been.
+// A command that was not written to its last byte was not executed; one that was written completely may have been.
 func TestOnlyWholeCommandsCountAsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		read  int
-		whole bool
-	}{"cut off": {3, false}, "whole": {9, true}} {
+		read     int
+		complete bool
+	}{"partial": {3, false}, "complete": {9, true}} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
 			attempt := NewAttempt(&Endpoint{}, &testCommand{})
@@ -40,25 +40,25 @@
 				conn.write()
 			}()
 			io.ReadFull(far, make([]byte, c.read))
-			if c.whole {
+			if c.complete {
 				close(conn.readEnded)
 			} else {
 				far.Close()
 			}
 			<-written
-			if got := conn.written.Load(); (got == attempt) != c.whole {
-				t.Fatalf("whole: %v, want %v", got == attempt, c.whole)
+			if got := conn.written.Load(); (got == attempt) != c.complete {
+				t.Fatalf("written: %v, want %v", got == attempt, c.complete)
 			}
 		})
 	}
 }
 
 // An attempt that a connection has been given and has not begun to write is withdrawn, also where the connection has received
-// it: nothing of it was sent, and the connection goes on with the next one.
-func TestWithdrawnBeforeTheWriteIsNotSent(t *testing.T) {
+// it: nothing of it was sent, and the connection serves the next one.
+func TestWithdrawnCommandIsNotSent(t *testing.T) {
 	for name, received := range map[string]bool{"assigned": false, "received": true} {
 		t.Run(name, func(t *testing.T) {
-			pool, _ := newTestPool(t, nil, startServer(t, nil).address)
+			pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
 			near, far := net.Pipe()
 			endpoint := pool.Endpoint("s0")
 			c := newConnection(endpoint, nil)
@@ -71,11 +71,11 @@
 				c.assignments <- next
 			} else {
 				if pool.Withdraw(attempt); len(c.assignments) != 0 {
-					t.Fatal("no room for the next command")
+					t.Fatal("no capacity for the next command")
 				}
 			}
 			if !attempt.ended || c.current != nil || len(endpoint.idle) != 1 {
-				t.Fatalf("ended %v, the connection carries %v", attempt.ended, c.current)
+				t.Fatalf("ended %v, the connection has attempt %v", attempt.ended, c.current)
 			}
 			written := make(chan struct{})
 			go func() {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A command that is abandoned before its first byte is not written, and the connection is given up.
+// A command that is abandoned before its first byte is not written, and the connection is closed.
 func TestAbandonedCommandIsNotWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -105,7 +105,7 @@
 	conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
 	conn.write()
 	if n, err := far.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Fatalf("%d bytes, %v; want the end", n, err)
+		t.Fatalf("%d bytes, %v; want EOF", n, err)
 	}
 	if conn.written.Load() != nil {
 		t.Fatal("counts as written")
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -18,44 +18,44 @@
 
 const valueReply = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-// server is an endpoint for tests. It answers commands by their order: what reply returns goes out as it is, "" is silence.
-type server struct {
+// testEndpoint is an endpoint that counts the commands that it receives.
+type testEndpoint struct {
 	address string
 
 	mu       sync.Mutex
 	commands int // guarded by mu
 }
 
-// startServer starts an endpoint that never answers where reply is nil.
-func startServer(t *testing.T, reply func(n int) string) *server {
+// startEndpoint starts an endpoint that writes what reply returns for the n-th command; "" and a nil reply are silence.
+func startEndpoint(t *testing.T, reply func(n int) string) *testEndpoint {
 	t.Helper()
-	s := &server{}
-	s.address = nettest.Serve(t, func(conn net.Conn) {
+	e := &testEndpoint{}
+	e.address = nettest.Serve(t, func(conn net.Conn) {
 		in := redcon.NewReader(conn)
 		for {
 			if _, err := in.ReadCommand(); err != nil {
 				return
 			}
-			s.mu.Lock()
-			s.commands++
-			n := s.commands
-			s.mu.Unlock()
+			e.mu.Lock()
+			e.commands++
+			n := e.commands
+			e.mu.Unlock()
 			if reply != nil {
 				io.WriteString(conn, reply(n))
 			}
 		}
 	})
-	return s
+	return e
 }
 
-// received returns the number of commands that came.
-func (s *server) received() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.commands
+// received returns the number of commands that have come by now.
+func (e *testEndpoint) received() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.commands
 }
 
-// testLoop is an event loop that the test turns by hand, on a clock that stands still.
+// testLoop is an event loop that the test steps, on a simulated clock.
 type testLoop struct {
 	now    time.Duration
 	timers []testTimer
@@ -81,13 +81,13 @@
 	}
 }
 
-// testIdleTimeout and testConnectTimeout are those of the pools of tests.
+// testIdleTimeout and testConnectTimeout are the timeouts of the pools that newTestPool returns.
 const (
 	testIdleTimeout    = 15 * time.Second
 	testConnectTimeout = 5 * time.Second
 )
 
-// newTestPool returns a pool with endpoints s0, s1 and so on at these addresses, which changes of the configuration apply to.
+// newTestPool returns a pool with endpoints s0, s1 and so on at these addresses. change adapts its configuration.
 func newTestPool(t *testing.T, change func(*Config), addresses ...string) (*Pool, *testLoop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 	return updates
 }
 
-// testCommand is a command that notes how its attempt ended.
+// testCommand is a command that records the ends of its attempt.
 type testCommand struct {
 	denied    bool // it may not start
 	abandoned bool
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,9 +9,9 @@
 	"lemontack/policy"
 )
 
-// A cancelled attempt that still waits for its connection was not sent, and is not written later.
+// An attempt that is cancelled while it waits for a connection was not sent, and is not written later.
 func TestCancelledWhileWaitingIsNotSent(t *testing.T) {
-	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.Abort(attempt, policy.Cancelled)
@@ -21,13 +21,13 @@
 		t.Fatalf("ends %v, want one as not sent", command.ends)
 	}
 	if connected.connection.current != nil {
-		t.Fatal("the connection carries an attempt")
+		t.Fatal("the connection has an attempt")
 	}
 }
 
-// An idle connection is closed before the endpoint would: a command that crossed that would be a reset.
+// An idle connection is closed before the endpoint closes it: a command that crossed the close would be reset.
 func TestStaleIdleConnectionIsRetired(t *testing.T) {
-	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	endpoint := pool.Endpoint("s0")
 	endpoint.waiting = append(endpoint.waiting, nil)
 	pool.dial(endpoint)
@@ -40,13 +40,13 @@
 	loop.now += testIdleTimeout - time.Second
 	pool.RetireIdle()
 	if down := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !down.wasConnected {
-		t.Fatal("an old connection was kept")
+		t.Fatal("a stale connection was not retired")
 	}
 }
 
-// A reply that was there before its command had been written belongs to another: the attempt was not executed.
-func TestReplyBeforeItsCommandIsNotTaken(t *testing.T) {
-	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+// A reply that arrived before its command was written is another command's: the attempt was not executed.
+func TestReplyBeforeItsCommandIsIgnored(t *testing.T) {
+	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
@@ -62,10 +62,10 @@
 	}
 }
 
-// Where all connections that may be open are busy elsewhere, the next that is free makes room: an attempt at another endpoint
-// once waited for good.
+// With all connections in use at other endpoints, the next one that becomes idle is closed for a new one: an attempt at another
+// endpoint once waited for ever.
 func TestFreedConnectionMakesRoomForAnotherEndpoint(t *testing.T) {
-	a, b := startServer(t, nil), startServer(t, nil)
+	a, b := startEndpoint(t, nil), startEndpoint(t, nil)
 	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 1 }, a.address, b.address)
 	first, _ := newTestAttempt(pool, "s0")
 	second, _ := newTestAttempt(pool, "s1")
@@ -80,10 +80,10 @@
 	}
 }
 
-// An idempotent request may be sent again only while its endpoints remember its key, and the policy leaves 10% of that time for
-// the way. A copy that waits for a connection for longer must not be written any more: it was not executed.
+// An attempt does not wait for a connection for longer than the connect timeout. A retry may be sent only within the
+// deduplication window, of which the policy leaves 10% for the transit.
 func TestWaitForConnectionEndsAfterConnectTimeout(t *testing.T) {
-	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 0 }, startServer(t, nil).address)
+	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 0 }, startEndpoint(t, nil).address)
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	loop.advance(testConnectTimeout)
@@ -92,27 +92,27 @@
 	}
 }
 
-// An attempt that is known to be written whole ends the moment it is aborted: a loop that was busy once failed the request
-// before the connection's own event came.
+// An attempt that is known to be written completely ends the moment it is aborted: a busy event loop once failed the request
+// before the event of the connection arrived.
 func TestAbortedWrittenAttemptEndsAtOnce(t *testing.T) {
-	s := startServer(t, nil)
+	s := startEndpoint(t, nil)
 	pool, loop := newTestPool(t, nil, s.address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.HandleEvent(<-loop.events)
-	for s.received() < 1 || attempt.connection.written.Load() != attempt {
-		time.Sleep(time.Millisecond)
-	}
+	nettest.Eventually(t, "the command is written", func() bool {
+		return s.received() > 0 && attempt.connection.written.Load() == attempt
+	})
 	pool.Abort(attempt, policy.TimedOut)
 	if !attempt.ended || command.ends[0].Outcome != policy.TimedOut {
 		t.Fatalf("ended: %v, with %v", attempt.ended, command.ends)
 	}
 }
 
-// Endpoints come under ever new ids: one that is removed is forgotten as soon as its last connection is, though another may
-// have taken its address by then.
-func TestRemovedEndpointIsForgotten(t *testing.T) {
-	s := startServer(t, func(int) string { return valueReply })
+// A removed endpoint is deleted with its last connection, also if another has its address by then: restarted endpoints have
+// new ids.
+func TestRemovedEndpointIsDeleted(t *testing.T) {
+	s := startEndpoint(t, func(int) string { return valueReply })
 	pool, loop := newTestPool(t, nil, s.address)
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
@@ -131,28 +131,28 @@
 	}
 }
 
-// A second reply may come some milliseconds after the first: until then the connection takes nothing, or the next request
-// would be served with another's value.
+// A duplicate reply may arrive some milliseconds after the first. The connection is not reused before, or the next request
+// would get the value of another.
 func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
-	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.HandleEvent(<-loop.events)
 	reply := Reply{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{attempt.connection, attempt, reply})
 	if loop.advance(10 * time.Millisecond); len(attempt.endpoint.idle) != 0 {
-		t.Fatal("free again at once")
+		t.Fatal("idle again at once")
 	}
 	if loop.advance(reuseDelay); len(attempt.endpoint.idle) != 1 {
-		t.Fatal("not free again")
+		t.Fatal("not idle again")
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is not used, also where its Disconnected event has not come yet.
+// A connection that the endpoint has closed while it was idle is not used, also if its Disconnected event has not arrived yet.
 func TestConnectionClosedJustBeforeUseIsNotUsed(t *testing.T) {
-	leave, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
+	release, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
 	pool, loop := newTestPool(t, nil, nettest.Serve(t, func(conn net.Conn) {
-		<-leave
+		<-release
 		conn.Close()
 		closed <- struct{}{}
 	}))
@@ -163,19 +163,19 @@
 	if pool.HandleEvent(connected); len(attempt.endpoint.idle) != 1 {
 		t.Fatal("not idle")
 	}
-	leave <- struct{}{}
+	release <- struct{}{}
 	<-closed
-	t.Cleanup(func() { close(leave) })
+	t.Cleanup(func() { close(release) })
 	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
 		t.Fatal("written to a connection that is closed")
 	}
 }
 
-// A connection that has been idle for long is not used, also where the idle timeout is shorter than the time between two calls
+// A connection that has been idle for too long is not used, also if the idle timeout is shorter than the time between two calls
 // of RetireIdle.
 func TestStaleIdleConnectionIsNotUsed(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
-	pool, loop := newTestPool(t, func(c *Config) { c.IdleTimeout = idleTimeout }, startServer(t, nil).address)
+	pool, loop := newTestPool(t, func(c *Config) { c.IdleTimeout = idleTimeout }, startEndpoint(t, nil).address)
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
@@ -187,9 +187,9 @@
 	}
 }
 
-// A command that may not start any more when its connection comes up is not sent, and the next one that waits is.
+// A command that may not start any more when its connection is established is not sent; the next waiting one is.
 func TestDeniedCommandIsNotSentAndTheNextIs(t *testing.T) {
-	pool, loop := newTestPool(t, nil, startServer(t, nil).address)
+	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	denied, deniedCommand := newTestAttempt(pool, "s0")
 	next, _ := newTestAttempt(pool, "s0")
 	pool.Start(denied)
@@ -204,9 +204,9 @@
 	}
 }
 
-// What waits for a connection to an endpoint that begins to drain ends as not sent at once.
+// Attempts that wait for a connection to an endpoint that begins to drain end as not sent at once.
 func TestDrainEndsWaitingAttempts(t *testing.T) {
-	s := startServer(t, nil)
+	s := startEndpoint(t, nil)
 	pool, loop := newTestPool(t, nil, s.address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
@@ -222,6 +222,6 @@
 	}
 	pool.HandleEvent(connected)
 	if connected.connection.current != nil || len(command.ends) != 1 {
-		t.Fatal("sent to an endpoint that drains")
+		t.Fatal("sent to a draining endpoint")
 	}
 }
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// The figures on use tell the true units of a request; what cannot be read tells nothing, and the reply stays good.
+// The usage figures of a reply give the settled units of its request. Invalid ones are ignored, and the reply remains valid.
 func TestParseReplySettledUnits(t *testing.T) {
 	for _, c := range []struct {
 		use  string
