--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -18,7 +18,7 @@
 
 const (
 	reservedDescriptors = 4   // of minDescriptors, never in use
-	fullDescriptors     = 100 // in use once the descriptors for clients and for connections to endpoints are all taken
+	fullDescriptors     = 100 // in use once those for clients and for connections to endpoints are all in use
 	concurrentAttempts  = 48  // each on a connection of its own: as many as an ingress opens to endpoints
 	idleClients         = 200
 )
--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -14,7 +14,7 @@
 	"lemontack/policy"
 )
 
-// An attempt that was answered returns its connection to the pool. Once all of them were taken for abandoned.
+// An answered attempt returns its connection to the pool: once all answered attempts counted as abandoned.
 func TestConnectionIsReused(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
@@ -241,7 +241,7 @@
 	}
 }
 
-// An endpoint receives the client's command with the time that is left in place of the client's, and never less than 1 ms.
+// An endpoint receives the client's command with the time left in place of the client's timeout, and at least 1 ms.
 func TestForwardedCommandHasTheTimeLeft(t *testing.T) {
 	fields := "c=read,d=50000,units=1"
 	for _, c := range []struct {
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -10,7 +10,6 @@
 
 	"github.com/tidwall/redcon"
 
-	"lemontack/internal/discovery"
 	"lemontack/internal/nettest"
 	"lemontack/internal/standin"
 )
@@ -66,6 +65,7 @@
 
 // startServingEndpoint starts an endpoint that serves every request with a value. A malformed command fails the test.
 func startServingEndpoint(t *testing.T, value string) *testEndpoint {
+	t.Helper()
 	e := &testEndpoint{}
 	backend := standin.NewBackend(standin.BackendConfig{Value: func(args []string) string {
 		e.mu.Lock()
@@ -99,52 +99,6 @@
 	return nc, err
 }
 
-// startDiscovery starts a discovery service with a list. What is sent to changes becomes watch events, with revisions that count up.
-func startDiscovery(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
-	t.Helper()
-	service := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1})
-	service.SetList(standinTargets(list))
-	ln, done := nettest.Listen(t), make(chan struct{})
-	go service.Serve(ln) // ended by Close
-	go func() {          // ended by done
-		for {
-			select {
-			case <-done:
-				return
-			case change := <-changes:
-				if change.Snapshot {
-					service.SetList(standinTargets(change))
-				} else {
-					service.Change(standinTargets(change)...)
-				}
-			}
-		}
-	}()
-	t.Cleanup(func() {
-		close(done)
-		service.Close()
-	})
-	return ln.Addr().String()
-}
-
-// standinTargets are the entries of a list in the form of the stand-in.
-func standinTargets(list discovery.EndpointList) []standin.Target {
-	targets := make([]standin.Target, len(list.Entries))
-	for i, entry := range list.Entries {
-		targets[i] = standin.Target(entry)
-	}
-	return targets
-}
-
-// endpointsAt is a list of serving endpoints s0, s1 and so on at these addresses.
-func endpointsAt(addrs ...string) discovery.EndpointList {
-	list := discovery.EndpointList{Revision: 1, Snapshot: true}
-	for i, addr := range addrs {
-		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"})
-	}
-	return list
-}
-
 // awaitServedBy sends requests until one is served with this value. The ingress must have endpoints in the meantime.
 func awaitServedBy(t *testing.T, addr, value string) {
 	t.Helper()
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -128,7 +128,7 @@
 	return last
 }
 
-// goldenRun is one run of a scenario on a driven clock.
+// goldenRun is one run of a scenario on a simulated clock.
 type goldenRun struct {
 	goldenScenario
 	t         *testing.T
@@ -316,7 +316,7 @@
 	run.push(took, i, nil, func() { run.end(i, id, n, endpoint, outcome, took) })
 }
 
-// end tells of an attempt's end, once.
+// end notifies the gateway of an attempt's end, once.
 func (run *goldenRun) end(i int, id RequestID, n int, endpoint EndpointID, outcome Outcome, took time.Duration) {
 	key := fmt.Sprint(id, "/", n)
 	if run.ended[key] {
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// A gateway that found a bucket exhausted does not call the counter for a while, and tells clients when to
-// retry.
+// A gateway that found a bucket exhausted does not call the counter for a while, and names clients a
+// time to retry.
 func TestExhaustedCentralBucketIsNotCalledAtOnce(t *testing.T) {
 	g, call := newCentralCall(t, "thick")
 	rejections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 1000}).rejections
@@ -131,7 +131,7 @@
 		if len(got.rejections) != 1 || len(got.calls) != 0 || len(got.sent) != 0 {
 			t.Fatalf("effects %+v, want a rejection and no call", got)
 		}
-		g.pass(got.rejections[0].retryAfter)
+		g.advance(got.rejections[0].retryAfter)
 		if retries {
 			got = g.arriveCentral(2, "thick", true)
 			if len(got.sent) != 1 || len(got.calls) != 0 {
@@ -139,7 +139,7 @@
 			}
 			continue
 		}
-		returned := g.pass(3 * g.manager.config.MaxLatencyObjective).calls
+		returned := g.advance(3 * g.manager.config.MaxLatencyObjective).calls
 		if len(returned) != 1 || returned[0].Add != -2 {
 			t.Errorf("no retry: calls %v, want the reservation returned", returned)
 		}
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -49,28 +49,28 @@
 	rejections []rejection
 }
 
-// heldRequest is a request of a testGateway.
-type heldRequest struct {
+// openRequest is a request of a testGateway.
+type openRequest struct {
 	id       model.RequestID
 	deadline time.Duration
 	charge   Charge
 }
 
-// testGateway is a Host on a driven clock. It starts an attempt of each admitted request as soon as the
-// Manager allows one, in the order of arrival, and never on its own gives up a request that waits.
+// testGateway is a Host on a simulated clock. It starts an attempt of each admitted request as soon as the
+// Manager allows one, in the order of arrival, and never rejects a queued request by itself.
 type testGateway struct {
 	*testing.T
 	manager  *Manager
 	now      time.Duration
 	paused   bool // no attempt starts
-	requests map[model.RequestID]*heldRequest
-	queue    []*heldRequest
+	requests map[model.RequestID]*openRequest
+	queue    []*openRequest
 	effects  effects // of the present event
 }
 
 func newTestGateway(t *testing.T, config Config, plans []model.Plan) *testGateway {
 	t.Helper()
-	g := &testGateway{T: t, now: time.Minute, requests: map[model.RequestID]*heldRequest{}}
+	g := &testGateway{T: t, now: time.Minute, requests: map[model.RequestID]*openRequest{}}
 	rng := rand.New(rand.NewPCG(testSeed, testSeed^0x9e3779b97f4a7c15))
 	g.manager = NewManager(config, plans, rng, g)
 	return g
@@ -90,9 +90,9 @@
 func (g *testGateway) arrive(request Request) effects {
 	request.Customer = "c"
 	request.PriorityWeight = 1
-	held := &heldRequest{id: request.ID, deadline: g.now + requestTimeout, charge: g.manager.Open(request)}
-	g.requests[request.ID] = held
-	g.resolve(held, g.manager.Admit(&held.charge))
+	open := &openRequest{id: request.ID, deadline: g.now + requestTimeout, charge: g.manager.Open(request)}
+	g.requests[request.ID] = open
+	g.resolve(open, g.manager.Admit(&open.charge))
 	return g.takeEffects()
 }
 
@@ -118,14 +118,14 @@
 	return g.takeEffects()
 }
 
-// disconnect takes a client away whose request waits.
+// disconnect ends a queued request whose client disconnects.
 func (g *testGateway) disconnect(id model.RequestID) effects {
 	g.finish(g.requests[id])
 	return g.takeEffects()
 }
 
-// pass lets time go by in ticks.
-func (g *testGateway) pass(d time.Duration) (all effects) {
+// advance moves the clock on in ticks and returns all effects.
+func (g *testGateway) advance(d time.Duration) (all effects) {
 	for end := g.now + d; g.now < end; {
 		g.now += g.manager.config.TickInterval
 		g.manager.Tick()
@@ -137,36 +137,38 @@
 	return all
 }
 
-func (g *testGateway) resolve(held *heldRequest, decision Decision) {
+// resolve queues an admitted request, or ends a rejected one.
+func (g *testGateway) resolve(request *openRequest, decision Decision) {
 	switch decision.Verdict {
 	case Admitted:
-		g.queue = append(g.queue, held)
+		g.queue = append(g.queue, request)
 	case Rejected:
 		retryAfter := min(decision.RetryAfter, g.manager.config.MaxRetryAfter)
-		g.effects.rejections = append(g.effects.rejections, rejection{held.id, retryAfter})
-		g.finish(held)
+		g.effects.rejections = append(g.effects.rejections, rejection{request.id, retryAfter})
+		g.finish(request)
 	case Pending:
 	}
 }
 
-func (g *testGateway) finish(held *heldRequest) {
-	g.queue = slices.DeleteFunc(g.queue, func(other *heldRequest) bool { return other == held })
-	g.manager.Finish(&held.charge)
+// finish ends a request and removes it from the queue.
+func (g *testGateway) finish(request *openRequest) {
+	g.queue = slices.DeleteFunc(g.queue, func(other *openRequest) bool { return other == request })
+	g.manager.Finish(&request.charge)
 }
 
 // takeEffects starts the attempts that may start, and returns the effects since the last event.
 func (g *testGateway) takeEffects() effects {
-	g.queue = slices.DeleteFunc(g.queue, func(held *heldRequest) bool {
-		if g.paused || g.now >= held.deadline || !g.manager.MayDispatch(&held.charge) {
+	g.queue = slices.DeleteFunc(g.queue, func(request *openRequest) bool {
+		if g.paused || g.now >= request.deadline || !g.manager.MayDispatch(&request.charge) {
 			return false
 		}
-		g.manager.AttemptStarted(&held.charge)
-		g.effects.sent = append(g.effects.sent, held.id)
+		g.manager.AttemptStarted(&request.charge)
+		g.effects.sent = append(g.effects.sent, request.id)
 		return true
 	})
-	taken := g.effects
+	latest := g.effects
 	g.effects = effects{}
-	return taken
+	return latest
 }
 
 // addsOf sums what calls add.
--- a/policy/quota/lease_test.go
+++ b/policy/quota/lease_test.go
@@ -29,7 +29,7 @@
 func TestSilentCounterLeavesNoDeficit(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	c := g.silenceCounter()
-	g.pass(20 * time.Second)
+	g.advance(20 * time.Second)
 	g.manager.renewLease(c)
 	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingAdd + c.lease.lastTotal + 30})
 	if tokens := c.availableTokens(g.now) + c.lease.tokens; tokens < 1 {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// A counter that has lost its numbers tells nothing new, and grants no second burst.
+// The totals of a counter that has lost its numbers grant no second burst.
 func TestCounterThatLostItsNumbersGrantsNoSecondBurst(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	c := g.customer("small", 2)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -54,7 +54,7 @@
 	over    bool // the gateway has been notified of its end
 }
 
-// modelEndpoint is a modelled endpoint: some slots, a queue, and the least capacity that the settings promise.
+// modelEndpoint is a modelled endpoint: some slots, a queue, and the minimum capacity that the settings promise.
 type modelEndpoint struct {
 	Endpoint
 	slots, busy int
@@ -124,17 +124,17 @@
 }
 
 // startGateway starts a gateway that knows the endpoints of now.
-func (d *slowStartRun) startGateway(me int) *testGateway {
+func (d *slowStartRun) startGateway(index int) *testGateway {
 	set := d.set
-	set.Index = me
+	set.Index = index
 	d.seed += 1 << 20
-	gateway, err := New(set, d.seed+uint64(me))
+	gateway, err := New(set, d.seed+uint64(index))
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	g := &testGateway{T: d.t, gateway: gateway, now: d.now}
 	if d.subsetSize > 0 {
-		d.subsets[g] = newEndpointSubset(me, set.GatewayCount, d.subsetSize, d.slowStartCell.endpoints)
+		d.subsets[g] = newEndpointSubset(index, set.GatewayCount, d.subsetSize, d.slowStartCell.endpoints)
 	}
 	d.notify(g, d.subsetOf(g, EndpointsChanged{Snapshot: true, Endpoints: d.list()}))
 	return g
@@ -146,8 +146,8 @@
 	ids map[EndpointID]bool
 }
 
-func newEndpointSubset(me, gateways, most, limit int) *endpointSubset {
-	c := subset.Config{Index: me, GatewayCount: gateways, TargetSize: most, MaxSize: limit}
+func newEndpointSubset(index, gateways, targetSize, maxSize int) *endpointSubset {
+	c := subset.Config{Index: index, GatewayCount: gateways, TargetSize: targetSize, MaxSize: maxSize}
 	return &endpointSubset{subset.New(c), map[EndpointID]bool{}}
 }
 
@@ -191,7 +191,7 @@
 	return out
 }
 
-// slowStartWeight is the least share of its capacity that the settings promise of an endpoint of that age.
+// slowStartWeight is the minimum share of its capacity that the settings promise of an endpoint of that age.
 func (d *slowStartRun) slowStartWeight(s *modelEndpoint, at time.Duration) float64 {
 	if s.StartedAt == 0 {
 		return 1
@@ -392,7 +392,7 @@
 	}
 }
 
-// budgetSpan is the span of sends to an endpoint in slow start that is furthest over (or least under) its budget.
+// budgetSpan is the span of sends to an endpoint in slow start that is furthest over its budget, or nearest to it.
 type budgetSpan struct {
 	endpoint  EndpointID
 	age       time.Duration // at the span's start
@@ -401,7 +401,7 @@
 }
 
 // worstSpan looks at each span that begins with a send to an endpoint in slow start. N is taken for the weight at the span's
-// start, the least within it; overBudget counts the endpoints that got more than their budget.
+// start, the minimum within it; overBudget counts the endpoints that got more than their budget.
 func (d *slowStartRun) worstSpan() (worst budgetSpan, overBudget int) {
 	over := math.Inf(-1)
 	for _, s := range d.starting {
