--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -6,57 +6,19 @@
 	"io"
 	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/policy"
 )
 
-// listen accepts connections on the loopback address, hands each to serve, and returns the address. The end of the test
-// closes them and waits for serve.
-func listen(t *testing.T, serve func(conn net.Conn)) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var serving sync.WaitGroup
-	var mu sync.Mutex // guards open
-	var open []net.Conn
-	serving.Go(func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open = append(open, conn)
-			mu.Unlock()
-			serving.Go(func() {
-				defer conn.Close()
-				serve(conn)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		listener.Close()
-		mu.Lock()
-		for _, conn := range open {
-			conn.Close()
-		}
-		mu.Unlock()
-		serving.Wait()
-	})
-	return listener.Addr().String()
-}
-
 // startConnection runs one connection to a counter that serve plays, and returns it with the results of its calls.
 func startConnection(t *testing.T, serve func(conn net.Conn, lines *bufio.Reader)) (*connection, <-chan Result) {
 	t.Helper()
 	results := make(chan Result, 64)
-	address := listen(t, func(conn net.Conn) { serve(conn, bufio.NewReader(conn)) })
+	address := nettest.Serve(t, func(conn net.Conn) { serve(conn, bufio.NewReader(conn)) })
 	c := newConnection(address, 5*time.Second, func(result Result) { results <- result })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -74,7 +36,7 @@
 // callOf returns a queued call of that name.
 func callOf(name string) *Call { return &Call{increment: policy.IncrementCounter{Name: name}} }
 
-// Each form of answer means what the protocol says, in the order of the calls.
+// Answers of each form become outcomes in the order of the calls.
 func TestAnswersBecomeOutcomesInTheOrderOfTheCalls(t *testing.T) {
 	c, results := startConnection(t, func(conn net.Conn, in *bufio.Reader) {
 		for _, answer := range []string{"ok 3.5\r\n", "busy\r\n", "error\r\n", ""} {
@@ -99,12 +61,12 @@
 	}
 }
 
-// After an answer that cannot be read its connection is of no use: the call was added, the one behind it may have been,
-// and the next goes out on a new connection at once. Once the calls of such a connection timed out for 3 s.
+// A connection is closed after an answer that cannot be decoded: the call was counted, the one behind it may have been, and the
+// next is sent on a new connection at once. Once the calls of such a connection timed out for 3 s.
 func TestConnectionIsReplacedAfterAnUnreadableAnswer(t *testing.T) {
 	began := time.Now()
 	defer func() {
-		if took := time.Since(began); took > 10*time.Second { // half of the silence that ends a connection here
+		if took := time.Since(began); took > 10*time.Second { // half of the time after which a silent connection is closed
 			t.Fatalf("took %v", took)
 		}
 	}()
@@ -172,14 +134,9 @@
 	}
 }
 
-// A counter that nobody listens at has added nothing.
+// A call to a counter that refuses connections has added nothing.
 func TestCallFailsToConnectWhereNobodyListens(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	listener.Close()
+	address := nettest.RefusedAddress(t)
 	results := make(chan Result, 1)
 	c := newConnection(address, 5*time.Second, func(result Result) { results <- result })
 	c.serve(context.Background(), callOf("a"))
@@ -225,8 +182,8 @@
 	}
 }
 
-// After a move the call that is pending has its answer from the old counter, and only then does the next one of its name go
-// to the new one.
+// After a change of the address a pending call has its answer from the old counter; only then is the next one of its name sent
+// to the new counter.
 func TestMoveWaitsForTheCallsThatArePending(t *testing.T) {
 	received, answer := make(chan struct{}), make(chan struct{})
 	c, results := startConnection(t, func(conn net.Conn, in *bufio.Reader) {
@@ -236,7 +193,7 @@
 		io.WriteString(conn, "ok 1\r\n")
 		in.ReadString('\n') // until it is closed
 	})
-	next := listen(t, func(conn net.Conn) {
+	next := nettest.Serve(t, func(conn net.Conn) {
 		if _, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
 			io.WriteString(conn, "ok 2\r\n")
 		}
@@ -244,9 +201,7 @@
 	c.queue <- callOf("a")
 	<-received
 	c.addresses.Set(next)
-	for len(c.addresses) > 0 { // fetched
-		time.Sleep(time.Millisecond)
-	}
+	nettest.Eventually(t, "the connection has the new address", func() bool { return len(c.addresses) == 0 })
 	c.queue <- callOf("a")
 	close(answer)
 	for want := 1.0; want <= 2; want++ {
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -4,11 +4,11 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"sync"
 	"testing"
 	"time"
 
+	"lemontack/internal/nettest"
 	"lemontack/internal/standin"
 	"lemontack/policy"
 )
@@ -22,8 +22,8 @@
 	pushDeadline   = time.Second     // after discovery had it and could be reached, where an agent pushes lists
 )
 
-// largeFleet are the settings of one gateway of a large fleet.
-func largeFleet() policy.Settings {
+// manyGateways are the settings of one of many gateways.
+func manyGateways() policy.Settings {
 	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
@@ -38,10 +38,7 @@
 // serveDiscovery serves a stand-in on the loopback address until the end of the test, and returns its address.
 func serveDiscovery(t *testing.T, service *standin.Discovery) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := nettest.Listen(t)
 	go service.Serve(listener)
 	t.Cleanup(func() { service.Close() })
 	return listener.Addr().String()
