--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -49,7 +49,7 @@
 		}
 	})
 	for i, want := range []policy.Outcome{policy.Succeeded, policy.Rejected, policy.NotSent, policy.Reset} {
-		call := &Call{increment: policy.IncrementCounter{Name: "a", Add: -2.5, Keep: 4 * time.Second}}
+		call := &Call{increment: policy.IncrementCounter{Name: "a", Delta: -2.5, TTL: 4 * time.Second}}
 		c.queue <- call
 		result := <-results
 		if result.Call != call || result.Outcome != want {
@@ -102,7 +102,7 @@
 }
 
 func TestAppendCallWritesTheProtocolsLine(t *testing.T) {
-	if got := string(appendCall(nil, policy.IncrementCounter{Name: "n", Add: -2.5, Keep: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
+	if got := string(appendCall(nil, policy.IncrementCounter{Name: "n", Delta: -2.5, TTL: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
 		t.Fatalf("%q", got)
 	}
 }
@@ -165,7 +165,7 @@
 	}{"unwritten": {callQueued, policy.ConnectFailed}, "written": {callWritten, policy.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
 			client := New("127.0.0.1:1", 5*time.Second, nil)
-			call := client.Increment(policy.IncrementCounter{Name: "a", Add: 1})
+			call := client.Increment(policy.IncrementCounter{Name: "a", Delta: 1})
 			if queued := <-client.connectionFor("a").queue; queued != call {
 				t.Fatal("another call is queued")
 			}
--- a/internal/counterclient/protocol.go
+++ b/internal/counterclient/protocol.go
@@ -16,9 +16,9 @@
 	buffer = append(buffer, "tally "...)
 	buffer = append(buffer, increment.Name...)
 	buffer = append(buffer, ' ')
-	buffer = strconv.AppendFloat(buffer, increment.Add, 'f', -1, 64)
+	buffer = strconv.AppendFloat(buffer, increment.Delta, 'f', -1, 64)
 	buffer = append(buffer, ' ')
-	buffer = strconv.AppendInt(buffer, max(1, increment.Keep.Milliseconds()), 10)
+	buffer = strconv.AppendInt(buffer, max(1, increment.TTL.Milliseconds()), 10)
 	return append(buffer, '\r', '\n')
 }
 
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -83,7 +83,7 @@
 // PolicyEvent returns the list as an event of the decision module.
 func (l EndpointList) PolicyEvent() policy.EndpointsChanged {
 	event := policy.EndpointsChanged{
-		Snapshot:            l.Snapshot,
+		IsSnapshot:          l.Snapshot,
 		GatewaysPerEndpoint: l.GatewaysPerEndpoint,
 		Endpoints:           make([]policy.Endpoint, len(l.Entries)),
 	}
--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -56,7 +56,7 @@
 	case policy.Fail:
 		g.fail(action)
 	case policy.SetTimer:
-		g.after(action.After, func() { g.tell(policy.TimerFired{}) })
+		g.after(action.Delay, func() { g.tell(policy.TimerFired{}) })
 	case policy.IncrementCounter:
 		g.incrementCounter(action)
 	case policy.CheckHealth:
@@ -66,7 +66,7 @@
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list as it stands is the answer
 		g.tell(g.endpointList())
 	case policy.Log:
-		g.log.Info(action.Text)
+		g.log.Info(action.Message)
 	default:
 		g.log.Warn("unsupported action", "action", fmt.Sprintf("%T", action))
 	}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -49,7 +49,7 @@
 	if cfg.Sockets < minSockets {
 		return fmt.Errorf("%d %w: %d at least", cfg.Sockets, ErrTooFewSockets, minSockets)
 	}
-	if cfg.Settings.SharedCounter && cfg.Counter == "" {
+	if cfg.Settings.HasSharedCounter && cfg.Counter == "" {
 		return ErrNoCounterAddress
 	}
 	return cmp.Or(checkAddress("listen", cfg.Listen), checkAddress("discovery", cfg.Discovery),
@@ -78,7 +78,7 @@
 	if cfg.Connections.Idle <= 0 {
 		cfg.Connections.Idle = defaultIdleTimeout
 	}
-	if cfg.Settings.SharedCounter && cfg.Settings.CounterTimeout <= 0 {
+	if cfg.Settings.HasSharedCounter && cfg.Settings.CounterTimeout <= 0 {
 		cfg.Settings.CounterTimeout = defaultCounterTimeout
 	}
 	if cfg.Memory <= 0 {
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -45,7 +45,7 @@
 			if c.written {
 				g.spawn(g.counter.Run)
 			}
-			g.incrementCounter(policy.IncrementCounter{Name: "a", Add: 1})
+			g.incrementCounter(policy.IncrementCounter{Name: "a", Delta: 1})
 			if c.written {
 				<-lines
 			}
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -153,7 +153,7 @@
 		endpoint := startServingEndpoint(t, "a")
 		cfg := configFor(t, endpoint)
 		cfg.Counter = counter
-		cfg.Settings.GatewayCount, cfg.Settings.SharedCounter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
+		cfg.Settings.GatewayCount, cfg.Settings.HasSharedCounter, cfg.Settings.CounterTimeout = 60, true, 20*time.Second
 		cfg.Settings.Plans = append(cfg.Settings.Plans,
 			policy.Plan{Name: "sparse", Price: 1, Rate: 1, Burst: 4, OverQuotaCost: 1})
 		addr, _ := startIngress(t, cfg)
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -14,7 +14,7 @@
 	if !list.Snapshot && len(list.Entries) == 0 { // changes of endpoints that are not kept
 		return
 	}
-	changed := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
+	changed := policy.EndpointsChanged{IsSnapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
 	updates := make([]upstream.EndpointUpdate, 0, len(list.Entries))
 	for _, entry := range list.Entries {
 		endpoint := entry.PolicyEndpoint()
@@ -35,5 +35,5 @@
 
 // endpointList is the list as it stands, for the policy.
 func (g *Gateway) endpointList() policy.EndpointsChanged {
-	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
+	return policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		switch {
-		case !earlier.ended && !g.cfg.Settings.Hedging:
+		case !earlier.ended && !g.cfg.Settings.HedgingEnabled:
 			return errParallelAttempt
 		case class.Idempotency == policy.Idempotent:
 		case class.Idempotency == policy.NonIdempotent:
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -15,7 +15,7 @@
 func TestCheckStartGivesTheReason(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", endpointsAt("127.0.0.1:1", "127.0.0.1:2"))
-	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
+	cfg.Settings.MaxAttempts, cfg.Settings.HedgingEnabled = 3, true
 	cfg.Settings.Classes[2].DeduplicationWindow = window
 	cfg.Settings.Classes[2].DeduplicationScope = policy.ScopeAll
 	classes := append([]policy.Class{}, cfg.Settings.Classes...)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -124,7 +124,7 @@
 }
 
 func (h *hollowIngress) cacheEndpoints(event policy.EndpointsChanged) {
-	if event.Snapshot {
+	if event.IsSnapshot {
 		clear(h.cachedEndpoints)
 	}
 	for _, e := range event.Endpoints {
@@ -165,7 +165,7 @@
 		h.tally.TimerEvents++
 		return metricTimer
 	case policy.EndpointsChanged:
-		if event.Snapshot {
+		if event.IsSnapshot {
 			h.tally.Snapshots++
 			return metricSnapshot
 		}
@@ -187,7 +187,7 @@
 	case policy.Fail:
 		h.finishRequest(a.ID, &h.tally.Failed)
 	case policy.SetTimer:
-		h.schedule(a.After, timer{kind: policyTimer})
+		h.schedule(a.Delay, timer{kind: policyTimer})
 	case policy.IncrementCounter:
 		h.incrementCounter(a)
 	case policy.WatchEndpoints, policy.FetchEndpoints:
@@ -198,7 +198,7 @@
 // enqueueCachedEndpoints answers the module's wish for the list: the watch is always open, so that the cached list is
 // the current one.
 func (h *hollowIngress) enqueueCachedEndpoints() {
-	event := policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
+	event := policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
 	for _, e := range h.cachedEndpoints {
 		event.Endpoints = append(event.Endpoints, e)
 	}
@@ -296,7 +296,7 @@
 		h.schedule(h.settings.CounterTimeout, timer{kind: counterTimeoutTimer, call: h.live.clients.increment(a)})
 		return
 	}
-	total := h.counterTable.Add(time.Unix(0, int64(h.now)), a.Name, a.Add, a.Keep)
+	total := h.counterTable.Add(time.Unix(0, int64(h.now)), a.Name, a.Delta, a.TTL)
 	h.schedule(counterLatency, timer{kind: counterReplyTimer,
 		reply: policy.CounterReply{Name: a.Name, Outcome: policy.Succeeded, Total: total}})
 }
--- a/internal/scale/shape_test.go
+++ b/internal/scale/shape_test.go
@@ -29,7 +29,7 @@
 	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
 	settings, err := shape.policySettings(3)
 	if err != nil || settings.Index != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
-		!settings.SharedCounter || settings.PollEndpoints {
+		!settings.HasSharedCounter || settings.PollEndpoints {
 		t.Errorf("settings %+v, %v", settings, err)
 	}
 	shape.Polled = true
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -67,7 +67,7 @@
 			end()
 	case policy.SetTimer:
 		return newLine(buf, "TIMER", instance).
-			microseconds("spanUs", a.After).
+			microseconds("spanUs", a.Delay).
 			text("ref", "t").
 			end()
 	case policy.CheckHealth:
@@ -83,8 +83,8 @@
 	case policy.IncrementCounter:
 		return newLine(buf, "INCR", instance).
 			text("counter", a.Name).
-			float("add", a.Add).
-			microseconds("keepForUs", a.Keep).
+			float("add", a.Delta).
+			microseconds("keepForUs", a.TTL).
 			end()
 	case policy.WatchEndpoints:
 		return newLine(buf, "KEEP_INFORMED", instance).
@@ -95,7 +95,7 @@
 			end()
 	case policy.Log:
 		return newLine(buf, "EMIT", instance).
-			text("text", oneLine(a.Text)).
+			text("text", oneLine(a.Message)).
 			end()
 	}
 	return buf
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -14,15 +14,15 @@
 		"REVOKE\ti=1\tcall=2\ttry=1\n":                     policy.Cancel{ID: 2, Attempt: 1},
 		"BUSY\ti=1\tcall=2\n":                              policy.Reject{ID: 2},
 		"DROP_REQUEST\ti=1\tcall=2\n":                      policy.Fail{ID: 2},
-		"INCR\ti=1\tcounter=c\tadd=-1.5\tkeepForUs=1000\n": policy.IncrementCounter{Name: "c", Add: -1.5, Keep: time.Millisecond},
+		"INCR\ti=1\tcounter=c\tadd=-1.5\tkeepForUs=1000\n": policy.IncrementCounter{Name: "c", Delta: -1.5, TTL: time.Millisecond},
 		"NOTIFY\ti=1\tdest=all\tmsg=aGkgNw==\n":            policy.Gossip{To: -1, Body: []byte("hi 7")},
 		"NOTIFY\ti=1\tdest=2\tmsg=-\n":                     policy.Gossip{To: 2},
-		"EMIT\ti=1\ttext=a b\n":                            policy.Log{Text: "a\nb"},
+		"EMIT\ti=1\ttext=a b\n":                            policy.Log{Message: "a\nb"},
 		"TEST\ti=1\tbackend=b\n":                           policy.CheckHealth{Endpoint: "b"},
 		"LET_GO\ti=1\tbackend=b\n":                         policy.CloseIdleConnections{Endpoint: "b"},
 		"KEEP_INFORMED\ti=1\ton=1\n":                       policy.WatchEndpoints{},
 		"QUERY_ALL\ti=1\n":                                 policy.FetchEndpoints{},
-		"TIMER\ti=1\tspanUs=10\tref=t\n":                   policy.SetTimer{After: 10 * time.Microsecond},
+		"TIMER\ti=1\tspanUs=10\tref=t\n":                   policy.SetTimer{Delay: 10 * time.Microsecond},
 	} {
 		if got := string(AppendAction(nil, 1, a)); got != want {
 			t.Errorf("%T: %q, want %q", a, got, want)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -141,8 +141,8 @@
 	p.require("form")
 	form := p.text("form")
 	event := policy.EndpointsChanged{
-		Snapshot: form == "full" || form == "cached",
-		Failed:   form == "failed",
+		IsSnapshot: form == "full" || form == "cached",
+		Failed:     form == "failed",
 	}
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		event.Endpoints = append(event.Endpoints, r.readEndpoint(p))
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -38,7 +38,7 @@
 type Fail struct{ ID RequestID }
 
 // SetTimer asks for one TimerFired after a time.
-type SetTimer struct{ After time.Duration }
+type SetTimer struct{ Delay time.Duration }
 
 // CheckHealth asks an endpoint for its health. A HealthCheckEnded answers it.
 type CheckHealth struct{ Endpoint EndpointID }
@@ -53,10 +53,10 @@
 // IncrementCounter adds to a name of the shared counter. A CounterReply with the total answers it.
 type IncrementCounter struct {
 	Name string
-	// Add is the amount, which may be 0 or less.
-	Add float64
-	// Keep is the time for which the counter keeps the name, from its first increment on.
-	Keep time.Duration
+	// Delta is the amount, which may be 0 or less.
+	Delta float64
+	// TTL is the time for which the counter keeps the name, from its first increment on.
+	TTL time.Duration
 }
 
 // WatchEndpoints subscribes to changes of the endpoint list. EndpointsChanged events follow, until one that
@@ -70,7 +70,7 @@
 type CloseIdleConnections struct{ Endpoint EndpointID }
 
 // Log writes a line to the log.
-type Log struct{ Text string }
+type Log struct{ Message string }
 
 func (Send) isAction()                 {}
 func (Cancel) isAction()               {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -14,7 +14,7 @@
 		Index:               g.settings.Index,
 		GatewayCount:        g.settings.GatewayCount,
 		MaxUnits:            g.settings.MaxUnits,
-		SharedCounter:       g.settings.SharedCounter,
+		SharedCounter:       g.settings.HasSharedCounter,
 		CounterTimeout:      g.settings.CounterTimeout,
 		MaxRetryAfter:       g.settings.MaxRetryAfter,
 		TickInterval:        g.tickInterval,
@@ -32,7 +32,7 @@
 
 // CallCounter implements quota.Host.
 func (host quotaHost) CallCounter(call quota.Call) {
-	host.gateway.emit(IncrementCounter{Name: call.Name, Add: call.Add, Keep: call.TTL})
+	host.gateway.emit(IncrementCounter{Name: call.Name, Delta: call.Add, TTL: call.TTL})
 }
 
 // Saturated implements quota.Host.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -94,7 +94,7 @@
 // attemptDeadline is when an attempt that starts now ends for a retry, where the latency of its class is
 // known and hedging, which would keep it in flight, is off; else 0, for the request's deadline.
 func (g *Gateway) attemptDeadline(r *request) time.Duration {
-	if g.settings.Hedging || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
+	if g.settings.HedgingEnabled || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
 		return 0
 	}
 	expected := r.class.latency.Expected(attemptDeadlineDeviations)
@@ -135,7 +135,7 @@
 // mayHedge reports whether a hedge can still save the request, and takes no capacity from others.
 func (g *Gateway) mayHedge(r *request) bool {
 	switch {
-	case !g.settings.Hedging, r.attemptsInFlight != 1, !g.retryBudget.allows():
+	case !g.settings.HedgingEnabled, r.attemptsInFlight != 1, !g.retryBudget.allows():
 		return false
 	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
 		return false
--- a/policy/cluster_test.go
+++ b/policy/cluster_test.go
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		g := &testGateway{T: t, gateway: gateway, now: time.Minute}
-		g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+		g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: endpoints})
 		c.gateways = append(c.gateways, g)
 	}
 	return c
@@ -36,7 +36,7 @@
 	for _, call := range only[IncrementCounter](acts) {
 		reply := CounterReply{Name: call.Name, Outcome: TimedOut}
 		if !c.counterSilent {
-			c.totals[call.Name] += call.Add
+			c.totals[call.Name] += call.Delta
 			reply.Outcome, reply.Total = Succeeded, c.totals[call.Name]
 		}
 		sends = append(sends, c.handle(g, reply)...)
@@ -123,7 +123,7 @@
 		c := newCluster(t, n, settings())
 		sent, id := 0, 0
 		for _, g := range c.gateways {
-			c.handle(g, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
+			c.handle(g, EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
 		}
 		for range 30 { // 3 s
 			for _, g := range c.gateways {
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -57,9 +57,9 @@
 		"for the counter, over the quota": {"excess", false, 60, nil, nil, counted(Succeeded, 1000)},
 		"for a ceiling's window":          {"lid", false, 60, nil, nil, counted(Succeeded, 1)},
 		"in the queue":                    {"free", false, 2, func(g *testGateway) { g.gateway.limiter.SetWindow(0) }, nil, nil},
-		"for an endpoint": {"free", false, 2, func(g *testGateway) { g.handle(EndpointsChanged{Snapshot: true}) }, nil,
+		"for an endpoint": {"free", false, 2, func(g *testGateway) { g.handle(EndpointsChanged{IsSnapshot: true}) }, nil,
 			func(g *testGateway, _ []IncrementCounter) []Action {
-				return g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+				return g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: endpoints})
 			}},
 		"at the concurrency limit": {"open", false, 1, func(g *testGateway) { of(g, 9, "open", 1) }, nil,
 			func(g *testGateway, _ []IncrementCounter) []Action {
--- a/policy/events.go
+++ b/policy/events.go
@@ -63,8 +63,8 @@
 // EndpointsChanged comes with the endpoint list at the start, and after a WatchEndpoints or FetchEndpoints
 // with what has changed or the list.
 type EndpointsChanged struct {
-	// Snapshot tells that Endpoints is the entire list; else it holds only the endpoints that have changed.
-	Snapshot bool
+	// IsSnapshot tells that Endpoints is the entire list; else it holds only the endpoints that have changed.
+	IsSnapshot bool
 	// Failed tells that no list could be had; the gateway keeps the last one.
 	Failed    bool
 	Endpoints []Endpoint
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,8 +9,8 @@
 
 func Example() {
 	gateway, err := policy.New(policy.Settings{
-		Index: 0, GatewayCount: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, Hedging: true, MayCancel: true,
-		SharedCounter: true, CounterTimeout: 50 * time.Millisecond,
+		Index: 0, GatewayCount: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, HedgingEnabled: true, MayCancel: true,
+		HasSharedCounter: true, CounterTimeout: 50 * time.Millisecond,
 		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
 			Idempotency: policy.Idempotent}},
 		Plans: []policy.Plan{{Name: "basic", Price: 1, Rate: 5, Burst: 10, OverQuotaCost: 1}},
@@ -20,7 +20,7 @@
 		return
 	}
 	now := time.Hour
-	gateway.Handle(now, policy.EndpointsChanged{Snapshot: true,
+	gateway.Handle(now, policy.EndpointsChanged{IsSnapshot: true,
 		Endpoints: []policy.Endpoint{{ID: "10.0.0.1:80", State: policy.Serving}}}, nil)
 	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{ID: 1, Class: "read", Plan: "basic",
 		Customer: "c1", Units: 1, GatewaySpan: 2, Deadline: now + 2*time.Second}}, nil) {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -112,7 +112,7 @@
 	g.actions = out
 	if !g.tickerStarted {
 		g.tickerStarted = true
-		g.emit(SetTimer{After: g.tickInterval})
+		g.emit(SetTimer{Delay: g.tickInterval})
 	}
 	switch event := event.(type) {
 	case Arrival:
@@ -157,7 +157,7 @@
 	}
 	first := len(g.balancer.Serving()) == 0
 	g.balancer.Apply(g.now, balancer.Change{
-		Snapshot:            ev.Snapshot,
+		Snapshot:            ev.IsSnapshot,
 		Endpoints:           ev.Endpoints,
 		GatewaysPerEndpoint: ev.GatewaysPerEndpoint,
 	})
@@ -170,7 +170,7 @@
 // tick does what is due by the clock. Requests that are too late end before dispatch, so that none of them
 // gets capacity that has become free.
 func (g *Gateway) tick() {
-	g.emit(SetTimer{After: g.tickInterval})
+	g.emit(SetTimer{Delay: g.tickInterval})
 	if g.settings.PollEndpoints && !g.watchingEndpoints {
 		g.watchingEndpoints = true
 		g.emit(WatchEndpoints{})
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -14,7 +14,7 @@
 // settings are those of one of two gateways that share a counter.
 func settings() Settings {
 	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
-		MayCancel: true, Hedging: true, SharedCounter: true, CounterTimeout: 50 * ms,
+		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 50 * ms,
 		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second, SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: Idempotent},
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	g := &testGateway{T: t, gateway: gateway, now: time.Minute}
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: endpoints})
 	return g
 }
 
@@ -182,7 +182,7 @@
 				Deadline: g.now + time.Second, GatewaySpan: n}})
 			for k := 0; k < len(acts); k++ {
 				if c, ok := acts[k].(IncrementCounter); ok {
-					totals[c.Name] += c.Add
+					totals[c.Name] += c.Delta
 					acts = append(acts, g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 				}
 			}
@@ -233,7 +233,7 @@
 		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.Deadline = 1, "read", "small", "c", 1, g.now+time.Second
 		calls := only[IncrementCounter](g.handle(Arrival{q}))
 		for _, c := range calls {
-			g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Add})
+			g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Delta})
 		}
 		var endpoints []Endpoint
 		for i := range 100 {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -59,13 +59,13 @@
 	return []goldenScenario{
 		with("leases", func(*goldenScenario) {}),
 		with("hedging off", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.Hedging, set.MayCancel = false, false }
+			s.adjust = func(set *Settings) { set.HedgingEnabled, set.MayCancel = false, false }
 		}),
 		with("central buckets", func(s *goldenScenario) {
 			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
 		}),
 		with("central buckets without counter", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.GatewayCount, set.SharedCounter = 60, false }
+			s.adjust = func(set *Settings) { set.GatewayCount, set.HasSharedCounter = 60, false }
 		}),
 		with("counter slow and failing", func(s *goldenScenario) {
 			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
@@ -86,7 +86,7 @@
 
 func goldenSettings() Settings {
 	return Settings{GatewayCount: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
-		MayCancel: true, Hedging: true, SharedCounter: true, CounterTimeout: 40 * ms, ConnectionIdleTimeout: 5 * time.Second,
+		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 40 * ms, ConnectionIdleTimeout: 5 * time.Second,
 		SlowStartMinWeight: 0.2, SlowStartWindow: 4 * time.Second, SlowStartBudgetMultiple: 2, SlowStartBudgetSpan: time.Second, DrainGracePeriod: time.Second,
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyObjective: 200 * ms, Deadline: 900 * ms, LateWeight: 0.4, Idempotency: Idempotent},
@@ -171,7 +171,7 @@
 			run.t.Fatal(err)
 		}
 		run.gateways = append(run.gateways, g)
-		run.push(0, i, EndpointsChanged{Snapshot: true, Endpoints: append([]Endpoint{}, run.endpoints...)}, nil)
+		run.push(0, i, EndpointsChanged{IsSnapshot: true, Endpoints: append([]Endpoint{}, run.endpoints...)}, nil)
 		run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
 		run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
 	}
@@ -232,7 +232,7 @@
 	}
 	switch run.rng.IntN(10) {
 	case 0:
-		ev = EndpointsChanged{Snapshot: true}
+		ev = EndpointsChanged{IsSnapshot: true}
 		for _, s := range run.endpoints {
 			if s.State != Removed {
 				ev.Endpoints = append(ev.Endpoints, s)
@@ -271,10 +271,10 @@
 		write("fail", a.ID)
 		run.finish(a.ID)
 	case SetTimer:
-		write("timer", int64(a.After))
-		run.push(a.After, i, TimerFired{}, nil)
+		write("timer", int64(a.Delay))
+		run.push(a.Delay, i, TimerFired{}, nil)
 	case IncrementCounter:
-		write("count", a.Name, a.Add, int64(a.Keep))
+		write("count", a.Name, a.Delta, int64(a.TTL))
 		run.count(i, a)
 	case CheckHealth:
 		write("probe", a.Endpoint)
@@ -344,7 +344,7 @@
 		reply.Outcome = []Outcome{Failed, Rejected, TimedOut, ConnectFailed, Reset, NotSent}[run.rng.IntN(6)]
 	}
 	if !reply.Outcome.NotExecuted() {
-		run.totals[a.Name] += a.Add
+		run.totals[a.Name] += a.Delta
 	}
 	if run.rng.IntN(2000) == 0 { // it comes back empty
 		clear(run.totals)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
 	if len(g.gateway.balancer.Serving()) != 1 {
 		t.Fatal("an endpoint that is not in a snapshot still serves")
 	}
@@ -111,7 +111,7 @@
 // also where all endpoints are in slow start.
 func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
 	g := newTestGateway(t, settings())
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
 	g.gateway.limiter.SetWindow(100)
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the endpoint at once
@@ -197,7 +197,7 @@
 // A gateway with few permissions and minimal settings must still decide, and never panic.
 func TestMinimalSettingsStillDecide(t *testing.T) {
 	set := settings()
-	set.SharedCounter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
+	set.HasSharedCounter, set.HedgingEnabled, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
 	g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving})
 	sends := 0
@@ -244,7 +244,7 @@
 		calls = append(calls, only[IncrementCounter](acts)...)
 		g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
-	if len(calls) != 1 || calls[0].Add < 4 {
+	if len(calls) != 1 || calls[0].Delta < 4 {
 		t.Fatalf("calls %v, want one that adds the first lease and the next", calls)
 	}
 }
--- a/policy/longlist_test.go
+++ b/policy/longlist_test.go
@@ -93,11 +93,11 @@
 	set := settings()
 	set.GatewayCount = 6400
 	g := newTestGateway(t, set)
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: longList(900), GatewaysPerEndpoint: 30})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: longList(900), GatewaysPerEndpoint: 30})
 	if got, want := g.gateway.balancer.InitialAttempts(), 4.0*900/30; got != want || g.gateway.limiter.Window() != want {
 		t.Errorf("initial attempts %v, window %v; want %v", got, g.gateway.limiter.Window(), want)
 	}
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: longList(200)})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: longList(200)})
 	if got, want := g.gateway.balancer.InitialAttempts(), 1.0; got != want {
 		t.Errorf("initial attempts %v for the entire list, want %v", got, want)
 	}
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -19,7 +19,7 @@
 		for i := range 20 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprintf("old%d", i)), State: Serving})
 		}
-		g.handle(EndpointsChanged{Snapshot: true, Endpoints: endpoints})
+		g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: endpoints})
 		starting := map[EndpointID]bool{}
 		for step := range 300 { // 30 s
 			if step == 150 {
--- a/policy/quietday_test.go
+++ b/policy/quietday_test.go
@@ -134,7 +134,7 @@
 			case Reject:
 				delete(undecided, act.ID)
 			case IncrementCounter:
-				c.totals[act.Name] += act.Add // adds in the order of the calls
+				c.totals[act.Name] += act.Delta // adds in the order of the calls
 				inTransit = append(inTransit, delayedEvent{g.now + 10*ms, g, CounterReply{Name: act.Name, Outcome: Succeeded,
 					Total: c.totals[act.Name]}})
 			}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -59,7 +59,7 @@
 		arrive := func(id RequestID) {
 			for _, call := range only[IncrementCounter](g.handle(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c",
 				Units: 1, Deadline: g.now + 2*time.Second, GatewaySpan: span}})) {
-				g.handle(CounterReply{Name: call.Name, Outcome: Succeeded, Total: max(0, call.Add)})
+				g.handle(CounterReply{Name: call.Name, Outcome: Succeeded, Total: max(0, call.Delta)})
 			}
 		}
 		for id := range RequestID(60) {
@@ -90,13 +90,13 @@
 			Deadline: g.now + 2*time.Second, GatewaySpan: 60}})
 	}
 	call := only[IncrementCounter](arrive(1))[0]
-	sends := only[Send](g.handle(CounterReply{Name: call.Name, Outcome: Succeeded, Total: call.Add}))
+	sends := only[Send](g.handle(CounterReply{Name: call.Name, Outcome: Succeeded, Total: call.Delta}))
 	if len(sends) != 1 {
 		t.Fatalf("sends %v, want one", sends)
 	}
 	g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: ms, RequestFinished: true, SettledUnits: 3.5})
 	next := only[IncrementCounter](arrive(2))
-	if len(next) != 1 || next[0].Add != 2+1.5 {
+	if len(next) != 1 || next[0].Delta != 2+1.5 {
 		t.Errorf("calls %v, want one for 2 units and the 1.5 that were settled", next)
 	}
 }
@@ -123,7 +123,7 @@
 		acts := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1,
 			Deadline: g.now + left, GatewaySpan: 100}})
 		calls := only[IncrementCounter](acts)
-		if len(calls) != 1 || calls[0].Add != 1 {
+		if len(calls) != 1 || calls[0].Delta != 1 {
 			t.Fatalf("calls %v, want one for the request's unit", calls)
 		}
 		acts = append(acts, g.advance(left-left%(10*ms))...)
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -218,7 +218,7 @@
 		d.rates, d.bursts = []float64{1, 5.5, 17}, []float64{8, 4.5, 2.1}
 	}
 	d.set = settings()
-	d.set.GatewayCount, d.set.MaxUnits, d.set.SharedCounter = c.gateways, maxRequestUnits, !c.counter.absent
+	d.set.GatewayCount, d.set.MaxUnits, d.set.HasSharedCounter = c.gateways, maxRequestUnits, !c.counter.absent
 	d.set.CounterTimeout, d.set.MaxRetryAfter, d.set.SlowStartWindow = 80*ms, 2*time.Second, 0
 	d.set.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms, LateWeight: 0.2, Idempotency: Idempotent}}
 	d.set.Plans = nil
@@ -274,7 +274,7 @@
 	}
 	d.instances[i].incarnation++
 	d.instances[i].gateway = g
-	d.handle(i, EndpointsChanged{Snapshot: true, Endpoints: d.endpoints})
+	d.handle(i, EndpointsChanged{IsSnapshot: true, Endpoints: d.endpoints})
 }
 
 // drawCustomers draws customers until their demand is what the gateways are to get.
@@ -407,7 +407,7 @@
 	for _, act := range instance.gateway.Handle(d.now, ev, nil) {
 		switch act := act.(type) {
 		case SetTimer:
-			later(act.After, func() Event { return TimerFired{} })
+			later(act.Delay, func() Event { return TimerFired{} })
 		case Send:
 			d.send(act, later)
 		case Cancel:
@@ -507,7 +507,7 @@
 		fail(d.set.CounterTimeout, TimedOut)
 	}
 	d.schedule(*busyUntil, func() {
-		d.totals[act.Name] += act.Add
+		d.totals[act.Name] += act.Delta
 		total := d.totals[act.Name]
 		if !late {
 			later(d.counter.delay, func() Event { return CounterReply{Name: act.Name, Outcome: Succeeded, Total: total} })
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -29,10 +29,10 @@
 	MayCancel bool
 	// MayCheckHealth allows CheckHealth actions.
 	MayCheckHealth bool
-	// Hedging allows two attempts of a request to be in flight at once.
-	Hedging bool
-	// SharedCounter allows IncrementCounter actions.
-	SharedCounter bool
+	// HedgingEnabled allows two attempts of a request to be in flight at once.
+	HedgingEnabled bool
+	// HasSharedCounter allows IncrementCounter actions.
+	HasSharedCounter bool
 	// CounterTimeout is the time after which a call of the shared counter ends without a reply; less than 1
 	// ms stands for 1 ms.
 	CounterTimeout time.Duration
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -136,7 +136,7 @@
 	if d.subsetSize > 0 {
 		d.subsets[g] = newEndpointSubset(index, set.GatewayCount, d.subsetSize, d.slowStartCell.endpoints)
 	}
-	d.notify(g, d.subsetOf(g, EndpointsChanged{Snapshot: true, Endpoints: d.list()}))
+	d.notify(g, d.subsetOf(g, EndpointsChanged{IsSnapshot: true, Endpoints: d.list()}))
 	return g
 }
 
@@ -167,7 +167,7 @@
 	if k == nil {
 		return ev
 	}
-	if ev.Snapshot {
+	if ev.IsSnapshot {
 		for _, s := range ev.Endpoints {
 			k.add(s.ID)
 		}
