--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,10 +11,10 @@
 // quotaConfig returns what the quotas have to know of the settings.
 func (g *Gateway) quotaConfig() quota.Config {
 	return quota.Config{
-		Index:               g.settings.Index,
+		GatewayIndex:        g.settings.Index,
 		GatewayCount:        g.settings.GatewayCount,
 		MaxUnits:            g.settings.MaxUnits,
-		SharedCounter:       g.settings.SharedCounter,
+		HasSharedCounter:    g.settings.SharedCounter,
 		CounterTimeout:      g.settings.CounterTimeout,
 		MaxRetryAfter:       g.settings.MaxRetryAfter,
 		TickInterval:        g.tickInterval,
@@ -38,12 +38,12 @@
 // Saturated implements quota.Host.
 func (host quotaHost) Saturated() bool { return host.gateway.saturated() }
 
-// MeanAnswerTime implements quota.Host.
-func (host quotaHost) MeanAnswerTime() time.Duration { return host.gateway.meanAnswerTime() }
+// MeanLatency implements quota.Host.
+func (host quotaHost) MeanLatency() time.Duration { return host.gateway.meanAnswerTime() }
 
 // openCharge opens the account of a new request with the quotas.
 func (g *Gateway) openCharge(r *request) {
-	r.charge = g.quota.Open(quota.Request{
+	r.charge = g.quota.NewCharge(quota.Request{
 		ID:             r.ID,
 		Customer:       r.Customer,
 		Plan:           r.Plan,
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -62,12 +62,12 @@
 // pickEndpoint chooses the endpoint of the request's next attempt; nil if none may take it now.
 func (g *Gateway) pickEndpoint(r *request) *balancer.Endpoint {
 	var buffer [maxTriedOnStack]*balancer.Endpoint
-	query := balancer.Query{Tried: buffer[:0], Scope: r.class.DeduplicationScope}
+	query := balancer.Query{TriedEndpoints: buffer[:0], DeduplicationScope: r.class.DeduplicationScope}
 	for _, a := range r.attempts {
-		query.Tried = append(query.Tried, a.Endpoint)
+		query.TriedEndpoints = append(query.TriedEndpoints, a.Endpoint)
 	}
 	if executed := r.maybeExecuted(); executed != nil {
-		query.MaybeExecuted = executed.Endpoint
+		query.MaybeExecutedAt = executed.Endpoint
 	}
 	return g.balancer.Pick(g.now, query)
 }
@@ -94,7 +94,7 @@
 // attemptDeadline is when an attempt that starts now ends for a retry, where the latency of its class is
 // known and hedging, which would keep it in flight, is off; else 0, for the request's deadline.
 func (g *Gateway) attemptDeadline(r *request) time.Duration {
-	if g.settings.Hedging || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
+	if g.settings.Hedging || !r.class.latency.HasSamples() || r.class.Idempotency == NonIdempotent {
 		return 0
 	}
 	expected := r.class.latency.Expected(attemptDeadlineDeviations)
@@ -137,7 +137,7 @@
 	switch {
 	case !g.settings.Hedging, r.attemptsInFlight != 1, !g.retryBudget.allows():
 		return false
-	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
+	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.HasSamples():
 		return false
 	default:
 		return !g.saturated()
--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -38,8 +38,8 @@
 	// MaxLatencyObjective is the longest latency objective of a class: the unit in which relative latencies
 	// are forgotten and ejections last.
 	MaxLatencyObjective time.Duration
-	// CapacityInterval is the time for which the capacity of the endpoints is cached.
-	CapacityInterval time.Duration
+	// CapacityCacheTTL is the time for which the capacity of the endpoints is cached.
+	CapacityCacheTTL time.Duration
 }
 
 // Balancer chooses endpoints for one gateway. It is not safe for concurrent use. Times are on the gateway's
@@ -47,7 +47,7 @@
 type Balancer struct {
 	config  Config
 	rng     *rand.Rand
-	latency *latency.Overall
+	latency *latency.OverallMean
 
 	endpoints           map[model.EndpointID]*Endpoint // all that are listed, or that have attempts in flight
 	serving             []*Endpoint                    // those that take new requests, by id
@@ -95,7 +95,7 @@
 
 // New returns a balancer without endpoints. It draws from rng, and reads the mean latency of all answers from
 // overall.
-func New(config Config, rng *rand.Rand, overall *latency.Overall) *Balancer {
+func New(config Config, rng *rand.Rand, overall *latency.OverallMean) *Balancer {
 	return &Balancer{
 		config:              config,
 		rng:                 rng,
@@ -105,9 +105,9 @@
 	}
 }
 
-// Serving returns the endpoints that take new requests, by id. The caller must not change the slice; it is
+// ServingEndpoints returns the endpoints that take new requests, by id. The caller must not change the slice; it is
 // valid until the next Apply.
-func (b *Balancer) Serving() []*Endpoint { return b.serving }
+func (b *Balancer) ServingEndpoints() []*Endpoint { return b.serving }
 
 // GatewaysPerEndpoint returns the mean number of gateways that share one of the endpoints.
 func (b *Balancer) GatewaysPerEndpoint() float64 { return b.gatewaysPerEndpoint }
@@ -130,7 +130,7 @@
 	}
 	b.rebuildServing()
 	b.gatewaysPerEndpoint = cmp.Or(change.GatewaysPerEndpoint, float64(b.config.GatewayCount))
-	b.capacity.expire(b.config.CapacityInterval)
+	b.capacity.expire(b.config.CapacityCacheTTL)
 }
 
 // update takes in one endpoint of the list. Of an endpoint that has restarted nothing that was learned holds
--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -28,13 +28,13 @@
 			BudgetSpan:     3 * time.Second,
 		},
 		MaxLatencyObjective: objective,
-		CapacityInterval:    10 * ms,
+		CapacityCacheTTL:    10 * ms,
 	}
 }
 
 // newBalancer returns a balancer with serving endpoints.
 func newBalancer(config Config, endpoints ...model.Endpoint) *Balancer {
-	b := New(config, rand.New(rand.NewPCG(1, 2)), &latency.Overall{})
+	b := New(config, rand.New(rand.NewPCG(1, 2)), &latency.OverallMean{})
 	b.Apply(start, Change{Snapshot: true, Endpoints: endpoints})
 	return b
 }
@@ -48,7 +48,7 @@
 
 func ids(b *Balancer) string {
 	names := []model.EndpointID{}
-	for _, e := range b.Serving() {
+	for _, e := range b.ServingEndpoints() {
 		names = append(names, e.ID)
 	}
 	return fmt.Sprint(names)
@@ -85,7 +85,7 @@
 // Endpoints come under ever new ids: the map of endpoints must not grow for good.
 func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
 	b := newBalancer(testConfig(), serving("s")...)
-	a := attemptAt(b, start, b.Serving()[0])
+	a := attemptAt(b, start, b.ServingEndpoints()[0])
 	b.Apply(start, Change{Endpoints: append(serving("u"), model.Endpoint{ID: "s", State: model.Removed})})
 	if len(b.endpoints) != 2 {
 		t.Fatal("forgotten while an attempt is in flight")
@@ -99,7 +99,7 @@
 
 func TestRestartedEndpointKeepsItsAttemptsAndNothingElse(t *testing.T) {
 	b := newBalancer(testConfig(), serving("s", "u")...)
-	e := b.Serving()[0]
+	e := b.ServingEndpoints()[0]
 	first, second := attemptAt(b, start, e), attemptAt(b, start, e)
 	for range failuresToEject {
 		b.RecordFailure(start, e)
@@ -108,7 +108,7 @@
 		t.Fatal("not ejected before the restart")
 	}
 	b.Apply(start+ms, Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
-	if b.Serving()[0] != e || e.InFlight() != 2 || e.ejected(start+ms) || e.consecutiveFailures != 0 {
+	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.ejected(start+ms) || e.consecutiveFailures != 0 {
 		t.Fatalf("%d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(), e.ejected(start+ms),
 			e.consecutiveFailures)
 	}
@@ -156,7 +156,7 @@
 		},
 	} {
 		b := newBalancer(testConfig(), serving("s", "u")...)
-		burden(b, b.Serving()[0])
+		burden(b, b.ServingEndpoints()[0])
 		for range 50 {
 			if e := b.Pick(start+ms, Query{}); e.ID != "u" {
 				t.Errorf("%s: picked %s", name, e.ID)
@@ -167,7 +167,7 @@
 
 func TestEjectedEndpointIsTriedByOneAttemptAtATime(t *testing.T) {
 	b := newBalancer(testConfig(), serving("s")...)
-	e := b.Serving()[0]
+	e := b.ServingEndpoints()[0]
 	for range failuresToEject {
 		b.RecordFailure(start, e)
 	}
@@ -202,10 +202,10 @@
 	}
 	for scope, want := range map[model.DeduplicationScope]int{model.ScopeCell: 2, model.ScopeZone: 3, model.ScopeAll: 4} {
 		b := newBalancer(testConfig(), list...)
-		executed := b.Serving()[0]
+		executed := b.ServingEndpoints()[0]
 		picked := map[model.EndpointID]bool{}
 		for range 20 {
-			if e := b.Pick(start, Query{MaybeExecuted: executed, Scope: scope}); e != nil {
+			if e := b.Pick(start, Query{MaybeExecutedAt: executed, DeduplicationScope: scope}); e != nil {
 				picked[e.ID] = true
 				attemptAt(b, start, e)
 			}
@@ -218,15 +218,15 @@
 
 func TestTriedEndpointIsTheLastResort(t *testing.T) {
 	b := newBalancer(testConfig(), serving("s", "u")...)
-	tried := b.Serving()[0]
+	tried := b.ServingEndpoints()[0]
 	for range 5 {
-		if e := b.Pick(start, Query{Tried: []*Endpoint{tried}}); e.ID != "u" {
+		if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e.ID != "u" {
 			t.Errorf("picked %s, which was tried", e.ID)
 		}
-		attemptAt(b, start, b.Serving()[1])
+		attemptAt(b, start, b.ServingEndpoints()[1])
 	}
 	b.Apply(start, Change{Snapshot: true, Endpoints: serving("s")})
-	if e := b.Pick(start, Query{Tried: []*Endpoint{tried}}); e != tried {
+	if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e != tried {
 		t.Errorf("picked %v, want the tried one where there is no other", e)
 	}
 }
--- a/policy/balancer/pick.go
+++ b/policy/balancer/pick.go
@@ -28,18 +28,18 @@
 
 // Query is what the choice for one attempt has to respect.
 type Query struct {
-	// Tried are the endpoints of the request's earlier attempts; others are preferred.
-	Tried []*Endpoint
-	// MaybeExecuted is the endpoint at which the request may have been executed, or nil. The choice is then
-	// limited to the endpoints that share its idempotency keys in Scope.
-	MaybeExecuted *Endpoint
-	// Scope is the deduplication scope of the request's class.
-	Scope model.DeduplicationScope
+	// TriedEndpoints are the endpoints of the request's earlier attempts; others are preferred.
+	TriedEndpoints []*Endpoint
+	// MaybeExecutedAt is the endpoint at which the request may have been executed, or nil. The choice is then
+	// limited to the endpoints that share its idempotency keys in DeduplicationScope.
+	MaybeExecutedAt *Endpoint
+	// DeduplicationScope is the deduplication scope of the request's class.
+	DeduplicationScope model.DeduplicationScope
 }
 
 // allows reports whether the attempt may go to an endpoint without the risk of a second execution.
 func (query *Query) allows(e *Endpoint) bool {
-	return query.MaybeExecuted == nil || query.Scope.Shares(query.MaybeExecuted.Endpoint, e.Endpoint)
+	return query.MaybeExecutedAt == nil || query.DeduplicationScope.Shares(query.MaybeExecutedAt.Endpoint, e.Endpoint)
 }
 
 // Pick returns the endpoint with the least expected latency among those that may take the request now, or nil
@@ -49,7 +49,7 @@
 // limited to the few endpoints of a deduplication scope, looks at all.
 func (b *Balancer) Pick(now time.Duration, query Query) *Endpoint {
 	step := (len(b.serving) + MaxCandidates - 1) / MaxCandidates
-	if step > 1 && len(query.Tried) == 0 {
+	if step > 1 && len(query.TriedEndpoints) == 0 {
 		if e := b.pickFrom(now, &query, b.rng.IntN(step), step); e != nil {
 			return e
 		}
@@ -71,7 +71,7 @@
 			continue
 		}
 		score := b.score(now, e, weight)
-		if slices.Contains(query.Tried, e) || e.ejected(now) {
+		if slices.Contains(query.TriedEndpoints, e) || e.ejected(now) {
 			score *= lastResortFactor
 		}
 		if score < bestScore {
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -67,7 +67,7 @@
 
 // servingCapacity is the capacity of the serving endpoints, in warm endpoints.
 func (b *Balancer) servingCapacity(now time.Duration) float64 {
-	if now >= b.capacity.at+b.config.CapacityInterval {
+	if now >= b.capacity.at+b.config.CapacityCacheTTL {
 		b.computeCapacity(now)
 	}
 	return max(b.capacity.warmEndpoints, b.config.SlowStart.MinWeight, minSlowStartWeight)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -50,7 +50,7 @@
 	queue          queue.Queue[*request]
 	limiter        *limiter.Limiter
 	balancer       *balancer.Balancer
-	latency        *latency.Overall
+	latency        *latency.OverallMean
 	retryBudget    retryBudget
 }
 
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	settings.setMinimums()
-	overall := &latency.Overall{}
+	overall := &latency.OverallMean{}
 	g := &Gateway{
 		settings:     settings,
 		rng:          rand.New(rand.NewPCG(seed, seed^seedMix)),
@@ -101,7 +101,7 @@
 			BudgetSpan:     g.settings.SlowStartBudgetSpan,
 		},
 		MaxLatencyObjective: g.maxLatencyObjective,
-		CapacityInterval:    g.tickInterval,
+		CapacityCacheTTL:    g.tickInterval,
 	}
 }
 
@@ -155,7 +155,7 @@
 		g.watchingEndpoints = false
 		return
 	}
-	first := len(g.balancer.Serving()) == 0
+	first := len(g.balancer.ServingEndpoints()) == 0
 	g.balancer.Apply(g.now, balancer.Change{
 		Snapshot:            ev.Snapshot,
 		Endpoints:           ev.Endpoints,
@@ -175,7 +175,7 @@
 		g.watchingEndpoints = true
 		g.emit(WatchEndpoints{})
 	}
-	g.limiter.EndRoundIfDue(g.now, len(g.balancer.Serving()), g.balancer.GatewaysPerEndpoint())
+	g.limiter.EndRoundIfDue(g.now, len(g.balancer.ServingEndpoints()), g.balancer.GatewaysPerEndpoint())
 	g.activeRequests = slices.DeleteFunc(g.activeRequests, g.tickRequest)
 	g.quota.Tick()
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -67,7 +67,7 @@
 // endpoint returns a serving endpoint.
 func (g *testGateway) endpoint(id EndpointID) *balancer.Endpoint {
 	g.Helper()
-	for _, e := range g.gateway.balancer.Serving() {
+	for _, e := range g.gateway.balancer.ServingEndpoints() {
 		if e.ID == id {
 			return e
 		}
@@ -205,7 +205,7 @@
 	}
 	g := newTestGateway(t, set, endpoints...)
 	for i := range 12 {
-		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.Serving()[i], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.ServingEndpoints()[i], limiter.Sample{Outcome: TimedOut})
 		g.advance(time.Second)
 	}
 	if g.gateway.limiter.Window() >= 1 {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -102,7 +102,7 @@
 	}
 	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
-	if len(g.gateway.balancer.Serving()) != 1 {
+	if len(g.gateway.balancer.ServingEndpoints()) != 1 {
 		t.Fatal("an endpoint that is not in a snapshot still serves")
 	}
 }
@@ -259,14 +259,14 @@
 	before := g.gateway.limiter.Window()
 	c := g.gateway.classes["read"]
 	for range 50 {
-		g.gateway.recordSample(c, g.gateway.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.ServingEndpoints()[0], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(100 * ms)
 	if g.gateway.limiter.Window() < before {
 		t.Fatal("narrowed by one endpoint")
 	}
 	for i := range 50 {
-		g.gateway.recordSample(c, g.gateway.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.ServingEndpoints()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(2 * time.Second)
 	if g.gateway.limiter.Window() >= before {
@@ -279,7 +279,7 @@
 	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	before := g.gateway.limiter.Window()
 	for i := range 40 {
-		s := g.gateway.balancer.Serving()[i%2]
+		s := g.gateway.balancer.ServingEndpoints()[i%2]
 		g.gateway.recordSample(g.gateway.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
 		g.gateway.recordSample(g.gateway.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
 	}
--- a/policy/latency/latency.go
+++ b/policy/latency/latency.go
@@ -18,34 +18,34 @@
 	initialDeviation = 0.5 // mean deviation after the first answer, as a share of its latency
 )
 
-// Overall is the mean latency of the answers of all classes. The zero value has seen no answer. Its estimates
+// OverallMean is the mean latency of the answers of all classes. The zero value has seen no answer. Its estimates
 // and those who read it share one by pointer.
-type Overall struct {
+type OverallMean struct {
 	mean float64 // seconds
 }
 
 // Seconds returns the mean latency in seconds, 0 before the first answer.
-func (o *Overall) Seconds() float64 { return o.mean }
+func (o *OverallMean) Seconds() float64 { return o.mean }
 
 // Duration returns the mean latency, 0 before the first answer.
-func (o *Overall) Duration() time.Duration { return time.Duration(o.mean * float64(time.Second)) }
+func (o *OverallMean) Duration() time.Duration { return time.Duration(o.mean * float64(time.Second)) }
 
-func (o *Overall) record(seconds float64) {
+func (o *OverallMean) record(seconds float64) {
 	o.mean += overallGain * (seconds - o.mean)
 }
 
 // Estimate is the running estimate of the latency of one class.
 type Estimate struct {
-	overall   *Overall
+	overall   *OverallMean
 	mean      float64 // seconds; 0 before the first answer
 	deviation float64 // mean absolute deviation, seconds
 }
 
 // NewEstimate returns an estimate that has seen no answer. What it records counts in overall as well.
-func NewEstimate(overall *Overall) Estimate { return Estimate{overall: overall} }
+func NewEstimate(overall *OverallMean) Estimate { return Estimate{overall: overall} }
 
-// Known reports whether there has been an answer to estimate from.
-func (e *Estimate) Known() bool { return e.mean > 0 }
+// HasSamples reports whether there has been an answer to estimate from.
+func (e *Estimate) HasSamples() bool { return e.mean > 0 }
 
 // Expected returns the mean latency plus a number of mean deviations, 0 before the first answer.
 func (e *Estimate) Expected(deviations float64) time.Duration {
--- a/policy/latency/latency_test.go
+++ b/policy/latency/latency_test.go
@@ -9,16 +9,16 @@
 const ms = time.Millisecond
 
 func TestFirstAnswerSetsTheEstimate(t *testing.T) {
-	var overall Overall
+	var overall OverallMean
 	e := NewEstimate(&overall)
-	if e.Known() || e.Expected(3) != 0 || overall.Duration() != 0 {
-		t.Fatalf("before the first answer: known %v, expected %v, overall %v", e.Known(), e.Expected(3), overall.Duration())
+	if e.HasSamples() || e.Expected(3) != 0 || overall.Duration() != 0 {
+		t.Fatalf("before the first answer: known %v, expected %v, overall %v", e.HasSamples(), e.Expected(3), overall.Duration())
 	}
 	if relative := e.Record(100 * ms); relative != 1 {
 		t.Errorf("relative latency of the first answer %v, want 1", relative)
 	}
-	if !e.Known() || e.Expected(0) != 100*ms || overall.Duration() != 100*ms {
-		t.Errorf("known %v, expected %v, overall %v; want 100ms", e.Known(), e.Expected(0), overall.Duration())
+	if !e.HasSamples() || e.Expected(0) != 100*ms || overall.Duration() != 100*ms {
+		t.Errorf("known %v, expected %v, overall %v; want 100ms", e.HasSamples(), e.Expected(0), overall.Duration())
 	}
 	if got := e.Expected(1); got < 148*ms || got > 150*ms {
 		t.Errorf("expected with one deviation %v, want nearly 150ms", got)
@@ -26,7 +26,7 @@
 }
 
 func TestVeryLateAnswerCountsAsMaxRelative(t *testing.T) {
-	var overall Overall
+	var overall OverallMean
 	e := NewEstimate(&overall)
 	e.Record(100 * ms)
 	if relative := e.Record(time.Hour); relative != MaxRelative {
@@ -38,7 +38,7 @@
 }
 
 func TestOverallMeanStartsWithTheSlowestClass(t *testing.T) {
-	var overall Overall
+	var overall OverallMean
 	slow, fast := NewEstimate(&overall), NewEstimate(&overall)
 	slow.Record(400 * ms)
 	fast.Record(10 * ms)
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -50,7 +50,7 @@
 
 // Limiter is the window of one gateway. It is not safe for concurrent use. Times are on the gateway's clock.
 type Limiter struct {
-	latency      *latency.Overall
+	latency      *latency.OverallMean
 	tickInterval time.Duration // time between two calls of EndRoundIfDue
 
 	window    float64       // attempts that may be in flight
@@ -88,7 +88,7 @@
 
 // New returns a limiter with an empty window. A round lasts one mean latency of overall, and two tick
 // intervals at least; tickInterval is the time between two calls of EndRoundIfDue.
-func New(overall *latency.Overall, tickInterval time.Duration) *Limiter {
+func New(overall *latency.OverallMean, tickInterval time.Duration) *Limiter {
 	return &Limiter{latency: overall, tickInterval: tickInterval, round: 1}
 }
 
--- a/policy/limiter/limiter_test.go
+++ b/policy/limiter/limiter_test.go
@@ -14,7 +14,7 @@
 )
 
 func newLimiter(window float64) *Limiter {
-	l := New(&latency.Overall{}, 10*ms)
+	l := New(&latency.OverallMean{}, 10*ms)
 	l.SetWindow(window)
 	return l
 }
@@ -92,7 +92,7 @@
 }
 
 func TestWindowBelowOnePausesBetweenAttempts(t *testing.T) {
-	overall := &latency.Overall{}
+	overall := &latency.OverallMean{}
 	estimate := latency.NewEstimate(overall)
 	estimate.Record(100 * ms)
 	l := New(overall, 10*ms)
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -33,7 +33,7 @@
 		c.bucket.window = seconds(c.plan.Burst / c.plan.Rate)
 	}
 	c.bucket.initialCredit = m.rng.Float64() * max(1, m.config.MaxUnits)
-	if !m.config.SharedCounter {
+	if !m.config.HasSharedCounter {
 		// Nothing else is granted at once: up to two of the smallest requests, with the first lease.
 		c.bucket.initialCredit = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
 	}
@@ -62,7 +62,7 @@
 	c := charge.customer
 	c.lease.tokens += c.bucket.initialCredit
 	c.bucket.initialCredit = 0
-	hasEstimate := (m.config.SharedCounter || charge.isRetry) && !c.hasCeiling()
+	hasEstimate := (m.config.HasSharedCounter || charge.isRetry) && !c.hasCeiling()
 	if hasEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
 		return false
 	}
--- a/policy/quota/callthrottle.go
+++ b/policy/quota/callthrottle.go
@@ -58,7 +58,7 @@
 // others first.
 func (m *Manager) shouldCallForTokens(charge *Charge) bool {
 	switch {
-	case !m.config.SharedCounter:
+	case !m.config.HasSharedCounter:
 		return false
 	case !charge.customer.hasCeiling() && charge.plan.OverQuotaWeight > charge.plan.OverQuotaCost:
 		return m.rng.Float64() <= 2*m.throttle.share-1
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -34,8 +34,8 @@
 	finished         bool // it has its final answer
 }
 
-// Open returns the account of a new request, which Admit then decides on.
-func (m *Manager) Open(request Request) Charge {
+// NewCharge returns the account of a new request, which Admit then decides on.
+func (m *Manager) NewCharge(request Request) Charge {
 	plan := m.planFor(request.Plan)
 	return Charge{
 		id:             request.ID,
--- a/policy/quota/concurrency_test.go
+++ b/policy/quota/concurrency_test.go
@@ -16,7 +16,7 @@
 		var gateways []*testGateway
 		for index := range count {
 			config := testConfig()
-			config.Index, config.GatewayCount = index, count
+			config.GatewayIndex, config.GatewayCount = index, count
 			gateways = append(gateways, newTestGateway(t, config, []model.Plan{plan}))
 		}
 		for moment := range 20 {
--- a/policy/quota/customer.go
+++ b/policy/quota/customer.go
@@ -60,7 +60,7 @@
 		id:           request.Customer,
 		plan:         plan,
 		gatewaySpan:  span,
-		gatewayIndex: (m.config.Index - request.FirstGateway%count + count) % count,
+		gatewayIndex: (m.config.GatewayIndex - request.FirstGateway%count + count) % count,
 		windowOffset: windowOffsetOf(request.Customer),
 		central:      plan.Rate > 0 && plan.Burst < float64(span)*max(1, m.config.MaxUnits),
 		ceiling:      ceiling{updatedAt: now},
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -19,7 +19,7 @@
 	return Config{
 		GatewayCount:        2,
 		MaxUnits:            1,
-		SharedCounter:       true,
+		HasSharedCounter:    true,
 		CounterTimeout:      50 * ms,
 		MaxRetryAfter:       time.Second,
 		TickInterval:        10 * ms,
@@ -76,10 +76,10 @@
 	return g
 }
 
-func (g *testGateway) Now() time.Duration            { return g.now }
-func (g *testGateway) CallCounter(call Call)         { g.effects.calls = append(g.effects.calls, call) }
-func (g *testGateway) Saturated() bool               { return len(g.queue) > 0 }
-func (g *testGateway) MeanAnswerTime() time.Duration { return g.manager.config.TickInterval }
+func (g *testGateway) Now() time.Duration         { return g.now }
+func (g *testGateway) CallCounter(call Call)      { g.effects.calls = append(g.effects.calls, call) }
+func (g *testGateway) Saturated() bool            { return len(g.queue) > 0 }
+func (g *testGateway) MeanLatency() time.Duration { return g.manager.config.TickInterval }
 
 // customer returns the customer of all requests, which it creates if there was none.
 func (g *testGateway) customer(plan string, gatewaySpan int) *customer {
@@ -90,7 +90,7 @@
 func (g *testGateway) arrive(request Request) effects {
 	request.Customer = "c"
 	request.PriorityWeight = 1
-	open := &openRequest{id: request.ID, deadline: g.now + requestTimeout, charge: g.manager.Open(request)}
+	open := &openRequest{id: request.ID, deadline: g.now + requestTimeout, charge: g.manager.NewCharge(request)}
 	g.requests[request.ID] = open
 	g.resolve(open, g.manager.Admit(&open.charge))
 	return g.takeEffects()
--- a/policy/quota/lease.go
+++ b/policy/quota/lease.go
@@ -41,7 +41,7 @@
 		estimatedTokens: max(0, m.config.MaxUnits-tokens, 1-tokens),
 		estimatedAt:     now,
 		refreshedAt:     now,
-		counterSilent:   !m.config.SharedCounter,
+		counterSilent:   !m.config.HasSharedCounter,
 	}
 }
 
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -26,7 +26,7 @@
 // is in flight.
 func (m *Manager) callForLease(c *customer, leaseTokens float64) {
 	now := m.host.Now()
-	if !m.config.SharedCounter || c.central || c.lease.callInFlight || now < c.lease.nextCallAt {
+	if !m.config.HasSharedCounter || c.central || c.lease.callInFlight || now < c.lease.nextCallAt {
 		return
 	}
 	if window := c.windowAt(now, counterWindowLength); window != c.counterWindow {
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -12,10 +12,10 @@
 
 // Config is what a Manager has to know of the gateway's settings.
 type Config struct {
-	Index               int           // number of this gateway, from 0
+	GatewayIndex        int           // number of this gateway, from 0
 	GatewayCount        int           // number of all gateways
 	MaxUnits            float64       // units of the largest request
-	SharedCounter       bool          // the shared counter may be called
+	HasSharedCounter    bool          // the shared counter may be called
 	CounterTimeout      time.Duration // a call of the counter fails after it
 	MaxRetryAfter       time.Duration // clients are told to wait for no longer than this
 	TickInterval        time.Duration // between two calls of Manager.Tick
@@ -33,8 +33,8 @@
 	CallCounter(call Call)
 	// Saturated reports whether requests that are inside their quotas wait, or soon will.
 	Saturated() bool
-	// MeanAnswerTime returns the mean latency of answers, at least one tick.
-	MeanAnswerTime() time.Duration
+	// MeanLatency returns the mean latency of answers, at least one tick.
+	MeanLatency() time.Duration
 }
 
 // Manager holds the quotas of all customers of one gateway. It is not safe for concurrent use.
@@ -109,7 +109,7 @@
 	AvailableTokens  float64 // estimated level of the customer's token bucket, in units, without all leases
 	ReservedTokens   float64 // units reserved in a central bucket for a client's retry
 	AttemptsInFlight int     // at this gateway
-	Central          bool    // the customer has a central token bucket
+	HasCentralBucket bool    // the customer has a central token bucket
 }
 
 // Customer returns the state of a customer, or the zero state for one that is not known.
@@ -123,6 +123,6 @@
 		AvailableTokens:  c.availableTokens(m.host.Now()),
 		ReservedTokens:   c.bucket.reserved,
 		AttemptsInFlight: c.attemptsInFlight,
-		Central:          c.central,
+		HasCentralBucket: c.central,
 	}
 }
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -28,7 +28,7 @@
 // usesSemaphore reports whether the limit on concurrent attempts is held by permits. A limit of at least one
 // attempt for each gateway is split instead.
 func (m *Manager) usesSemaphore(c *customer) bool {
-	return m.config.SharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
+	return m.config.HasSharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
 }
 
 // acquirePermit decides on a request that is inside its rate by the limit on concurrent attempts, or calls
@@ -60,7 +60,7 @@
 	if worthAdmitting(charge, c.permitProbabilityUncalled(charge)) {
 		return admitted
 	}
-	return rejected(m.host.MeanAnswerTime())
+	return rejected(m.host.MeanLatency())
 }
 
 // handleSemaphoreReply takes the reply to a call by a permit name.
@@ -108,7 +108,7 @@
 	case granted:
 		return admitted
 	}
-	answerTime := m.host.MeanAnswerTime()
+	answerTime := m.host.MeanLatency()
 	c.permits.exhaustedUntil = m.host.Now() + answerTime/time.Duration(charge.plan.MaxConcurrency)
 	return rejected(answerTime)
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -72,7 +72,7 @@
 		if tokens > share+1e-9 || tokens < share/2 || len(g.gateway.activeRequests) > 0 {
 			t.Errorf("%d gateways: lease %v after all have expired, the share is %v", span, tokens, share)
 		}
-		if all := c.LeaseTokens + c.AvailableTokens; !c.Central && all > 8+1e-9 {
+		if all := c.LeaseTokens + c.AvailableTokens; !c.HasCentralBucket && all > 8+1e-9 {
 			t.Errorf("%d gateways: lease and token bucket hold %v, the burst is 8", span, all)
 		}
 	}
