--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -67,7 +67,7 @@
 // startAttempt starts an attempt if it may start; otherwise it ends as not sent.
 func (g *Gateway) startAttempt(a *attempt) {
 	if !a.MayStart() {
-		g.pool.Withdraw(a.Attempt)
+		g.pool.CancelUnsent(a.Attempt)
 		return
 	}
 	g.observe.attemptStarted(a)
@@ -101,7 +101,7 @@
 func (a *attempt) Abandoned() bool { return a.request.ClientGone() }
 
 // Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
-func (a *attempt) Ended(reply upstream.Reply) {
+func (a *attempt) Ended(reply upstream.Result) {
 	g, r := a.gateway, a.request
 	a.ended, a.outcome = true, reply.Outcome
 	if a.outcome == policy.Succeeded && reply.Value == nil { // a form of reply that is none to a request
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -38,8 +38,8 @@
 	Seed                       uint64
 	Sockets                    int // descriptors that it may hold
 	Memory                     int // bytes that it may use; 0: a default
-	Known                      discovery.EndpointList
-	Subset                     *subset.Subset // that Known was decoded with; nil: the widest
+	KnownEndpoints             discovery.EndpointList
+	Subset                     *subset.Subset // that KnownEndpoints was decoded with; nil: the widest
 	Settings                   policy.Settings
 	Connections                wire.Connections
 }
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -28,9 +28,9 @@
 // applyKnownEndpoints takes over the list that the configuration brought; the policy is told before anything else.
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.clock(time.Now())
-	g.cfg.Known.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.Known)})
-	g.cfg.Known.Entries = nil // a long list is not kept twice
+	g.cfg.KnownEndpoints.Snapshot = true
+	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.KnownEndpoints)})
+	g.cfg.KnownEndpoints.Entries = nil // a long list is not kept twice
 }
 
 // endpointList is the list as it stands, for the policy.
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -82,8 +82,8 @@
 	from, to := startDiscovery(t, endpointsAt(), nil), startDiscovery(t, list, nil)
 	addr, g := startGateway(t, testConfig(from, endpointsAt()))
 	nc, in := nettest.Dial(t, addr)
-	g.Move("127.0.0.1:1", "")
-	g.Move(to, "")
+	g.UpdateAddresses("127.0.0.1:1", "")
+	g.UpdateAddresses(to, "")
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)) // waits for an endpoint
 	nettest.WantValue(t, in)
 }
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -119,6 +119,6 @@
 
 // checkIdle retires idle connections, again and again.
 func (g *Gateway) checkIdle() {
-	g.pool.RetireIdle()
+	g.pool.CloseUnusableIdle()
 	g.after(idleCheckInterval, g.checkIdle)
 }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -122,7 +122,7 @@
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:  g.cfg.Discovery,
-		Known:    g.cfg.Known,
+		Known:    g.cfg.KnownEndpoints,
 		Subset:   g.cfg.Subset,
 		Settings: g.cfg.Settings,
 		Random:   rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
@@ -140,9 +140,9 @@
 // Addr returns the address that clients connect to, once Ready has closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// Move goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
+// UpdateAddresses goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
 // of several calls counts. Clients, endpoints and the policy's state are left as they are.
-func (g *Gateway) Move(discoveryAddress, counterAddress string) {
+func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
 	g.discovery.Move(discoveryAddress)
 	g.counter.Move(counterAddress)
 }
@@ -155,7 +155,7 @@
 		g.spawned.Wait()
 	}()
 	g.ctx = life
-	knownEndpoints := len(g.cfg.Known.Entries)
+	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
 	g.applyKnownEndpoints()
 	g.startParts()
 	select {
--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -44,11 +44,11 @@
 // Abandoned implements upstream.Command: a health check has no client.
 func (*healthCheck) Abandoned() bool { return false }
 
-// BeforeFirstByte implements upstream.Command.
-func (*healthCheck) BeforeFirstByte(time.Duration) {}
+// BeforeWrite implements upstream.Command.
+func (*healthCheck) BeforeWrite(time.Duration) {}
 
 // Ended implements upstream.Command.
-func (check *healthCheck) Ended(reply upstream.Reply) {
+func (check *healthCheck) Ended(reply upstream.Result) {
 	g := check.gateway
 	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
 		LoadReport: reply.LoadReport})
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -149,8 +149,8 @@
 	return false
 }
 
-// BeforeFirstByte implements upstream.Command: it checks the invariants on the goroutine of its connection.
-func (a *attempt) BeforeFirstByte(timeLimit time.Duration) {
+// BeforeWrite implements upstream.Command: it checks the invariants on the goroutine of its connection.
+func (a *attempt) BeforeWrite(timeLimit time.Duration) {
 	g, r := a.gateway, a.request
 	if r.Released() {
 		return
@@ -159,7 +159,7 @@
 	if left := r.ClientGoneAt(); left != 0 && now-left > maxStartAfterDisconnect {
 		g.observe.violated(invariantClientConnected, r.Request, now, "the client left "+(now-left).String()+" before")
 	}
-	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
+	if stopped := a.endpoint.StoppedServingAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
 		g.observe.violated(invariantDrain, r.Request, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -155,6 +155,6 @@
 // also where the settings don't allow to cancel those that are.
 func (g *Gateway) withdrawAttempts(r *request) {
 	for _, a := range r.attempts {
-		g.pool.Withdraw(a.Attempt)
+		g.pool.CancelUnsent(a.Attempt)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,11 +17,11 @@
 	Encode() EncodedCommand
 	// Abandoned reports whether nobody waits for the reply any more. It is safe for concurrent use.
 	Abandoned() bool
-	// BeforeFirstByte is called on a goroutine of the connection, just before it writes. timeLimit is that of the
+	// BeforeWrite is called on a goroutine of the connection, just before it writes. timeLimit is that of the
 	// EncodedCommand.
-	BeforeFirstByte(timeLimit time.Duration)
+	BeforeWrite(timeLimit time.Duration)
 	// Ended is called once, at the end of the attempt.
-	Ended(reply Reply)
+	Ended(reply Result)
 }
 
 // EncodedCommand is a command in the form in which it is written.
@@ -55,7 +55,7 @@
 func (attempt *Attempt) WaitsForConnection() bool { return attempt.connection == nil }
 
 // end reports the end of the attempt, once.
-func (attempt *Attempt) end(reply Reply) {
+func (attempt *Attempt) end(reply Result) {
 	if attempt.ended {
 		return
 	}
@@ -64,4 +64,4 @@
 }
 
 // endWith ends the attempt without a reply.
-func (attempt *Attempt) endWith(outcome policy.Outcome) { attempt.end(Reply{Outcome: outcome}) }
+func (attempt *Attempt) endWith(outcome policy.Outcome) { attempt.end(Result{Outcome: outcome}) }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -167,7 +167,7 @@
 	if next.attempt.command.Abandoned() {
 		return false
 	}
-	next.attempt.command.BeforeFirstByte(next.TimeLimit)
+	next.attempt.command.BeforeWrite(next.TimeLimit)
 	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	c.writing.Lock()
 	defer c.writing.Unlock()
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -67,10 +67,10 @@
 			pool.assign(c, attempt)
 			if received {
 				next := <-c.assignments
-				pool.Withdraw(attempt)
+				pool.CancelUnsent(attempt)
 				c.assignments <- next
 			} else {
-				if pool.Withdraw(attempt); len(c.assignments) != 0 {
+				if pool.CancelUnsent(attempt); len(c.assignments) != 0 {
 					t.Fatal("no capacity for the next command")
 				}
 			}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -9,7 +9,7 @@
 )
 
 // Endpoint is an entry of the endpoint list, with its connections and the attempts that wait for one. It belongs to the loop's
-// goroutine, but for StoppedAt.
+// goroutine, but for StoppedServingAt.
 type Endpoint struct {
 	policy.Endpoint
 
@@ -29,9 +29,11 @@
 	Address string // ignored for an endpoint that is removed
 }
 
-// StoppedAt returns when the endpoint's state changed from serving, on the loop's clock, or 0 while it serves. It is safe for
+// StoppedServingAt returns when the endpoint's state changed from serving, on the loop's clock, or 0 while it serves. It is safe for
 // concurrent use.
-func (endpoint *Endpoint) StoppedAt() time.Duration { return time.Duration(endpoint.stoppedAt.Load()) }
+func (endpoint *Endpoint) StoppedServingAt() time.Duration {
+	return time.Duration(endpoint.stoppedAt.Load())
+}
 
 // update takes over a changed entry.
 func (endpoint *Endpoint) update(update EndpointUpdate, now time.Duration) {
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -34,7 +34,7 @@
 		}
 		endpoint.update(update, now)
 	}
-	pool.RetireIdle()
+	pool.CloseUnusableIdle()
 	for _, endpoint := range pool.endpoints {
 		for endpoint.State != policy.Serving && len(endpoint.waiting) > 0 {
 			endpoint.dequeue().endWith(policy.NotSent)
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -16,7 +16,7 @@
 type ReplyReceived struct {
 	connection *connection
 	written    *Attempt // the last one that had been written when the reply came; nil: none
-	reply      Reply
+	reply      Result
 }
 
 // Disconnected is the last event of a connection.
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -135,7 +135,7 @@
 type testCommand struct {
 	denied    bool // it may not start
 	abandoned bool
-	ends      []Reply
+	ends      []Result
 }
 
 func (c *testCommand) MayStart() bool { return !c.denied }
@@ -146,9 +146,9 @@
 
 func (c *testCommand) Abandoned() bool { return c.abandoned }
 
-func (*testCommand) BeforeFirstByte(time.Duration) {}
+func (*testCommand) BeforeWrite(time.Duration) {}
 
-func (c *testCommand) Ended(reply Reply) { c.ends = append(c.ends, reply) }
+func (c *testCommand) Ended(reply Result) { c.ends = append(c.ends, reply) }
 
 // newTestAttempt returns an attempt that has not started, and its command.
 func newTestAttempt(pool *Pool, id policy.EndpointID) (*Attempt, *testCommand) {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,8 +8,8 @@
 	return pool.config.Now()-c.idleSince > pool.config.IdleTimeout*2/3
 }
 
-// RetireIdle closes the idle connections that are stale or lead to where nothing is to be sent any more.
-func (pool *Pool) RetireIdle() {
+// CloseUnusableIdle closes the idle connections that are stale or lead to where nothing is to be sent any more.
+func (pool *Pool) CloseUnusableIdle() {
 	for _, endpoint := range pool.endpoints {
 		for len(endpoint.idle) > 0 && pool.mustRetire(endpoint.idle[0]) {
 			endpoint.closeOldestIdle()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Withdraw ends an attempt whose first byte has not been written, and leaves any other as it is. The connection that it was
+// CancelUnsent ends an attempt whose first byte has not been written, and leaves any other as it is. The connection that it was
 // given to stays open.
-func (pool *Pool) Withdraw(attempt *Attempt) {
+func (pool *Pool) CancelUnsent(attempt *Attempt) {
 	switch {
 	case attempt.ended:
 	case attempt.connection == nil:
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -33,12 +33,12 @@
 	pool.dial(endpoint)
 	endpoint.waiting = nil
 	pool.HandleEvent((<-loop.events).(Connected))
-	pool.RetireIdle()
+	pool.CloseUnusableIdle()
 	if len(endpoint.idle) != 1 {
 		t.Fatal("a fresh connection was retired")
 	}
 	loop.now += testIdleTimeout - time.Second
-	pool.RetireIdle()
+	pool.CloseUnusableIdle()
 	if down := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !down.wasConnected {
 		t.Fatal("a stale connection was not retired")
 	}
@@ -51,7 +51,7 @@
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
 	connected.connection.current = attempt
-	reply := Reply{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
+	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{connected.connection, nil, reply})
 	if attempt.ended {
 		t.Fatal("served with another's reply")
@@ -73,7 +73,7 @@
 	connected := (<-loop.events).(Connected)
 	pool.HandleEvent(connected)
 	pool.Start(second)
-	pool.HandleEvent(ReplyReceived{connected.connection, first, Reply{Outcome: policy.Succeeded, reusable: true}})
+	pool.HandleEvent(ReplyReceived{connected.connection, first, Result{Outcome: policy.Succeeded, reusable: true}})
 	loop.advance(reuseDelay)
 	for second.connection == nil {
 		pool.HandleEvent(<-loop.events)
@@ -138,7 +138,7 @@
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.HandleEvent(<-loop.events)
-	reply := Reply{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
+	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{attempt.connection, attempt, reply})
 	if loop.advance(10 * time.Millisecond); len(attempt.endpoint.idle) != 0 {
 		t.Fatal("idle again at once")
@@ -172,7 +172,7 @@
 }
 
 // A connection that has been idle for too long is not used, also if the idle timeout is shorter than the time between two calls
-// of RetireIdle.
+// of CloseUnusableIdle.
 func TestStaleIdleConnectionIsNotUsed(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
 	pool, loop := newTestPool(t, func(c *Config) { c.IdleTimeout = idleTimeout }, startEndpoint(t, nil).address)
@@ -217,7 +217,7 @@
 	if len(command.ends) != 1 || command.ends[0].Outcome != policy.NotSent {
 		t.Fatalf("ends %v, want one as not sent", command.ends)
 	}
-	if stopped := attempt.endpoint.StoppedAt(); stopped != loop.now {
+	if stopped := attempt.endpoint.StoppedServingAt(); stopped != loop.now {
 		t.Fatalf("stopped at %v, want %v", stopped, loop.now)
 	}
 	pool.HandleEvent(connected)
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -12,8 +12,8 @@
 // maxLoadFigure is the largest figure of a load report; one beyond is taken for a fault of the endpoint.
 const maxLoadFigure = 1e9
 
-// Reply is what became of an attempt: an endpoint's reply, or an outcome without one.
-type Reply struct {
+// Result is what became of an attempt: an endpoint's reply, or an outcome without one.
+type Result struct {
 	Outcome      policy.Outcome
 	Value        []byte            // nil: none
 	SettledUnits float64           // the units that the request has cost, where the reply tells; else 0
@@ -25,31 +25,31 @@
 
 // parseReply reads a whole frame from an endpoint. Whatever is not of a known form has failed and may have been executed, and
 // the connection that brought it is not trusted any further.
-func parseReply(frame []byte) Reply {
+func parseReply(frame []byte) Result {
 	_, value := redcon.ReadNextRESP(frame)
 	switch value.Type {
 	case redcon.Error:
 		return parseErrorReply(string(value.Data))
 	case redcon.String:
 		if string(value.Data) == "PONG" {
-			return Reply{Outcome: policy.Succeeded, reusable: true}
+			return Result{Outcome: policy.Succeeded, reusable: true}
 		}
 	case redcon.Bulk:
 		if value.Data != nil {
-			return Reply{Outcome: policy.Succeeded, reusable: true, LoadReport: parseLoadReport(string(value.Data))}
+			return Result{Outcome: policy.Succeeded, reusable: true, LoadReport: parseLoadReport(string(value.Data))}
 		}
 	case redcon.Array:
 		if value.Count == 3 {
 			return parseValueReply(value)
 		}
 	}
-	return Reply{Outcome: policy.Failed}
+	return Result{Outcome: policy.Failed}
 }
 
 // parseErrorReply reads an error; its last word may be a load report.
-func parseErrorReply(text string) Reply {
+func parseErrorReply(text string) Result {
 	code, rest, _ := strings.Cut(text, " ")
-	reply := Reply{Outcome: policy.Failed, reusable: code == "ERR" || code == "BUSY"}
+	reply := Result{Outcome: policy.Failed, reusable: code == "ERR" || code == "BUSY"}
 	if code == "BUSY" {
 		reply.Outcome = policy.Rejected
 	}
@@ -62,8 +62,8 @@
 
 // parseValueReply reads the reply to a request: the value, the figures on use, the load report. The latter two may be
 // unreadable.
-func parseValueReply(array redcon.RESP) Reply {
-	reply := Reply{Outcome: policy.Failed}
+func parseValueReply(array redcon.RESP) Result {
+	reply := Result{Outcome: policy.Failed}
 	i := 0
 	array.ForEach(func(element redcon.RESP) bool {
 		bulk := element.Type == redcon.Bulk
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -9,10 +9,10 @@
 
 func TestParseReply(t *testing.T) {
 	load := policy.LoadReport{"qps": 7}
-	value := Reply{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
+	value := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	valueWithLoad := value
 	valueWithLoad.LoadReport = load
-	for in, want := range map[string]Reply{
+	for in, want := range map[string]Result{
 		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         valueWithLoad,
 		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       value,
 		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": value,
