--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -61,8 +61,8 @@
 	return c.connections[hash.Sum32()%connectionCount]
 }
 
-// Move makes the client go over to another address. It may be called at any time and never blocks; the latest call counts.
-func (c *Client) Move(address string) {
+// SetAddress makes the client go over to another address. It may be called at any time and never blocks; the latest call counts.
+func (c *Client) SetAddress(address string) {
 	for _, connection := range c.connections {
 		connection.addresses.Set(address)
 	}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -98,7 +98,7 @@
 }
 
 // Abandoned implements upstream.Command.
-func (a *attempt) Abandoned() bool { return a.request.ClientGone() }
+func (a *attempt) Abandoned() bool { return a.request.ClientDisconnected() }
 
 // Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
 func (a *attempt) Ended(reply upstream.Reply) {
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -25,7 +25,7 @@
 		Clock:          g.clock,
 		Stalls:         g.stalls,
 		Log:            g.log,
-		LogLimit:       g.observe.anomalies,
+		LogLimiter:     g.observe.anomalies,
 		Counters:       g.observe.clients,
 		Handler:        clientEvents{g},
 		Observer:       clientEvents{g},
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -144,7 +144,7 @@
 // of several calls counts. Clients, endpoints and the policy's state are left as they are.
 func (g *Gateway) Move(discoveryAddress, counterAddress string) {
 	g.discovery.Move(discoveryAddress)
-	g.counter.Move(counterAddress)
+	g.counter.SetAddress(counterAddress)
 }
 
 // Run serves until ctx ends, then answers what it has admitted and returns.
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -55,7 +55,7 @@
 
 // checkAnswerTime reports a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	due := max(r.GiveUpAt, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process is stalled
+	due := max(r.GiveUpAt, g.epoch+g.stalls.LastStallEnd()) // nothing is answered while the process is stalled
 	if g.now > due+maxAnswerDelay {
 		g.observe.violated(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-due).String()+" late")
 	}
@@ -86,7 +86,7 @@
 	switch {
 	case r.final:
 		return errRequestOver
-	case r.ClientGone():
+	case r.ClientDisconnected():
 		return errClientDisconnected
 	case a.deadline <= g.now:
 		return errNoTimeLeft
@@ -156,7 +156,7 @@
 		return
 	}
 	now := g.clock(time.Now())
-	if left := r.ClientGoneAt(); left != 0 && now-left > maxStartAfterDisconnect {
+	if left := r.ClientDisconnectedAt(); left != 0 && now-left > maxStartAfterDisconnect {
 		g.observe.violated(invariantClientConnected, r.Request, now, "the client left "+(now-left).String()+" before")
 	}
 	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -30,7 +30,7 @@
 	outcomes   *telemetry.Counters[policy.Outcome]
 	stalls     atomic.Int64 // of the process
 	violations *telemetry.Counters[invariant]
-	anomalies  *telemetry.Limiter
+	anomalies  *telemetry.LogLimiter
 }
 
 func newObserver(log *slog.Logger) *observer {
@@ -42,7 +42,7 @@
 		requests: newRequestCounters(), clients: listener.NewCounters(),
 		violations: newViolations(),
 		outcomes:   telemetry.NewCounters[policy.Outcome](outcomes...),
-		anomalies:  telemetry.NewLimiter(maxAnomaliesPerPeriod, anomalyPeriod)}
+		anomalies:  telemetry.NewLogLimiter(maxAnomaliesPerPeriod, anomalyPeriod)}
 }
 
 // run writes the counters from time to time until ctx ends.
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -64,7 +64,7 @@
 
 // admit admits a request, or rejects it.
 func (g *Gateway) admit(r *listener.Request) {
-	if r.ClientGone() {
+	if r.ClientDisconnected() {
 		return
 	}
 	if !g.requests.hasRoom(r.Size) || g.shutdownIsOver() {
@@ -74,7 +74,7 @@
 	}
 	if g.requests.takenKeys[r.ExternalID] { // the one who asked first has its answer, and nobody else
 		g.observe.requests.Add(requestsDuplicate)
-		r.RespondDuplicate()
+		r.RejectDuplicate()
 		return
 	}
 	taken := g.requests.add(r)
--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -46,7 +46,7 @@
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return
 	}
-	if ok, suppressed := s.cfg.LogLimit.Allow(called); ok {
+	if ok, suppressed := s.cfg.LogLimiter.Allow(called); ok {
 		s.cfg.Log.Warn("accept failed", "err", err, "suppressed", suppressed)
 	}
 	time.Sleep(acceptRetryPause)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -132,7 +132,7 @@
 	if c.state != stateConfirming {
 		return false, false
 	}
-	if len(c.waiting) == 0 && (!c.reader.buffer.Partial() || c.reason == CloseForSlot) {
+	if len(c.waiting) == 0 && (!c.reader.buffer.HasPartialFrame() || c.reason == CloseForSlot) {
 		c.end()
 		return true, true
 	}
--- a/internal/listener/fixtures_test.go
+++ b/internal/listener/fixtures_test.go
@@ -53,7 +53,7 @@
 		Clock:          func(t time.Time) time.Duration { return epoch + t.Sub(start) },
 		Stalls:         stall.NewDetector(start),
 		Log:            slog.New(slog.DiscardHandler),
-		LogLimit:       telemetry.NewLimiter(20, time.Second),
+		LogLimiter:     telemetry.NewLogLimiter(20, time.Second),
 		Counters:       NewCounters(),
 		Handler:        rec,
 		Observer:       rec,
--- a/internal/listener/reader.go
+++ b/internal/listener/reader.go
@@ -120,7 +120,7 @@
 // limitCommand sets a deadline for the rest of a command that has begun, once for each command: a deadline for each read
 // would cost CPU.
 func (c *conn) limitCommand() {
-	if !c.reader.buffer.Partial() || c.reader.hasDeadline {
+	if !c.reader.buffer.HasPartialFrame() || c.reader.hasDeadline {
 		return
 	}
 	from := time.Now()
--- a/internal/listener/request.go
+++ b/internal/listener/request.go
@@ -25,21 +25,21 @@
 // Respond gives the client the one final answer.
 func (request *Request) Respond(answer []byte) { request.response.respond(answer) }
 
-// ClientGone reports whether the client has gone. The event that says so may still be on its way to the handler.
-func (request *Request) ClientGone() bool {
+// ClientDisconnected reports whether the client has gone. The event that says so may still be on its way to the handler.
+func (request *Request) ClientDisconnected() bool {
 	return request.response != nil && request.response.conn.gone.Load()
 }
 
-// ClientGoneAt returns when the client has gone; 0: it has not.
-func (request *Request) ClientGoneAt() time.Duration {
+// ClientDisconnectedAt returns when the client has gone; 0: it has not.
+func (request *Request) ClientDisconnectedAt() time.Duration {
 	if request.response == nil {
 		return 0
 	}
 	return time.Duration(request.response.conn.goneAt.Load())
 }
 
-// RespondDuplicate answers a request whose id is that of an open one, which counts as a fault of the connection.
-func (request *Request) RespondDuplicate() {
+// RejectDuplicate answers a request whose id is that of an open one, which counts as a fault of the connection.
+func (request *Request) RejectDuplicate() {
 	c := request.response.conn
 	c.duplicate.Store(request.ExternalID)
 	c.observeFault(FaultDuplicate, "the id "+request.ExternalIDString()+" is taken", c.faults.Add(1))
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -59,7 +59,7 @@
 	Clock          func(time.Time) time.Duration // the clock of the times in a Request
 	Stalls         *stall.Detector               // nil: stalls of the process are not noticed
 	Log            *slog.Logger
-	LogLimit       *telemetry.Limiter // of warnings
+	LogLimiter     *telemetry.LogLimiter // of warnings
 	Counters       *Counters
 	Handler        Handler
 	Observer       Observer
--- a/internal/resp/buffer.go
+++ b/internal/resp/buffer.go
@@ -67,8 +67,8 @@
 // HasRoom reports whether a read fits without more memory.
 func (buffer *FrameBuffer) HasRoom() bool { return buffer.end-buffer.start < InitialBufferSize }
 
-// Partial reports whether a frame has begun and has not been returned.
-func (buffer *FrameBuffer) Partial() bool { return buffer.end > buffer.start }
+// HasPartialFrame reports whether a frame has begun and has not been returned.
+func (buffer *FrameBuffer) HasPartialFrame() bool { return buffer.end > buffer.start }
 
 // Fill calls read once for more bytes, growing the buffer to one frame at most. It returns ErrTooLong or ErrNoMemory where
 // the frame cannot be held, and the error of read where that brought nothing.
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -47,8 +47,8 @@
 	return gap
 }
 
-// LastEnd returns when the last stall ended, as a duration since the start; it is negative if there was none.
-func (detector *Detector) LastEnd() time.Duration { return time.Duration(detector.until.Load()) }
+// LastStallEnd returns when the last stall ended, as a duration since the start; it is negative if there was none.
+func (detector *Detector) LastStallEnd() time.Duration { return time.Duration(detector.until.Load()) }
 
 // EarliestArrival returns the earliest time at which something that is read now may have come: now, or the beginning of a
 // stall that has only just ended or that no heartbeat has ended yet.
--- a/internal/telemetry/limiter.go
+++ b/internal/telemetry/limiter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Limiter limits the number of log records in each period, so that a fault that hits every request cannot fill the log.
+// LogLimiter limits the number of log records in each period, so that a fault that hits every request cannot fill the log.
 // It is safe for concurrent use.
-type Limiter struct {
+type LogLimiter struct {
 	limit  int
 	period time.Duration
 
@@ -17,15 +17,15 @@
 	suppressed  int // records in this period
 }
 
-// NewLimiter returns a Limiter that allows limit records in each period. A period starts with the first record after the
+// NewLogLimiter returns a LogLimiter that allows limit records in each period. A period starts with the first record after the
 // end of the last one.
-func NewLimiter(limit int, period time.Duration) *Limiter {
-	return &Limiter{limit: limit, period: period}
+func NewLogLimiter(limit int, period time.Duration) *LogLimiter {
+	return &LogLimiter{limit: limit, period: period}
 }
 
 // Allow reports whether a record may be written now. With the first one of a period it returns how many were suppressed
 // in the period before.
-func (l *Limiter) Allow(now time.Time) (ok bool, suppressed int) {
+func (l *LogLimiter) Allow(now time.Time) (ok bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.periodStart) >= l.period {
--- a/internal/telemetry/limiter_test.go
+++ b/internal/telemetry/limiter_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestLimiterReportsWhatItSuppressed(t *testing.T) {
-	l, now := NewLimiter(2, time.Second), time.Unix(100, 0)
+	l, now := NewLogLimiter(2, time.Second), time.Unix(100, 0)
 	for i, want := range []bool{true, true, false, false, false} {
 		if ok, _ := l.Allow(now); ok != want {
 			t.Fatalf("record %d allowed: %v", i, ok)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -95,14 +95,14 @@
 		}
 		if frame != nil {
 			reply := parseReply(frame)
-			reply.reusable = reply.reusable && !buffer.Partial()
+			reply.reusable = reply.reusable && !buffer.HasPartialFrame()
 			post(ReplyReceived{c, c.lastWritten(), reply})
 			if !reply.reusable {
 				return
 			}
 			continue
 		}
-		limited = c.limitReply(limited, buffer.Partial())
+		limited = c.limitReply(limited, buffer.HasPartialFrame())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
