--- a/cmd/ingress/config.go
+++ b/cmd/ingress/config.go
@@ -113,7 +113,7 @@
 	}
 	defer file.Close()
 	var f configFile
-	if err := f.read(file, discovery.SkipKnown); err != nil {
+	if err := f.read(file, discovery.SkipKnownList); err != nil {
 		return cfg, granted, err
 	}
 	if f.Listen == "" || f.Discovery == "" || len(f.Settings) == 0 {
@@ -131,7 +131,7 @@
 		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Settings: *settings, Connections: conns}
 	// Which known endpoints are kept depends on the settings, and these may stand behind the list: hence the second pass.
 	if err := new(configFile).read(file, func(in *json.Decoder) (err error) {
-		cfg.Known, cfg.Subset, err = discovery.DecodeKnown(in, *settings, log)
+		cfg.Known, cfg.Subset, err = discovery.DecodeKnownList(in, *settings, log)
 		return err
 	}); err != nil {
 		return cfg, granted, err
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,17 +23,17 @@
 
 // Config is what a Client is created from.
 type Config struct {
-	Address  string         // of the discovery service: host and port
-	Known    EndpointList   // the list that the configuration brought, if any; its entries are not retained
-	Subset   *subset.Subset // that Known was decoded with; nil: the widest one
-	Settings policy.Settings
-	Random   *rand.Rand // for jitter; nil: seeded at random. The client takes it over
+	Address   string         // of the discovery service: host and port
+	KnownList EndpointList   // the list that the configuration brought, if any; its entries are not retained
+	Subset    *subset.Subset // that KnownList was decoded with; nil: the widest one
+	Settings  policy.Settings
+	Random    *rand.Rand // for jitter; nil: seeded at random. The client takes it over
 
 	// DialContext opens the connections; nil: over TCP.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client keeps the endpoint list up to date. Move and Ready may be called from any goroutine; the rest belongs to Run.
+// Client keeps the endpoint list up to date. ChangeAddress and Ready may be called from any goroutine; the rest belongs to Run.
 type Client struct {
 	url       string // of the list; changes between two calls of synchronize
 	http      *http.Client
@@ -63,7 +63,7 @@
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderLength,
 	}
-	settings, hasKnown := config.Settings, len(config.Known.Entries) > 0
+	settings, hasKnown := config.Settings, len(config.KnownList.Entries) > 0
 	client := &Client{
 		url:       listURL(config.Address),
 		http:      &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
@@ -72,7 +72,7 @@
 		policy:    newPollPolicy(settings.PollEndpoints, settings.GatewayCount, hasKnown),
 		ready:     make(chan struct{}),
 		log:       log,
-		revision:  config.Known.Revision,
+		revision:  config.KnownList.Revision,
 		random:    random,
 		cache:     newCache(config.Subset, settings, log),
 	}
@@ -85,17 +85,17 @@
 // refuseRedirect makes a redirect an answer like any other that is not a list.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// ApplyKnown returns what is cached of the list that the configuration brought. It comes before Run.
-func (c *Client) ApplyKnown(list EndpointList) EndpointList { return c.cache.Apply(list) }
+// ApplyKnownList returns what is cached of the list that the configuration brought. It comes before Run.
+func (c *Client) ApplyKnownList(list EndpointList) EndpointList { return c.cache.Apply(list) }
 
-// Move makes the client go over to another address. It may be called at any time and never blocks; the latest call counts.
-func (c *Client) Move(address string) { c.addresses.Set(address) }
+// ChangeAddress makes the client go over to another address. It may be called at any time and never blocks; the latest call counts.
+func (c *Client) ChangeAddress(address string) { c.addresses.Set(address) }
 
 // Ready is closed once the first poll has ended, with a list or without. Where polls are spread out it is closed as soon as
 // Run begins, since the known list then has to do.
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
-// Run polls and watches until ctx ends, at each address that Move brings in turn. All goroutines of the client have ended
+// Run polls and watches until ctx ends, at each address that ChangeAddress brings in turn. All goroutines of the client have ended
 // when it returns.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -30,7 +30,7 @@
 				<-r.Context().Done()
 			}))
 			defer s.Close()
-			client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), Known: EndpointList{Revision: 7},
+			client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), KnownList: EndpointList{Revision: 7},
 				Settings: singleGateway()}, func(EndpointList) {}, quiet)
 			client.policy = pollPolicy{startSpread: c.spread, answerTimeout: time.Minute, silenceTimeout: time.Minute,
 				minBackoff: time.Millisecond, maxBackoff: time.Millisecond}
@@ -64,7 +64,7 @@
 		want     time.Duration
 	}{{4, true, 1, 0}, {80, false, 1, 0}, {80, true, 0, 0}, {9, true, 1, 9 * spreadPerGateway}, {20, true, 1, 20 * spreadPerGateway},
 		{80, true, 1, pollInterval}, {300, true, 1, pollInterval}} {
-		client := NewClient(Config{Address: "127.0.0.1:1", Known: EndpointList{Entries: make([]Entry, c.known)},
+		client := NewClient(Config{Address: "127.0.0.1:1", KnownList: EndpointList{Entries: make([]Entry, c.known)},
 			Settings: policy.Settings{GatewayCount: c.gateways, PollEndpoints: c.polls}}, func(EndpointList) {}, quiet)
 		if client.policy.startSpread != c.want {
 			t.Errorf("%+v: spread %v", c, client.policy.startSpread)
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -32,10 +32,10 @@
 	for i := range n {
 		published := map[int64]time.Time{}
 		config := Config{
-			Address:  "127.0.0.1:1",
-			Known:    EndpointList{Revision: 1},
-			Settings: singleGateway(),
-			Random:   rand.New(rand.NewPCG(seed, uint64(i))),
+			Address:   "127.0.0.1:1",
+			KnownList: EndpointList{Revision: 1},
+			Settings:  singleGateway(),
+			Random:    rand.New(rand.NewPCG(seed, uint64(i))),
 			DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				return group.listener.Dial(ctx)
 			},
@@ -192,7 +192,7 @@
 		service.SilenceWatches() // the old address delivers nothing more
 		revision, since := service.Change(target(0, "DRAINING")), time.Now()
 		for _, client := range group.clients {
-			client.Move("127.0.0.1:2")
+			client.ChangeAddress("127.0.0.1:2")
 		}
 		time.Sleep(3 * moveDeadline)
 		if last, missing := group.latest(revision, since); missing > 0 || last > moveDeadline {
--- a/internal/discovery/known.go
+++ b/internal/discovery/known.go
@@ -8,9 +8,9 @@
 	"lemontack/policy"
 )
 
-// DecodeKnown decodes the list of a configuration as a stream, and returns the part of it that a gateway of these settings
+// DecodeKnownList decodes the list of a configuration as a stream, and returns the part of it that a gateway of these settings
 // caches, with the subset that it was chosen by. Both go into Config.
-func DecodeKnown(objects *json.Decoder, settings policy.Settings, log *slog.Logger) (EndpointList, *subset.Subset, error) {
+func DecodeKnownList(objects *json.Decoder, settings policy.Settings, log *slog.Logger) (EndpointList, *subset.Subset, error) {
 	cache := NewCache(settings, log)
 	h, list, err := cache.decode(objects, func() {})
 	if h.Revision != nil {
@@ -19,8 +19,8 @@
 	return list, cache.members.Subset(), err
 }
 
-// SkipKnown reads past the list of a configuration, and fails where DecodeKnown does.
-func SkipKnown(objects *json.Decoder) error {
+// SkipKnownList reads past the list of a configuration, and fails where DecodeKnownList does.
+func SkipKnownList(objects *json.Decoder) error {
 	_, err := decodeList(objects, entryHandlers{before: func() {}, take: func(Entry) {}})
 	return err
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -26,7 +26,7 @@
 	}))
 	defer s.Close()
 	lists := make(chan EndpointList, 64)
-	client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), Known: EndpointList{Revision: 1},
+	client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), KnownList: EndpointList{Revision: 1},
 		Settings: singleGateway()}, func(list EndpointList) { lists <- list }, quiet)
 	stop := runClient(t, client)
 	defer stop()
@@ -41,7 +41,7 @@
 // Stale lists, which would bring back removed endpoints, and invalid entries are ignored.
 func TestClientIgnoresStaleListsAndInvalidEntries(t *testing.T) {
 	var published []EndpointList
-	client := NewClient(Config{Address: "127.0.0.1:1", Known: EndpointList{Revision: 7}, Settings: singleGateway()},
+	client := NewClient(Config{Address: "127.0.0.1:1", KnownList: EndpointList{Revision: 7}, Settings: singleGateway()},
 		func(list EndpointList) { published = append(published, list) }, quiet)
 	for _, c := range []struct {
 		in      string
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -41,7 +41,7 @@
 	Known                      discovery.EndpointList
 	Subset                     *subset.Subset // that Known was decoded with; nil: the widest
 	Settings                   policy.Settings
-	Connections                wire.Connections
+	Connections                wire.ConnectionSettings
 }
 
 // validate reports why the configuration cannot work.
@@ -72,11 +72,11 @@
 	if cfg.Connections.ConnectTimeout <= 0 {
 		cfg.Connections.ConnectTimeout = defaultConnectTimeout
 	}
-	if cfg.Connections.MaxOpen <= 0 {
-		cfg.Connections.MaxOpen = defaultMaxOpenRequests
+	if cfg.Connections.MaxOpenRequests <= 0 {
+		cfg.Connections.MaxOpenRequests = defaultMaxOpenRequests
 	}
-	if cfg.Connections.Idle <= 0 {
-		cfg.Connections.Idle = defaultIdleTimeout
+	if cfg.Connections.IdleTimeout <= 0 {
+		cfg.Connections.IdleTimeout = defaultIdleTimeout
 	}
 	if cfg.Settings.SharedCounter && cfg.Settings.CounterTimeout <= 0 {
 		cfg.Settings.CounterTimeout = defaultCounterTimeout
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -29,7 +29,7 @@
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.clock(time.Now())
 	g.cfg.Known.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.Known)})
+	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.Known)})
 	g.cfg.Known.Entries = nil // a long list is not kept twice
 }
 
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	got := g.discoveryConfig()
-	if got.Address != cfg.Discovery || got.Known.Revision != 1 || len(got.Known.Entries) != 1 ||
+	if got.Address != cfg.Discovery || got.KnownList.Revision != 1 || len(got.KnownList.Entries) != 1 ||
 		got.Settings.GatewayCount != 9 || !got.Settings.PollEndpoints {
 		t.Errorf("%+v", got)
 	}
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -23,7 +23,7 @@
 				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.NonIdempotent},
 				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.IdempotencyKey}},
 			Plans: []policy.Plan{{Name: "p", Price: 1}}},
-		Connections: wire.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
+		Connections: wire.ConnectionSettings{IdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
 
 // startIngress runs an ingress. stop shuts it down and returns the result of Run; the end of the test does so at the latest.
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -82,7 +82,7 @@
 		maxUnits:     cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 		maxAttempts:  max(cfg.Settings.MaxAttempts, 1),
 		rejection:    busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
-		requests:     newRequestTable(cfg.Connections.MaxOpen, cfg.memoryPart()),
+		requests:     newRequestTable(cfg.Connections.MaxOpenRequests, cfg.memoryPart()),
 		ready:        make(chan struct{}),
 	}
 	for _, class := range cfg.Settings.Classes {
@@ -107,7 +107,7 @@
 		Go:             g.spawn,
 		MaxConnections: g.cfg.maxUpstreamConnections(),
 		ConnectTimeout: g.cfg.Connections.ConnectTimeout,
-		IdleTimeout:    g.cfg.Connections.Idle,
+		IdleTimeout:    g.cfg.Connections.IdleTimeout,
 		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryPart()),
 	})
 }
@@ -121,11 +121,11 @@
 // discoveryConfig returns the configuration of the discovery client.
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
-		Address:  g.cfg.Discovery,
-		Known:    g.cfg.Known,
-		Subset:   g.cfg.Subset,
-		Settings: g.cfg.Settings,
-		Random:   rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+		Address:   g.cfg.Discovery,
+		KnownList: g.cfg.Known,
+		Subset:    g.cfg.Subset,
+		Settings:  g.cfg.Settings,
+		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
 	}
 }
 
@@ -143,7 +143,7 @@
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
 // of several calls counts. Clients, endpoints and the policy's state are left as they are.
 func (g *Gateway) Move(discoveryAddress, counterAddress string) {
-	g.discovery.Move(discoveryAddress)
+	g.discovery.ChangeAddress(discoveryAddress)
 	g.counter.Move(counterAddress)
 }
 
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	endpoint := startEndpoint(t, nil)
 	cfg := configFor(t, endpoint)
-	cfg.Connections.MaxOpen = 2
+	cfg.Connections.MaxOpenRequests = 2
 	cfg.Settings.MaxRetryAfter = maxRetryAfter
 	addr, _ := startIngress(t, cfg)
 	first, _ := nettest.Dial(t, addr)
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -69,7 +69,7 @@
 
 // newControlClients prepares both clients; they post an endpointUpdate or a counterResult from goroutines of their own.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
-	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, Known: cfg.cached.list, Settings: cfg.settings}
+	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.cached.list, Settings: cfg.settings}
 	return controlClients{
 		discovery: discovery.NewClient(discoveryConfig,
 			func(list discovery.EndpointList) { post(endpointUpdate{list}) }, log),
@@ -80,7 +80,7 @@
 
 // applyCached returns what the decision module learns of the cached list; it comes before run.
 func (c controlClients) applyCached(cached endpointUpdate) endpointUpdate {
-	return endpointUpdate{c.discovery.ApplyKnown(cached.list)}
+	return endpointUpdate{c.discovery.ApplyKnownList(cached.list)}
 }
 
 // run keeps both clients connected until ctx ends, and returns once their goroutines have ended.
--- a/internal/subsetcompare/fleet.go
+++ b/internal/subsetcompare/fleet.go
@@ -8,24 +8,24 @@
 	"strconv"
 )
 
-// Zones is the number of zones of a simulated fleet.
-const Zones = 9
+// ZoneCount is the number of zones of a simulated fleet.
+const ZoneCount = 9
 
 // ZoneName returns the name of a zone in lists of endpoints.
 func ZoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
-// RoundRobinZones assigns the zones to the gateways in turn. It is one value of Plan.Zone, as are the results of
+// RoundRobinZones assigns the zones to the gateways in turn. It is one value of Scenario.ZoneOf, as are the results of
 // ContiguousZones and RandomZones: a gateway does not know how the indices of the others follow their zones.
-func RoundRobinZones(gateway int) int { return gateway % Zones }
+func RoundRobinZones(gateway int) int { return gateway % ZoneCount }
 
 // ContiguousZones assigns each zone to a range of consecutive indices of n gateways.
 func ContiguousZones(n int) func(gateway int) int {
-	return func(gateway int) int { return gateway * Zones / n }
+	return func(gateway int) int { return gateway * ZoneCount / n }
 }
 
 // RandomZones assigns a zone to each gateway by a hash of its index and a seed.
 func RandomZones(seed uint64) func(gateway int) int {
-	return func(gateway int) int { return int(mixBits(mixBits(seed)+uint64(gateway)) >> 32 % Zones) }
+	return func(gateway int) int { return int(mixBits(mixBits(seed)+uint64(gateway)) >> 32 % ZoneCount) }
 }
 
 // Backend is a simulated server.
@@ -35,8 +35,8 @@
 	Zone int
 }
 
-// Backends returns n backends in cells of the given size. A cell lies in one zone.
-func Backends(n, cellSize int, seed uint64) []Backend {
+// NewFleet returns n backends in cells of the given size. A cell lies in one zone.
+func NewFleet(n, cellSize int, seed uint64) []Backend {
 	fleet := make([]Backend, n)
 	for i := range fleet {
 		fleet[i] = backend(i, cellSize, seed)
@@ -47,12 +47,12 @@
 func backend(i, cellSize int, seed uint64) Backend {
 	cell := i / cellSize
 	id := strconv.FormatUint(seed, 36) + "-" + strconv.Itoa(cell)
-	return Backend{ID: id, Hash: ringHash(id), Zone: cell % Zones}
+	return Backend{ID: id, Hash: ringHash(id), Zone: cell % ZoneCount}
 }
 
-// Replace returns a copy of the fleet in which a share of the backends, drawn from the seed, has new ids in the same
+// ReplaceBackends returns a copy of the fleet in which a share of the backends, drawn from the seed, has new ids in the same
 // zones, and reports which ones.
-func Replace(fleet []Backend, share float64, seed uint64) (next []Backend, replaced []bool) {
+func ReplaceBackends(fleet []Backend, share float64, seed uint64) (next []Backend, replaced []bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	next, replaced = slices.Clone(fleet), make([]bool, len(fleet))
 	for _, i := range rng.Perm(len(fleet))[:int(math.Round(share*float64(len(fleet))))] {
--- a/internal/subsetcompare/simulate.go
+++ b/internal/subsetcompare/simulate.go
@@ -17,28 +17,28 @@
 // Result describes what a method does to a fleet. Loads are multiples of the mean load of a backend that is up; unless
 // said otherwise every gateway has the same traffic and spreads it evenly over its subset.
 type Result struct {
-	MinSize, MaxSize   int     // backends in a gateway's subset
-	MeanSize           float64 // of the same
-	Pairs              int     // of a gateway and a backend in its subset
-	MaxLoad, MinLoad   float64 // of any backend
-	Uncovered          float64 // share of the backends that are in no subset
-	MaxLoadZoneLost    float64 // of the remaining backends once all those of a zone are lost
-	MaxLoadUneven      float64 // where the traffic of the gateways follows a Pareto distribution
-	MaxLoadZoneLocal   float64 // where every gateway sends to its own zone only
-	UncoveredZoneLocal float64 // share of the backends that are in no subset of a gateway of their zone
+	MinSize, MaxSize        int     // backends in a gateway's subset
+	MeanSize                float64 // of the same
+	PairCount               int     // of a gateway and a backend in its subset
+	MaxLoad, MinLoad        float64 // of any backend
+	UncoveredShare          float64 // share of the backends that are in no subset
+	MaxLoadZoneLost         float64 // of the remaining backends once all those of a zone are lost
+	MaxLoadUneven           float64 // where the traffic of the gateways follows a Pareto distribution
+	MaxLoadZoneLocal        float64 // where every gateway sends to its own zone only
+	UncoveredShareZoneLocal float64 // share of the backends that are in no subset of a gateway of their zone
 }
 
 // Simulate lets each gateway of a plan send to the backends that the method selects for it.
-func Simulate(m Method, fleet []Backend, plan Plan, seed uint64) Result {
+func Simulate(m Method, fleet []Backend, plan Scenario, seed uint64) Result {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	even, uneven := newLoadTable(fleet), newLoadTable(fleet)
 	zoneLost, zoneLocal := newLoadTable(fleet), newLoadTable(fleet)
 	result := Result{MinSize: len(fleet)}
 	var selected, local, surviving []int32
-	for gateway := range plan.Gateways {
+	for gateway := range plan.GatewayCount {
 		selected, local, surviving = m.Select(gateway, selected[:0]), local[:0], surviving[:0]
 		for _, b := range selected {
-			if fleet[b].Zone == plan.Zone(gateway) {
+			if fleet[b].Zone == plan.ZoneOf(gateway) {
 				local = append(local, b)
 			}
 			if fleet[b].Zone != lostZone {
@@ -51,15 +51,15 @@
 		zoneLocal.add(local, 1)
 		result.MinSize = min(result.MinSize, len(selected))
 		result.MaxSize = max(result.MaxSize, len(selected))
-		result.Pairs += len(selected)
+		result.PairCount += len(selected)
 	}
-	result.MeanSize = float64(result.Pairs) / float64(plan.Gateways)
+	result.MeanSize = float64(result.PairCount) / float64(plan.GatewayCount)
 	all := func(Backend) bool { return true }
 	outsideLostZone := func(b Backend) bool { return b.Zone != lostZone }
-	result.MaxLoad, result.MinLoad, result.Uncovered = even.summary(all)
+	result.MaxLoad, result.MinLoad, result.UncoveredShare = even.summary(all)
 	result.MaxLoadZoneLost, _, _ = zoneLost.summary(outsideLostZone)
 	result.MaxLoadUneven, _, _ = uneven.summary(all)
-	result.MaxLoadZoneLocal, _, result.UncoveredZoneLocal = zoneLocal.summary(all)
+	result.MaxLoadZoneLocal, _, result.UncoveredShareZoneLocal = zoneLocal.summary(all)
 	return result
 }
 
--- a/internal/subsetcompare/subsetcompare.go
+++ b/internal/subsetcompare/subsetcompare.go
@@ -14,20 +14,20 @@
 	"lemontack/internal/subset"
 )
 
-// Plan describes the gateways of a fleet and how many backends each is to keep.
-type Plan struct {
-	Gateways   int                   // number of gateways
-	TargetSize int                   // entries that a subset aims at, as in subset.Config
-	MaxSize    int                   // entries that a subset may hold, as in subset.Config
-	Zone       func(gateway int) int // zone of a gateway
-	ZoneAware  bool                  // the gateways know their zones, and traffic between zones costs more
+// Scenario describes the gateways of a fleet and how many backends each is to keep.
+type Scenario struct {
+	GatewayCount int                   // number of gateways
+	TargetSize   int                   // entries that a subset aims at, as in subset.Config
+	MaxSize      int                   // entries that a subset may hold, as in subset.Config
+	ZoneOf       func(gateway int) int // zone of a gateway
+	ZoneAware    bool                  // the gateways know their zones, and traffic between zones costs more
 }
 
 // Subset returns the subset of one gateway, as the ingress builds it.
-func (p Plan) Subset(gateway int) *subset.Subset {
-	c := subset.Config{Index: gateway, GatewayCount: p.Gateways, TargetSize: p.TargetSize, MaxSize: p.MaxSize}
+func (p Scenario) Subset(gateway int) *subset.Subset {
+	c := subset.Config{Index: gateway, GatewayCount: p.GatewayCount, TargetSize: p.TargetSize, MaxSize: p.MaxSize}
 	if p.ZoneAware {
-		c.Zone, c.CrossZonePrice = ZoneName(p.Zone(gateway)), 1
+		c.Zone, c.CrossZonePrice = ZoneName(p.ZoneOf(gateway)), 1
 	}
 	return subset.New(c)
 }
@@ -40,12 +40,12 @@
 
 // Ring selects what subset.Subset does, but looks arcs up in the sorted ring in place of scanning the whole list.
 type Ring struct {
-	plan      Plan
-	zoneRings [Zones]zoneRing
+	plan      Scenario
+	zoneRings [ZoneCount]zoneRing
 }
 
 // NewRing places the backends of a fleet on the rings of their zones.
-func NewRing(fleet []Backend, plan Plan) *Ring {
+func NewRing(fleet []Backend, plan Scenario) *Ring {
 	r := &Ring{plan: plan}
 	for _, b := range indicesByHash(fleet) {
 		ring := &r.zoneRings[fleet[b].Zone]
@@ -58,7 +58,7 @@
 // Select implements Method. While a list streams, the arcs only get shorter and what they hold only grows with the
 // list. The level at the end of the stream is therefore the first at which the whole list fits.
 func (r *Ring) Select(gateway int, out []int32) []int32 {
-	s, zone := r.plan.Subset(gateway), r.plan.Zone(gateway)
+	s, zone := r.plan.Subset(gateway), r.plan.ZoneOf(gateway)
 	start, held := bits.Reverse64(uint64(gateway)), 0
 	count := func() (n int) {
 		for z := range r.zoneRings {
--- a/internal/subsetcompare/subsetcompare_test.go
+++ b/internal/subsetcompare/subsetcompare_test.go
@@ -13,8 +13,8 @@
 const maxRingLoad = 1.5
 
 func TestRingSelectsWhatAStreamedListLeaves(t *testing.T) {
-	fleet := Backends(6000, 1, 1)
-	for _, plan := range []Plan{
+	fleet := NewFleet(6000, 1, 1)
+	for _, plan := range []Scenario{
 		{6400, 300, 300, RoundRobinZones, true},
 		{6400, 300, 300, RoundRobinZones, false},
 		{100, 50, 3000, ContiguousZones(100), true},
@@ -22,12 +22,12 @@
 		{300, 6000, 6000, RoundRobinZones, true},
 	} {
 		ring := NewRing(fleet, plan)
-		for gateway := 0; gateway < plan.Gateways; gateway += 1 + plan.Gateways/7 {
+		for gateway := 0; gateway < plan.GatewayCount; gateway += 1 + plan.GatewayCount/7 {
 			want := ring.Select(gateway, nil)
 			slices.Sort(want)
 			got := streamList(plan.Subset(gateway), fleet)
 			if !slices.Equal(got, want) {
-				t.Errorf("%d gateways: gateway %d keeps %d backends of a stream, its arcs hold %d", plan.Gateways,
+				t.Errorf("%d gateways: gateway %d keeps %d backends of a stream, its arcs hold %d", plan.GatewayCount,
 					gateway, len(got), len(want))
 			}
 		}
@@ -55,17 +55,17 @@
 // others, which is where their subsets differ most in size.
 func TestRingBoundsTheBusiestBackend(t *testing.T) {
 	for _, c := range []struct {
-		plan     Plan
+		plan     Scenario
 		backends int
 	}{
-		{Plan{6400, 512, 512, RoundRobinZones, true}, 21_000},
-		{Plan{6400, 512, 512, ContiguousZones(6400), true}, 21_000},
-		{Plan{6400, 512, 512, RandomZones(1), true}, 21_000},
-		{Plan{6400, 512, 512, RandomZones(1), false}, 20_000},
+		{Scenario{6400, 512, 512, RoundRobinZones, true}, 21_000},
+		{Scenario{6400, 512, 512, ContiguousZones(6400), true}, 21_000},
+		{Scenario{6400, 512, 512, RandomZones(1), true}, 21_000},
+		{Scenario{6400, 512, 512, RandomZones(1), false}, 20_000},
 	} {
-		fleet := Backends(c.backends, 1, 5)
+		fleet := NewFleet(c.backends, 1, 5)
 		r := Simulate(NewRing(fleet, c.plan), fleet, c.plan, 5)
-		if r.MaxLoad > maxRingLoad || r.MaxLoadZoneLost > maxRingLoad || r.Uncovered > 0 || r.MaxSize > c.plan.TargetSize {
+		if r.MaxLoad > maxRingLoad || r.MaxLoadZoneLost > maxRingLoad || r.UncoveredShare > 0 || r.MaxSize > c.plan.TargetSize {
 			t.Errorf("zone-aware %v, %d backends: %+v", c.plan.ZoneAware, c.backends, r)
 		}
 	}
@@ -74,11 +74,11 @@
 // The bound leaves room for the pairs of gateways whose arcs narrow or widen as the number of backends in them changes.
 func TestReplacedBackendsMoveOnlyTheirPairs(t *testing.T) {
 	const gateways = 800
-	fleet := Backends(20_000, 1, 3)
-	next, replaced := Replace(fleet, 0.01, 4)
-	plan := Plan{gateways, 1024, 1024, RandomZones(2), true}
+	fleet := NewFleet(20_000, 1, 3)
+	next, replaced := ReplaceBackends(fleet, 0.01, 4)
+	plan := Scenario{gateways, 1024, 1024, RandomZones(2), true}
 	before := NewRing(fleet, plan)
-	pairs := Simulate(before, fleet, plan, 1).Pairs
+	pairs := Simulate(before, fleet, plan, 1).PairCount
 	if moved := CountMovedPairs(before, NewRing(next, plan), replaced, gateways); moved > pairs*3/100 {
 		t.Errorf("%d of %d pairs moved", moved, pairs)
 	}
@@ -86,12 +86,12 @@
 
 // What holds for a gateway that joins holds for one that leaves: it is the same pair of fleets.
 func TestJoiningGatewayMovesNoPairs(t *testing.T) {
-	fleet := Backends(5000, 1, 3)
-	plan := Plan{640, 300, 300, RandomZones(2), true}
+	fleet := NewFleet(5000, 1, 3)
+	plan := Scenario{640, 300, 300, RandomZones(2), true}
 	joined := plan
-	joined.Gateways++
+	joined.GatewayCount++
 	ring := NewRing(fleet, plan)
-	if moved := CountMovedPairs(ring, NewRing(fleet, joined), make([]bool, len(fleet)), plan.Gateways); moved != 0 {
+	if moved := CountMovedPairs(ring, NewRing(fleet, joined), make([]bool, len(fleet)), plan.GatewayCount); moved != 0 {
 		t.Errorf("%d pairs moved", moved)
 	}
 }
@@ -113,16 +113,16 @@
 	t.Logf("%-34s %-17s %5s %7s %5s  %5s %5s %6s  %5s %6s  %5s %6s  %6s %6s", "gateways x backends, most to limit",
 		"method", "least", "mean", "most", "busy", "idle", "none%", "zone-", "uneven", "own", "none%", "repl%", "join%")
 	for _, s := range sizes {
-		fleet := Backends(s.backends, s.cellSize, 11)
-		next, replaced := Replace(fleet, 0.01, 12)
-		unaware := Plan{s.gateways, s.targetSize, s.maxSize, RandomZones(13), false}
+		fleet := NewFleet(s.backends, s.cellSize, 11)
+		next, replaced := ReplaceBackends(fleet, 0.01, 12)
+		unaware := Scenario{s.gateways, s.targetSize, s.maxSize, RandomZones(13), false}
 		aware, joined := unaware, unaware
 		aware.ZoneAware = true
-		joined.Gateways++
+		joined.GatewayCount++
 		subsetSize := int(Simulate(NewRing(fleet, unaware), fleet, unaware, 14).MeanSize)
 		for _, m := range []struct {
 			name                  string
-			plan                  Plan
+			plan                  Scenario
 			before, after, joined Method
 		}{
 			{"ring, zone-aware", aware, NewRing(fleet, aware), NewRing(next, aware), nil},
@@ -135,10 +135,10 @@
 			if m.joined != nil { // the other methods do not look at how many gateways there are
 				joins = CountMovedPairs(m.before, m.joined, make([]bool, len(fleet)), s.gateways)
 			}
-			percent := func(n int) float64 { return 100 * float64(n) / float64(r.Pairs) }
+			percent := func(n int) float64 { return 100 * float64(n) / float64(r.PairCount) }
 			enough := s.maxSize*s.gateways >= 16*s.backends || s.maxSize >= s.backends
-			if _, ring := m.before.(*Ring); ring && enough && (r.Uncovered > 0 || joins > 0 ||
-				max(r.MaxLoad, r.MaxLoadZoneLost) > maxRingLoad || moved > r.Pairs*3/100) {
+			if _, ring := m.before.(*Ring); ring && enough && (r.UncoveredShare > 0 || joins > 0 ||
+				max(r.MaxLoad, r.MaxLoadZoneLost) > maxRingLoad || moved > r.PairCount*3/100) {
 				t.Errorf("%+v, %s: %+v, %d pairs moved, %d when one joins", s, m.name, r, moved, joins)
 			}
 			name := fmt.Sprintf("%d x %d, %d to %d", s.gateways, s.backends, s.targetSize, s.maxSize)
@@ -146,8 +146,8 @@
 				name += fmt.Sprint(", cells of ", s.cellSize)
 			}
 			t.Logf("%-34s %-17s %5d %7.1f %5d  %5.2f %5.2f %6.2f  %5.2f %6.2f  %5.2f %6.2f  %6.2f %6.2f", name, m.name,
-				r.MinSize, r.MeanSize, r.MaxSize, r.MaxLoad, r.MinLoad, 100*r.Uncovered, r.MaxLoadZoneLost,
-				r.MaxLoadUneven, r.MaxLoadZoneLocal, 100*r.UncoveredZoneLocal, percent(moved), percent(joins))
+				r.MinSize, r.MeanSize, r.MaxSize, r.MaxLoad, r.MinLoad, 100*r.UncoveredShare, r.MaxLoadZoneLost,
+				r.MaxLoadUneven, r.MaxLoadZoneLocal, 100*r.UncoveredShareZoneLocal, percent(moved), percent(joins))
 		}
 	}
 }
--- a/internal/wire/adapter.go
+++ b/internal/wire/adapter.go
@@ -17,7 +17,7 @@
 // Serve runs gateways on the batches that come from in, and writes their actions to out, until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{gateways: map[int]*policy.Gateway{}}
-	r, w := NewReader(in), bufio.NewWriterSize(out, bufferBytes)
+	r, w := NewBatchReader(in), bufio.NewWriterSize(out, bufferBytes)
 	var reply []byte
 	for {
 		batch, err := r.Read()
@@ -59,8 +59,8 @@
 	case message.Destroyed:
 		delete(a.gateways, message.Instance)
 		return buf
-	case message.Begin != nil:
-		return a.begin(buf, message.Instance, message.Begin)
+	case message.Start != nil:
+		return a.begin(buf, message.Instance, message.Start)
 	}
 	gateway := a.gateways[message.Instance]
 	if gateway == nil {
@@ -72,7 +72,7 @@
 	return buf
 }
 
-func (a *adapter) begin(buf []byte, instance int, begin *Begin) []byte {
+func (a *adapter) begin(buf []byte, instance int, begin *InstanceStart) []byte {
 	gateway, err := policy.New(*begin.Settings, begin.Seed)
 	if err != nil {
 		return AppendFault(buf, instance, err.Error())
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -53,31 +53,31 @@
 // Message is one line of a batch, for one instance. At most one of its other fields is set.
 type Message struct {
 	Instance  int
-	Begin     *Begin       // the instance starts
-	Destroyed bool         // the instance ends
-	Event     policy.Event // nil where there is nothing to tell
+	Start     *InstanceStart // the instance starts
+	Destroyed bool           // the instance ends
+	Event     policy.Event   // nil where there is nothing to tell
 }
 
-// Begin is what an instance starts with.
-type Begin struct {
+// InstanceStart is what an instance starts with.
+type InstanceStart struct {
 	Seed     uint64 // of its random draws
 	Settings *policy.Settings
 }
 
-// Reader reads batches.
-type Reader struct {
+// BatchReader reads batches.
+type BatchReader struct {
 	in   *bufio.Reader
 	line int // number of the last line that was read
 }
 
-// NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, bufferBytes)}
+// NewBatchReader returns a BatchReader on r.
+func NewBatchReader(r io.Reader) *BatchReader {
+	return &BatchReader{in: bufio.NewReaderSize(r, bufferBytes)}
 }
 
 // Read returns the next batch. Its error is io.EOF where input ended between batches, and a *ParseError where the form
 // is wrong.
-func (r *Reader) Read() (*Batch, error) {
+func (r *BatchReader) Read() (*Batch, error) {
 	batch, err := r.readStart()
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 }
 
 // readStart reads the line that a batch begins with.
-func (r *Reader) readStart() (*Batch, error) {
+func (r *BatchReader) readStart() (*Batch, error) {
 	for {
 		text, err := r.nextLine()
 		if err != nil {
@@ -131,7 +131,7 @@
 }
 
 // nextLine returns the next line without its end.
-func (r *Reader) nextLine() (string, error) {
+func (r *BatchReader) nextLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text != "" {
 		return "", &ParseError{Line: r.line + 1, Err: errTruncatedLine}
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -12,11 +12,11 @@
 
 // readMessage decodes one message; known is false for names that this program does not have. An endpoint list goes on
 // over the lines that follow.
-func (r *Reader) readMessage(name string, fields lineFields) (message Message, known bool, err error) {
+func (r *BatchReader) readMessage(name string, fields lineFields) (message Message, known bool, err error) {
 	p := &fieldParser{fields: fields}
 	switch name {
 	case "BEGIN":
-		message.Begin = decodeBegin(p)
+		message.Start = decodeBegin(p)
 	case "DESTROY":
 		message.Destroyed = true
 	default:
@@ -30,8 +30,8 @@
 	return message, true, p.parseError(r.line, name)
 }
 
-func decodeBegin(p *fieldParser) *Begin {
-	begin := &Begin{Seed: p.uint("nonce64", 64)}
+func decodeBegin(p *fieldParser) *InstanceStart {
+	begin := &InstanceStart{Seed: p.uint("nonce64", 64)}
 	p.require("facts")
 	if p.err != nil {
 		return nil
@@ -44,7 +44,7 @@
 	return begin
 }
 
-func (r *Reader) decodeEvent(name string, p *fieldParser) (event policy.Event, known bool) {
+func (r *BatchReader) decodeEvent(name string, p *fieldParser) (event policy.Event, known bool) {
 	switch name {
 	case "MEMBERSHIP":
 		return r.decodeEndpointsChanged(p), true
@@ -137,7 +137,7 @@
 }
 
 // decodeEndpointsChanged decodes a list and the lines of its entries, which follow.
-func (r *Reader) decodeEndpointsChanged(p *fieldParser) policy.Event {
+func (r *BatchReader) decodeEndpointsChanged(p *fieldParser) policy.Event {
 	p.require("form")
 	form := p.text("form")
 	event := policy.EndpointsChanged{
@@ -151,7 +151,7 @@
 }
 
 // readEndpoint reads the line of one entry of a list. Its faults go to the parser of the list.
-func (r *Reader) readEndpoint(list *fieldParser) policy.Endpoint {
+func (r *BatchReader) readEndpoint(list *fieldParser) policy.Endpoint {
 	text, err := r.nextLine()
 	if err != nil {
 		list.fail("", errTruncatedList)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,11 +8,11 @@
 	"lemontack/policy"
 )
 
-// Connections are the settings that matter only to a program with real connections to backends.
-type Connections struct {
-	Idle           time.Duration // a backend closes a connection that has been idle for so long
-	ConnectTimeout time.Duration // a connection that is not established by then has failed
-	MaxOpen        int           // requests in progress at once; further ones are rejected without a decision
+// ConnectionSettings are the settings that matter only to a program with real connections to backends.
+type ConnectionSettings struct {
+	IdleTimeout     time.Duration // a backend closes a connection that has been idle for so long
+	ConnectTimeout  time.Duration // a connection that is not established by then has failed
+	MaxOpenRequests int           // requests in progress at once; further ones are rejected without a decision
 }
 
 // settingsObject mirrors the settings object; keys that are not here are skipped. Times are in microseconds.
@@ -85,22 +85,22 @@
 
 // ParseSettings reads the settings object; keys that it does not know are skipped. Its error wraps a *RangeError or a
 // *ClassNameError where the object's form is right and its values are not.
-func ParseSettings(text []byte) (*policy.Settings, Connections, error) {
+func ParseSettings(text []byte) (*policy.Settings, ConnectionSettings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
-		return nil, Connections{}, fmt.Errorf("settings: %w", err)
+		return nil, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	if err := object.validate(); err != nil {
-		return nil, Connections{}, fmt.Errorf("settings: %w", err)
+		return nil, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	return object.settings(), object.connections(), nil
 }
 
-func (o *settingsObject) connections() Connections {
-	return Connections{
-		Idle:           microseconds(o.Permissions.ConnIdleUs),
-		ConnectTimeout: microseconds(o.Permissions.ConnectTimeoutUs),
-		MaxOpen:        o.Permissions.MaxOpen,
+func (o *settingsObject) connections() ConnectionSettings {
+	return ConnectionSettings{
+		IdleTimeout:     microseconds(o.Permissions.ConnIdleUs),
+		ConnectTimeout:  microseconds(o.Permissions.ConnectTimeoutUs),
+		MaxOpenRequests: o.Permissions.MaxOpen,
 	}
 }
 
