--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -29,7 +29,7 @@
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.clock(time.Now())
 	g.cfg.KnownEndpoints.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.KnownEndpoints)})
+	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownEndpoints)})
 	g.cfg.KnownEndpoints.Entries = nil // a long list is not kept twice
 }
 
