--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -53,8 +53,8 @@
 	serving             []*Endpoint                    // those that take new requests, by id
 	gatewaysPerEndpoint float64
 
-	capacity capacity
-	answers  answerRates
+	capacity    capacityCache
+	answerRates answerRates
 }
 
 // Endpoint is an endpoint of the list, with what this gateway has learned of it.
@@ -65,15 +65,15 @@
 	relativeLatency   float64 // latency relative to the mean of the request's class: 1 is like the others
 	relativeLatencyAt time.Duration
 
-	lastSuccess         time.Duration // when it last answered well, 0 for never
+	lastSuccessAt       time.Duration // when it last answered well, 0 for never
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 
 	// LimiterSamples belongs to the limiter. It lies here since it ends with the endpoint's incarnation.
 	LimiterSamples limiter.EndpointSamples
 
-	lastSend    time.Duration // start of the last attempt, or when the endpoint became known
-	pacingPhase float64       // share of the slow-start pause to wait before the next attempt
+	lastAttemptAt    time.Duration // start of the last attempt, or when the endpoint became known
+	pacingPauseShare float64       // share of the slow-start pause to wait before the next attempt
 }
 
 // Attempt is an attempt at an endpoint. The owner of the request embeds it in its own record of the attempt.
@@ -126,16 +126,16 @@
 		}
 	}
 	for _, listed := range change.Endpoints {
-		b.update(now, listed)
+		b.updateEndpoint(now, listed)
 	}
 	b.rebuildServing()
 	b.gatewaysPerEndpoint = cmp.Or(change.GatewaysPerEndpoint, float64(b.config.GatewayCount))
 	b.capacity.expire(b.config.CapacityCacheTTL)
 }
 
-// update takes in one endpoint of the list. Of an endpoint that has restarted nothing that was learned holds
+// updateEndpoint takes in one endpoint of the list. Of an endpoint that has restarted nothing that was learned holds
 // any longer, but its attempts in flight still end.
-func (b *Balancer) update(now time.Duration, listed model.Endpoint) {
+func (b *Balancer) updateEndpoint(now time.Duration, listed model.Endpoint) {
 	e := b.endpoints[listed.ID]
 	if e == nil {
 		e = &Endpoint{}
@@ -146,8 +146,8 @@
 			inFlight:          e.inFlight,
 			relativeLatency:   b.sampleRelativeLatency(now),
 			relativeLatencyAt: now,
-			lastSend:          now,
-			pacingPhase:       b.rng.Float64(),
+			lastAttemptAt:     now,
+			pacingPauseShare:  b.rng.Float64(),
 		}
 	}
 	e.Endpoint = listed
@@ -173,8 +173,8 @@
 	e := attempt.Endpoint
 	attempt.StartedAt = now
 	e.inFlight = append(e.inFlight, attempt)
-	e.lastSend = now
-	e.pacingPhase = 1
+	e.lastAttemptAt = now
+	e.pacingPauseShare = 1
 }
 
 // AttemptEnded no longer counts an attempt as in flight.
--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -39,14 +39,14 @@
 	return b
 }
 
-func serving(ids ...model.EndpointID) (endpoints []model.Endpoint) {
+func servingEndpoints(ids ...model.EndpointID) (endpoints []model.Endpoint) {
 	for _, id := range ids {
 		endpoints = append(endpoints, model.Endpoint{ID: id, Zone: "a", State: model.Serving})
 	}
 	return endpoints
 }
 
-func ids(b *Balancer) string {
+func servingIDs(b *Balancer) string {
 	names := []model.EndpointID{}
 	for _, e := range b.ServingEndpoints() {
 		names = append(names, e.ID)
@@ -54,7 +54,7 @@
 	return fmt.Sprint(names)
 }
 
-func attemptAt(b *Balancer, now time.Duration, e *Endpoint) *Attempt {
+func startAttempt(b *Balancer, now time.Duration, e *Endpoint) *Attempt {
 	a := &Attempt{Endpoint: e}
 	b.AttemptStarted(now, a)
 	return a
@@ -66,50 +66,50 @@
 		change Change
 		want   string
 	}{
-		{"one more", Change{Endpoints: serving("t")}, "[s t u]"},
+		{"one more", Change{Endpoints: servingEndpoints("t")}, "[s t u]"},
 		{"one draining", Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Draining}}}, "[u]"},
 		{"one removed", Change{Endpoints: []model.Endpoint{{ID: "u", State: model.Removed}}}, "[s]"},
 		{"one in an unknown state", Change{Endpoints: []model.Endpoint{{ID: "u", State: 9}}}, "[s]"},
-		{"snapshot without one", Change{Snapshot: true, Endpoints: serving("u")}, "[u]"},
+		{"snapshot without one", Change{Snapshot: true, Endpoints: servingEndpoints("u")}, "[u]"},
 		{"empty snapshot", Change{Snapshot: true}, "[]"},
 		{"no change", Change{}, "[s u]"},
 	} {
-		b := newBalancer(testConfig(), serving("u", "s")...)
+		b := newBalancer(testConfig(), servingEndpoints("u", "s")...)
 		b.Apply(start, c.change)
-		if got := ids(b); got != c.want {
+		if got := servingIDs(b); got != c.want {
 			t.Errorf("%s: serving %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
 // Endpoints come under ever new ids: the map of endpoints must not grow for good.
-func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s")...)
-	a := attemptAt(b, start, b.ServingEndpoints()[0])
-	b.Apply(start, Change{Endpoints: append(serving("u"), model.Endpoint{ID: "s", State: model.Removed})})
+func TestRemovedEndpointIsDeletedOnceNothingIsInFlight(t *testing.T) {
+	b := newBalancer(testConfig(), servingEndpoints("s")...)
+	a := startAttempt(b, start, b.ServingEndpoints()[0])
+	b.Apply(start, Change{Endpoints: append(servingEndpoints("u"), model.Endpoint{ID: "s", State: model.Removed})})
 	if len(b.endpoints) != 2 {
 		t.Fatal("forgotten while an attempt is in flight")
 	}
 	b.AttemptEnded(a)
-	b.Apply(start, Change{Endpoints: serving("v")})
-	if b.endpoints["s"] != nil || len(b.endpoints) != 2 || ids(b) != "[u v]" {
-		t.Fatalf("endpoints %v, serving %s", b.endpoints, ids(b))
+	b.Apply(start, Change{Endpoints: servingEndpoints("v")})
+	if b.endpoints["s"] != nil || len(b.endpoints) != 2 || servingIDs(b) != "[u v]" {
+		t.Fatalf("endpoints %v, serving %s", b.endpoints, servingIDs(b))
 	}
 }
 
-func TestRestartedEndpointKeepsItsAttemptsAndNothingElse(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s", "u")...)
+func TestRestartedEndpointKeepsOnlyItsAttemptsInFlight(t *testing.T) {
+	b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
 	e := b.ServingEndpoints()[0]
-	first, second := attemptAt(b, start, e), attemptAt(b, start, e)
+	first, second := startAttempt(b, start, e), startAttempt(b, start, e)
 	for range failuresToEject {
 		b.RecordFailure(start, e)
 	}
-	if !e.ejected(start + ms) {
+	if !e.isEjected(start + ms) {
 		t.Fatal("not ejected before the restart")
 	}
 	b.Apply(start+ms, Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
-	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.ejected(start+ms) || e.consecutiveFailures != 0 {
-		t.Fatalf("%d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(), e.ejected(start+ms),
+	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.isEjected(start+ms) || e.consecutiveFailures != 0 {
+		t.Fatalf("%d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(), e.isEjected(start+ms),
 			e.consecutiveFailures)
 	}
 	b.AttemptEnded(first)
@@ -130,7 +130,7 @@
 		b := newBalancer(testConfig())
 		var list []model.Endpoint
 		for i := range c.endpoints {
-			list = append(list, serving(model.EndpointID(fmt.Sprint("s", i)))...)
+			list = append(list, servingEndpoints(model.EndpointID(fmt.Sprint("s", i)))...)
 		}
 		b.Apply(start, Change{Snapshot: true, Endpoints: list, GatewaysPerEndpoint: c.gatewaysPerEndpoint})
 		if got := b.InitialAttempts(); got != c.want {
@@ -141,8 +141,8 @@
 }
 
 func TestPickAvoidsBusySlowAndFailingEndpoints(t *testing.T) {
-	for name, burden := range map[string]func(b *Balancer, e *Endpoint){
-		"attempt in flight": func(b *Balancer, e *Endpoint) { attemptAt(b, start, e) },
+	for name, degrade := range map[string]func(b *Balancer, e *Endpoint){
+		"attempt in flight": func(b *Balancer, e *Endpoint) { startAttempt(b, start, e) },
 		"slow answers": func(b *Balancer, e *Endpoint) {
 			for range 5 {
 				b.RecordSuccess(start, e, 4)
@@ -155,8 +155,8 @@
 			}
 		},
 	} {
-		b := newBalancer(testConfig(), serving("s", "u")...)
-		burden(b, b.ServingEndpoints()[0])
+		b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
+		degrade(b, b.ServingEndpoints()[0])
 		for range 50 {
 			if e := b.Pick(start+ms, Query{}); e.ID != "u" {
 				t.Errorf("%s: picked %s", name, e.ID)
@@ -166,7 +166,7 @@
 }
 
 func TestEjectedEndpointIsTriedByOneAttemptAtATime(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s")...)
+	b := newBalancer(testConfig(), servingEndpoints("s")...)
 	e := b.ServingEndpoints()[0]
 	for range failuresToEject {
 		b.RecordFailure(start, e)
@@ -174,23 +174,23 @@
 	if b.Pick(start, Query{}) != e {
 		t.Error("the only endpoint is not picked while it is ejected")
 	}
-	if !e.ejected(start + objective - ms) {
+	if !e.isEjected(start + objective - ms) {
 		t.Error("back before its time")
 	}
-	if e.ejected(start + objective) {
+	if e.isEjected(start + objective) {
 		t.Error("still ejected after its time")
 	}
-	a := attemptAt(b, start+objective, e)
-	if !e.ejected(start + objective) {
+	a := startAttempt(b, start+objective, e)
+	if !e.isEjected(start + objective) {
 		t.Error("open for a second attempt while the first is in flight")
 	}
 	b.AttemptEnded(a)
 	b.RecordFailure(start+objective, e)
-	if !e.ejected(start + 3*objective - ms) {
+	if !e.isEjected(start + 3*objective - ms) {
 		t.Error("a further failure did not double the time")
 	}
 	b.RecordSuccess(start+3*objective, e, 1)
-	if e.ejected(start + 3*objective) {
+	if e.isEjected(start + 3*objective) {
 		t.Error("still ejected after a success")
 	}
 }
@@ -207,7 +207,7 @@
 		for range 20 {
 			if e := b.Pick(start, Query{MaybeExecutedAt: executed, DeduplicationScope: scope}); e != nil {
 				picked[e.ID] = true
-				attemptAt(b, start, e)
+				startAttempt(b, start, e)
 			}
 		}
 		if len(picked) != want {
@@ -217,15 +217,15 @@
 }
 
 func TestTriedEndpointIsTheLastResort(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s", "u")...)
+	b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
 	tried := b.ServingEndpoints()[0]
 	for range 5 {
 		if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e.ID != "u" {
 			t.Errorf("picked %s, which was tried", e.ID)
 		}
-		attemptAt(b, start, b.ServingEndpoints()[1])
+		startAttempt(b, start, b.ServingEndpoints()[1])
 	}
-	b.Apply(start, Change{Snapshot: true, Endpoints: serving("s")})
+	b.Apply(start, Change{Snapshot: true, Endpoints: servingEndpoints("s")})
 	if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e != tried {
 		t.Errorf("picked %v, want the tried one where there is no other", e)
 	}
@@ -260,7 +260,7 @@
 		if pause := now - last; last > 0 && pause < 750*ms {
 			t.Errorf("pause of %v between two attempts", pause)
 		}
-		b.AttemptEnded(attemptAt(b, now, e))
+		b.AttemptEnded(startAttempt(b, now, e))
 		last = now
 		attempts++
 	}
--- a/policy/balancer/outlier.go
+++ b/policy/balancer/outlier.go
@@ -12,8 +12,8 @@
 	relativeLatencyGain = 0.15
 	// failureRelativeLatency is what a failed attempt counts for: as much as the slowest answer.
 	failureRelativeLatency = latency.MaxRelative
-	// halfLifeObjectives is the half-life of a relative latency, in longest latency objectives.
-	halfLifeObjectives = 8.0
+	// halfLifeInObjectives is the half-life of a relative latency, in longest latency objectives.
+	halfLifeInObjectives = 8.0
 	// minAnswerRate is the least rate that the half-life is computed from, in answers a second: it bounds the
 	// half-life above.
 	minAnswerRate = 1e-3
@@ -24,9 +24,9 @@
 	// longest latency objectives.
 	maxEjectionDoublings = 4
 
-	// overdueMeans is the number of mean latencies that an attempt in flight may last before it shows that
+	// overdueMeanMultiple is the number of mean latencies that an attempt in flight may last before it shows that
 	// its endpoint is slow: most latencies are spread widely around their mean.
-	overdueMeans = 3
+	overdueMeanMultiple = 3
 )
 
 // RecordSuccess takes in an attempt that was answered well. relativeLatency is its latency in multiples of
@@ -34,7 +34,7 @@
 func (b *Balancer) RecordSuccess(now time.Duration, e *Endpoint, relativeLatency float64) {
 	e.consecutiveFailures = 0
 	e.ejectedUntil = 0
-	e.lastSuccess = now
+	e.lastSuccessAt = now
 	b.recordAnswer(now)
 	b.recordRelativeLatency(now, e, relativeLatency)
 }
@@ -53,23 +53,23 @@
 // recordRelativeLatency moves the relative latency towards an observed one: the more of it was forgotten, the
 // further.
 func (b *Balancer) recordRelativeLatency(now time.Duration, e *Endpoint, observed float64) {
-	remembered := b.rememberedShare(now, e)
-	e.relativeLatency = 1 + (e.relativeLatency-1)*remembered
-	e.relativeLatency += (1 - (1-relativeLatencyGain)*remembered) * (observed - e.relativeLatency)
+	decay := b.latencyDecay(now, e)
+	e.relativeLatency = 1 + (e.relativeLatency-1)*decay
+	e.relativeLatency += (1 - (1-relativeLatencyGain)*decay) * (observed - e.relativeLatency)
 	e.relativeLatencyAt = now
 }
 
-// rememberedShare is the share left of what was learned of an endpoint's latency. The half-life is some
+// latencyDecay is the share left of what was learned of an endpoint's latency. The half-life is some
 // latency objectives, or the time between two answers of an endpoint where that is longer.
-func (b *Balancer) rememberedShare(now time.Duration, e *Endpoint) float64 {
-	halfLife := max(halfLifeObjectives*b.config.MaxLatencyObjective.Seconds(),
-		float64(len(b.serving))/max(b.answers.perSecond, minAnswerRate))
+func (b *Balancer) latencyDecay(now time.Duration, e *Endpoint) float64 {
+	halfLife := max(halfLifeInObjectives*b.config.MaxLatencyObjective.Seconds(),
+		float64(len(b.serving))/max(b.answerRates.perSecond, minAnswerRate))
 	return math.Exp2(-(now - e.relativeLatencyAt).Seconds() / halfLife)
 }
 
 // decayedRelativeLatency is the relative latency by now: it returns to 1 as it is forgotten.
 func (b *Balancer) decayedRelativeLatency(now time.Duration, e *Endpoint) float64 {
-	return 1 + (e.relativeLatency-1)*b.rememberedShare(now, e)
+	return 1 + (e.relativeLatency-1)*b.latencyDecay(now, e)
 }
 
 // currentRelativeLatency is the relative latency by now, or what the oldest attempt in flight already shows
@@ -77,7 +77,7 @@
 func (b *Balancer) currentRelativeLatency(now time.Duration, e *Endpoint) float64 {
 	relative := b.decayedRelativeLatency(now, e)
 	if mean := b.latency.Seconds(); len(e.inFlight) > 0 && mean > 0 {
-		relative = max(relative, (now-e.inFlight[0].StartedAt).Seconds()/(overdueMeans*mean))
+		relative = max(relative, (now-e.inFlight[0].StartedAt).Seconds()/(overdueMeanMultiple*mean))
 	}
 	return relative
 }
@@ -92,8 +92,8 @@
 	return b.decayedRelativeLatency(now, b.serving[b.rng.IntN(len(b.serving))])
 }
 
-// ejected reports whether the endpoint is ejected as an outlier. After its time one attempt at a time shows
+// isEjected reports whether the endpoint is ejected as an outlier. After its time one attempt at a time shows
 // whether it has recovered.
-func (e *Endpoint) ejected(now time.Duration) bool {
+func (e *Endpoint) isEjected(now time.Duration) bool {
 	return e.consecutiveFailures >= failuresToEject && (e.ejectedUntil > now || len(e.inFlight) > 0)
 }
--- a/policy/balancer/pick.go
+++ b/policy/balancer/pick.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		score := b.score(now, e, weight)
-		if slices.Contains(query.TriedEndpoints, e) || e.ejected(now) {
+		if slices.Contains(query.TriedEndpoints, e) || e.isEjected(now) {
 			score *= lastResortFactor
 		}
 		if score < bestScore {
@@ -91,10 +91,10 @@
 func (b *Balancer) score(now time.Duration, e *Endpoint, weight float64) float64 {
 	score := b.currentRelativeLatency(now, e) * (1 + float64(len(e.inFlight)))
 	score *= 1 + tieBreakSpread*b.rng.Float64()
-	warm := weight == 1
+	isWarm := weight == 1
 	if weight < 1 && b.rng.Float64() >= weight {
 		score *= 1 / weight // takes no part, unless the others have as many attempts in flight
-	} else if !b.hasWarmConnection(now, e) && (warm || b.rng.Float64() >= b.capacity.warmConnectionShare) {
+	} else if !b.hasWarmConnection(now, e) && (isWarm || b.rng.Float64() >= b.capacity.warmConnectionShare) {
 		score *= 1 + handshakeCostFactor*b.config.HandshakePrice
 	}
 	if e.Zone != b.config.Zone && b.config.CrossZonePrice > 0 {
@@ -106,5 +106,5 @@
 // hasWarmConnection reports whether an open and free connection to the endpoint is likely: one that lately
 // carried an answer.
 func (b *Balancer) hasWarmConnection(now time.Duration, e *Endpoint) bool {
-	return e.lastSuccess > 0 && len(e.inFlight) == 0 && now-e.lastSuccess < b.config.ConnectionIdleTimeout/2
+	return e.lastSuccessAt > 0 && len(e.inFlight) == 0 && now-e.lastSuccessAt < b.config.ConnectionIdleTimeout/2
 }
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -23,35 +23,35 @@
 	// minSlowStartWeight bounds the weight of an endpoint below, so that it gets some attempts whatever the
 	// settings say.
 	minSlowStartWeight = 0.01
-	// slowStartPacing limits the rate of attempts at an endpoint in slow start, in multiples of what a warm
+	// slowStartRateFactor limits the rate of attempts at an endpoint in slow start, in multiples of what a warm
 	// endpoint answers for the same weight: above 1, so that the endpoint is kept busy.
-	slowStartPacing = 1.5
+	slowStartRateFactor = 1.5
 	// slowStartBudgetShare limits them also to this share of BudgetMultiple: the rest is a margin for random
 	// variation and for what the gateways do not know of each other.
 	slowStartBudgetShare = 0.6
-	// minBudgetSpan bounds BudgetSpan below, in seconds: over a shorter span the rate of answers is too
+	// minBudgetSpanSeconds bounds BudgetSpan below, in seconds: over a shorter span the rate of answers is too
 	// uncertain.
-	minBudgetSpan = 1
+	minBudgetSpanSeconds = 1
 )
 
-// capacity is a cached sum over the serving endpoints.
-type capacity struct {
-	at                  time.Duration
-	warmEndpoints       float64 // sum of the slow-start weights
+// capacityCache is a cached sum over the serving endpoints.
+type capacityCache struct {
+	computedAt          time.Duration
+	warmEquivalents     float64 // sum of the slow-start weights
 	warmConnectionShare float64 // share of the warm endpoints that likely have a warm connection
 }
 
 // expire makes the capacity be computed anew at the next use.
-func (c *capacity) expire(interval time.Duration) { c.at = -interval }
+func (c *capacityCache) expire(interval time.Duration) { c.computedAt = -interval }
 
 // answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
-	at        time.Duration // of the last answer
-	perSecond float64       // answers a second, with a time constant of one second
+	lastAnswerAt time.Duration // of the last answer
+	perSecond    float64       // answers a second, with a time constant of one second
 
-	spanRate        float64 // answers a second, with the budget span as the time constant
-	spanCapacity    float64 // capacity that they came from, in warm endpoints, with the same time constant
-	perWarmEndpoint float64 // answers a second of one warm endpoint, as of the last answer
+	spanAnswersPerSecond     float64 // answers a second, with the budget span as the time constant
+	spanCapacity             float64 // capacity that they came from, in warm endpoints, with the same time constant
+	perSecondPerWarmEndpoint float64 // answers a second of one warm endpoint, as of the last answer
 }
 
 // slowStartWeight is the share of its capacity that an endpoint has at its age: it grows evenly from the
@@ -67,10 +67,10 @@
 
 // servingCapacity is the capacity of the serving endpoints, in warm endpoints.
 func (b *Balancer) servingCapacity(now time.Duration) float64 {
-	if now >= b.capacity.at+b.config.CapacityCacheTTL {
+	if now >= b.capacity.computedAt+b.config.CapacityCacheTTL {
 		b.computeCapacity(now)
 	}
-	return max(b.capacity.warmEndpoints, b.config.SlowStart.MinWeight, minSlowStartWeight)
+	return max(b.capacity.warmEquivalents, b.config.SlowStart.MinWeight, minSlowStartWeight)
 }
 
 func (b *Balancer) computeCapacity(now time.Duration) {
@@ -86,7 +86,7 @@
 			connected++
 		}
 	}
-	b.capacity = capacity{at: now, warmEndpoints: sum, warmConnectionShare: 1}
+	b.capacity = capacityCache{computedAt: now, warmEquivalents: sum, warmConnectionShare: 1}
 	if warm > 0 {
 		b.capacity.warmConnectionShare = connected / warm
 	}
@@ -97,16 +97,16 @@
 // answer comes, would seem larger than it is. The rate is put in relation to the capacity of that time: where
 // all endpoints restart at once, what they answered when they were warm is no measure of what they can now.
 func (b *Balancer) recordAnswer(now time.Duration) {
-	elapsed := (now - b.answers.at).Seconds()
-	span := max(b.config.SlowStart.BudgetSpan.Seconds(), minBudgetSpan)
+	elapsed := (now - b.answerRates.lastAnswerAt).Seconds()
+	span := max(b.config.SlowStart.BudgetSpan.Seconds(), minBudgetSpanSeconds)
 	current := b.servingCapacity(now)
-	remembered := math.Exp(-elapsed / span)
-	rates := &b.answers
-	rates.spanCapacity = current + (rates.spanCapacity-current)*remembered
-	rates.spanRate = 1/span + rates.spanRate*remembered
-	rates.perWarmEndpoint = rates.spanRate / rates.spanCapacity
+	decay := math.Exp(-elapsed / span)
+	rates := &b.answerRates
+	rates.spanCapacity = current + (rates.spanCapacity-current)*decay
+	rates.spanAnswersPerSecond = 1/span + rates.spanAnswersPerSecond*decay
+	rates.perSecondPerWarmEndpoint = rates.spanAnswersPerSecond / rates.spanCapacity
 	rates.perSecond = 1 + rates.perSecond*math.Exp(-elapsed)
-	rates.at = now
+	rates.lastAnswerAt = now
 }
 
 // pacingAllows reports whether an endpoint in slow start may get an attempt now. Attempts are spaced by what
@@ -115,7 +115,7 @@
 // known: the gateways do not all start at once.
 func (b *Balancer) pacingAllows(now time.Duration, e *Endpoint, weight float64) bool {
 	multiple := cmp.Or(b.config.SlowStart.BudgetMultiple, math.Inf(1))
-	pacing := min(slowStartPacing, slowStartBudgetShare*multiple)
-	rate := pacing * weight * max(b.answers.perWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
-	return (now - e.lastSend).Seconds() >= e.pacingPhase/rate
+	rateFactor := min(slowStartRateFactor, slowStartBudgetShare*multiple)
+	rate := rateFactor * weight * max(b.answerRates.perSecondPerWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
+	return (now - e.lastAttemptAt).Seconds() >= e.pacingPauseShare/rate
 }
--- a/policy/latency/latency.go
+++ b/policy/latency/latency.go
@@ -15,7 +15,7 @@
 	overallGain = 0.05 // weight of one answer in the mean over all classes
 	classGain   = 0.02 // weight of one answer in the estimate of its class: classes are seen less often
 
-	initialDeviation = 0.5 // mean deviation after the first answer, as a share of its latency
+	initialDeviationShare = 0.5 // mean deviation after the first answer, as a share of its latency
 )
 
 // OverallMean is the mean latency of the answers of all classes. The zero value has seen no answer. Its estimates
@@ -58,7 +58,7 @@
 	seconds := latency.Seconds()
 	if e.mean == 0 {
 		e.mean = seconds
-		e.deviation = seconds * initialDeviation
+		e.deviation = seconds * initialDeviationShare
 		e.overall.mean = max(e.overall.mean, seconds)
 	}
 	relative = min(seconds/e.mean, MaxRelative)
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -42,8 +42,8 @@
 	// minWindow keeps the window open for one attempt in ten round trips, so that the gateway still learns.
 	minWindow = 0.1
 
-	// usedWindowShare is the share of the window in flight from which on the window limits, and may widen.
-	usedWindowShare = 0.8
+	// fullShareToIncrease is the share of the window in flight from which on the window limits, and may widen.
+	fullShareToIncrease = 0.8
 	// nearlyFullShare is the share of the window in flight from which on requests are about to wait.
 	nearlyFullShare = 0.7
 )
@@ -132,16 +132,16 @@
 // that say nothing of the load, as that of a cancelled attempt, do not count.
 func (l *Limiter) Record(sample Sample, class *ClassSamples, endpoint *EndpointSamples) {
 	switch {
-	case sample.late():
+	case sample.isLate():
 		l.recordLate(class, endpoint)
 	case sample.Outcome == model.Succeeded:
 		l.recordTimely(class, sample.RequestsQueued)
 	}
 }
 
-// late reports whether the sample is a sign of overload. An answer that took long from an endpoint that
+// isLate reports whether the sample is a sign of overload. An answer that took long from an endpoint that
 // reports an empty queue is none: the request took long to process, or the machine is slow.
-func (sample Sample) late() bool {
+func (sample Sample) isLate() bool {
 	switch sample.Outcome {
 	case model.Rejected, model.TimedOut:
 		return true
@@ -167,7 +167,7 @@
 func (l *Limiter) recordTimely(class *ClassSamples, requestsQueued bool) {
 	l.timelySamples++
 	class.timely++
-	if float64(l.inFlight) >= usedWindowShare*l.window-1 || requestsQueued {
+	if float64(l.inFlight) >= fullShareToIncrease*l.window-1 || requestsQueued {
 		l.window += min(1/l.window, l.window*maxWindowIncrease)
 	}
 }
@@ -181,9 +181,9 @@
 		return
 	}
 	late := l.takeLateShare(float64(l.lateSamples) / samples)
-	if late > lateSampleThreshold && l.enoughLateEndpoints(samples, float64(endpoints)) {
+	if late > lateSampleThreshold && l.hasEnoughLateEndpoints(samples, float64(endpoints)) {
 		floor := max(minWindow, float64(endpoints)/gatewaysPerEndpoint)
-		l.window = max(l.window*l.decrease(now), floor)
+		l.window = max(l.window*l.decreaseFactor(now), floor)
 	}
 	l.timelySamples, l.lateSamples, l.lateEndpoints = 0, 0, 0
 	l.round++
@@ -204,16 +204,16 @@
 	return least
 }
 
-// enoughLateEndpoints reports whether the late samples come from so many endpoints that it is not the fault
+// hasEnoughLateEndpoints reports whether the late samples come from so many endpoints that it is not the fault
 // of a few. With fewer samples than endpoints the samples bound how many can have shown anything.
-func (l *Limiter) enoughLateEndpoints(samples, endpoints float64) bool {
+func (l *Limiter) hasEnoughLateEndpoints(samples, endpoints float64) bool {
 	enough := max(min(minLateEndpoints, endpoints), minLateEndpointShare*min(samples, endpoints))
 	return float64(l.lateEndpoints) >= enough
 }
 
-// decrease is the factor on the window of a round that shows overload. A gateway with few requests fills a
+// decreaseFactor is the factor on the window of a round that shows overload. A gateway with few requests fills a
 // round slowly; the round then stands for the round trips that have gone by meanwhile.
-func (l *Limiter) decrease(now time.Duration) float64 {
+func (l *Limiter) decreaseFactor(now time.Duration) float64 {
 	roundTrip := max(l.latency.Seconds(), l.tickInterval.Seconds())
 	roundTrips := min(1+(now-l.roundEnd).Seconds()/roundTrip, maxRoundTripsPerRound)
 	return math.Pow(windowDecreaseFactor, roundTrips)
--- a/policy/limiter/limiter_test.go
+++ b/policy/limiter/limiter_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestTimelyAnswersWidenTheWindowOnlyWhileItLimits(t *testing.T) {
+func TestTimelyAnswersIncreaseOnlyALimitingWindow(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		inFlight int
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWindowHasCapacityBelowTheWindowOnly(t *testing.T) {
+func TestHasCapacityOnlyBelowTheWindow(t *testing.T) {
 	l := newLimiter(2)
 	for i, want := range []bool{true, true, false} {
 		if got := l.HasCapacity(0); got != want {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestOverloadNarrowsTheWindowOnceARound(t *testing.T) {
+func TestOverloadDecreasesTheWindowOncePerRound(t *testing.T) {
 	l := newLimiter(100)
 	endpoints := make([]EndpointSamples, 12)
 	now := time.Minute
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestLateSamplesOfFewEndpointsLeaveTheWindow(t *testing.T) {
+func TestLateSamplesOfFewEndpointsKeepTheWindow(t *testing.T) {
 	l := newLimiter(100)
 	endpoints := make([]EndpointSamples, 2)
 	for i := range 50 {
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -95,11 +95,11 @@
 // give is absent.
 type LoadReport map[string]float64
 
-// queueFigure names the number of requests that wait at the endpoint.
-const queueFigure = "queue"
+// queueMetric names the number of requests that wait at the endpoint.
+const queueMetric = "queue"
 
 // QueueLength returns the number of requests that wait at the endpoint, if it gave one.
 func (report LoadReport) QueueLength() (length float64, ok bool) {
-	length, ok = report[queueFigure]
+	length, ok = report[queueMetric]
 	return length, ok
 }
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -10,46 +10,46 @@
 	// overfillTolerance is the share of the burst that a bucket may seem to hold in excess before its total
 	// is corrected.
 	overfillTolerance = 0.5
-	// negligibleTokens is the rounding error of the counter's totals, which have seven digits, in units.
-	negligibleTokens = 1e-6
+	// totalRoundingError is the rounding error of the counter's totals, which have seven digits, in units.
+	totalRoundingError = 1e-6
 )
 
 // centralBucket is what this gateway knows of a central token bucket.
 type centralBucket struct {
-	window         time.Duration // length of the windows of its name on the counter
-	initialCredit  float64       // units that the local bucket gets when it is used first
-	reserved       float64       // units claimed ahead, for a client's retry
-	reservedFrom   time.Duration // the reservation has been refilled by then
-	exhaustedUntil time.Duration // the bucket holds too little until then
+	windowLength       time.Duration // length of the windows of its name on the counter
+	initialTokens      float64       // units that the local bucket gets when it is used first
+	reservedTokens     float64       // units claimed ahead, for a client's retry
+	reservationReadyAt time.Duration // the reservation has been refilled by then
+	exhaustedUntil     time.Duration // the bucket holds too little until then
 }
 
 // initCentralBucket prepares a customer with a central bucket. Its local bucket starts with a random part of
 // the largest request, so that from the start all gateways together admit their shares.
 func (m *Manager) initCentralBucket(c *customer) {
-	c.lease.counterSilent = true
-	c.unreported = 0
-	c.bucket.window = counterWindowLength
+	c.lease.counterUnresponsive = true
+	c.unreportedUnits = 0
+	c.bucket.windowLength = counterWindowLength
 	if c.hasCeiling() {
-		c.bucket.window = seconds(c.plan.Burst / c.plan.Rate)
+		c.bucket.windowLength = seconds(c.plan.Burst / c.plan.Rate)
 	}
-	c.bucket.initialCredit = m.rng.Float64() * max(1, m.config.MaxUnits)
+	c.bucket.initialTokens = m.rng.Float64() * max(1, m.config.MaxUnits)
 	if !m.config.HasSharedCounter {
 		// Nothing else is granted at once: up to two of the smallest requests, with the first lease.
-		c.bucket.initialCredit = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
+		c.bucket.initialTokens = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
 	}
 }
 
-// admitByBucket decides on a new request of a customer with a central bucket, or claims its units there.
-func (m *Manager) admitByBucket(charge *Charge) Decision {
+// admitByCentralBucket decides on a new request of a customer with a central bucket, or claims its units there.
+func (m *Manager) admitByCentralBucket(charge *Charge) Decision {
 	c, now := charge.customer, m.host.Now()
 	switch {
-	case c.bucket.reserved >= charge.units && now >= c.bucket.reservedFrom:
-		c.bucket.reserved -= charge.units
+	case c.bucket.reservedTokens >= charge.units && now >= c.bucket.reservationReadyAt:
+		c.bucket.reservedTokens -= charge.units
 		charge.claimCharged = true
 		return m.resolve(charge, true)
 	case now < c.bucket.exhaustedUntil:
 		return m.resolve(charge, false)
-	case c.hasCeiling() && m.throttle.counterIsHealthy(), m.shouldCallForTokens(charge):
+	case c.hasCeiling() && m.throttle.counterIsHealthy(), m.shouldClaimTokens(charge):
 		m.claimTokens(charge)
 		return pending
 	}
@@ -60,10 +60,10 @@
 // the local bucket.
 func (m *Manager) chargeLocalBucket(charge *Charge) bool {
 	c := charge.customer
-	c.lease.tokens += c.bucket.initialCredit
-	c.bucket.initialCredit = 0
-	hasEstimate := (m.config.HasSharedCounter || charge.isRetry) && !c.hasCeiling()
-	if hasEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
+	c.lease.tokens += c.bucket.initialTokens
+	c.bucket.initialTokens = 0
+	usesGrantEstimate := (m.config.HasSharedCounter || charge.isRetry) && !c.hasCeiling()
+	if usesGrantEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
 		return false
 	}
 	return m.chargeLease(charge)
@@ -74,24 +74,24 @@
 	c := charge.customer
 	call := pendingCall{charge: charge, claim: charge.units}
 	if !c.hasCeiling() {
-		call.adjustment = c.unreported
-		c.unreported = 0
+		call.adjustment = c.unreportedUnits
+		c.unreportedUnits = 0
 	}
-	m.callBucket(c, call)
+	m.callCounterForBucket(c, call)
 }
 
-// callBucket calls the counter by the name of the customer's bucket in the present window.
-func (m *Manager) callBucket(c *customer, call pendingCall) {
-	c.counterWindow = c.windowAt(m.host.Now(), c.bucket.window)
+// callCounterForBucket calls the counter by the name of the customer's bucket in the present window.
+func (m *Manager) callCounterForBucket(c *customer, call pendingCall) {
+	c.usageWindow = c.windowAt(m.host.Now(), c.bucket.windowLength)
 	call.name = c.bucketName()
-	m.call(c, call, c.bucket.window)
+	m.callCounter(c, call, c.bucket.windowLength)
 }
 
 // reportUsage calls the counter with the units used, settled or refunded since the last call.
 func (m *Manager) reportUsage(c *customer) {
-	adjustment := c.unreported
-	c.unreported = 0
-	m.callBucket(c, pendingCall{adjustment: adjustment})
+	adjustment := c.unreportedUnits
+	c.unreportedUnits = 0
+	m.callCounterForBucket(c, pendingCall{adjustment: adjustment})
 }
 
 // handleBucketReply takes the reply to a call by the name of a central bucket.
@@ -111,10 +111,10 @@
 func (c *customer) restoreAdjustment(call pendingCall, outcome model.Outcome) {
 	switch {
 	case outcome.NotExecuted():
-		c.unreported += call.adjustment
+		c.unreportedUnits += call.adjustment
 	case outcome != model.Succeeded && !c.hasCeiling():
 		// The claim was added, in all likelihood, but the request is now decided locally.
-		c.unreported -= call.claim
+		c.unreportedUnits -= call.claim
 	}
 }
 
@@ -152,7 +152,7 @@
 	case granted:
 		c.lease.tokens = max(0, c.lease.tokens-charge.units)
 	case call.name == c.bucketName() && total > limit+charge.units:
-		windowEnd := time.Duration(c.counterWindow+1)*c.bucket.window - c.windowOffset
+		windowEnd := time.Duration(c.usageWindow+1)*c.bucket.windowLength - c.windowOffset
 		c.bucket.exhaustedUntil = windowEnd
 	}
 	return granted
@@ -169,13 +169,13 @@
 	if !covered {
 		missing := charge.units - c.lease.estimatedTokens
 		c.bucket.exhaustedUntil = m.host.Now() + seconds(missing/c.plan.Rate)
-		if !m.keepReservation(c, call) {
+		if !m.reserveClaim(c, call) {
 			correction -= call.claim
 		}
 	}
 	if correction != 0 {
-		corrective := pendingCall{name: call.name, adjustment: correction, correctedTotal: total}
-		m.call(c, corrective, c.bucket.window)
+		correctionCall := pendingCall{name: call.name, adjustment: correction, totalBeforeCorrection: total}
+		m.callCounter(c, correctionCall, c.bucket.windowLength)
 	}
 	return covered
 }
@@ -185,10 +185,10 @@
 // total is below the usage that stands for a full bucket.
 func (m *Manager) levelBeforeClaim(call pendingCall, total float64) (level, correction float64) {
 	c := call.charge.customer
-	window := c.windowAt(call.sentAt, c.bucket.window)
+	window := c.windowAt(call.sentAt, c.bucket.windowLength)
 	refilled := m.refilledTokens(c, window)
 	usedBefore := total - call.claim
-	if usedBefore-call.adjustment < negligibleTokens {
+	if usedBefore-call.adjustment < totalRoundingError {
 		// It is the first claim of the window, or the counter has lost its numbers.
 		m.readPreviousWindow(c, window)
 		return c.plan.Burst, refilled
@@ -202,5 +202,5 @@
 
 // refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
 func (m *Manager) refilledTokens(c *customer, window int64) float64 {
-	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.window).Seconds()
+	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.windowLength).Seconds()
 }
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -7,14 +7,14 @@
 	"lemontack/policy/model"
 )
 
-// centralSpan is the number of gateways of a large deployment, all of which each customer's requests arrive
+// largeGatewaySpan is the number of gateways of a large deployment, all of which each customer's requests arrive
 // at.
-const centralSpan = 60
+const largeGatewaySpan = 60
 
 func newCentralGateway(t *testing.T) *testGateway {
 	t.Helper()
 	config := testConfig()
-	config.GatewayCount, config.MaxUnits = centralSpan, 4
+	config.GatewayCount, config.MaxUnits = largeGatewaySpan, 4
 	return newTestGateway(t, config, append(testPlans(),
 		model.Plan{Name: "thin", Price: 1, Rate: 0.8, Burst: 8, OverQuotaCost: 1.2},
 		model.Plan{Name: "thick", Price: 1, Rate: 14, Burst: 25, OverQuotaCost: 1.2}))
@@ -22,7 +22,7 @@
 
 // arriveCentral brings a request for two units.
 func (g *testGateway) arriveCentral(id model.RequestID, plan string, isRetry bool) effects {
-	return g.arrive(Request{ID: id, Plan: plan, Units: 2, GatewaySpan: centralSpan, IsRetry: isRetry})
+	return g.arrive(Request{ID: id, Plan: plan, Units: 2, GatewaySpan: largeGatewaySpan, IsRetry: isRetry})
 }
 
 // newCentralCall brings one request of a plan to a new gateway, and returns the gateway with the call that it
@@ -30,9 +30,9 @@
 func newCentralCall(t *testing.T, plan string) (*testGateway, Call) {
 	t.Helper()
 	g := newCentralGateway(t)
-	c := g.customer(plan, centralSpan)
+	c := g.customer(plan, largeGatewaySpan)
 	// Well into a window of the customer's name, with nothing refilled in the local bucket.
-	g.now += c.bucket.window - (g.now+c.windowOffset)%c.bucket.window + 30*time.Second
+	g.now += c.bucket.windowLength - (g.now+c.windowOffset)%c.bucket.windowLength + 30*time.Second
 	c.lease.refreshedAt = g.now
 	calls := g.arriveCentral(1, plan, false).calls
 	if len(calls) != 1 {
@@ -44,7 +44,7 @@
 // refilled returns the units that have been refilled since the present window of the customer's name began.
 func (g *testGateway) refilled() float64 {
 	c := g.manager.customers["c"]
-	return c.plan.Rate * ((g.now + c.windowOffset) % c.bucket.window).Seconds()
+	return c.plan.Rate * ((g.now + c.windowOffset) % c.bucket.windowLength).Seconds()
 }
 
 // The total of a central bucket's name is its whole usage; a gateway that finds it wrong corrects it by a
@@ -71,7 +71,7 @@
 				t.Errorf("sent %v, want %v", sent, c.sent)
 			}
 			want := c.correction(refilled)
-			if corrected := addsOf(got.calls); corrected < want-0.01 || corrected > want+0.01 {
+			if corrected := sumOfAdds(got.calls); corrected < want-0.01 || corrected > want+0.01 {
 				t.Errorf("corrected by %v, want %v", corrected, want)
 			}
 		})
@@ -80,7 +80,7 @@
 
 // A gateway that found a bucket exhausted does not call the counter for a while, and names clients a
 // time to retry.
-func TestExhaustedCentralBucketIsNotCalledAtOnce(t *testing.T) {
+func TestExhaustedCentralBucketRejectsWithoutACall(t *testing.T) {
 	g, call := newCentralCall(t, "thick")
 	rejections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 1000}).rejections
 	if len(rejections) != 1 || rejections[0].retryAfter < 500*ms {
@@ -95,11 +95,11 @@
 
 // Two gateways that find a total at the start of its window correct it from the same total; the second of
 // them reverts its correction. Else the customer would be rejected until the window ends.
-func TestCorrectionThatAnotherGatewayMadeTooIsReverted(t *testing.T) {
+func TestDuplicateCorrectionIsReverted(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		otherClaims  float64 // corrections by other gateways between the claim's reply and the correction's
-		wantReverted int
+		name             string
+		otherCorrections float64 // corrections by other gateways between the claim's reply and the correction's
+		wantReverted     int
 	}{
 		{"no other gateway", 0, 0},
 		{"another gateway", 1, 1},
@@ -112,7 +112,7 @@
 			if len(corrections) != 1 || corrections[0].Add <= 0 {
 				t.Fatalf("calls %v, want one that corrects the total", corrections)
 			}
-			total := claimTotal + corrections[0].Add*(1+c.otherClaims)
+			total := claimTotal + corrections[0].Add*(1+c.otherCorrections)
 			reverted := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}).calls
 			if len(reverted) != c.wantReverted || c.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
 				t.Errorf("calls %v after a correction of %v, want %d that reverts it", reverted, corrections[0].Add,
@@ -125,14 +125,14 @@
 // A claim that finds too few tokens is a reservation: the client's retry uses it without a call, and it is
 // returned if no retry arrives.
 func TestClaimThatFindsTooFewTokensIsReserved(t *testing.T) {
-	for _, retries := range []bool{true, false} {
+	for _, clientRetries := range []bool{true, false} {
 		g, call := newCentralCall(t, "thick")
 		got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 25 + g.refilled() + call.Add})
 		if len(got.rejections) != 1 || len(got.calls) != 0 || len(got.sent) != 0 {
 			t.Fatalf("effects %+v, want a rejection and no call", got)
 		}
 		g.advance(got.rejections[0].retryAfter)
-		if retries {
+		if clientRetries {
 			got = g.arriveCentral(2, "thick", true)
 			if len(got.sent) != 1 || len(got.calls) != 0 {
 				t.Errorf("retry: effects %+v, want it sent without a call", got)
@@ -161,8 +161,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newCentralGateway(t)
-			customer := g.customer("thick", centralSpan)
-			window := customer.bucket.window
+			customer := g.customer("thick", largeGatewaySpan)
+			window := customer.bucket.windowLength
 			g.now += window - (g.now+customer.windowOffset)%window + time.Duration(elapsed*float64(time.Second))
 			call := g.arriveCentral(1, "thick", false).calls[0]
 			calls := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: call.Add}).calls
@@ -170,7 +170,7 @@
 				t.Fatalf("calls %v, want the previous window's name read first", calls)
 			}
 			previousUsage := rate*window.Seconds() + c.deficit
-			got := addsOf(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
+			got := sumOfAdds(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
 			if got < c.carried-0.1 || got > c.carried+0.1 {
 				t.Errorf("carried over %v, want %v", got, c.carried)
 			}
@@ -187,7 +187,7 @@
 	if len(sent) != 1 {
 		t.Fatalf("sent %v, want one", sent)
 	}
-	g.succeed(1, 3.5)
+	g.completeRequest(1, 3.5)
 	next := g.arriveCentral(2, "thick", false).calls
 	if len(next) != 1 || next[0].Add != 2+1.5 {
 		t.Errorf("calls %v, want one for 2 units and the 1.5 that were settled", next)
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -23,19 +23,19 @@
 	Total   float64 // after the add, where the call has succeeded
 }
 
-// semaphoreMark tells the names that hold permits from those that hold units.
-const semaphoreMark = "!"
+// semaphoreNamePrefix tells the names that hold permits from those that hold units.
+const semaphoreNamePrefix = "!"
 
 // pendingCall is a call in flight for a customer's central bucket or permits. It adds the claim and the
 // adjustment.
 type pendingCall struct {
-	name                string
-	charge              *Charge // the request that it claims for; nil: the call only adjusts
-	claim               float64 // units or permits of that request
-	adjustment          float64 // units or permits of earlier requests, or a correction of the total
-	correctedTotal      float64 // of a correction: the total that it was derived from
-	readsPreviousWindow bool    // it reads the final usage of the previous window
-	sentAt              time.Duration
+	name                  string
+	charge                *Charge // the request that it claims for; nil: the call only adjusts
+	claim                 float64 // units or permits of that request
+	adjustment            float64 // units or permits of earlier requests, or a correction of the total
+	totalBeforeCorrection float64 // of a correction: the total that it was derived from
+	readsPreviousWindow   bool    // it reads the final usage of the previous window
+	sentAt                time.Duration
 }
 
 // requestID returns the request that the call claims for, or 0.
@@ -46,36 +46,36 @@
 	return call.charge.id
 }
 
-// call starts a call for a customer. Replies for one name arrive in the order of its calls.
-func (m *Manager) call(c *customer, call pendingCall, window time.Duration) {
+// callCounter starts a call for a customer. Replies for one name arrive in the order of its calls.
+func (m *Manager) callCounter(c *customer, call pendingCall, windowLength time.Duration) {
 	call.sentAt = m.host.Now()
-	c.calls = append(c.calls, call)
+	c.callsInFlight = append(c.callsInFlight, call)
 	m.host.CallCounter(Call{
 		Name: call.name,
 		Add:  call.claim + call.adjustment,
-		TTL:  min(2*window, maxCounterNameTTL),
+		TTL:  min(2*windowLength, maxCounterNameTTL),
 	})
 }
 
-// takeCall removes and returns the oldest call in flight for a name, which a reply for it belongs to.
-func (c *customer) takeCall(name string) (call pendingCall, ok bool) {
-	i := slices.IndexFunc(c.calls, func(call pendingCall) bool { return call.name == name })
+// popOldestCall removes and returns the oldest call in flight for a name, which a reply for it belongs to.
+func (c *customer) popOldestCall(name string) (call pendingCall, ok bool) {
+	i := slices.IndexFunc(c.callsInFlight, func(call pendingCall) bool { return call.name == name })
 	if i < 0 {
 		return pendingCall{}, false
 	}
-	call = c.calls[i]
-	c.calls = slices.Delete(c.calls, i, i+1)
+	call = c.callsInFlight[i]
+	c.callsInFlight = slices.Delete(c.callsInFlight, i, i+1)
 	return call, true
 }
 
 func (c *customer) hasCallInFlight(name string) bool {
-	return slices.ContainsFunc(c.calls, func(call pendingCall) bool { return call.name == name })
+	return slices.ContainsFunc(c.callsInFlight, func(call pendingCall) bool { return call.name == name })
 }
 
 // handleCallReply takes the reply to a call for a central bucket or permits, and returns the decision on the
 // request that waited for it, if any.
 func (m *Manager) handleCallReply(c *customer, reply Reply) (model.RequestID, Decision) {
-	call, ok := c.takeCall(reply.Name)
+	call, ok := c.popOldestCall(reply.Name)
 	if !ok {
 		return 0, pending
 	}
@@ -87,17 +87,17 @@
 }
 
 // bucketName returns the name of the customer's units in the window of its last call.
-func (c *customer) bucketName() string { return c.bucketNameOf(c.counterWindow) }
+func (c *customer) bucketName() string { return c.bucketNameOf(c.usageWindow) }
 
 func (c *customer) bucketNameOf(window int64) string {
 	return c.id + ":" + strconv.FormatInt(window, 36)
 }
 
 func (c *customer) semaphoreNameOf(window int64) string {
-	return c.id + ":" + semaphoreMark + strconv.FormatInt(window, 36)
+	return c.id + ":" + semaphoreNamePrefix + strconv.FormatInt(window, 36)
 }
 
-func isSemaphoreName(name string) bool { return strings.Contains(name, ":"+semaphoreMark) }
+func isSemaphoreName(name string) bool { return strings.Contains(name, ":"+semaphoreNamePrefix) }
 
-// customerOf returns the customer that a name on the counter belongs to.
-func customerOf(name string) string { return name[:max(0, strings.LastIndexByte(name, ':'))] }
+// customerIDOf returns the customer that a name on the counter belongs to.
+func customerIDOf(name string) string { return name[:max(0, strings.LastIndexByte(name, ':'))] }
--- a/policy/quota/callthrottle.go
+++ b/policy/quota/callthrottle.go
@@ -13,8 +13,8 @@
 	minHealthyCallShare = 0.3
 	// spareCallShare is the share of requests from which on the counter has spare calls.
 	spareCallShare = 0.99
-	// callShareFactorOnLoss is the multiplicative decrease by a failed call, the work of which is wasted.
-	callShareFactorOnLoss = 0.7
+	// callShareFactorOnFailure is the multiplicative decrease by a failed call, the work of which is wasted.
+	callShareFactorOnFailure = 0.7
 	// callShareFactorOnDelay is the multiplicative decrease by a slow call: the counter's queue grows long
 	// before calls fail.
 	callShareFactorOnDelay = 0.9
@@ -26,12 +26,12 @@
 // callThrottle adapts the share of the requests with central buckets or permits that call the counter to what
 // the counter can take, by AIMD. All gateways share the counter, so its delay shows the sum of their calls.
 type callThrottle struct {
-	share   float64
-	timeout time.Duration // of a call
+	callShare float64
+	timeout   time.Duration // of a call
 }
 
 func newCallThrottle(timeout time.Duration) callThrottle {
-	return callThrottle{share: 1, timeout: timeout}
+	return callThrottle{callShare: 1, timeout: timeout}
 }
 
 // adapt takes the outcome and the delay of a call.
@@ -39,31 +39,33 @@
 	switch {
 	case outcome == model.Failed: // an error reply is no sign of load
 	case outcome != model.Succeeded:
-		throttle.share = max(minCallShare, throttle.share*callShareFactorOnLoss)
+		throttle.callShare = max(minCallShare, throttle.callShare*callShareFactorOnFailure)
 	case delay > throttle.timeout/2:
-		throttle.share = max(minCallShare, throttle.share*callShareFactorOnDelay)
+		throttle.callShare = max(minCallShare, throttle.callShare*callShareFactorOnDelay)
 	default:
-		throttle.share = min(1, throttle.share+callShareIncrease/throttle.share)
+		throttle.callShare = min(1, throttle.callShare+callShareIncrease/throttle.callShare)
 	}
 }
 
 // counterIsHealthy reports whether the counter replies to enough calls for ceilings to rely on its grants.
-func (throttle *callThrottle) counterIsHealthy() bool { return throttle.share >= minHealthyCallShare }
+func (throttle *callThrottle) counterIsHealthy() bool {
+	return throttle.callShare >= minHealthyCallShare
+}
 
 // hasSpareCalls reports whether nearly all requests call the counter.
-func (throttle *callThrottle) hasSpareCalls() bool { return throttle.share >= spareCallShare }
+func (throttle *callThrottle) hasSpareCalls() bool { return throttle.callShare >= spareCallShare }
 
-// shouldCallForTokens decides whether a request of a central bucket calls the counter. Where over-quota
+// shouldClaimTokens decides whether a request of a central bucket calls the counter. Where over-quota
 // requests gain more than they cost, a guess does nearly as well as a call, so that these leave the calls to
 // others first.
-func (m *Manager) shouldCallForTokens(charge *Charge) bool {
+func (m *Manager) shouldClaimTokens(charge *Charge) bool {
 	switch {
 	case !m.config.HasSharedCounter:
 		return false
 	case !charge.customer.hasCeiling() && charge.plan.OverQuotaWeight > charge.plan.OverQuotaCost:
-		return m.rng.Float64() <= 2*m.throttle.share-1
+		return m.rng.Float64() <= 2*m.throttle.callShare-1
 	}
-	return m.rng.Float64() <= m.throttle.share
+	return m.rng.Float64() <= m.throttle.callShare
 }
 
 // shouldCallForPermit decides whether a request calls the counter for a permit. Where calls are scarce, the
@@ -72,11 +74,11 @@
 func (m *Manager) shouldCallForPermit(charge *Charge) bool {
 	probability := charge.customer.permitProbability(charge)
 	costOfAdmitting := (1 - probability) * max(0, charge.plan.OverQuotaCost-charge.plan.OverQuotaWeight)
-	wrong := min(probability, costOfAdmitting)
-	stake := charge.units * charge.plan.Price * charge.priorityWeight * wrong
-	m.meanPermitStake += grantGain * (stake - m.meanPermitStake)
+	lossShare := min(probability, costOfAdmitting)
+	expectedLoss := charge.units * charge.plan.Price * charge.priorityWeight * lossShare
+	m.meanPermitLoss += grantGain * (expectedLoss - m.meanPermitLoss)
 	if charge.plan.Rate > 0 || m.throttle.hasSpareCalls() {
 		return m.throttle.hasSpareCalls()
 	}
-	return m.rng.Float64()*m.meanPermitStake <= m.throttle.share*stake
+	return m.rng.Float64()*m.meanPermitLoss <= m.throttle.callShare*expectedLoss
 }
--- a/policy/quota/callthrottle_test.go
+++ b/policy/quota/callthrottle_test.go
@@ -24,9 +24,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			throttle := newCallThrottle(50 * ms)
-			throttle.share = 0.5
+			throttle.callShare = 0.5
 			throttle.adapt(c.outcome, c.delay)
-			if got := throttle.share; got < 0.5 != c.less || got > 0.5 != c.more {
+			if got := throttle.callShare; got < 0.5 != c.less || got > 0.5 != c.more {
 				t.Errorf("share %v after 0.5", got)
 			}
 		})
--- a/policy/quota/ceiling.go
+++ b/policy/quota/ceiling.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ceiling is this gateway's part of the token bucket of a customer's ceiling. It starts empty, since after a
+// ceilingBucket is this gateway's part of the token bucket of a customer's ceiling. It starts empty, since after a
 // restart nothing is known of what was spent before.
-type ceiling struct {
+type ceilingBucket struct {
 	tokens    float64       // units
 	updatedAt time.Duration // up to when tokens is computed
 }
@@ -25,5 +25,5 @@
 	refilled := c.ceiling.tokens + charge.plan.CeilingRate/span*(now-c.ceiling.updatedAt).Seconds()
 	c.ceiling.tokens = min(charge.plan.CeilingBurst/span, refilled)
 	c.ceiling.updatedAt = now
-	return c.ceiling.tokens >= charge.units && !(c.central && m.throttle.counterIsHealthy())
+	return c.ceiling.tokens >= charge.units && !(c.hasCentralBucket && m.throttle.counterIsHealthy())
 }
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -17,21 +17,21 @@
 // Charge is the account of one request: what it has taken from the quotas of its customer, and may have to
 // return. It must not be copied once it has been passed to Admit.
 type Charge struct {
-	plan             *planState
-	customer         *customer
-	priorityWeight   float64
-	units            float64
-	attemptsInFlight int
-	permits          int    // that it holds
-	permitName       string // of the counter, that its permits were acquired under
-	id               model.RequestID
-	isRetry          bool
-	leaseCharged     bool // its units were taken from the lease
-	claimCharged     bool // its units were claimed from the central bucket
-	ceilingGranted   bool // the counter has admitted it within the ceiling
-	dispatched       bool // its first attempt has started
-	attempted        bool // an attempt of it may have reached an endpoint
-	finished         bool // it has its final answer
+	plan                   *planState
+	customer               *customer
+	priorityWeight         float64
+	units                  float64
+	attemptsInFlight       int
+	permits                int    // that it holds
+	semaphoreName          string // of the counter, that its permits were acquired under
+	id                     model.RequestID
+	isRetry                bool
+	leaseCharged           bool // its units were taken from the lease
+	claimCharged           bool // its units were claimed from the central bucket
+	ceilingGranted         bool // the counter has admitted it within the ceiling
+	dispatched             bool // its first attempt has started
+	mayHaveReachedEndpoint bool // an attempt of it may have reached an endpoint
+	finished               bool // it has its final answer
 }
 
 // NewCharge returns the account of a new request, which Admit then decides on.
@@ -54,8 +54,8 @@
 // start now.
 func (m *Manager) MayDispatch(charge *Charge) bool {
 	c := charge.customer
-	needsShare := charge.plan.MaxConcurrency > 0 && charge.permits == 0
-	if needsShare && c.attemptsInFlight >= m.concurrencyShare(c) {
+	needsConcurrencyShare := charge.plan.MaxConcurrency > 0 && charge.permits == 0
+	if needsConcurrencyShare && c.attemptsInFlight >= m.concurrencyShare(c) {
 		return false
 	}
 	return charge.dispatched || m.ceilingAllows(charge)
@@ -77,7 +77,7 @@
 // AttemptEnded accounts for the end of an attempt. The caller decides how the request goes on, then calls
 // Release.
 func (m *Manager) AttemptEnded(charge *Charge, outcome model.Outcome) {
-	charge.attempted = charge.attempted || outcome != model.NotSent
+	charge.mayHaveReachedEndpoint = charge.mayHaveReachedEndpoint || outcome != model.NotSent
 	charge.attemptsInFlight--
 	charge.customer.attemptsInFlight--
 }
@@ -91,8 +91,8 @@
 	if charge.leaseCharged {
 		c.lease.tokens -= settledUnits - charge.units
 	}
-	if charge.leaseCharged && c.central || charge.claimCharged {
-		c.unreported += settledUnits - charge.units
+	if charge.leaseCharged && c.hasCentralBucket || charge.claimCharged {
+		c.unreportedUnits += settledUnits - charge.units
 	}
 }
 
@@ -115,12 +115,12 @@
 // gateway's share.
 func (m *Manager) refundTokens(charge *Charge) {
 	isCharged := charge.leaseCharged || charge.claimCharged
-	if !charge.finished || charge.attemptsInFlight > 0 || charge.attempted || !isCharged {
+	if !charge.finished || charge.attemptsInFlight > 0 || charge.mayHaveReachedEndpoint || !isCharged {
 		return
 	}
 	c := charge.customer
 	switch {
-	case !c.central:
+	case !c.hasCentralBucket:
 		headroom := m.leaseHeadroom(c)
 		c.lease.tokens += charge.units
 		c.extendLease(-max(0, charge.units-headroom))
@@ -128,7 +128,7 @@
 		m.refundClaim(c, charge.units)
 	default:
 		c.lease.tokens += min(charge.units, m.leaseHeadroom(c))
-		c.unreported -= charge.units
+		c.unreportedUnits -= charge.units
 	}
 	charge.leaseCharged = false
 	charge.claimCharged = false
--- a/policy/quota/correction.go
+++ b/policy/quota/correction.go
@@ -7,7 +7,7 @@
 // starts at 0, which stands for a full bucket.
 func (m *Manager) readPreviousWindow(c *customer, window int64) {
 	if !c.hasCeiling() {
-		m.call(c, pendingCall{name: c.bucketNameOf(window - 1), readsPreviousWindow: true}, c.bucket.window)
+		m.callCounter(c, pendingCall{name: c.bucketNameOf(window - 1), readsPreviousWindow: true}, c.bucket.windowLength)
 	}
 }
 
@@ -15,21 +15,21 @@
 // window is carried over into the present one. A correction that another gateway has made too, from the same
 // total, is reverted; the other's, which came first, remains.
 func (m *Manager) handleCorrectionReply(c *customer, call pendingCall, total float64) {
-	remoteAdds := total - call.correctedTotal - call.adjustment
-	isLargeCorrection := call.correctedTotal > 0 && call.adjustment > c.plan.Burst/2
+	addedByOthers := total - call.totalBeforeCorrection - call.adjustment
+	isLargeCorrection := call.totalBeforeCorrection > 0 && call.adjustment > c.plan.Burst/2
 	switch {
 	case call.readsPreviousWindow:
 		m.carryDeficit(c, total)
-	case isLargeCorrection && remoteAdds > call.adjustment/2:
-		m.call(c, pendingCall{name: call.name, adjustment: -call.adjustment}, c.bucket.window)
+	case isLargeCorrection && addedByOthers > call.adjustment/2:
+		m.callCounter(c, pendingCall{name: call.name, adjustment: -call.adjustment}, c.bucket.windowLength)
 	}
 }
 
 // carryDeficit adds the deficit of the previous window, by its final usage, to the usage of the present one.
 func (m *Manager) carryDeficit(c *customer, previousUsage float64) {
-	window := c.windowAt(m.host.Now(), c.bucket.window)
+	window := c.windowAt(m.host.Now(), c.bucket.windowLength)
 	deficit := min(previousUsage-m.refilledTokens(c, window-1), maxCarriedBursts*c.plan.Burst)
 	if previousUsage > 0 && deficit > 0 {
-		m.call(c, pendingCall{name: c.bucketNameOf(window), adjustment: deficit}, c.bucket.window)
+		m.callCounter(c, pendingCall{name: c.bucketNameOf(window), adjustment: deficit}, c.bucket.windowLength)
 	}
 }
--- a/policy/quota/customer.go
+++ b/policy/quota/customer.go
@@ -16,29 +16,29 @@
 	// unreportedFlushShare is the share of the gateway's part of the burst above which the unreported units
 	// of an idle customer are reported without a request.
 	unreportedFlushShare = 0.25
-	// minIdleRefill is the units that the rate refills until a customer without requests counts as idle.
-	minIdleRefill = 1
+	// minIdleRefillUnits is the units that the rate refills until a customer without requests counts as idle.
+	minIdleRefillUnits = 1
 )
 
 // customer is what this gateway knows of one customer. It has one of two kinds of rate quota: a lease, or a
 // central token bucket beside which the lease is the local bucket.
 type customer struct {
-	id           string
-	plan         *planState
-	gatewaySpan  int           // number of gateways that its requests arrive at
-	gatewayIndex int           // index of this gateway among them
-	windowOffset time.Duration // spreads the ends of the customers' windows over time
-	central      bool          // its rate is held by a central token bucket
+	id               string
+	plan             *planState
+	gatewaySpan      int           // number of gateways that its requests arrive at
+	gatewayIndex     int           // index of this gateway among them
+	windowOffset     time.Duration // spreads the ends of the customers' windows over time
+	hasCentralBucket bool          // its rate is held by a central token bucket
 
 	lease            lease
 	bucket           centralBucket
 	permits          semaphore
-	ceiling          ceiling
-	counterWindow    int64   // window of the name on the counter that holds its usage
-	unreported       float64 // units that the next call has to add
-	calls            []pendingCall
+	ceiling          ceilingBucket
+	usageWindow      int64   // window of the name on the counter that holds its usage
+	unreportedUnits  float64 // units that the next call has to add
+	callsInFlight    []pendingCall
 	attemptsInFlight int
-	lastSeen         time.Duration // time of its last request
+	lastRequestAt    time.Duration // time of its last request
 }
 
 // customerFor returns the customer of a request. A new customer has the plan of its first request.
@@ -49,7 +49,7 @@
 		m.customers[c.id] = c
 		m.customerOrder = append(m.customerOrder, c)
 	}
-	c.lastSeen = m.host.Now()
+	c.lastRequestAt = m.host.Now()
 	return c
 }
 
@@ -57,17 +57,17 @@
 	span := min(max(request.GatewaySpan, 1), m.config.GatewayCount)
 	now, count := m.host.Now(), m.config.GatewayCount
 	c := &customer{
-		id:           request.Customer,
-		plan:         plan,
-		gatewaySpan:  span,
-		gatewayIndex: (m.config.GatewayIndex - request.FirstGateway%count + count) % count,
-		windowOffset: windowOffsetOf(request.Customer),
-		central:      plan.Rate > 0 && plan.Burst < float64(span)*max(1, m.config.MaxUnits),
-		ceiling:      ceiling{updatedAt: now},
+		id:               request.Customer,
+		plan:             plan,
+		gatewaySpan:      span,
+		gatewayIndex:     (m.config.GatewayIndex - request.FirstGateway%count + count) % count,
+		windowOffset:     windowOffsetOf(request.Customer),
+		hasCentralBucket: plan.Rate > 0 && plan.Burst < float64(span)*max(1, m.config.MaxUnits),
+		ceiling:          ceilingBucket{updatedAt: now},
 	}
 	c.lease = m.newLease(c)
-	c.unreported = c.lease.tokens // the first lease is reported by the first call
-	if c.central {
+	c.unreportedUnits = c.lease.tokens // the first lease is reported by the first call
+	if c.hasCentralBucket {
 		m.initCentralBucket(c)
 	}
 	return c
@@ -92,32 +92,32 @@
 	return int64((at + c.windowOffset) / length)
 }
 
-// checkNextIdle checks one customer in turn: it reports corrections that wait for a call, returns unused
+// checkNextCustomer checks one customer in turn: it reports corrections that wait for a call, returns unused
 // tokens, and forgets the customer if it has been idle for long.
-func (m *Manager) checkNextIdle() {
+func (m *Manager) checkNextCustomer() {
 	m.nextIdleCheck = (m.nextIdleCheck + 1) % len(m.customerOrder)
 	c := m.customerOrder[m.nextIdleCheck]
-	if c.permits.unreported != 0 {
-		m.callSemaphore(c, pendingCall{name: m.semaphoreName(c)})
+	if c.permits.unreportedPermits != 0 {
+		m.callCounterForPermits(c, pendingCall{name: m.semaphoreName(c)})
 	}
-	if c.central {
-		m.returnReservation(c)
+	if c.hasCentralBucket {
+		m.returnExpiredReservation(c)
 	}
-	idle := (m.host.Now() - c.lastSeen).Seconds()
-	if c.isForgettable(idle) {
+	idle := (m.host.Now() - c.lastRequestAt).Seconds()
+	if c.isEvictable(idle) {
 		delete(m.customers, c.id)
 		m.customerOrder = slices.Delete(m.customerOrder, m.nextIdleCheck, m.nextIdleCheck+1)
 		return
 	}
 	flushThreshold := unreportedFlushShare * c.plan.Burst / float64(c.gatewaySpan)
-	if c.plan.Rate > 0 && math.Abs(c.unreported) > flushThreshold && idle*c.plan.Rate > minIdleRefill {
-		m.callForLease(c, 0)
+	if c.plan.Rate > 0 && math.Abs(c.unreportedUnits) > flushThreshold && idle*c.plan.Rate > minIdleRefillUnits {
+		m.requestLease(c, 0)
 	}
 }
 
-// isForgettable reports whether a customer that has been idle for some seconds would start anew with the same
+// isEvictable reports whether a customer that has been idle for some seconds would start anew with the same
 // state: no attempt is in flight, its names on the counter have expired, and its token bucket is full.
-func (c *customer) isForgettable(idleSeconds float64) bool {
+func (c *customer) isEvictable(idleSeconds float64) bool {
 	hasExpired := idleSeconds > maxCounterNameTTL.Seconds()
 	isFull := idleSeconds*c.plan.Rate >= c.plan.Burst
 	return hasExpired && isFull && c.attemptsInFlight == 0
--- a/policy/quota/decision.go
+++ b/policy/quota/decision.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minRate bounds the wait for a refill at a tiny rate, in units a second.
-const minRate = 0.01
+// minRefillRate bounds the wait for a refill at a tiny rate, in units a second.
+const minRefillRate = 0.01
 
 // Verdict is the kind of a decision on a request.
 type Verdict uint8
@@ -34,15 +34,15 @@
 // Admit decides on a new request, or calls the shared counter and leaves the decision to its reply.
 func (m *Manager) Admit(charge *Charge) Decision {
 	c := charge.customer
-	if !c.central {
+	if !c.hasCentralBucket {
 		return m.resolve(charge, m.chargeLease(charge))
 	}
-	return m.admitByBucket(charge)
+	return m.admitByCentralBucket(charge)
 }
 
 // resolve decides on a request once it is known whether it is inside its rate.
-func (m *Manager) resolve(charge *Charge, insideRate bool) Decision {
-	if !insideRate {
+func (m *Manager) resolve(charge *Charge, isInsideRate bool) Decision {
+	if !isInsideRate {
 		return m.resolveOverQuota(charge)
 	}
 	if charge.plan.MaxConcurrency > 0 {
@@ -63,14 +63,14 @@
 // retryAfter returns the time until the customer's token bucket will hold the request's units.
 func (m *Manager) retryAfter(charge *Charge) time.Duration {
 	c, now := charge.customer, m.host.Now()
-	if c.central && c.bucket.exhaustedUntil > now {
+	if c.hasCentralBucket && c.bucket.exhaustedUntil > now {
 		return max(c.bucket.exhaustedUntil-now, m.config.TickInterval)
 	}
-	if c.central { // the level is unknown: an empty bucket would have refilled by then
+	if c.hasCentralBucket { // the level is unknown: an empty bucket would have refilled by then
 		return seconds(charge.units / c.plan.Rate)
 	}
 	missing := max(charge.units-max(0, c.availableTokens(now))-max(0, c.lease.tokens), 1)
-	return seconds(missing / max(c.plan.Rate, minRate))
+	return seconds(missing / max(c.plan.Rate, minRefillRate))
 }
 
 // seconds converts a count of seconds to a Duration.
--- a/policy/quota/estimates.go
+++ b/policy/quota/estimates.go
@@ -8,11 +8,11 @@
 	// customerGrantGain is the weight of one reply about a customer's permits in the averages of that
 	// customer.
 	customerGrantGain = 0.2
-	// priorGrantedFirst is the share of first tries that are inside their quotas, before the first reply.
-	priorGrantedFirst = 0.8
-	// priorGrantedRetry is the share of clients' retries that are inside their quotas, before the first
+	// priorFirstTryGrantShare is the share of first tries that are inside their quotas, before the first reply.
+	priorFirstTryGrantShare = 0.8
+	// priorRetryGrantShare is the share of clients' retries that are inside their quotas, before the first
 	// reply.
-	priorGrantedRetry = 0.5
+	priorRetryGrantShare = 0.5
 	// minCustomerSamples is the number of replies from which on a customer is judged by its own averages.
 	minCustomerSamples = 4
 )
@@ -34,21 +34,21 @@
 
 // grantEstimate estimates how often requests are inside a quota, from the counter's replies.
 type grantEstimate struct {
-	grantedFirst float64 // share of first tries that were granted
-	grantedRetry float64 // share of clients' retries that were granted
-	calledShare  float64 // share of the requests that called the counter: its totals lack the others
+	firstTryGrantShare float64 // share of first tries that were granted
+	retryGrantShare    float64 // share of clients' retries that were granted
+	calledShare        float64 // share of the requests that called the counter: its totals lack the others
 }
 
 func newGrantEstimate() *grantEstimate {
-	return &grantEstimate{grantedFirst: priorGrantedFirst, grantedRetry: priorGrantedRetry, calledShare: 1}
+	return &grantEstimate{firstTryGrantShare: priorFirstTryGrantShare, retryGrantShare: priorRetryGrantShare, calledShare: 1}
 }
 
 // grantProbability returns the average that estimates the probability that a request is inside its quota.
 func (estimate *grantEstimate) grantProbability(charge *Charge) *float64 {
 	if charge.isRetry {
-		return &estimate.grantedRetry
+		return &estimate.retryGrantShare
 	}
-	return &estimate.grantedFirst
+	return &estimate.firstTryGrantShare
 }
 
 // updateShare adds one observation to a share, an exponential moving average.
@@ -59,14 +59,14 @@
 	}
 }
 
-// recordPermit adds a reply of the counter to the averages of the customer and, as long as the customer is
+// recordPermitReply adds a reply of the counter to the averages of the customer and, as long as the customer is
 // new, to those of its plan: a few customers that are always over their limit would otherwise dominate the
 // plan.
-func (c *customer) recordPermit(charge *Charge, granted bool) {
+func (c *customer) recordPermitReply(charge *Charge, granted bool) {
 	own, plan := &c.permits, c.plan.permitGrants
 	if own.samples == 0 {
-		own.grantedFirst = plan.grantedFirst
-		own.grantedRetry = plan.grantedRetry
+		own.firstTryGrantShare = plan.firstTryGrantShare
+		own.retryGrantShare = plan.retryGrantShare
 	}
 	if own.samples < minCustomerSamples {
 		updateShare(plan.grantProbability(charge), granted, grantGain)
@@ -80,9 +80,9 @@
 	return 1 - c.permitDenialProbability(charge)
 }
 
-// permitProbabilityUncalled estimates the same for a request that does not call the counter. The counter
+// permitProbabilityWithoutCall estimates the same for a request that does not call the counter. The counter
 // holds only the permits that were acquired, so the requests that did not call it are added in proportion.
-func (c *customer) permitProbabilityUncalled(charge *Charge) float64 {
+func (c *customer) permitProbabilityWithoutCall(charge *Charge) float64 {
 	return 1 - c.permitDenialProbability(charge)/max(c.plan.permitGrants.calledShare, minCallShare)
 }
 
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -60,12 +60,12 @@
 // Manager allows one, in the order of arrival, and never rejects a queued request by itself.
 type testGateway struct {
 	*testing.T
-	manager  *Manager
-	now      time.Duration
-	paused   bool // no attempt starts
-	requests map[model.RequestID]*openRequest
-	queue    []*openRequest
-	effects  effects // of the present event
+	manager        *Manager
+	now            time.Duration
+	dispatchPaused bool // no attempt starts
+	requests       map[model.RequestID]*openRequest
+	queue          []*openRequest
+	effects        effects // of the present event
 }
 
 func newTestGateway(t *testing.T, config Config, plans []model.Plan) *testGateway {
@@ -105,8 +105,8 @@
 	return g.takeEffects()
 }
 
-// succeed brings the answer of a request's only attempt.
-func (g *testGateway) succeed(id model.RequestID, settledUnits float64) effects {
+// completeRequest brings the answer of a request's only attempt.
+func (g *testGateway) completeRequest(id model.RequestID, settledUnits float64) effects {
 	charge := &g.requests[id].charge
 	if charge.finished {
 		return g.takeEffects()
@@ -159,7 +159,7 @@
 // takeEffects starts the attempts that may start, and returns the effects since the last event.
 func (g *testGateway) takeEffects() effects {
 	g.queue = slices.DeleteFunc(g.queue, func(request *openRequest) bool {
-		if g.paused || g.now >= request.deadline || !g.manager.MayDispatch(&request.charge) {
+		if g.dispatchPaused || g.now >= request.deadline || !g.manager.MayDispatch(&request.charge) {
 			return false
 		}
 		g.manager.AttemptStarted(&request.charge)
@@ -171,8 +171,8 @@
 	return latest
 }
 
-// addsOf sums what calls add.
-func addsOf(calls []Call) (sum float64) {
+// sumOfAdds sums what calls add.
+func sumOfAdds(calls []Call) (sum float64) {
 	for _, call := range calls {
 		sum += call.Add
 	}
--- a/policy/quota/lease.go
+++ b/policy/quota/lease.go
@@ -16,19 +16,19 @@
 // estimate of the customer's token bucket. The bucket fills at the rate up to the burst; the estimate follows
 // the totals of the counter, and takes usage between two totals as spread evenly over the time.
 type lease struct {
-	tokens          float64       // units left, which this gateway may spend
-	estimatedTokens float64       // level of the token bucket in units, without all known leases
-	estimatedAt     time.Duration // time of estimatedTokens
-	refreshedAt     time.Duration // up to when tokens and demandRate are computed
-	demandRate      float64       // units a second that requests at this gateway ask for
-	remoteUsageRate float64       // units a second that the other gateways use
-	callInFlight    bool          // a call for a lease waits for its reply
-	counterSilent   bool          // the counter does not reply: the lease grows with time instead
-	pendingAdd      float64       // units that the call in flight adds
-	pendingTokens   float64       // units of the new lease in pendingAdd
-	lastTotal       float64       // last total of the name in the present window
-	lastReplyAt     time.Duration // time of the last total; 0: there was none
-	nextCallAt      time.Duration // no call for a lease before it
+	tokens              float64       // units left, which this gateway may spend
+	estimatedTokens     float64       // level of the token bucket in units, without all known leases
+	estimatedAt         time.Duration // time of estimatedTokens
+	refreshedAt         time.Duration // up to when tokens and demandRate are computed
+	demandRate          float64       // units a second that requests at this gateway ask for
+	remoteUsageRate     float64       // units a second that the other gateways use
+	callInFlight        bool          // a call for a lease waits for its reply
+	counterUnresponsive bool          // the counter does not reply: the lease grows with time instead
+	pendingAdd          float64       // units that the call in flight adds
+	pendingTokens       float64       // units of the new lease in pendingAdd
+	lastTotal           float64       // last total of the name in the present window
+	lastReplyAt         time.Duration // time of the last total; 0: there was none
+	nextCallAt          time.Duration // no call for a lease before it
 }
 
 // newLease returns the first lease of a customer, its share of the burst. It is granted without a call, and
@@ -37,11 +37,11 @@
 	now := m.host.Now()
 	tokens := c.burstShare()
 	return lease{
-		tokens:          tokens,
-		estimatedTokens: max(0, m.config.MaxUnits-tokens, 1-tokens),
-		estimatedAt:     now,
-		refreshedAt:     now,
-		counterSilent:   !m.config.HasSharedCounter,
+		tokens:              tokens,
+		estimatedTokens:     max(0, m.config.MaxUnits-tokens, 1-tokens),
+		estimatedAt:         now,
+		refreshedAt:         now,
+		counterUnresponsive: !m.config.HasSharedCounter,
 	}
 }
 
@@ -52,9 +52,9 @@
 	c.lease.refreshedAt = now
 	c.lease.demandRate *= math.Exp(-elapsed)
 	switch {
-	case c.central: // the local bucket; only what is spent from it is reported
+	case c.hasCentralBucket: // the local bucket; only what is spent from it is reported
 		c.lease.tokens += min(c.rateShare()*elapsed, m.leaseHeadroom(c))
-	case c.lease.counterSilent:
+	case c.lease.counterUnresponsive:
 		c.extendLease(min(c.rateShare()*elapsed, m.leaseHeadroom(c)))
 	}
 }
@@ -68,7 +68,7 @@
 // extendLease moves units from the estimated token bucket to the lease; the next call reports them.
 func (c *customer) extendLease(units float64) {
 	c.lease.tokens += units
-	c.unreported += units
+	c.unreportedUnits += units
 	c.lease.estimatedTokens -= units
 }
 
@@ -85,7 +85,7 @@
 
 // uncontestedTokens returns the part of the available tokens that the other gateways will not have used.
 func (c *customer) uncontestedTokens(now time.Duration) float64 {
-	if c.lease.counterSilent {
+	if c.lease.counterUnresponsive {
 		return 0
 	}
 	remoteUsage := c.lease.remoteUsageRate * (now - c.lease.lastReplyAt).Seconds()
@@ -110,8 +110,8 @@
 	if charge.leaseCharged {
 		c.lease.tokens -= charge.units
 	}
-	if charge.leaseCharged && c.central {
-		c.unreported += charge.units
+	if charge.leaseCharged && c.hasCentralBucket {
+		c.unreportedUnits += charge.units
 	}
 	m.renewLease(c)
 	return charge.leaseCharged
@@ -130,5 +130,5 @@
 		return
 	}
 	available := c.availableTokens(m.host.Now()) / float64(c.gatewaySpan)
-	m.callForLease(c, max(0, min(size-c.lease.tokens, available)))
+	m.requestLease(c, max(0, min(size-c.lease.tokens, available)))
 }
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -15,28 +15,28 @@
 	// maxBackoffDoublings bounds the backoff after failed calls in a row, in doublings of the counter
 	// timeout.
 	maxBackoffDoublings = 4
-	// minReplyInterval is the shortest time between two totals that a usage rate is computed over, in
+	// minReplyIntervalSeconds is the shortest time between two totals that a usage rate is computed over, in
 	// seconds.
-	minReplyInterval = 0.01
+	minReplyIntervalSeconds = 0.01
 	// usageRateDecay is the rate at which older usage loses its weight in the remote usage rate, per second.
 	usageRateDecay = 2.0
 )
 
-// callForLease calls the counter to add unreported units and a new lease. At most one such call of a customer
+// requestLease calls the counter to add unreported units and a new lease. At most one such call of a customer
 // is in flight.
-func (m *Manager) callForLease(c *customer, leaseTokens float64) {
+func (m *Manager) requestLease(c *customer, leaseTokens float64) {
 	now := m.host.Now()
-	if !m.config.HasSharedCounter || c.central || c.lease.callInFlight || now < c.lease.nextCallAt {
+	if !m.config.HasSharedCounter || c.hasCentralBucket || c.lease.callInFlight || now < c.lease.nextCallAt {
 		return
 	}
-	if window := c.windowAt(now, counterWindowLength); window != c.counterWindow {
-		c.counterWindow = window
+	if window := c.windowAt(now, counterWindowLength); window != c.usageWindow {
+		c.usageWindow = window
 		c.lease.lastTotal = 0
 	}
 	c.lease.callInFlight = true
-	c.lease.pendingAdd = c.unreported + leaseTokens
+	c.lease.pendingAdd = c.unreportedUnits + leaseTokens
 	c.lease.pendingTokens = leaseTokens
-	c.unreported = 0
+	c.unreportedUnits = 0
 	m.host.CallCounter(Call{Name: c.bucketName(), Add: c.lease.pendingAdd, TTL: maxCounterNameTTL})
 }
 
@@ -48,11 +48,11 @@
 		m.handleLeaseFailure(c, reply.Outcome)
 		return
 	}
-	m.counterFailures = 0
-	c.lease.counterSilent = false
+	m.consecutiveLeaseFailures = 0
+	c.lease.counterUnresponsive = false
 	c.recordTotal(reply.Total, m.host.Now())
 	c.extendLease(max(0, min(c.lease.pendingTokens, c.lease.estimatedTokens/float64(c.gatewaySpan))))
-	c.unreported -= c.lease.pendingTokens // it is in the total already
+	c.unreportedUnits -= c.lease.pendingTokens // it is in the total already
 	m.scheduleNextCall(c)
 }
 
@@ -64,9 +64,9 @@
 		remoteUsage = 0 // the counter has lost its numbers: the total says nothing new
 	}
 	if c.lease.lastReplyAt == 0 { // the first total holds all usage since its window began
-		c.lease.estimatedAt = time.Duration(c.counterWindow)*counterWindowLength - c.windowOffset
+		c.lease.estimatedAt = time.Duration(c.usageWindow)*counterWindowLength - c.windowOffset
 		unused := c.plan.Burst - c.lease.lastTotal - c.lease.pendingAdd
-		c.lease.estimatedTokens = unused + c.lease.pendingTokens - c.unreported
+		c.lease.estimatedTokens = unused + c.lease.pendingTokens - c.unreportedUnits
 	} else {
 		c.recordRemoteUsage(remoteUsage, now)
 	}
@@ -81,7 +81,7 @@
 
 // recordRemoteUsage updates the rate at which the other gateways use units, an exponential moving average.
 func (c *customer) recordRemoteUsage(usage float64, now time.Duration) {
-	elapsed := max((now - c.lease.lastReplyAt).Seconds(), minReplyInterval)
+	elapsed := max((now - c.lease.lastReplyAt).Seconds(), minReplyIntervalSeconds)
 	weight := 1 - math.Exp(-usageRateDecay*elapsed)
 	c.lease.remoteUsageRate += (max(0, usage)/elapsed - c.lease.remoteUsageRate) * weight
 }
@@ -102,19 +102,19 @@
 	now := m.host.Now()
 	if outcome == model.Failed {
 		c.lease.lastTotal += c.lease.pendingAdd
-		c.unreported -= c.lease.pendingTokens
+		c.unreportedUnits -= c.lease.pendingTokens
 		c.lease.nextCallAt = now
 		return
 	}
 	if outcome.NotExecuted() { // else it may have been added, and then looks like remote usage once
-		c.unreported += c.lease.pendingAdd - c.lease.pendingTokens
+		c.unreportedUnits += c.lease.pendingAdd - c.lease.pendingTokens
 	}
-	m.counterFailures++
-	if !c.lease.counterSilent {
+	m.consecutiveLeaseFailures++
+	if !c.lease.counterUnresponsive {
 		c.extendLease(max(0, c.availableTokens(now)) / float64(c.gatewaySpan))
-		c.lease.counterSilent = true
+		c.lease.counterUnresponsive = true
 	}
-	backoff := m.config.CounterTimeout << min(m.counterFailures, maxBackoffDoublings)
+	backoff := m.config.CounterTimeout << min(m.consecutiveLeaseFailures, maxBackoffDoublings)
 	jitter := time.Duration(m.rng.Int64N(int64(backoff)))
 	c.lease.nextCallAt = now + backoff + jitter
 }
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -7,8 +7,8 @@
 	"lemontack/policy/model"
 )
 
-// sweepTicks is the number of ticks in which each customer is checked once for unused tokens.
-const sweepTicks = 50
+// ticksPerIdleSweep is the number of ticks in which each customer is checked once for unused tokens.
+const ticksPerIdleSweep = 50
 
 // Config is what a Manager has to know of the gateway's settings.
 type Config struct {
@@ -48,9 +48,9 @@
 	customerOrder []*customer // in the order of their first requests
 	nextIdleCheck int         // index in customerOrder
 
-	throttle        callThrottle
-	counterFailures int     // failed calls for leases in a row
-	meanPermitStake float64 // mean weight at stake in a decision without a permit; see shouldCallForPermit
+	throttle                 callThrottle
+	consecutiveLeaseFailures int     // failed calls for leases in a row
+	meanPermitLoss           float64 // mean weight at stake in a decision without a permit; see shouldCallForPermit
 }
 
 // NewManager returns a Manager for the customers of the given plans. It draws from rng, which it shares with
@@ -83,19 +83,19 @@
 // Tick returns unused tokens and forgets idle customers. The host calls it once in each tick interval; a call
 // checks only a part of the customers, so that no tick takes long.
 func (m *Manager) Tick() {
-	checks := (len(m.customerOrder) + sweepTicks - 1) / sweepTicks
+	checks := (len(m.customerOrder) + ticksPerIdleSweep - 1) / ticksPerIdleSweep
 	for range checks {
-		m.checkNextIdle()
+		m.checkNextCustomer()
 	}
 }
 
 // HandleReply takes the reply to a call of the counter. Where it decides on a request that waited for it, it
 // returns the request and the decision; else the verdict is Pending.
 func (m *Manager) HandleReply(reply Reply) (model.RequestID, Decision) {
-	c := m.customers[customerOf(reply.Name)]
+	c := m.customers[customerIDOf(reply.Name)]
 	switch {
 	case c == nil:
-	case c.central || isSemaphoreName(reply.Name):
+	case c.hasCentralBucket || isSemaphoreName(reply.Name):
 		return m.handleCallReply(c, reply)
 	case c.lease.callInFlight:
 		m.handleLeaseReply(c, reply)
@@ -121,8 +121,8 @@
 	return CustomerState{
 		LeaseTokens:      c.lease.tokens,
 		AvailableTokens:  c.availableTokens(m.host.Now()),
-		ReservedTokens:   c.bucket.reserved,
+		ReservedTokens:   c.bucket.reservedTokens,
 		AttemptsInFlight: c.attemptsInFlight,
-		HasCentralBucket: c.central,
+		HasCentralBucket: c.hasCentralBucket,
 	}
 }
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// permitWindowDeadlines is the window of a permit name in longest deadlines: few attempts outlast it.
-	permitWindowDeadlines = 4
-	// minPermitWindow is the shortest window of a permit name.
-	minPermitWindow = 4 * time.Second
-	// maxPermitWindow is the longest window of a permit name: the counter has to keep names for two windows.
-	maxPermitWindow = 30 * time.Second
+	// semaphoreWindowDeadlines is the window of a permit name in longest deadlines: few attempts outlast it.
+	semaphoreWindowDeadlines = 4
+	// minSemaphoreWindow is the shortest window of a permit name.
+	minSemaphoreWindow = 4 * time.Second
+	// maxSemaphoreWindow is the longest window of a permit name: the counter has to keep names for two windows.
+	maxSemaphoreWindow = 30 * time.Second
 )
 
 // semaphore is what this gateway knows of a customer's permits.
 type semaphore struct {
-	grantEstimate                // of this customer alone
-	samples        int           // replies in the estimate
-	window         int64         // window of the present name
-	held           int           // permits that this gateway holds under the present name
-	unreported     int           // permits that the next call has to add, since calls were not executed
-	exhaustedUntil time.Duration // all permits are taken until then
+	grantEstimate                   // of this customer alone
+	samples           int           // replies in the estimate
+	window            int64         // window of the present name
+	held              int           // permits that this gateway holds under the present name
+	unreportedPermits int           // permits that the next call has to add, since calls were not executed
+	exhaustedUntil    time.Duration // all permits are taken until then
 }
 
 // usesSemaphore reports whether the limit on concurrent attempts is held by permits. A limit of at least one
@@ -42,7 +42,7 @@
 	}
 	if m.usesSemaphore(c) && m.shouldCallForPermit(charge) {
 		updateShare(calledShare, true, grantGain)
-		m.callSemaphore(c, pendingCall{name: m.semaphoreName(c), charge: charge, claim: 1})
+		m.callCounterForPermits(c, pendingCall{name: m.semaphoreName(c), charge: charge, claim: 1})
 		return pending
 	}
 	updateShare(calledShare, false, grantGain)
@@ -57,7 +57,7 @@
 	if charge.plan.Rate > 0 || !m.usesSemaphore(c) {
 		return admitted
 	}
-	if worthAdmitting(charge, c.permitProbabilityUncalled(charge)) {
+	if worthAdmitting(charge, c.permitProbabilityWithoutCall(charge)) {
 		return admitted
 	}
 	return rejected(m.host.MeanLatency())
@@ -79,13 +79,13 @@
 	if reply.Outcome.NotExecuted() {
 		if isPresentName {
 			c.permits.held -= int(call.claim + call.adjustment)
-			c.permits.unreported += int(call.adjustment)
+			c.permits.unreportedPermits += int(call.adjustment)
 		}
 		call.claim = 0
 	}
 	missing := float64(c.permits.held) - reply.Total
 	if reply.Outcome == model.Succeeded && isPresentName && missing > 0 && !c.hasCallInFlight(call.name) {
-		m.call(c, pendingCall{name: call.name, adjustment: missing}, m.permitWindow())
+		m.callCounter(c, pendingCall{name: call.name, adjustment: missing}, m.semaphoreWindowLength())
 	}
 }
 
@@ -94,10 +94,10 @@
 	charge := call.charge
 	c := charge.customer
 	charge.permits = int(call.claim)
-	charge.permitName = call.name
+	charge.semaphoreName = call.name
 	granted := reply.Total <= float64(charge.plan.MaxConcurrency)
 	if reply.Outcome == model.Succeeded {
-		c.recordPermit(charge, granted)
+		c.recordPermitReply(charge, granted)
 	}
 	switch {
 	case charge.finished:
@@ -129,33 +129,33 @@
 // hedge or retry.
 func (m *Manager) adjustPermits(charge *Charge, permits int) {
 	difference := float64(permits - charge.permits)
-	m.callSemaphore(charge.customer, pendingCall{name: charge.permitName, adjustment: difference})
+	m.callCounterForPermits(charge.customer, pendingCall{name: charge.semaphoreName, adjustment: difference})
 	charge.permits = permits
 }
 
-// callSemaphore calls the counter by a permit name; by that of the present window with what is unreported.
-func (m *Manager) callSemaphore(c *customer, call pendingCall) {
+// callCounterForPermits calls the counter by a permit name; by that of the present window with what is unreported.
+func (m *Manager) callCounterForPermits(c *customer, call pendingCall) {
 	if call.name == m.semaphoreName(c) {
-		call.adjustment += float64(c.permits.unreported)
-		c.permits.unreported = 0
+		call.adjustment += float64(c.permits.unreportedPermits)
+		c.permits.unreportedPermits = 0
 		c.permits.held += int(call.claim + call.adjustment)
 	}
-	m.call(c, call, m.permitWindow())
+	m.callCounter(c, call, m.semaphoreWindowLength())
 }
 
-// permitWindow returns the length of the windows of permit names, the same at all gateways.
-func (m *Manager) permitWindow() time.Duration {
-	return min(max(permitWindowDeadlines*m.config.MaxDeadline, minPermitWindow), maxPermitWindow)
+// semaphoreWindowLength returns the length of the windows of permit names, the same at all gateways.
+func (m *Manager) semaphoreWindowLength() time.Duration {
+	return min(max(semaphoreWindowDeadlines*m.config.MaxDeadline, minSemaphoreWindow), maxSemaphoreWindow)
 }
 
 // semaphoreName returns the permit name of the present window. A new window begins without permits, which
 // ends those of crashed gateways.
 func (m *Manager) semaphoreName(c *customer) string {
-	window := c.windowAt(m.host.Now(), m.permitWindow())
+	window := c.windowAt(m.host.Now(), m.semaphoreWindowLength())
 	if window != c.permits.window {
 		c.permits.window = window
 		c.permits.held = 0
-		c.permits.unreported = 0
+		c.permits.unreportedPermits = 0
 	}
 	return c.semaphoreNameOf(window)
 }
--- a/policy/quota/semaphore_test.go
+++ b/policy/quota/semaphore_test.go
@@ -14,7 +14,7 @@
 	plan := model.Plan{Name: "open", Price: 1, MaxConcurrency: 2, OverQuotaCost: 2}
 	g := newTestGateway(t, config, append(testPlans(), plan))
 	grants := g.manager.plans["open"].permitGrants
-	grants.grantedFirst, grants.grantedRetry = 0.1, 0.1 // too few to admit without a permit
+	grants.firstTryGrantShare, grants.retryGrantShare = 0.1, 0.1 // too few to admit without a permit
 	calls := g.arrive(Request{ID: 1, Plan: "open", Units: 1, GatewaySpan: 100}).calls
 	got := g.reply(Reply{Name: calls[0].Name, Outcome: model.TimedOut})
 	if len(got.sent) != 0 || len(got.rejections) != 1 || len(got.calls) != 1 || got.calls[0].Add != -1 {
