--- a/policy/balancer/pick.go
+++ b/policy/balancer/pick.go
@@ -39,7 +39,8 @@
 
 // allows reports whether the attempt may go to an endpoint without the risk of a second execution.
 func (query *Query) allows(e *Endpoint) bool {
-	return query.MaybeExecutedAt == nil || query.DeduplicationScope.Shares(query.MaybeExecutedAt.Endpoint, e.Endpoint)
+	return query.MaybeExecutedAt == nil ||
+		query.DeduplicationScope.Shares(query.MaybeExecutedAt.Endpoint, e.Endpoint)
 }
 
 // Pick returns the endpoint with the least expected latency among those that may take the request now, or nil
@@ -106,5 +107,6 @@
 // hasWarmConnection reports whether an open and free connection to the endpoint is likely: one that lately
 // carried an answer.
 func (b *Balancer) hasWarmConnection(now time.Duration, e *Endpoint) bool {
-	return e.lastSuccessAt > 0 && len(e.inFlight) == 0 && now-e.lastSuccessAt < b.config.ConnectionIdleTimeout/2
+	return e.lastSuccessAt > 0 && len(e.inFlight) == 0 &&
+		now-e.lastSuccessAt < b.config.ConnectionIdleTimeout/2
 }
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -116,6 +116,7 @@
 func (b *Balancer) pacingAllows(now time.Duration, e *Endpoint, weight float64) bool {
 	multiple := cmp.Or(b.config.SlowStart.BudgetMultiple, math.Inf(1))
 	rateFactor := min(slowStartRateFactor, slowStartBudgetShare*multiple)
-	rate := rateFactor * weight * max(b.answerRates.perSecondPerWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
+	rate := rateFactor * weight *
+		max(b.answerRates.perSecondPerWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
 	return (now - e.lastAttemptAt).Seconds() >= e.pacingPauseShare/rate
 }
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// overfillTolerance is the share of the burst that a bucket may seem to hold in excess before its total
-	// is corrected.
+	// overfillTolerance is the excess of the computed level over the burst, as a share of the burst, above
+	// which the total on the counter is corrected.
 	overfillTolerance = 0.5
 	// totalRoundingError is the rounding error of the counter's totals, which have seven digits, in units.
 	totalRoundingError = 1e-6
 )
 
-// centralBucket is what this gateway knows of a central token bucket.
+// centralBucket is this gateway's state of a customer's central token bucket.
 type centralBucket struct {
-	windowLength       time.Duration // length of the windows of its name on the counter
-	initialTokens      float64       // units that the local bucket gets when it is used first
-	reservedTokens     float64       // units claimed ahead, for a client's retry
-	reservationReadyAt time.Duration // the reservation has been refilled by then
-	exhaustedUntil     time.Duration // the bucket holds too little until then
+	windowLength       time.Duration // length of the windows in its names on the counter
+	initialTokens      float64       // units added to the local bucket at its first use
+	reservedTokens     float64       // units claimed in advance for a client's retry
+	reservationReadyAt time.Duration // time by which the reserved units are refilled
+	exhaustedUntil     time.Duration // time until which the bucket holds too few tokens
 }
 
-// initCentralBucket prepares a customer with a central bucket. Its local bucket starts with a random part of
-// the largest request, so that from the start all gateways together admit their shares.
+// initCentralBucket initializes the central bucket of a new customer. The local bucket starts with a random
+// fraction of the largest request, so that the gateways together admit requests at the customer's rate from
+// the start.
 func (m *Manager) initCentralBucket(c *customer) {
 	c.lease.counterUnresponsive = true
 	c.unreportedUnits = 0
@@ -34,12 +35,14 @@
 	}
 	c.bucket.initialTokens = m.rng.Float64() * max(1, m.config.MaxUnits)
 	if !m.config.HasSharedCounter {
-		// Nothing else is granted at once: up to two of the smallest requests, with the first lease.
+		// Without a counter nothing else is granted at the start: the local bucket, including the first
+		// lease, starts with up to two units or the largest request.
 		c.bucket.initialTokens = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
 	}
 }
 
-// admitByCentralBucket decides on a new request of a customer with a central bucket, or claims its units there.
+// admitByCentralBucket decides on a new request of a customer with a central bucket, or calls the counter
+// to claim its units.
 func (m *Manager) admitByCentralBucket(charge *Charge) Decision {
 	c, now := charge.customer, m.host.Now()
 	switch {
@@ -56,8 +59,8 @@
 	return m.resolve(charge, m.chargeLocalBucket(charge))
 }
 
-// chargeLocalBucket decides without the counter: by the share of such requests that it has granted, and by
-// the local bucket.
+// chargeLocalBucket decides on a request without the counter: by the share of similar requests that the
+// counter has granted, and by the local bucket. It reports whether the local bucket was charged.
 func (m *Manager) chargeLocalBucket(charge *Charge) bool {
 	c := charge.customer
 	c.lease.tokens += c.bucket.initialTokens
@@ -69,7 +72,8 @@
 	return m.chargeLease(charge)
 }
 
-// claimTokens calls the counter for the units of a request, and reports what is unreported.
+// claimTokens calls the counter to claim the units of a request. Except for a customer with a ceiling, the
+// call also adds the unreported units.
 func (m *Manager) claimTokens(charge *Charge) {
 	c := charge.customer
 	call := pendingCall{charge: charge, claim: charge.units}
@@ -80,21 +84,23 @@
 	m.callCounterForBucket(c, call)
 }
 
-// callCounterForBucket calls the counter by the name of the customer's bucket in the present window.
+// callCounterForBucket calls the counter with the name of the customer's central bucket in the current
+// window.
 func (m *Manager) callCounterForBucket(c *customer, call pendingCall) {
 	c.usageWindow = c.windowAt(m.host.Now(), c.bucket.windowLength)
 	call.name = c.bucketName()
 	m.callCounter(c, call, c.bucket.windowLength)
 }
 
-// reportUsage calls the counter with the units used, settled or refunded since the last call.
+// reportUsage calls the counter to add the unreported units: those used, settled or refunded since the last
+// call.
 func (m *Manager) reportUsage(c *customer) {
 	adjustment := c.unreportedUnits
 	c.unreportedUnits = 0
 	m.callCounterForBucket(c, pendingCall{adjustment: adjustment})
 }
 
-// handleBucketReply takes the reply to a call by the name of a central bucket.
+// handleBucketReply handles the reply to a call for a central bucket.
 func (m *Manager) handleBucketReply(c *customer, call pendingCall, reply Reply) Decision {
 	c.restoreAdjustment(call, reply.Outcome)
 	if call.charge != nil {
@@ -106,19 +112,19 @@
 	return pending
 }
 
-// restoreAdjustment keeps the units of a failed call for the next one, as far as they are known not to be in
-// the total.
+// restoreAdjustment updates the unreported units after a failed call. If the call was not executed, its
+// adjustment is added by the next call.
 func (c *customer) restoreAdjustment(call pendingCall, outcome model.Outcome) {
 	switch {
 	case outcome.NotExecuted():
 		c.unreportedUnits += call.adjustment
 	case outcome != model.Succeeded && !c.hasCeiling():
-		// The claim was added, in all likelihood, but the request is now decided locally.
+		// The claim was probably added to the total, but the request is now decided locally.
 		c.unreportedUnits -= call.claim
 	}
 }
 
-// handleClaimReply decides on a request by the reply to the claim of its units.
+// handleClaimReply decides on a request from the reply to the claim of its units.
 func (m *Manager) handleClaimReply(call pendingCall, reply Reply) Decision {
 	charge := call.charge
 	c := charge.customer
@@ -139,9 +145,9 @@
 	return m.resolve(charge, charge.claimCharged)
 }
 
-// grantWithinCeiling reports whether a claim of a customer with a ceiling is granted: a window grants one
-// burst, and at most half of the ceiling's, since the end of one window and the start of the next may come
-// together.
+// grantWithinCeiling reports whether a claim of a customer with a ceiling is granted. A window grants at
+// most one burst, and at most half of the ceiling's burst, since the grants at the end of one window and at
+// the start of the next may be close in time.
 func (m *Manager) grantWithinCeiling(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
@@ -158,8 +164,8 @@
 	return granted
 }
 
-// bucketCovers reports whether the bucket held the units of a claim, and corrects its total on the counter
-// where it is wrong or the claim is not kept as a reservation.
+// bucketCovers reports whether the bucket held the units of a claim. It corrects the total on the counter
+// if the total is wrong or if a claim that was not covered is not kept as a reservation.
 func (m *Manager) bucketCovers(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
@@ -180,16 +186,16 @@
 	return covered
 }
 
-// levelBeforeClaim returns the level of the bucket before a claim, by the total that the claim has returned,
-// and what has to be added to that total: where the window has just begun or the bucket has overflowed, the
-// total is below the usage that stands for a full bucket.
+// levelBeforeClaim returns the level of the bucket before a claim, computed from the total that the claim
+// returned, and the correction to add to that total. The usage of a full bucket equals the units refilled
+// since the window began; the total is lower if the window has just begun or the bucket has overflowed.
 func (m *Manager) levelBeforeClaim(call pendingCall, total float64) (level, correction float64) {
 	c := call.charge.customer
 	window := c.windowAt(call.sentAt, c.bucket.windowLength)
 	refilled := m.refilledTokens(c, window)
 	usedBefore := total - call.claim
 	if usedBefore-call.adjustment < totalRoundingError {
-		// It is the first claim of the window, or the counter has lost its numbers.
+		// This is the first claim of the window, or the counter has lost its data.
 		m.readPreviousWindow(c, window)
 		return c.plan.Burst, refilled
 	}
@@ -200,7 +206,8 @@
 	return level, 0
 }
 
-// refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
+// refilledTokens returns the units refilled by the rate since a window of a central bucket began.
 func (m *Manager) refilledTokens(c *customer, window int64) float64 {
-	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.windowLength).Seconds()
+	return c.plan.Rate *
+		(m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.windowLength).Seconds()
 }
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -7,8 +7,8 @@
 	"lemontack/policy/model"
 )
 
-// largeGatewaySpan is the number of gateways of a large deployment, all of which each customer's requests arrive
-// at.
+// largeGatewaySpan is the number of gateways of a large deployment in which each customer's requests arrive
+// at all of them.
 const largeGatewaySpan = 60
 
 func newCentralGateway(t *testing.T) *testGateway {
@@ -20,35 +20,35 @@
 		model.Plan{Name: "thick", Price: 1, Rate: 14, Burst: 25, OverQuotaCost: 1.2}))
 }
 
-// arriveCentral brings a request for two units.
+// arriveCentral submits a request for two units.
 func (g *testGateway) arriveCentral(id model.RequestID, plan string, isRetry bool) effects {
 	return g.arrive(Request{ID: id, Plan: plan, Units: 2, GatewaySpan: largeGatewaySpan, IsRetry: isRetry})
 }
 
-// newCentralCall brings one request of a plan to a new gateway, and returns the gateway with the call that it
-// makes.
+// newCentralCall submits one request of a plan to a new gateway, and returns the gateway with the call that
+// it makes.
 func newCentralCall(t *testing.T, plan string) (*testGateway, Call) {
 	t.Helper()
 	g := newCentralGateway(t)
 	c := g.customer(plan, largeGatewaySpan)
-	// Well into a window of the customer's name, with nothing refilled in the local bucket.
+	// The time is well within a window of the customer's name, and the local bucket has not been refilled.
 	g.now += c.bucket.windowLength - (g.now+c.windowOffset)%c.bucket.windowLength + 30*time.Second
 	c.lease.refreshedAt = g.now
 	calls := g.arriveCentral(1, plan, false).calls
 	if len(calls) != 1 {
-		t.Fatalf("%d calls for a request of plan %s, want one", len(calls), plan)
+		t.Fatalf("got %d calls for a request of plan %s, want one", len(calls), plan)
 	}
 	return g, calls[0]
 }
 
-// refilled returns the units that have been refilled since the present window of the customer's name began.
+// refilled returns the units refilled since the current window of the customer's name began.
 func (g *testGateway) refilled() float64 {
 	c := g.manager.customers["c"]
 	return c.plan.Rate * ((g.now + c.windowOffset) % c.bucket.windowLength).Seconds()
 }
 
-// The total of a central bucket's name is its whole usage; a gateway that finds it wrong corrects it by a
-// second call.
+// The total under a central bucket's name is its whole usage; a gateway that finds it wrong corrects it by
+// a second call.
 func TestTotalOfACentralBucketIsCorrected(t *testing.T) {
 	const add = 2.0
 	for _, c := range []struct {
@@ -68,37 +68,37 @@
 			refilled := g.refilled()
 			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: c.usedBefore(refilled) + add})
 			if sent := len(got.sent) == 1; sent != c.sent {
-				t.Errorf("sent %v, want %v", sent, c.sent)
+				t.Errorf("got sent %v, want %v", sent, c.sent)
 			}
 			want := c.correction(refilled)
 			if corrected := sumOfAdds(got.calls); corrected < want-0.01 || corrected > want+0.01 {
-				t.Errorf("corrected by %v, want %v", corrected, want)
+				t.Errorf("got a correction by %v, want %v", corrected, want)
 			}
 		})
 	}
 }
 
-// A gateway that found a bucket exhausted does not call the counter for a while, and names clients a
-// time to retry.
+// A gateway that has found a bucket exhausted does not call the counter for some time, and sends clients
+// the time after which to retry.
 func TestExhaustedCentralBucketRejectsWithoutACall(t *testing.T) {
 	g, call := newCentralCall(t, "thick")
 	rejections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 1000}).rejections
 	if len(rejections) != 1 || rejections[0].retryAfter < 500*ms {
-		t.Fatalf("rejections %v, want one with a time to retry", rejections)
+		t.Fatalf("got rejections %v, want one with a retry delay of at least 500ms", rejections)
 	}
 	got := g.arriveCentral(2, "thick", false)
 	if len(got.calls) != 0 || len(got.rejections) != 1 {
-		t.Errorf("%d calls and %d rejections for the next request, want a rejection without a call", len(got.calls),
-			len(got.rejections))
+		t.Errorf("got %d calls and %d rejections for the next request, want a rejection without a call",
+			len(got.calls), len(got.rejections))
 	}
 }
 
-// Two gateways that find a total at the start of its window correct it from the same total; the second of
-// them reverts its correction. Else the customer would be rejected until the window ends.
+// Two gateways may correct the total of a new window from the same value. The second correction must be
+// reverted: otherwise the customer would be rejected until the window ends.
 func TestDuplicateCorrectionIsReverted(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		otherCorrections float64 // corrections by other gateways between the claim's reply and the correction's
+		otherCorrections float64 // corrections by other gateways before the reply to this one
 		wantReverted     int
 	}{
 		{"no other gateway", 0, 0},
@@ -106,17 +106,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, call := newCentralCall(t, "thick")
-			const claimedBefore = 1.0 // unit that another gateway has claimed just before
+			const claimedBefore = 1.0 // unit claimed by another gateway just before
 			claimTotal := call.Add + claimedBefore
 			corrections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: claimTotal}).calls
 			if len(corrections) != 1 || corrections[0].Add <= 0 {
-				t.Fatalf("calls %v, want one that corrects the total", corrections)
+				t.Fatalf("got calls %v, want one that corrects the total", corrections)
 			}
 			total := claimTotal + corrections[0].Add*(1+c.otherCorrections)
 			reverted := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}).calls
 			if len(reverted) != c.wantReverted || c.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
-				t.Errorf("calls %v after a correction of %v, want %d that reverts it", reverted, corrections[0].Add,
-					c.wantReverted)
+				t.Errorf("got calls %v after a correction of %v, want %d that reverts it", reverted,
+					corrections[0].Add, c.wantReverted)
 			}
 		})
 	}
@@ -129,31 +129,32 @@
 		g, call := newCentralCall(t, "thick")
 		got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 25 + g.refilled() + call.Add})
 		if len(got.rejections) != 1 || len(got.calls) != 0 || len(got.sent) != 0 {
-			t.Fatalf("effects %+v, want a rejection and no call", got)
+			t.Fatalf("got effects %+v, want a rejection and no call", got)
 		}
 		g.advance(got.rejections[0].retryAfter)
 		if clientRetries {
 			got = g.arriveCentral(2, "thick", true)
 			if len(got.sent) != 1 || len(got.calls) != 0 {
-				t.Errorf("retry: effects %+v, want it sent without a call", got)
+				t.Errorf("retry: got effects %+v, want it sent without a call", got)
 			}
 			continue
 		}
 		returned := g.advance(3 * g.manager.config.MaxLatencyObjective).calls
 		if len(returned) != 1 || returned[0].Add != -2 {
-			t.Errorf("no retry: calls %v, want the reservation returned", returned)
+			t.Errorf("no retry: got calls %v, want one that returns the reservation", returned)
 		}
 	}
 }
 
-// The total of a new window's name starts at 0, which stands for a full bucket. A gateway that finds it so
-// reads the previous window's, and carries its deficit over: a customer gets no second burst.
+// The total of a new window's name starts at 0, which corresponds to a full bucket. A gateway that finds
+// the new name reads the total of the previous window and carries its deficit over, so that the customer
+// gets no second burst.
 func TestDeficitIsCarriedIntoTheNextWindow(t *testing.T) {
 	const rate, elapsed = 14.0, 2.0
 	for _, c := range []struct {
 		name    string
-		deficit float64 // units as the previous window ended
-		carried float64 // 2 s of the rate have been refilled since
+		deficit float64 // units at the end of the previous window
+		carried float64 // units; the rate has refilled for 2 s since
 	}{
 		{"nothing", 0, 0},
 		{"less than was refilled", 20, 0},
@@ -167,29 +168,29 @@
 			call := g.arriveCentral(1, "thick", false).calls[0]
 			calls := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: call.Add}).calls
 			if len(calls) == 0 || calls[0].Name == call.Name || calls[0].Add != 0 {
-				t.Fatalf("calls %v, want the previous window's name read first", calls)
+				t.Fatalf("got calls %v, want one that reads the previous window's name first", calls)
 			}
 			previousUsage := rate*window.Seconds() + c.deficit
 			got := sumOfAdds(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
 			if got < c.carried-0.1 || got > c.carried+0.1 {
-				t.Errorf("carried over %v, want %v", got, c.carried)
+				t.Errorf("got deficit %v carried over, want %v", got, c.carried)
 			}
 		})
 	}
 }
 
-// The units that an answer settles for a request whose claim was granted are reported by the customer's next
+// Units settled by the answer to a request whose claim was granted are reported by the customer's next
 // call.
 func TestSettledUnitsAreReportedByTheNextCall(t *testing.T) {
 	g, call := newCentralCall(t, "thick")
 	g.manager.plans["thick"].SettledByReply = true
 	sent := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: g.refilled() + call.Add}).sent
 	if len(sent) != 1 {
-		t.Fatalf("sent %v, want one", sent)
+		t.Fatalf("got sent requests %v, want one", sent)
 	}
 	g.completeRequest(1, 3.5)
 	next := g.arriveCentral(2, "thick", false).calls
 	if len(next) != 1 || next[0].Add != 2+1.5 {
-		t.Errorf("calls %v, want one for 2 units and the 1.5 that were settled", next)
+		t.Errorf("got calls %v, want one for 2 units and the 1.5 settled units", next)
 	}
 }
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -13,32 +13,33 @@
 type Call struct {
 	Name string
 	Add  float64       // units or permits; 0 only reads the total
-	TTL  time.Duration // the counter deletes the number this long after the first call of its name
+	TTL  time.Duration // time from the first call with the name until the counter deletes the number
 }
 
 // Reply is the reply to a Call.
 type Reply struct {
 	Name    string
 	Outcome model.Outcome
-	Total   float64 // after the add, where the call has succeeded
+	Total   float64 // total after the add, if the call succeeded
 }
 
-// semaphoreNamePrefix tells the names that hold permits from those that hold units.
+// semaphoreNamePrefix precedes the window in names that count permits. Names that count units do not have
+// it.
 const semaphoreNamePrefix = "!"
 
-// pendingCall is a call in flight for a customer's central bucket or permits. It adds the claim and the
-// adjustment.
+// pendingCall is a call in flight for a customer's central bucket or semaphore. The counter adds the sum of
+// the claim and the adjustment.
 type pendingCall struct {
 	name                  string
-	charge                *Charge // the request that it claims for; nil: the call only adjusts
-	claim                 float64 // units or permits of that request
+	charge                *Charge // account of the request that makes the claim; nil if the call only adjusts
+	claim                 float64 // units or permits claimed for that request
 	adjustment            float64 // units or permits of earlier requests, or a correction of the total
-	totalBeforeCorrection float64 // of a correction: the total that it was derived from
-	readsPreviousWindow   bool    // it reads the final usage of the previous window
+	totalBeforeCorrection float64 // of a correction: the total from which it was computed
+	readsPreviousWindow   bool    // the call reads the final usage of the previous window
 	sentAt                time.Duration
 }
 
-// requestID returns the request that the call claims for, or 0.
+// requestID returns the request that makes the claim, or 0.
 func (call *pendingCall) requestID() model.RequestID {
 	if call.charge == nil {
 		return 0
@@ -57,7 +58,8 @@
 	})
 }
 
-// popOldestCall removes and returns the oldest call in flight for a name, which a reply for it belongs to.
+// popOldestCall removes and returns the oldest call in flight with a name, to which the next reply for that
+// name belongs.
 func (c *customer) popOldestCall(name string) (call pendingCall, ok bool) {
 	i := slices.IndexFunc(c.callsInFlight, func(call pendingCall) bool { return call.name == name })
 	if i < 0 {
@@ -72,8 +74,8 @@
 	return slices.ContainsFunc(c.callsInFlight, func(call pendingCall) bool { return call.name == name })
 }
 
-// handleCallReply takes the reply to a call for a central bucket or permits, and returns the decision on the
-// request that waited for it, if any.
+// handleCallReply handles the reply to a call for a central bucket or semaphore. It returns the request
+// that was waiting for the reply, if any, and the decision on it.
 func (m *Manager) handleCallReply(c *customer, reply Reply) (model.RequestID, Decision) {
 	call, ok := c.popOldestCall(reply.Name)
 	if !ok {
@@ -86,7 +88,7 @@
 	return call.requestID(), m.handleBucketReply(c, call, reply)
 }
 
-// bucketName returns the name of the customer's units in the window of its last call.
+// bucketName returns the name on the counter of the customer's units, in the window of its last call.
 func (c *customer) bucketName() string { return c.bucketNameOf(c.usageWindow) }
 
 func (c *customer) bucketNameOf(window int64) string {
@@ -99,5 +101,5 @@
 
 func isSemaphoreName(name string) bool { return strings.Contains(name, ":"+semaphoreNamePrefix) }
 
-// customerIDOf returns the customer that a name on the counter belongs to.
+// customerIDOf returns the identifier of the customer to which a name on the counter belongs.
 func customerIDOf(name string) string { return name[:max(0, strings.LastIndexByte(name, ':'))] }
--- a/policy/quota/callthrottle.go
+++ b/policy/quota/callthrottle.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// minCallShare is the share of requests that always call the counter, to notice its recovery.
+	// minCallShare is the minimum share of requests that call the counter, so that its recovery is noticed.
 	minCallShare = 0.05
-	// minHealthyCallShare is the share of requests below which the counter counts as unavailable.
+	// minHealthyCallShare is the share of requests calling the counter below which it counts as
+	// unavailable.
 	minHealthyCallShare = 0.3
-	// spareCallShare is the share of requests from which on the counter has spare calls.
+	// spareCallShare is the share of requests calling the counter from which on it has spare calls.
 	spareCallShare = 0.99
-	// callShareFactorOnFailure is the multiplicative decrease by a failed call, the work of which is wasted.
+	// callShareFactorOnFailure is the multiplicative decrease after a failed call, whose work is wasted.
 	callShareFactorOnFailure = 0.7
-	// callShareFactorOnDelay is the multiplicative decrease by a slow call: the counter's queue grows long
-	// before calls fail.
+	// callShareFactorOnDelay is the multiplicative decrease after a slow call: the counter's queue grows
+	// long before calls fail.
 	callShareFactorOnDelay = 0.9
-	// callShareIncrease is the additive increase by a fast call. It is small, since all gateways see that the
-	// counter is fast at the same time.
+	// callShareIncrease is the additive increase after a fast call. It is small, since all gateways
+	// increase their shares at the same time.
 	callShareIncrease = 0.01
 )
 
-// callThrottle adapts the share of the requests with central buckets or permits that call the counter to what
-// the counter can take, by AIMD. All gateways share the counter, so its delay shows the sum of their calls.
+// callThrottle controls, by AIMD, which share of the requests with central buckets or permits calls the
+// counter. All gateways share the counter, so its delay reflects the sum of their calls.
 type callThrottle struct {
-	callShare float64
-	timeout   time.Duration // of a call
+	callShare float64       // share of the requests that call the counter
+	timeout   time.Duration // timeout of a call
 }
 
 func newCallThrottle(timeout time.Duration) callThrottle {
 	return callThrottle{callShare: 1, timeout: timeout}
 }
 
-// adapt takes the outcome and the delay of a call.
+// adapt adjusts the share of calls to the outcome and the delay of a call.
 func (throttle *callThrottle) adapt(outcome model.Outcome, delay time.Duration) {
 	switch {
 	case outcome == model.Failed: // an error reply is no sign of load
@@ -47,7 +48,7 @@
 	}
 }
 
-// counterIsHealthy reports whether the counter replies to enough calls for ceilings to rely on its grants.
+// counterIsHealthy reports whether enough requests call the counter for ceilings to rely on its grants.
 func (throttle *callThrottle) counterIsHealthy() bool {
 	return throttle.callShare >= minHealthyCallShare
 }
@@ -55,9 +56,9 @@
 // hasSpareCalls reports whether nearly all requests call the counter.
 func (throttle *callThrottle) hasSpareCalls() bool { return throttle.callShare >= spareCallShare }
 
-// shouldClaimTokens decides whether a request of a central bucket calls the counter. Where over-quota
-// requests gain more than they cost, a guess does nearly as well as a call, so that these leave the calls to
-// others first.
+// shouldClaimTokens decides at random whether a request with a central bucket calls the counter. If an
+// over-quota request of its plan gains more than it costs, an estimate is nearly as good as a call; the
+// probability of a call for such requests therefore decreases first.
 func (m *Manager) shouldClaimTokens(charge *Charge) bool {
 	switch {
 	case !m.config.HasSharedCounter:
@@ -68,9 +69,9 @@
 	return m.rng.Float64() <= m.throttle.callShare
 }
 
-// shouldCallForPermit decides whether a request calls the counter for a permit. Where calls are scarce, the
-// probability is in proportion to the weight that a wrong guess would lose; a customer with a rate needs its
-// calls for that.
+// shouldCallForPermit decides whether a request calls the counter for a permit. If calls are scarce, the
+// probability is proportional to the expected loss of weight by a wrong decision without a call. A customer
+// with a rate then needs its calls for the rate, and makes none for permits.
 func (m *Manager) shouldCallForPermit(charge *Charge) bool {
 	probability := charge.customer.permitProbability(charge)
 	costOfAdmitting := (1 - probability) * max(0, charge.plan.OverQuotaCost-charge.plan.OverQuotaWeight)
--- a/policy/quota/callthrottle_test.go
+++ b/policy/quota/callthrottle_test.go
@@ -7,8 +7,7 @@
 	"lemontack/policy/model"
 )
 
-// The counter is shared by all gateways: a growing delay makes each of them call less, long before calls
-// fail.
+// Each gateway must call less when the counter's delay grows, before calls fail.
 func TestCallShareFollowsTheDelayOfTheCounter(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -27,7 +26,7 @@
 			throttle.callShare = 0.5
 			throttle.adapt(c.outcome, c.delay)
 			if got := throttle.callShare; got < 0.5 != c.less || got > 0.5 != c.more {
-				t.Errorf("share %v after 0.5", got)
+				t.Errorf("got share %v after 0.5, want less %v, more %v", got, c.less, c.more)
 			}
 		})
 	}
--- a/policy/quota/ceiling.go
+++ b/policy/quota/ceiling.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// ceilingBucket is this gateway's part of the token bucket of a customer's ceiling. It starts empty, since after a
-// restart nothing is known of what was spent before.
+// ceilingBucket is this gateway's share of the token bucket of a customer's ceiling. It starts empty, since
+// the usage before a restart is unknown.
 type ceilingBucket struct {
-	tokens    float64       // units
-	updatedAt time.Duration // up to when tokens is computed
+	tokens    float64       // level in units
+	updatedAt time.Duration // time of tokens
 }
 
-// hasCeiling reports whether the customer has a ceiling. The windows of its name on the counter then grant at
-// most one burst each.
+// hasCeiling reports whether the customer has a ceiling. If so, each window of its central bucket grants at
+// most one burst.
 func (c *customer) hasCeiling() bool { return c.plan.CeilingRate > 0 }
 
-// ceilingAllows reports whether the ceiling lets the units of a request go: the counter has granted them, or
-// this gateway's part of the ceiling holds them. While the counter replies to enough calls, only its grants
-// count for a customer with a central bucket.
+// ceilingAllows reports whether the ceiling permits the units of a request: the counter has granted them,
+// or this gateway's share of the ceiling holds them. For a customer with a central bucket, only the grants
+// of the counter count while it replies to enough calls.
 func (m *Manager) ceilingAllows(charge *Charge) bool {
 	if charge.plan.CeilingRate <= 0 || charge.ceilingGranted {
 		return true
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -2,39 +2,39 @@
 
 import "lemontack/policy/model"
 
-// Request is what the quotas have to know of a request.
+// Request holds the properties of a request that its quotas depend on.
 type Request struct {
 	ID             model.RequestID
 	Customer       string
 	Plan           string
-	PriorityWeight float64 // of its class, before the plan's price
-	Units          float64 // above 0
-	GatewaySpan    int     // number of gateways that the customer's requests arrive at
-	FirstGateway   int     // index of the first of them
+	PriorityWeight float64 // weight of its class, before the plan's price
+	Units          float64 // cost of the request, above 0
+	GatewaySpan    int     // number of gateways at which the customer's requests arrive
+	FirstGateway   int     // index of the first of these gateways
 	IsRetry        bool    // the client has marked it as a retry
 }
 
-// Charge is the account of one request: what it has taken from the quotas of its customer, and may have to
-// return. It must not be copied once it has been passed to Admit.
+// Charge is the account of one request: the units and permits that it has taken from the quotas of its
+// customer and may have to return. It must not be copied after it has been passed to Admit.
 type Charge struct {
 	plan                   *planState
 	customer               *customer
 	priorityWeight         float64
 	units                  float64
 	attemptsInFlight       int
-	permits                int    // that it holds
-	semaphoreName          string // of the counter, that its permits were acquired under
+	permits                int    // number of permits held
+	semaphoreName          string // name on the counter under which the permits were acquired
 	id                     model.RequestID
 	isRetry                bool
 	leaseCharged           bool // its units were taken from the lease
 	claimCharged           bool // its units were claimed from the central bucket
-	ceilingGranted         bool // the counter has admitted it within the ceiling
+	ceilingGranted         bool // the counter has granted it within the ceiling
 	dispatched             bool // its first attempt has started
-	mayHaveReachedEndpoint bool // an attempt of it may have reached an endpoint
+	mayHaveReachedEndpoint bool // an attempt may have reached an endpoint
 	finished               bool // it has its final answer
 }
 
-// NewCharge returns the account of a new request, which Admit then decides on.
+// NewCharge returns the account of a new request, to be passed to Admit.
 func (m *Manager) NewCharge(request Request) Charge {
 	plan := m.planFor(request.Plan)
 	return Charge{
@@ -47,11 +47,11 @@
 	}
 }
 
-// Plan returns the plan of the request. It must not be changed.
+// Plan returns the plan of the request. The caller must not change it.
 func (charge *Charge) Plan() *model.Plan { return &charge.plan.Plan }
 
-// MayDispatch reports whether the limit on concurrent attempts and the ceiling let an attempt of the request
-// start now.
+// MayDispatch reports whether the limit on concurrent attempts and the ceiling permit an attempt of the
+// request to start now.
 func (m *Manager) MayDispatch(charge *Charge) bool {
 	c := charge.customer
 	needsConcurrencyShare := charge.plan.MaxConcurrency > 0 && charge.permits == 0
@@ -61,7 +61,7 @@
 	return charge.dispatched || m.ceilingAllows(charge)
 }
 
-// AttemptStarted accounts for an attempt of an admitted request.
+// AttemptStarted records the start of an attempt of an admitted request.
 func (m *Manager) AttemptStarted(charge *Charge) {
 	if !charge.dispatched {
 		charge.dispatched = true
@@ -74,15 +74,15 @@
 	}
 }
 
-// AttemptEnded accounts for the end of an attempt. The caller decides how the request goes on, then calls
-// Release.
+// AttemptEnded records the end of an attempt. The caller then either continues or finishes the request, and
+// calls Release.
 func (m *Manager) AttemptEnded(charge *Charge, outcome model.Outcome) {
 	charge.mayHaveReachedEndpoint = charge.mayHaveReachedEndpoint || outcome != model.NotSent
 	charge.attemptsInFlight--
 	charge.customer.attemptsInFlight--
 }
 
-// Settle corrects the units of a request to those that its answer has named, where its plan is settled so.
+// Settle corrects the units of a request to those stated in its answer, if its plan settles units this way.
 func (m *Manager) Settle(charge *Charge, settledUnits float64) {
 	if !charge.plan.SettledByReply || settledUnits <= 0 {
 		return
@@ -96,22 +96,23 @@
 	}
 }
 
-// Finish records that the request has its final answer, and releases what it no longer needs.
+// Finish records that the request has its final answer, and releases the units and permits that it no
+// longer needs.
 func (m *Manager) Finish(charge *Charge) {
 	charge.finished = true
 	m.Release(charge)
 }
 
-// Release returns the units of a request that finished before anything of it was sent, and the permits that
-// no attempt needs.
+// Release returns the units of a request that finished before any part of it was sent, and the permits that
+// no attempt of it needs.
 func (m *Manager) Release(charge *Charge) {
 	m.refundTokens(charge)
 	m.releasePermits(charge)
 }
 
-// refundTokens returns the units of a finished request of which nothing has left the gateway: its client has
-// disconnected, or its deadline has passed, while it waited in the queue or for a connection. What the lease
-// cannot hold goes back to the token bucket: the lease has been refilled since, and would exceed the
+// refundTokens returns the units of a finished request if no part of it was sent: its client disconnected,
+// or its deadline passed, while it waited in the queue or for a connection. Units beyond the capacity of
+// the lease go back to the token bucket: the lease has been refilled in the meantime, and would exceed the
 // gateway's share.
 func (m *Manager) refundTokens(charge *Charge) {
 	isCharged := charge.leaseCharged || charge.claimCharged
--- a/policy/quota/concurrency.go
+++ b/policy/quota/concurrency.go
@@ -1,13 +1,13 @@
 package quota
 
-// turnsPerObjective is the number of turns, in the shortest latency objective, of gateways that share one
-// attempt.
+// turnsPerObjective is the number of turns within the shortest latency objective, if gateways take turns in
+// using a limit that is smaller than their number.
 const turnsPerObjective = 8
 
-// concurrencyShare returns this gateway's part of the customer's limit on concurrent attempts, at least one.
-// Where an over-quota attempt has a cost and there are more gateways than attempts, the gateways take turns
-// instead, if each has its turn within the shortest latency objective. The shares of all gateways then sum to
-// the limit at any time.
+// concurrencyShare returns this gateway's share of the customer's limit on concurrent attempts, at least
+// one. The exception is a customer whose over-quota attempts have a cost and whose gateways outnumber the
+// attempts: if each gateway has a turn within the shortest latency objective, the gateways take turns, and
+// the share is zero outside this gateway's turn. The shares of all gateways then always sum to the limit.
 func (m *Manager) concurrencyShare(c *customer) int {
 	limit, span := c.plan.MaxConcurrency, c.gatewaySpan
 	if c.plan.OverQuotaCost == 0 || limit >= span || span > limit*turnsPerObjective {
--- a/policy/quota/concurrency_test.go
+++ b/policy/quota/concurrency_test.go
@@ -7,8 +7,8 @@
 	"lemontack/policy/model"
 )
 
-// At any moment the shares of all gateways sum to the limit, also where gateways outnumber the attempts and
-// take turns.
+// The shares of all gateways always sum to the limit, also if the gateways outnumber the attempts and take
+// turns.
 func TestConcurrencySharesSumToTheLimit(t *testing.T) {
 	const limit = 3
 	plan := model.Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: limit, OverQuotaCost: 0.6}
@@ -27,7 +27,7 @@
 				sum += max(0, g.manager.concurrencyShare(c))
 			}
 			if sum != limit {
-				t.Fatalf("the shares of %d gateways sum to %d, the limit is %d", count, sum, limit)
+				t.Fatalf("%d gateways: got shares that sum to %d, want %d", count, sum, limit)
 			}
 		}
 	}
--- a/policy/quota/customer.go
+++ b/policy/quota/customer.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// maxCounterNameTTL is the longest time that the counter keeps a name.
+	// maxCounterNameTTL is the longest time for which the counter keeps a name.
 	maxCounterNameTTL = 60 * time.Second
-	// counterWindowLength is the window of a name. It is shorter than the name's lifetime, so that the final
-	// total can still be read after the window has ended.
+	// counterWindowLength is the length of the window in a name. It is shorter than the TTL of the name, so
+	// that the final total can still be read after the window has ended.
 	counterWindowLength = maxCounterNameTTL * 5 / 6
 	// unreportedFlushShare is the share of the gateway's part of the burst above which the unreported units
 	// of an idle customer are reported without a request.
 	unreportedFlushShare = 0.25
-	// minIdleRefillUnits is the units that the rate refills until a customer without requests counts as idle.
+	// minIdleRefillUnits is the number of units that the rate refills before a customer without requests
+	// counts as idle.
 	minIdleRefillUnits = 1
 )
 
-// customer is what this gateway knows of one customer. It has one of two kinds of rate quota: a lease, or a
-// central token bucket beside which the lease is the local bucket.
+// customer is this gateway's state of one customer. Its rate quota is either a lease or a central token
+// bucket; with a central token bucket, the lease serves as the local bucket.
 type customer struct {
 	id               string
 	plan             *planState
-	gatewaySpan      int           // number of gateways that its requests arrive at
+	gatewaySpan      int           // number of gateways at which its requests arrive
 	gatewayIndex     int           // index of this gateway among them
-	windowOffset     time.Duration // spreads the ends of the customers' windows over time
-	hasCentralBucket bool          // its rate is held by a central token bucket
+	windowOffset     time.Duration // offset that spreads the window ends of customers over time
+	hasCentralBucket bool          // a central token bucket holds its rate
 
 	lease            lease
 	bucket           centralBucket
 	permits          semaphore
 	ceiling          ceilingBucket
-	usageWindow      int64   // window of the name on the counter that holds its usage
-	unreportedUnits  float64 // units that the next call has to add
+	usageWindow      int64   // window in the name on the counter that holds its usage
+	unreportedUnits  float64 // units to be added by the next call
 	callsInFlight    []pendingCall
 	attemptsInFlight int
 	lastRequestAt    time.Duration // time of its last request
@@ -81,19 +82,19 @@
 	return time.Duration(hash.Sum64() % uint64(counterWindowLength))
 }
 
-// burstShare is this gateway's part of the customer's burst, in units.
+// burstShare returns this gateway's share of the customer's burst, in units.
 func (c *customer) burstShare() float64 { return c.plan.Burst / float64(c.gatewaySpan) }
 
-// rateShare is this gateway's part of the customer's rate, in units a second.
+// rateShare returns this gateway's share of the customer's rate, in units a second.
 func (c *customer) rateShare() float64 { return c.plan.Rate / float64(c.gatewaySpan) }
 
-// windowAt returns the window at a time. All gateways of a customer count its windows alike.
+// windowAt returns the window that contains a time. It is the same at all gateways of a customer.
 func (c *customer) windowAt(at, length time.Duration) int64 {
 	return int64((at + c.windowOffset) / length)
 }
 
-// checkNextCustomer checks one customer in turn: it reports corrections that wait for a call, returns unused
-// tokens, and forgets the customer if it has been idle for long.
+// checkNextCustomer checks one customer, in turn: it reports permits and units that wait for a call,
+// returns unused tokens, and evicts the customer if it has been idle for long.
 func (m *Manager) checkNextCustomer() {
 	m.nextIdleCheck = (m.nextIdleCheck + 1) % len(m.customerOrder)
 	c := m.customerOrder[m.nextIdleCheck]
@@ -110,13 +111,14 @@
 		return
 	}
 	flushThreshold := unreportedFlushShare * c.plan.Burst / float64(c.gatewaySpan)
-	if c.plan.Rate > 0 && math.Abs(c.unreportedUnits) > flushThreshold && idle*c.plan.Rate > minIdleRefillUnits {
+	if c.plan.Rate > 0 && math.Abs(c.unreportedUnits) > flushThreshold &&
+		idle*c.plan.Rate > minIdleRefillUnits {
 		m.requestLease(c, 0)
 	}
 }
 
-// isEvictable reports whether a customer that has been idle for some seconds would start anew with the same
-// state: no attempt is in flight, its names on the counter have expired, and its token bucket is full.
+// isEvictable reports whether a customer that has been idle for some seconds would start again with the
+// same state: no attempt is in flight, its names on the counter have expired, and its token bucket is full.
 func (c *customer) isEvictable(idleSeconds float64) bool {
 	hasExpired := idleSeconds > maxCounterNameTTL.Seconds()
 	isFull := idleSeconds*c.plan.Rate >= c.plan.Burst
--- a/policy/quota/decision.go
+++ b/policy/quota/decision.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// minRefillRate bounds the wait for a refill at a tiny rate, in units a second.
+// minRefillRate is the lowest rate used to compute the wait for a refill, in units a second.
 const minRefillRate = 0.01
 
-// Verdict is the kind of a decision on a request.
+// Verdict is the result of a decision on a request.
 type Verdict uint8
 
 // Verdicts.
@@ -15,11 +15,11 @@
 	Rejected                // the request is over its quota
 )
 
-// Decision is the answer of the quotas to a request.
+// Decision is a decision of the quotas on a request.
 type Decision struct {
 	Verdict    Verdict
-	OverQuota  bool          // admitted although it is over the quota, because it gains more than it costs
-	RetryAfter time.Duration // of a rejection: after how long a retry may succeed
+	OverQuota  bool          // admitted although over the quota, because it gains more than it costs
+	RetryAfter time.Duration // of a rejection: time after which a retry may succeed
 }
 
 var (
@@ -31,7 +31,7 @@
 	return Decision{Verdict: Rejected, RetryAfter: retryAfter}
 }
 
-// Admit decides on a new request, or calls the shared counter and leaves the decision to its reply.
+// Admit decides on a new request, or calls the shared counter and leaves the decision to the reply.
 func (m *Manager) Admit(charge *Charge) Decision {
 	c := charge.customer
 	if !c.hasCentralBucket {
@@ -40,7 +40,7 @@
 	return m.admitByCentralBucket(charge)
 }
 
-// resolve decides on a request once it is known whether it is inside its rate.
+// resolve decides on a request for which it is known whether it is within its rate.
 func (m *Manager) resolve(charge *Charge, isInsideRate bool) Decision {
 	if !isInsideRate {
 		return m.resolveOverQuota(charge)
@@ -51,8 +51,8 @@
 	return admitted
 }
 
-// resolveOverQuota admits a request over its quota where it gains more than it costs and delays no request
-// that is inside its quota.
+// resolveOverQuota admits a request over its quota if it gains more than it costs and delays no request
+// that is within its quota.
 func (m *Manager) resolveOverQuota(charge *Charge) Decision {
 	if charge.plan.OverQuotaWeight <= charge.plan.OverQuotaCost || m.host.Saturated() {
 		return rejected(m.retryAfter(charge))
@@ -60,20 +60,20 @@
 	return Decision{Verdict: Admitted, OverQuota: true}
 }
 
-// retryAfter returns the time until the customer's token bucket will hold the request's units.
+// retryAfter returns the time until the customer's token bucket holds the request's units.
 func (m *Manager) retryAfter(charge *Charge) time.Duration {
 	c, now := charge.customer, m.host.Now()
 	if c.hasCentralBucket && c.bucket.exhaustedUntil > now {
 		return max(c.bucket.exhaustedUntil-now, m.config.TickInterval)
 	}
-	if c.hasCentralBucket { // the level is unknown: an empty bucket would have refilled by then
+	if c.hasCentralBucket { // the level is unknown; an empty bucket refills within this time
 		return seconds(charge.units / c.plan.Rate)
 	}
 	missing := max(charge.units-max(0, c.availableTokens(now))-max(0, c.lease.tokens), 1)
 	return seconds(missing / max(c.plan.Rate, minRefillRate))
 }
 
-// seconds converts a count of seconds to a Duration.
+// seconds converts a number of seconds to a Duration.
 func seconds(count float64) time.Duration {
 	return time.Duration(count * float64(time.Second))
 }
--- a/policy/quota/estimates.go
+++ b/policy/quota/estimates.go
@@ -3,25 +3,27 @@
 import "lemontack/policy/model"
 
 const (
-	// grantGain is the weight of one reply of the counter in the averages of a plan.
+	// grantGain is the weight of one reply of the counter in the moving averages of a plan.
 	grantGain = 0.05
-	// customerGrantGain is the weight of one reply about a customer's permits in the averages of that
-	// customer.
+	// customerGrantGain is the weight of one reply about a customer's permits in the moving averages of
+	// that customer.
 	customerGrantGain = 0.2
-	// priorFirstTryGrantShare is the share of first tries that are inside their quotas, before the first reply.
+	// priorFirstTryGrantShare is the assumed share of first tries that are within their quotas, before the
+	// first reply.
 	priorFirstTryGrantShare = 0.8
-	// priorRetryGrantShare is the share of clients' retries that are inside their quotas, before the first
-	// reply.
+	// priorRetryGrantShare is the assumed share of clients' retries that are within their quotas, before
+	// the first reply.
 	priorRetryGrantShare = 0.5
-	// minCustomerSamples is the number of replies from which on a customer is judged by its own averages.
+	// minCustomerSamples is the number of replies from which on a customer's own averages are used instead
+	// of those of its plan.
 	minCustomerSamples = 4
 )
 
-// planState is a plan, and the averages of the counter's replies for its customers.
+// planState is a plan with the moving averages of the counter's replies for its customers.
 type planState struct {
 	model.Plan
-	bucketGrants *grantEstimate // of central buckets
-	permitGrants *grantEstimate // of permits
+	bucketGrants *grantEstimate // grants of central buckets
+	permitGrants *grantEstimate // grants of permits
 }
 
 func newPlanState(plan model.Plan) *planState {
@@ -32,18 +34,23 @@
 	}
 }
 
-// grantEstimate estimates how often requests are inside a quota, from the counter's replies.
+// grantEstimate estimates, from the counter's replies, how often requests are within a quota.
 type grantEstimate struct {
 	firstTryGrantShare float64 // share of first tries that were granted
 	retryGrantShare    float64 // share of clients' retries that were granted
-	calledShare        float64 // share of the requests that called the counter: its totals lack the others
+	calledShare        float64 // share of requests that called; the totals lack the rest
 }
 
 func newGrantEstimate() *grantEstimate {
-	return &grantEstimate{firstTryGrantShare: priorFirstTryGrantShare, retryGrantShare: priorRetryGrantShare, calledShare: 1}
+	return &grantEstimate{
+		firstTryGrantShare: priorFirstTryGrantShare,
+		retryGrantShare:    priorRetryGrantShare,
+		calledShare:        1,
+	}
 }
 
-// grantProbability returns the average that estimates the probability that a request is inside its quota.
+// grantProbability returns a pointer to the average that estimates the probability that a request is within
+// its quota.
 func (estimate *grantEstimate) grantProbability(charge *Charge) *float64 {
 	if charge.isRetry {
 		return &estimate.retryGrantShare
@@ -51,7 +58,7 @@
 	return &estimate.firstTryGrantShare
 }
 
-// updateShare adds one observation to a share, an exponential moving average.
+// updateShare adds one observation to a share that is an exponential moving average.
 func updateShare(share *float64, observed bool, weight float64) {
 	*share -= weight * *share
 	if observed {
@@ -59,9 +66,9 @@
 	}
 }
 
-// recordPermitReply adds a reply of the counter to the averages of the customer and, as long as the customer is
-// new, to those of its plan: a few customers that are always over their limit would otherwise dominate the
-// plan.
+// recordPermitReply adds a reply of the counter to the averages of the customer. While the customer is new,
+// it also adds the reply to the averages of the plan; later replies are left out, since a few customers
+// that are always over their limit would otherwise dominate the plan.
 func (c *customer) recordPermitReply(charge *Charge, granted bool) {
 	own, plan := &c.permits, c.plan.permitGrants
 	if own.samples == 0 {
@@ -75,13 +82,14 @@
 	updateShare(own.grantProbability(charge), granted, customerGrantGain)
 }
 
-// permitProbability estimates the probability that a permit is free for a request that acquires one.
+// permitProbability estimates the probability that a permit is free for a request that calls the counter.
 func (c *customer) permitProbability(charge *Charge) float64 {
 	return 1 - c.permitDenialProbability(charge)
 }
 
-// permitProbabilityWithoutCall estimates the same for a request that does not call the counter. The counter
-// holds only the permits that were acquired, so the requests that did not call it are added in proportion.
+// permitProbabilityWithoutCall estimates the same probability for a request that does not call the counter.
+// The counter's total lacks the attempts of requests that made no call, so the probability of a denial is
+// scaled up by their share.
 func (c *customer) permitProbabilityWithoutCall(charge *Charge) float64 {
 	return 1 - c.permitDenialProbability(charge)/max(c.plan.permitGrants.calledShare, minCallShare)
 }
@@ -93,8 +101,8 @@
 	return 1 - *c.plan.permitGrants.grantProbability(charge)
 }
 
-// worthAdmitting reports whether admitting a request that is inside its quota with a given probability gains
-// more than it costs.
+// worthAdmitting reports whether admitting a request, given the probability that it is within its quota,
+// gains more than it costs.
 func worthAdmitting(charge *Charge, probability float64) bool {
 	return probability >= (1-probability)*(charge.plan.OverQuotaCost-charge.plan.OverQuotaWeight)
 }
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -36,13 +36,13 @@
 	}
 }
 
-// rejection is a request that was rejected.
+// rejection is the rejection of a request.
 type rejection struct {
 	id         model.RequestID
 	retryAfter time.Duration
 }
 
-// effects are what one event has led to.
+// effects are the actions that one event has caused.
 type effects struct {
 	calls      []Call
 	sent       []model.RequestID
@@ -57,7 +57,7 @@
 }
 
 // testGateway is a Host on a simulated clock. It starts an attempt of each admitted request as soon as the
-// Manager allows one, in the order of arrival, and never rejects a queued request by itself.
+// Manager permits one, in the order of arrival, and never rejects a queued request itself.
 type testGateway struct {
 	*testing.T
 	manager        *Manager
@@ -65,7 +65,7 @@
 	dispatchPaused bool // no attempt starts
 	requests       map[model.RequestID]*openRequest
 	queue          []*openRequest
-	effects        effects // of the present event
+	effects        effects // effects since the last call of takeEffects
 }
 
 func newTestGateway(t *testing.T, config Config, plans []model.Plan) *testGateway {
@@ -81,12 +81,12 @@
 func (g *testGateway) Saturated() bool            { return len(g.queue) > 0 }
 func (g *testGateway) MeanLatency() time.Duration { return g.manager.config.TickInterval }
 
-// customer returns the customer of all requests, which it creates if there was none.
+// customer returns the customer of all requests, which it creates if necessary.
 func (g *testGateway) customer(plan string, gatewaySpan int) *customer {
 	return g.manager.customerFor(Request{Customer: "c", GatewaySpan: gatewaySpan}, g.manager.planFor(plan))
 }
 
-// arrive brings a request of customer "c".
+// arrive submits a request of customer "c".
 func (g *testGateway) arrive(request Request) effects {
 	request.Customer = "c"
 	request.PriorityWeight = 1
@@ -96,7 +96,7 @@
 	return g.takeEffects()
 }
 
-// reply brings a reply of the counter.
+// reply passes a reply of the counter to the Manager.
 func (g *testGateway) reply(reply Reply) effects {
 	id, decision := g.manager.HandleReply(reply)
 	if decision.Verdict != Pending {
@@ -105,7 +105,7 @@
 	return g.takeEffects()
 }
 
-// completeRequest brings the answer of a request's only attempt.
+// completeRequest ends the only attempt of a request with a successful answer.
 func (g *testGateway) completeRequest(id model.RequestID, settledUnits float64) effects {
 	charge := &g.requests[id].charge
 	if charge.finished {
@@ -118,13 +118,13 @@
 	return g.takeEffects()
 }
 
-// disconnect ends a queued request whose client disconnects.
+// disconnect ends a queued request whose client has disconnected.
 func (g *testGateway) disconnect(id model.RequestID) effects {
 	g.finish(g.requests[id])
 	return g.takeEffects()
 }
 
-// advance moves the clock on in ticks and returns all effects.
+// advance moves the clock forward tick by tick and returns the effects of all ticks.
 func (g *testGateway) advance(d time.Duration) (all effects) {
 	for end := g.now + d; g.now < end; {
 		g.now += g.manager.config.TickInterval
@@ -137,7 +137,7 @@
 	return all
 }
 
-// resolve queues an admitted request, or ends a rejected one.
+// resolve queues an admitted request, or finishes a rejected one.
 func (g *testGateway) resolve(request *openRequest, decision Decision) {
 	switch decision.Verdict {
 	case Admitted:
@@ -156,7 +156,7 @@
 	g.manager.Finish(&request.charge)
 }
 
-// takeEffects starts the attempts that may start, and returns the effects since the last event.
+// takeEffects starts the attempts that may start, and returns the effects since its last call.
 func (g *testGateway) takeEffects() effects {
 	g.queue = slices.DeleteFunc(g.queue, func(request *openRequest) bool {
 		if g.dispatchPaused || g.now >= request.deadline || !g.manager.MayDispatch(&request.charge) {
@@ -171,7 +171,7 @@
 	return latest
 }
 
-// sumOfAdds sums what calls add.
+// sumOfAdds returns the sum of the amounts that calls add.
 func sumOfAdds(calls []Call) (sum float64) {
 	for _, call := range calls {
 		sum += call.Add
--- a/policy/quota/lease.go
+++ b/policy/quota/lease.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	// leaseDemandSeconds is the customer's demand that a lease covers, in seconds.
+	// leaseDemandSeconds is the time for which a full lease covers the customer's demand, in seconds.
 	leaseDemandSeconds = 0.6
-	// roundingTolerance is the units that a lease may lack of a request by rounding.
+	// roundingTolerance is the rounding error allowed when a lease is compared with a request, in units.
 	roundingTolerance = 1e-9
 )
 
-// lease is the part of the customer's rate that this gateway may spend without a call of the counter, and its
-// estimate of the customer's token bucket. The bucket fills at the rate up to the burst; the estimate follows
-// the totals of the counter, and takes usage between two totals as spread evenly over the time.
+// lease is the part of the customer's rate that this gateway may spend without calling the counter,
+// together with the gateway's estimate of the customer's token bucket. The token bucket refills at the
+// rate, up to the burst. The estimate is updated from the counter's totals; usage between two totals is
+// assumed to be spread evenly over the time.
 type lease struct {
-	tokens              float64       // units left, which this gateway may spend
-	estimatedTokens     float64       // level of the token bucket in units, without all known leases
+	tokens              float64       // units that this gateway may still spend
+	estimatedTokens     float64       // level of the token bucket in units, without the known leases
 	estimatedAt         time.Duration // time of estimatedTokens
-	refreshedAt         time.Duration // up to when tokens and demandRate are computed
-	demandRate          float64       // units a second that requests at this gateway ask for
+	refreshedAt         time.Duration // time up to which tokens and demandRate are computed
+	demandRate          float64       // units a second that requests at this gateway need
 	remoteUsageRate     float64       // units a second that the other gateways use
 	callInFlight        bool          // a call for a lease waits for its reply
-	counterUnresponsive bool          // the counter does not reply: the lease grows with time instead
+	counterUnresponsive bool          // the counter does not reply; the lease grows with time instead
 	pendingAdd          float64       // units that the call in flight adds
-	pendingTokens       float64       // units of the new lease in pendingAdd
-	lastTotal           float64       // last total of the name in the present window
-	lastReplyAt         time.Duration // time of the last total; 0: there was none
-	nextCallAt          time.Duration // no call for a lease before it
+	pendingTokens       float64       // units of the new lease, part of pendingAdd
+	lastTotal           float64       // last total of the name in the current window
+	lastReplyAt         time.Duration // time of the last total; 0 before the first
+	nextCallAt          time.Duration // earliest time of the next call for a lease
 }
 
-// newLease returns the first lease of a customer, its share of the burst. It is granted without a call, and
-// lets one more request in before the first total.
+// newLease returns the first lease of a customer: its share of the burst, granted without a call. The
+// estimated level lets one more request of any size in before the first total.
 func (m *Manager) newLease(c *customer) lease {
 	now := m.host.Now()
 	tokens := c.burstShare()
@@ -45,27 +46,27 @@
 	}
 }
 
-// refreshLease computes the demand up to now, and the lease where it grows by time.
+// refreshLease updates the demand rate to the current time, and the lease if it grows with time.
 func (m *Manager) refreshLease(c *customer) {
 	now := m.host.Now()
 	elapsed := (now - c.lease.refreshedAt).Seconds()
 	c.lease.refreshedAt = now
 	c.lease.demandRate *= math.Exp(-elapsed)
 	switch {
-	case c.hasCentralBucket: // the local bucket; only what is spent from it is reported
+	case c.hasCentralBucket: // the local bucket; only its usage is reported
 		c.lease.tokens += min(c.rateShare()*elapsed, m.leaseHeadroom(c))
 	case c.lease.counterUnresponsive:
 		c.extendLease(min(c.rateShare()*elapsed, m.leaseHeadroom(c)))
 	}
 }
 
-// leaseHeadroom returns the units that the lease may still take: it holds the gateway's share of the burst,
-// and at least the largest request.
+// leaseHeadroom returns the units that may be added to the lease. Its capacity is the gateway's share of
+// the burst, and at least the largest request.
 func (m *Manager) leaseHeadroom(c *customer) float64 {
 	return max(0, max(c.burstShare(), m.config.MaxUnits, 1)-c.lease.tokens)
 }
 
-// extendLease moves units from the estimated token bucket to the lease; the next call reports them.
+// extendLease moves units from the estimated token bucket to the lease. The next call reports them.
 func (c *customer) extendLease(units float64) {
 	c.lease.tokens += units
 	c.unreportedUnits += units
@@ -77,13 +78,15 @@
 	return min(c.maxTokens(), c.lease.estimatedTokens+c.plan.Rate*(now-c.lease.estimatedAt).Seconds())
 }
 
-// maxTokens returns the level of a full token bucket. Leases are not in it: this gateway's, and half as much
-// at each of the others.
+// maxTokens returns the level of a full token bucket. It excludes the leases: this gateway's, and an
+// assumed half of its size at each of the other gateways.
 func (c *customer) maxTokens() float64 {
 	return max(0, c.plan.Burst-max(0, c.lease.tokens)*(1+float64(c.gatewaySpan-1)/2))
 }
 
-// uncontestedTokens returns the part of the available tokens that the other gateways will not have used.
+// uncontestedTokens returns the part of the available tokens that the other gateways are not expected to
+// use: the tokens left after their estimated usage since the last total, times this gateway's part of all
+// usage.
 func (c *customer) uncontestedTokens(now time.Duration) float64 {
 	if c.lease.counterUnresponsive {
 		return 0
@@ -93,8 +96,8 @@
 	return (c.availableTokens(now) - remoteUsage) * c.lease.demandRate / totalRate
 }
 
-// chargeLease takes the units of a request from the lease, which is first extended by uncontested tokens
-// where it is too small. It reports whether the units were taken.
+// chargeLease takes the units of a request from the lease. A lease that is too small is first extended by
+// uncontested tokens. It reports whether the units were taken or the customer has no rate quota.
 func (m *Manager) chargeLease(charge *Charge) bool {
 	c := charge.customer
 	if c.plan.Rate <= 0 {
@@ -117,13 +120,13 @@
 	return charge.leaseCharged
 }
 
-// leaseSize returns the units of a full lease: demand for some time ahead, at least one large request, and at
-// most the gateway's share of the burst.
+// leaseSize returns the units of a full lease: the demand for some time ahead, at least one large request,
+// and at most the gateway's share of the burst.
 func (m *Manager) leaseSize(c *customer) float64 {
 	return min(max(c.lease.demandRate*leaseDemandSeconds, 2*max(1, m.config.MaxUnits/2)), c.burstShare())
 }
 
-// renewLease calls the counter for the next lease once half of this one is spent.
+// renewLease calls the counter for the next lease if at most half of the current one is left.
 func (m *Manager) renewLease(c *customer) {
 	size := m.leaseSize(c)
 	if c.lease.tokens > size/2 {
--- a/policy/quota/lease_test.go
+++ b/policy/quota/lease_test.go
@@ -8,24 +8,23 @@
 	"lemontack/policy/model"
 )
 
-// Units of a request that were taken before the lease was refilled go back to the token bucket, which the
-// next call reports.
+// Units of a request that were taken before the lease was refilled go back to the token bucket, and the
+// next call reports them.
 func TestRefundBeyondAFullLeaseGoesToTheTokenBucket(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	g.dispatchPaused = true
 	g.arrive(Request{ID: 1, Plan: "small", Units: 1, GatewaySpan: 2})
 	c := g.manager.customers["c"]
-	c.lease.tokens = 4 // refilled since
+	c.lease.tokens = 4 // refilled in the meantime
 	unreported, estimated := c.unreportedUnits, c.lease.estimatedTokens
 	g.disconnect(1)
 	if c.lease.tokens != 4 || c.unreportedUnits != unreported-1 || c.lease.estimatedTokens != estimated+1 {
-		t.Fatalf("lease %v, unreported %v after %v, estimated %v after %v", c.lease.tokens, c.unreportedUnits, unreported,
-			c.lease.estimatedTokens, estimated)
+		t.Fatalf("got lease %v, unreported %v, estimated %v; want 4, %v, %v", c.lease.tokens, c.unreportedUnits,
+			c.lease.estimatedTokens, unreported-1, estimated+1)
 	}
 }
 
-// After a long silence of the counter its customers are not rejected for what others have used in the
-// meantime.
+// After a long outage of the counter, customers are not rejected for the usage of other gateways during it.
 func TestUnresponsiveCounterLeavesNoDeficit(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	c := g.timeOutLeaseCall()
@@ -33,11 +32,12 @@
 	g.manager.renewLease(c)
 	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingAdd + c.lease.lastTotal + 30})
 	if tokens := c.availableTokens(g.now) + c.lease.tokens; tokens < 1 {
-		t.Fatalf("%v tokens after a silence in which others kept to their share", tokens)
+		t.Fatalf("got %v tokens after an outage of the counter, want at least 1", tokens)
 	}
 }
 
-// timeOutLeaseCall brings requests of one customer until a call is in flight, and lets it time out.
+// timeOutLeaseCall submits requests of one customer until a call for a lease is in flight, and lets the
+// call time out.
 func (g *testGateway) timeOutLeaseCall() *customer {
 	g.Helper()
 	for id := model.RequestID(1001); id < 2000; id++ {
@@ -49,12 +49,11 @@
 			return c
 		}
 	}
-	g.Fatal("no call for a lease")
+	g.Fatal("got no call for a lease, want one")
 	return nil
 }
 
-// The totals of a counter that has lost its numbers grant no second burst.
-func TestCounterThatLostItsNumbersGrantsNoSecondBurst(t *testing.T) {
+func TestCounterThatLostItsDataGrantsNoSecondBurst(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	c := g.customer("small", 2)
 	c.lease.tokens, c.unreportedUnits, c.lease.estimatedTokens = 0, 0, 0
@@ -64,12 +63,12 @@
 	g.manager.requestLease(c, 0)
 	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingAdd})
 	if tokens := c.availableTokens(g.now); tokens > 1 {
-		t.Fatalf("%v tokens after the counter lost its numbers", tokens)
+		t.Fatalf("got %v tokens after the counter lost its data, want at most 1", tokens)
 	}
 }
 
-// An error reply of the counter is no silence: the amount was added. The lease that it was called for comes
-// with the next total, and nothing is counted twice or lost.
+// The amount of a call with an error reply was added. The lease of that call is granted with the next
+// total, and nothing is counted twice or lost.
 func TestErrorReplyIsCorrectedByTheNextTotal(t *testing.T) {
 	g := newTestGateway(t, testConfig(), testPlans())
 	total := 0.0
@@ -95,8 +94,8 @@
 		}
 		c := g.manager.customers["c"]
 		if c.lease.counterUnresponsive || c.lease.remoteUsageRate > 1e-6 || math.Abs(c.lease.lastTotal-total) > 1e-6 {
-			t.Fatalf("after request %d: counter silent %v, remote usage %v, total %v of %v", id, c.lease.counterUnresponsive,
-				c.lease.remoteUsageRate, c.lease.lastTotal, total)
+			t.Fatalf("after request %d: got counter unresponsive %v, remote usage rate %v, total %v; want false, 0, %v", id,
+				c.lease.counterUnresponsive, c.lease.remoteUsageRate, c.lease.lastTotal, total)
 		}
 	}
 }
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// exhaustedCallInterval is the time between two calls for a customer whose tokens are used up.
+	// exhaustedCallInterval is the time between two calls for a customer without tokens.
 	exhaustedCallInterval = 250 * time.Millisecond
-	// callsPerCounterTimeout bounds the calls for one customer's leases in one counter timeout.
+	// callsPerCounterTimeout limits the calls for one customer's leases within one counter timeout.
 	callsPerCounterTimeout = 8
-	// maxBackoffDoublings bounds the backoff after failed calls in a row, in doublings of the counter
+	// maxBackoffDoublings limits the backoff after consecutive failed calls, in doublings of the counter
 	// timeout.
 	maxBackoffDoublings = 4
-	// minReplyIntervalSeconds is the shortest time between two totals that a usage rate is computed over, in
+	// minReplyIntervalSeconds is the shortest time between two totals used to compute a usage rate, in
 	// seconds.
 	minReplyIntervalSeconds = 0.01
-	// usageRateDecay is the rate at which older usage loses its weight in the remote usage rate, per second.
+	// usageRateDecay is the exponential decay rate of older usage in the remote usage rate, per second.
 	usageRateDecay = 2.0
 )
 
-// requestLease calls the counter to add unreported units and a new lease. At most one such call of a customer
-// is in flight.
+// requestLease calls the counter to add the unreported units and a new lease. At most one such call of a
+// customer is in flight.
 func (m *Manager) requestLease(c *customer, leaseTokens float64) {
 	now := m.host.Now()
 	if !m.config.HasSharedCounter || c.hasCentralBucket || c.lease.callInFlight || now < c.lease.nextCallAt {
@@ -40,7 +40,7 @@
 	m.host.CallCounter(Call{Name: c.bucketName(), Add: c.lease.pendingAdd, TTL: maxCounterNameTTL})
 }
 
-// handleLeaseReply takes the reply to a call for a lease.
+// handleLeaseReply handles the reply to a call for a lease.
 func (m *Manager) handleLeaseReply(c *customer, reply Reply) {
 	c.lease.callInFlight = false
 	m.refreshLease(c)
@@ -52,18 +52,18 @@
 	c.lease.counterUnresponsive = false
 	c.recordTotal(reply.Total, m.host.Now())
 	c.extendLease(max(0, min(c.lease.pendingTokens, c.lease.estimatedTokens/float64(c.gatewaySpan))))
-	c.unreportedUnits -= c.lease.pendingTokens // it is in the total already
+	c.unreportedUnits -= c.lease.pendingTokens // already included in the total
 	m.scheduleNextCall(c)
 }
 
-// recordTotal updates the estimate of the token bucket: what other gateways have added since the last total
-// is usage.
+// recordTotal updates the estimate of the token bucket from a total. The increase since the last total,
+// apart from this gateway's own add, is usage by other gateways.
 func (c *customer) recordTotal(total float64, now time.Duration) {
 	remoteUsage := total - c.lease.pendingAdd - c.lease.lastTotal
 	if remoteUsage < -c.plan.Burst {
-		remoteUsage = 0 // the counter has lost its numbers: the total says nothing new
+		remoteUsage = 0 // the counter has lost its data, so the total shows no usage
 	}
-	if c.lease.lastReplyAt == 0 { // the first total holds all usage since its window began
+	if c.lease.lastReplyAt == 0 { // the first total includes all usage since its window began
 		c.lease.estimatedAt = time.Duration(c.usageWindow)*counterWindowLength - c.windowOffset
 		unused := c.plan.Burst - c.lease.lastTotal - c.lease.pendingAdd
 		c.lease.estimatedTokens = unused + c.lease.pendingTokens - c.unreportedUnits
@@ -72,7 +72,8 @@
 	}
 	refilled := c.plan.Rate * (now - c.lease.estimatedAt).Seconds()
 	tokens := min(c.maxTokens(), c.lease.estimatedTokens+refilled-remoteUsage)
-	// Over-quota requests take no tokens from the true bucket, so the estimated deficit is bounded.
+	// The totals include over-quota requests, which take no tokens from the actual bucket. The estimated
+	// deficit is therefore limited.
 	c.lease.estimatedTokens = max(-c.plan.Burst/2, tokens)
 	c.lease.estimatedAt = now
 	c.lease.lastTotal = total
@@ -86,7 +87,7 @@
 	c.lease.remoteUsageRate += (max(0, usage)/elapsed - c.lease.remoteUsageRate) * weight
 }
 
-// scheduleNextCall sets when the next call for a lease may follow a reply.
+// scheduleNextCall sets the earliest time of the next call for a lease, after a reply.
 func (m *Manager) scheduleNextCall(c *customer) {
 	interval := m.config.CounterTimeout / callsPerCounterTimeout
 	if c.lease.tokens < 1 {
@@ -95,9 +96,9 @@
 	c.lease.nextCallAt = m.host.Now() + interval
 }
 
-// handleLeaseFailure takes the failure of a call for a lease. Until the next total the lease grows at the
-// gateway's share of the rate, and calls back off exponentially with jitter. An error reply is no silence:
-// the amount was added, and the next total will include it.
+// handleLeaseFailure handles the failure of a call for a lease. Until the next total, the lease grows at
+// the gateway's share of the rate, and calls back off exponentially with jitter. An error reply is
+// different: the counter has responded and added the amount, and the next total will include it.
 func (m *Manager) handleLeaseFailure(c *customer, outcome model.Outcome) {
 	now := m.host.Now()
 	if outcome == model.Failed {
@@ -106,7 +107,7 @@
 		c.lease.nextCallAt = now
 		return
 	}
-	if outcome.NotExecuted() { // else it may have been added, and then looks like remote usage once
+	if outcome.NotExecuted() { // otherwise it may have been added, and then counts once as remote usage
 		c.unreportedUnits += c.lease.pendingAdd - c.lease.pendingTokens
 	}
 	m.consecutiveLeaseFailures++
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -7,31 +7,31 @@
 	"lemontack/policy/model"
 )
 
-// ticksPerIdleSweep is the number of ticks in which each customer is checked once for unused tokens.
+// ticksPerIdleSweep is the number of ticks in which Tick checks every customer once.
 const ticksPerIdleSweep = 50
 
-// Config is what a Manager has to know of the gateway's settings.
+// Config holds the gateway's settings for its quotas.
 type Config struct {
-	GatewayIndex        int           // number of this gateway, from 0
-	GatewayCount        int           // number of all gateways
+	GatewayIndex        int           // index of this gateway, from 0
+	GatewayCount        int           // number of gateways
 	MaxUnits            float64       // units of the largest request
 	HasSharedCounter    bool          // the shared counter may be called
-	CounterTimeout      time.Duration // a call of the counter fails after it
-	MaxRetryAfter       time.Duration // clients are told to wait for no longer than this
-	TickInterval        time.Duration // between two calls of Manager.Tick
-	MinLatencyObjective time.Duration // shortest latency objective of a class, in whole ticks
+	CounterTimeout      time.Duration // timeout of a call of the counter
+	MaxRetryAfter       time.Duration // longest retry delay that clients are sent
+	TickInterval        time.Duration // time between two calls of Manager.Tick
+	MinLatencyObjective time.Duration // shortest latency objective of a class, a multiple of TickInterval
 	MaxLatencyObjective time.Duration // longest latency objective of a class
 	MaxDeadline         time.Duration // longest deadline of a class
 }
 
-// Host is the gateway that a Manager decides for.
+// Host is the gateway to which a Manager belongs.
 type Host interface {
 	// Now returns the time on the gateway's clock. It does not change during a call of the Manager.
 	Now() time.Duration
-	// CallCounter starts a call of the shared counter. The reply goes to Manager.HandleReply later; replies
-	// for one name arrive in the order of the calls.
+	// CallCounter starts a call of the shared counter. The reply is passed to Manager.HandleReply later;
+	// replies for one name arrive in the order of the calls.
 	CallCounter(call Call)
-	// Saturated reports whether requests that are inside their quotas wait, or soon will.
+	// Saturated reports whether requests within their quotas are waiting, or are about to wait.
 	Saturated() bool
 	// MeanLatency returns the mean latency of answers, at least one tick.
 	MeanLatency() time.Duration
@@ -46,15 +46,14 @@
 	plans         map[string]*planState
 	customers     map[string]*customer
 	customerOrder []*customer // in the order of their first requests
-	nextIdleCheck int         // index in customerOrder
+	nextIdleCheck int         // index in customerOrder of the customer checked last
 
 	throttle                 callThrottle
-	consecutiveLeaseFailures int     // failed calls for leases in a row
-	meanPermitLoss           float64 // mean weight at stake in a decision without a permit; see shouldCallForPermit
+	consecutiveLeaseFailures int     // failed calls for leases since the last success, without error replies
+	meanPermitLoss           float64 // mean expected loss of a decision without a permit, in weight
 }
 
-// NewManager returns a Manager for the customers of the given plans. It draws from rng, which it shares with
-// its host.
+// NewManager returns a Manager for the customers of the given plans. It shares rng with its host.
 func NewManager(config Config, plans []model.Plan, rng *rand.Rand, host Host) *Manager {
 	m := &Manager{
 		config:    config,
@@ -72,7 +71,7 @@
 	return m
 }
 
-// planFor returns the plan of a name. An unknown plan has no quotas.
+// planFor returns the plan with a name. An unknown plan has no quotas.
 func (m *Manager) planFor(name string) *planState {
 	if plan := m.plans[name]; plan != nil {
 		return plan
@@ -80,8 +79,8 @@
 	return newPlanState(model.Plan{Name: name, Price: 1})
 }
 
-// Tick returns unused tokens and forgets idle customers. The host calls it once in each tick interval; a call
-// checks only a part of the customers, so that no tick takes long.
+// Tick returns unused tokens and evicts idle customers. The host calls it once in each tick interval. Each
+// call checks only some of the customers, so that no tick takes long.
 func (m *Manager) Tick() {
 	checks := (len(m.customerOrder) + ticksPerIdleSweep - 1) / ticksPerIdleSweep
 	for range checks {
@@ -89,8 +88,8 @@
 	}
 }
 
-// HandleReply takes the reply to a call of the counter. Where it decides on a request that waited for it, it
-// returns the request and the decision; else the verdict is Pending.
+// HandleReply handles the reply to a call of the counter. If the reply decides on a request that was
+// waiting for it, HandleReply returns the request and the decision; otherwise the verdict is Pending.
 func (m *Manager) HandleReply(reply Reply) (model.RequestID, Decision) {
 	c := m.customers[customerIDOf(reply.Name)]
 	switch {
@@ -103,16 +102,16 @@
 	return 0, pending
 }
 
-// CustomerState is a view of what a Manager knows of one customer, for inspection.
+// CustomerState is a Manager's state of one customer, for inspection.
 type CustomerState struct {
 	LeaseTokens      float64 // units left in the lease
-	AvailableTokens  float64 // estimated level of the customer's token bucket, in units, without all leases
+	AvailableTokens  float64 // estimated level of the customer's token bucket in units, without the leases
 	ReservedTokens   float64 // units reserved in a central bucket for a client's retry
-	AttemptsInFlight int     // at this gateway
+	AttemptsInFlight int     // attempts in flight at this gateway
 	HasCentralBucket bool    // the customer has a central token bucket
 }
 
-// Customer returns the state of a customer, or the zero state for one that is not known.
+// Customer returns the state of a customer, or the zero state if the customer is unknown.
 func (m *Manager) Customer(id string) CustomerState {
 	c := m.customers[id]
 	if c == nil {
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// semaphoreWindowDeadlines is the window of a permit name in longest deadlines: few attempts outlast it.
+	// semaphoreWindowDeadlines is the length of the window in a semaphore's name, in longest deadlines: few
+	// attempts last longer.
 	semaphoreWindowDeadlines = 4
-	// minSemaphoreWindow is the shortest window of a permit name.
+	// minSemaphoreWindow is the shortest window in a semaphore's name.
 	minSemaphoreWindow = 4 * time.Second
-	// maxSemaphoreWindow is the longest window of a permit name: the counter has to keep names for two windows.
+	// maxSemaphoreWindow is the longest window in a semaphore's name: the counter has to keep names for two
+	// windows.
 	maxSemaphoreWindow = 30 * time.Second
 )
 
-// semaphore is what this gateway knows of a customer's permits.
+// semaphore is this gateway's state of a customer's permits.
 type semaphore struct {
-	grantEstimate                   // of this customer alone
-	samples           int           // replies in the estimate
-	window            int64         // window of the present name
-	held              int           // permits that this gateway holds under the present name
-	unreportedPermits int           // permits that the next call has to add, since calls were not executed
-	exhaustedUntil    time.Duration // all permits are taken until then
+	grantEstimate                   // grants of this customer only
+	samples           int           // number of replies in the estimate
+	window            int64         // window in the current name
+	held              int           // permits that this gateway holds under the current name
+	unreportedPermits int           // permits to be added by the next call, since a call was not executed
+	exhaustedUntil    time.Duration // time until which no permit is expected to be free
 }
 
-// usesSemaphore reports whether the limit on concurrent attempts is held by permits. A limit of at least one
-// attempt for each gateway is split instead.
+// usesSemaphore reports whether permits on the counter enforce the limit on concurrent attempts. A limit of
+// at least one attempt for each gateway is divided among the gateways instead.
 func (m *Manager) usesSemaphore(c *customer) bool {
 	return m.config.HasSharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
 }
 
-// acquirePermit decides on a request that is inside its rate by the limit on concurrent attempts, or calls
-// the counter for a permit.
+// acquirePermit decides, by the limit on concurrent attempts, on a request that is within its rate, or
+// calls the counter for a permit.
 func (m *Manager) acquirePermit(charge *Charge) Decision {
 	c := charge.customer
 	calledShare := &c.plan.permitGrants.calledShare
@@ -49,9 +51,9 @@
 	return m.decideWithoutPermit(charge)
 }
 
-// decideWithoutPermit decides by the estimated probability that a permit is free. Requests that it admits are
-// limited to this gateway's share of the attempts; see MayDispatch. For a customer with a rate that share
-// alone decides.
+// decideWithoutPermit decides by the estimated probability that a permit is free. Attempts of the admitted
+// requests are limited to this gateway's share of the limit; see MayDispatch. For a customer with a rate,
+// or one that does not use the semaphore, only that share limits the attempts.
 func (m *Manager) decideWithoutPermit(charge *Charge) Decision {
 	c := charge.customer
 	if charge.plan.Rate > 0 || !m.usesSemaphore(c) {
@@ -63,7 +65,7 @@
 	return rejected(m.host.MeanLatency())
 }
 
-// handleSemaphoreReply takes the reply to a call by a permit name.
+// handleSemaphoreReply handles the reply to a call for a semaphore.
 func (m *Manager) handleSemaphoreReply(c *customer, call pendingCall, reply Reply) Decision {
 	m.repairSemaphore(c, &call, reply)
 	if call.charge == nil {
@@ -72,8 +74,8 @@
 	return m.handlePermitReply(call, reply)
 }
 
-// repairSemaphore takes back the permits of a call that was not executed, and corrects the total of a counter
-// that has lost its numbers.
+// repairSemaphore reverts the permits of a call that was not executed, and corrects the total of a counter
+// that has lost its data.
 func (m *Manager) repairSemaphore(c *customer, call *pendingCall, reply Reply) {
 	isPresentName := call.name == m.semaphoreName(c)
 	if reply.Outcome.NotExecuted() {
@@ -89,7 +91,7 @@
 	}
 }
 
-// handlePermitReply decides on a request by the reply to its call for a permit.
+// handlePermitReply decides on a request from the reply to its call for a permit.
 func (m *Manager) handlePermitReply(call pendingCall, reply Reply) Decision {
 	charge := call.charge
 	c := charge.customer
@@ -133,7 +135,8 @@
 	charge.permits = permits
 }
 
-// callCounterForPermits calls the counter by a permit name; by that of the present window with what is unreported.
+// callCounterForPermits calls the counter with the name of a semaphore. A call for the current window also
+// adds the unreported permits.
 func (m *Manager) callCounterForPermits(c *customer, call pendingCall) {
 	if call.name == m.semaphoreName(c) {
 		call.adjustment += float64(c.permits.unreportedPermits)
@@ -143,13 +146,13 @@
 	m.callCounter(c, call, m.semaphoreWindowLength())
 }
 
-// semaphoreWindowLength returns the length of the windows of permit names, the same at all gateways.
+// semaphoreWindowLength returns the length of the windows in semaphore names, the same at all gateways.
 func (m *Manager) semaphoreWindowLength() time.Duration {
 	return min(max(semaphoreWindowDeadlines*m.config.MaxDeadline, minSemaphoreWindow), maxSemaphoreWindow)
 }
 
-// semaphoreName returns the permit name of the present window. A new window begins without permits, which
-// ends those of crashed gateways.
+// semaphoreName returns the name of the customer's semaphore in the current window. A new window begins
+// without permits, which releases those of crashed gateways.
 func (m *Manager) semaphoreName(c *customer) string {
 	window := c.windowAt(m.host.Now(), m.semaphoreWindowLength())
 	if window != c.permits.window {
