--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -1,9 +1,9 @@
 // Package balancer chooses the endpoint of an attempt.
 //
-// It keeps the endpoints of the endpoint list, with what this gateway has learned of each: its latency
-// relative to that of the others, its attempts in flight, and its failures in a row. Outliers are ejected for
-// a while, and endpoints that have just started get attempts at a rate that grows with their capacity (slow
-// start). The choice is by least expected latency.
+// It keeps the endpoints of the endpoint list, with this gateway's observations of each: the latency
+// relative to that of the other endpoints, the attempts in flight, and the consecutive failures. Outliers
+// are ejected for some time. Endpoints that have just started get attempts at a rate that grows with their
+// capacity (slow start). The balancer chooses the endpoint with the least expected latency.
 package balancer
 
 import (
@@ -17,26 +17,28 @@
 	"lemontack/policy/model"
 )
 
-// initialAttemptsPerEndpoint is the number of attempts in flight that any endpoint is assumed to serve well,
-// before anything is known of it: two for each of two cores.
+// initialAttemptsPerEndpoint is the number of attempts in flight that an endpoint is assumed to serve well
+// before its first answers: two for each of two cores.
 const initialAttemptsPerEndpoint = 4.0
 
 // Config holds the settings of a balancer.
 type Config struct {
 	// Zone is the zone of this gateway.
 	Zone string
-	// GatewayCount is the number of gateways, which share each endpoint unless a Change says otherwise.
+	// GatewayCount is the number of gateways. All of them share each endpoint unless a Change specifies
+	// otherwise.
 	GatewayCount int
-	// CrossZonePrice is the price of an attempt in another zone; above 0 the own zone is preferred.
+	// CrossZonePrice is the price of an attempt in another zone. If above 0, endpoints of the gateway's own
+	// zone are preferred.
 	CrossZonePrice float64
 	// HandshakePrice is the price of a new connection, in requests of mean price.
 	HandshakePrice float64
 	// ConnectionIdleTimeout is the time after which an idle connection closes.
 	ConnectionIdleTimeout time.Duration
-	// SlowStart is how endpoints that have just started take up work.
+	// SlowStart configures the slow start of endpoints that have just started.
 	SlowStart SlowStartConfig
-	// MaxLatencyObjective is the longest latency objective of a class: the unit in which relative latencies
-	// are forgotten and ejections last.
+	// MaxLatencyObjective is the longest latency objective of a class. It is the time unit of the decay of
+	// relative latencies and of ejections.
 	MaxLatencyObjective time.Duration
 	// CapacityCacheTTL is the time for which the capacity of the endpoints is cached.
 	CapacityCacheTTL time.Duration
@@ -49,34 +51,35 @@
 	rng     *rand.Rand
 	latency *latency.OverallMean
 
-	endpoints           map[model.EndpointID]*Endpoint // all that are listed, or that have attempts in flight
-	serving             []*Endpoint                    // those that take new requests, by id
+	endpoints           map[model.EndpointID]*Endpoint // all that are listed or have attempts in flight
+	serving             []*Endpoint                    // endpoints that accept new requests, sorted by id
 	gatewaysPerEndpoint float64
 
 	capacity    capacityCache
 	answerRates answerRates
 }
 
-// Endpoint is an endpoint of the list, with what this gateway has learned of it.
+// Endpoint is an endpoint of the list with this gateway's observations of it.
 type Endpoint struct {
 	model.Endpoint
 	inFlight []*Attempt // in the order of their start
 
-	relativeLatency   float64 // latency relative to the mean of the request's class: 1 is like the others
-	relativeLatencyAt time.Duration
+	relativeLatency   float64       // ratio to the mean latency of the request's class; 1 is the mean
+	relativeLatencyAt time.Duration // time to which relativeLatency refers
 
-	lastSuccessAt       time.Duration // when it last answered well, 0 for never
+	lastSuccessAt       time.Duration // time of the last successful answer; zero before the first
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 
-	// LimiterSamples belongs to the limiter. It lies here since it ends with the endpoint's incarnation.
+	// LimiterSamples belongs to the limiter. It is stored here so that it is reset when the endpoint
+	// restarts.
 	LimiterSamples limiter.EndpointSamples
 
-	lastAttemptAt    time.Duration // start of the last attempt, or when the endpoint became known
+	lastAttemptAt    time.Duration // start of the last attempt, or the time at which the endpoint was added
 	pacingPauseShare float64       // share of the slow-start pause to wait before the next attempt
 }
 
-// Attempt is an attempt at an endpoint. The owner of the request embeds it in its own record of the attempt.
+// Attempt is an attempt at an endpoint. The owner of the request embeds it in its own attempt type.
 type Attempt struct {
 	Endpoint  *Endpoint
 	StartedAt time.Duration
@@ -84,17 +87,17 @@
 
 // Change is a change of the endpoint list.
 type Change struct {
-	// Snapshot tells that Endpoints is the entire list; else it holds only the endpoints that have changed.
+	// Snapshot means that Endpoints is the entire list. Otherwise it contains only the changed endpoints.
 	Snapshot bool
 	// Endpoints are the endpoints of the list, or the changed ones.
 	Endpoints []model.Endpoint
-	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints; 0 stands for all
+	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints; zero means all
 	// gateways.
 	GatewaysPerEndpoint float64
 }
 
-// New returns a balancer without endpoints. It draws from rng, and reads the mean latency of all answers from
-// overall.
+// New returns a balancer without endpoints. It uses rng for its random choices, and reads the mean latency
+// of all answers from overall.
 func New(config Config, rng *rand.Rand, overall *latency.OverallMean) *Balancer {
 	return &Balancer{
 		config:              config,
@@ -105,24 +108,24 @@
 	}
 }
 
-// ServingEndpoints returns the endpoints that take new requests, by id. The caller must not change the slice; it is
-// valid until the next Apply.
+// ServingEndpoints returns the endpoints that accept new requests, sorted by id. The caller must not change
+// the slice, which is valid until the next Apply.
 func (b *Balancer) ServingEndpoints() []*Endpoint { return b.serving }
 
 // GatewaysPerEndpoint returns the mean number of gateways that share one of the endpoints.
 func (b *Balancer) GatewaysPerEndpoint() float64 { return b.gatewaysPerEndpoint }
 
 // InitialAttempts returns this gateway's share of the attempts in flight that the serving endpoints are
-// assumed to serve well before anything is known of them, 1 at least.
+// assumed to serve well before their first answers. It is at least 1.
 func (b *Balancer) InitialAttempts() float64 {
 	return max(1, initialAttemptsPerEndpoint*float64(len(b.serving))/b.gatewaysPerEndpoint)
 }
 
-// Apply takes in a change of the endpoint list.
+// Apply applies a change of the endpoint list.
 func (b *Balancer) Apply(now time.Duration, change Change) {
 	if change.Snapshot {
 		for _, e := range b.serving {
-			e.State = model.Removed // unless the snapshot has it
+			e.State = model.Removed // unless the snapshot contains it
 		}
 	}
 	for _, listed := range change.Endpoints {
@@ -133,8 +136,8 @@
 	b.capacity.expire(b.config.CapacityCacheTTL)
 }
 
-// updateEndpoint takes in one endpoint of the list. Of an endpoint that has restarted nothing that was learned holds
-// any longer, but its attempts in flight still end.
+// updateEndpoint adds or updates one endpoint of the list. The observations of an endpoint that has
+// restarted are discarded, except its attempts in flight, which will still end.
 func (b *Balancer) updateEndpoint(now time.Duration, listed model.Endpoint) {
 	e := b.endpoints[listed.ID]
 	if e == nil {
@@ -153,8 +156,8 @@
 	e.Endpoint = listed
 }
 
-// rebuildServing lists the serving endpoints anew. It forgets removed ones without attempts in flight: since
-// endpoints come under ever new ids, the map would grow without bound.
+// rebuildServing rebuilds the list of serving endpoints. It deletes removed endpoints without attempts in
+// flight, since the map would otherwise grow without bound as endpoints get new ids.
 func (b *Balancer) rebuildServing() {
 	b.serving = b.serving[:0]
 	for id, e := range b.endpoints {
@@ -177,7 +180,7 @@
 	e.pacingPauseShare = 1
 }
 
-// AttemptEnded no longer counts an attempt as in flight.
+// AttemptEnded stops counting an attempt as in flight.
 func (b *Balancer) AttemptEnded(attempt *Attempt) {
 	e := attempt.Endpoint
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *Attempt) bool { return other == attempt })
--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -77,23 +77,23 @@
 		b := newBalancer(testConfig(), servingEndpoints("u", "s")...)
 		b.Apply(start, c.change)
 		if got := servingIDs(b); got != c.want {
-			t.Errorf("%s: serving %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: got serving endpoints %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// Endpoints come under ever new ids: the map of endpoints must not grow for good.
+// Endpoints get ever new ids: the map of endpoints must not grow without bound.
 func TestRemovedEndpointIsDeletedOnceNothingIsInFlight(t *testing.T) {
 	b := newBalancer(testConfig(), servingEndpoints("s")...)
 	a := startAttempt(b, start, b.ServingEndpoints()[0])
 	b.Apply(start, Change{Endpoints: append(servingEndpoints("u"), model.Endpoint{ID: "s", State: model.Removed})})
 	if len(b.endpoints) != 2 {
-		t.Fatal("forgotten while an attempt is in flight")
+		t.Fatal("got a removed endpoint deleted while an attempt is in flight, want it kept")
 	}
 	b.AttemptEnded(a)
 	b.Apply(start, Change{Endpoints: servingEndpoints("v")})
 	if b.endpoints["s"] != nil || len(b.endpoints) != 2 || servingIDs(b) != "[u v]" {
-		t.Fatalf("endpoints %v, serving %s", b.endpoints, servingIDs(b))
+		t.Fatalf("got endpoints %v, serving %s; want only u and v", b.endpoints, servingIDs(b))
 	}
 }
 
@@ -105,17 +105,17 @@
 		b.RecordFailure(start, e)
 	}
 	if !e.isEjected(start + ms) {
-		t.Fatal("not ejected before the restart")
+		t.Fatal("got the endpoint not ejected before the restart, want it ejected")
 	}
 	b.Apply(start+ms, Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
 	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.isEjected(start+ms) || e.consecutiveFailures != 0 {
-		t.Fatalf("%d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(), e.isEjected(start+ms),
-			e.consecutiveFailures)
+		t.Fatalf("got %d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(),
+			e.isEjected(start+ms), e.consecutiveFailures)
 	}
 	b.AttemptEnded(first)
 	b.AttemptEnded(second)
 	if e.InFlight() != 0 {
-		t.Errorf("%d in flight after both have ended", e.InFlight())
+		t.Errorf("got %d in flight after both attempts have ended, want 0", e.InFlight())
 	}
 }
 
@@ -134,8 +134,8 @@
 		}
 		b.Apply(start, Change{Snapshot: true, Endpoints: list, GatewaysPerEndpoint: c.gatewaysPerEndpoint})
 		if got := b.InitialAttempts(); got != c.want {
-			t.Errorf("%d endpoints of %v gateways: %v initial attempts, want %v", c.endpoints, c.gatewaysPerEndpoint, got,
-				c.want)
+			t.Errorf("%d endpoints of %v gateways: got %v initial attempts, want %v", c.endpoints,
+				c.gatewaysPerEndpoint, got, c.want)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		degrade(b, b.ServingEndpoints()[0])
 		for range 50 {
 			if e := b.Pick(start+ms, Query{}); e.ID != "u" {
-				t.Errorf("%s: picked %s", name, e.ID)
+				t.Errorf("%s: got endpoint %s, want u", name, e.ID)
 			}
 		}
 	}
@@ -172,26 +172,26 @@
 		b.RecordFailure(start, e)
 	}
 	if b.Pick(start, Query{}) != e {
-		t.Error("the only endpoint is not picked while it is ejected")
+		t.Error("got the only endpoint not picked while it is ejected, want it picked")
 	}
 	if !e.isEjected(start + objective - ms) {
-		t.Error("back before its time")
+		t.Error("got the ejection over too early, want it to last one latency objective")
 	}
 	if e.isEjected(start + objective) {
-		t.Error("still ejected after its time")
+		t.Error("got the endpoint still ejected after one latency objective, want it available")
 	}
 	a := startAttempt(b, start+objective, e)
 	if !e.isEjected(start + objective) {
-		t.Error("open for a second attempt while the first is in flight")
+		t.Error("got the endpoint available while its first attempt is in flight, want it ejected")
 	}
 	b.AttemptEnded(a)
 	b.RecordFailure(start+objective, e)
 	if !e.isEjected(start + 3*objective - ms) {
-		t.Error("a further failure did not double the time")
+		t.Error("got the ejection over too early after a further failure, want it doubled")
 	}
 	b.RecordSuccess(start+3*objective, e, 1)
 	if e.isEjected(start + 3*objective) {
-		t.Error("still ejected after a success")
+		t.Error("got the endpoint still ejected after a success, want it available")
 	}
 }
 
@@ -211,7 +211,7 @@
 			}
 		}
 		if len(picked) != want {
-			t.Errorf("scope %d: picked %v, want %d endpoints", scope, picked, want)
+			t.Errorf("scope %d: got endpoints %v, want %d of them", scope, picked, want)
 		}
 	}
 }
@@ -221,13 +221,13 @@
 	tried := b.ServingEndpoints()[0]
 	for range 5 {
 		if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e.ID != "u" {
-			t.Errorf("picked %s, which was tried", e.ID)
+			t.Errorf("got endpoint %s, which was tried, want u", e.ID)
 		}
 		startAttempt(b, start, b.ServingEndpoints()[1])
 	}
 	b.Apply(start, Change{Snapshot: true, Endpoints: servingEndpoints("s")})
 	if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e != tried {
-		t.Errorf("picked %v, want the tried one where there is no other", e)
+		t.Errorf("got endpoint %v, want the tried one since there is no other", e)
 	}
 }
 
@@ -241,7 +241,7 @@
 	} {
 		e := &Endpoint{Endpoint: model.Endpoint{StartedAt: c.startedAt}}
 		if got := b.slowStartWeight(start, e); got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("started %v before: weight %v, want %v", start-c.startedAt, got, c.want)
+			t.Errorf("started %v before: got weight %v, want %v", start-c.startedAt, got, c.want)
 		}
 	}
 }
@@ -256,15 +256,15 @@
 		if e == nil {
 			continue
 		}
-		// A warm endpoint is taken to answer 4/2 a second here: 1.5 x 0.2 to 1.5 x 0.44 of that.
+		// The assumed rate of a warm endpoint is 4/2 answers a second; the limit is 1.5 x 0.2 to 1.5 x 0.44 of it.
 		if pause := now - last; last > 0 && pause < 750*ms {
-			t.Errorf("pause of %v between two attempts", pause)
+			t.Errorf("got an interval of %v between two attempts, want at least 750ms", pause)
 		}
 		b.AttemptEnded(startAttempt(b, now, e))
 		last = now
 		attempts++
 	}
 	if attempts == 0 || attempts > 4 {
-		t.Errorf("%d attempts in 3 s, want 1 to 4", attempts)
+		t.Errorf("got %d attempts in 3 s, want 1 to 4", attempts)
 	}
 }
--- a/policy/balancer/outlier.go
+++ b/policy/balancer/outlier.go
@@ -10,27 +10,28 @@
 const (
 	// relativeLatencyGain is the weight of one answer in an endpoint's relative latency.
 	relativeLatencyGain = 0.15
-	// failureRelativeLatency is what a failed attempt counts for: as much as the slowest answer.
+	// failureRelativeLatency is the relative latency recorded for a failed attempt: that of the slowest
+	// answer.
 	failureRelativeLatency = latency.MaxRelative
 	// halfLifeInObjectives is the half-life of a relative latency, in longest latency objectives.
 	halfLifeInObjectives = 8.0
-	// minAnswerRate is the least rate that the half-life is computed from, in answers a second: it bounds the
-	// half-life above.
+	// minAnswerRate is the lowest rate from which the half-life is computed, in answers a second. It limits
+	// the half-life.
 	minAnswerRate = 1e-3
 
 	// failuresToEject is the number of consecutive failures that eject an endpoint.
 	failuresToEject = 3
-	// maxEjectionDoublings bounds the time of an ejection, which doubles with each further failure, to 16
-	// longest latency objectives.
+	// maxEjectionDoublings limits the duration of an ejection, which doubles with each further failure, to
+	// 16 longest latency objectives.
 	maxEjectionDoublings = 4
 
-	// overdueMeanMultiple is the number of mean latencies that an attempt in flight may last before it shows that
-	// its endpoint is slow: most latencies are spread widely around their mean.
+	// overdueMeanMultiple is the number of mean latencies after which an attempt in flight indicates a slow
+	// endpoint: most latencies vary widely around their mean.
 	overdueMeanMultiple = 3
 )
 
-// RecordSuccess takes in an attempt that was answered well. relativeLatency is its latency in multiples of
-// the mean of its class.
+// RecordSuccess records a successful attempt. relativeLatency is its latency in multiples of the mean of
+// its class.
 func (b *Balancer) RecordSuccess(now time.Duration, e *Endpoint, relativeLatency float64) {
 	e.consecutiveFailures = 0
 	e.ejectedUntil = 0
@@ -39,8 +40,8 @@
 	b.recordRelativeLatency(now, e, relativeLatency)
 }
 
-// RecordFailure takes in an attempt that failed, and ejects the endpoint after several in a row: for longer
-// each time.
+// RecordFailure records a failed attempt, and ejects the endpoint after several consecutive failures. Each
+// further failure doubles the duration of the ejection, up to a limit.
 func (b *Balancer) RecordFailure(now time.Duration, e *Endpoint) {
 	e.consecutiveFailures++
 	if e.consecutiveFailures >= failuresToEject {
@@ -50,8 +51,8 @@
 	b.recordRelativeLatency(now, e, failureRelativeLatency)
 }
 
-// recordRelativeLatency moves the relative latency towards an observed one: the more of it was forgotten, the
-// further.
+// recordRelativeLatency updates the moving average of the relative latency with an observation, whose
+// weight is higher the more the average has decayed.
 func (b *Balancer) recordRelativeLatency(now time.Duration, e *Endpoint, observed float64) {
 	decay := b.latencyDecay(now, e)
 	e.relativeLatency = 1 + (e.relativeLatency-1)*decay
@@ -59,21 +60,22 @@
 	e.relativeLatencyAt = now
 }
 
-// latencyDecay is the share left of what was learned of an endpoint's latency. The half-life is some
-// latency objectives, or the time between two answers of an endpoint where that is longer.
+// latencyDecay returns the share of an endpoint's relative latency that remains after exponential decay.
+// The half-life is a number of latency objectives, or the mean time between two answers of an endpoint if
+// that is longer.
 func (b *Balancer) latencyDecay(now time.Duration, e *Endpoint) float64 {
 	halfLife := max(halfLifeInObjectives*b.config.MaxLatencyObjective.Seconds(),
 		float64(len(b.serving))/max(b.answerRates.perSecond, minAnswerRate))
 	return math.Exp2(-(now - e.relativeLatencyAt).Seconds() / halfLife)
 }
 
-// decayedRelativeLatency is the relative latency by now: it returns to 1 as it is forgotten.
+// decayedRelativeLatency returns the relative latency decayed to the current time. It decays to 1.
 func (b *Balancer) decayedRelativeLatency(now time.Duration, e *Endpoint) float64 {
 	return 1 + (e.relativeLatency-1)*b.latencyDecay(now, e)
 }
 
-// currentRelativeLatency is the relative latency by now, or what the oldest attempt in flight already shows
-// of it.
+// currentRelativeLatency returns the decayed relative latency, or a higher one if the oldest attempt in
+// flight is overdue.
 func (b *Balancer) currentRelativeLatency(now time.Duration, e *Endpoint) float64 {
 	relative := b.decayedRelativeLatency(now, e)
 	if mean := b.latency.Seconds(); len(e.inFlight) > 0 && mean > 0 {
@@ -82,9 +84,9 @@
 	return relative
 }
 
-// sampleRelativeLatency is what a new endpoint starts with: the relative latency of a random other one. With
-// the mean it would lose to all that have been lucky, with the best it would get the requests of all gateways
-// at once.
+// sampleRelativeLatency returns the initial relative latency of a new endpoint: that of a random serving
+// endpoint. With the mean, the new endpoint would lose to all endpoints with low samples; with the lowest,
+// it would get the requests of all gateways at once.
 func (b *Balancer) sampleRelativeLatency(now time.Duration) float64 {
 	if len(b.serving) == 0 {
 		return 1
@@ -92,8 +94,8 @@
 	return b.decayedRelativeLatency(now, b.serving[b.rng.IntN(len(b.serving))])
 }
 
-// isEjected reports whether the endpoint is ejected as an outlier. After its time one attempt at a time shows
-// whether it has recovered.
+// isEjected reports whether the endpoint is ejected as an outlier. After the ejection it gets one attempt
+// at a time until an attempt succeeds.
 func (e *Endpoint) isEjected(now time.Duration) bool {
 	return e.consecutiveFailures >= failuresToEject && (e.ejectedUntil > now || len(e.inFlight) > 0)
 }
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -6,56 +6,58 @@
 	"time"
 )
 
-// SlowStartConfig tells how endpoints that have just started take up work.
+// SlowStartConfig configures how the load of endpoints that have just started increases.
 type SlowStartConfig struct {
 	// MinWeight is the share of its capacity that an endpoint has at its start.
 	MinWeight float64
-	// Window is the time in which the capacity grows evenly to the whole; 0 turns slow start off.
+	// Window is the time in which the capacity grows linearly to the full capacity; zero disables slow
+	// start.
 	Window time.Duration
-	// BudgetMultiple is the multiple of an endpoint's capacity that all gateways together may send within
-	// BudgetSpan; 0 sets no limit.
+	// BudgetMultiple is the multiple of an endpoint's capacity that all gateways together may send to it
+	// within BudgetSpan; zero means no limit.
 	BudgetMultiple float64
-	// BudgetSpan is the time over which BudgetMultiple is counted.
+	// BudgetSpan is the period to which BudgetMultiple applies.
 	BudgetSpan time.Duration
 }
 
 const (
-	// minSlowStartWeight bounds the weight of an endpoint below, so that it gets some attempts whatever the
-	// settings say.
+	// minSlowStartWeight is the minimum weight of an endpoint, so that it gets some attempts with any
+	// settings.
 	minSlowStartWeight = 0.01
-	// slowStartRateFactor limits the rate of attempts at an endpoint in slow start, in multiples of what a warm
-	// endpoint answers for the same weight: above 1, so that the endpoint is kept busy.
+	// slowStartRateFactor limits the rate of attempts at an endpoint in slow start, in multiples of the
+	// answer rate of a warm endpoint scaled to the weight. It is above 1 so that the endpoint is kept busy.
 	slowStartRateFactor = 1.5
-	// slowStartBudgetShare limits them also to this share of BudgetMultiple: the rest is a margin for random
-	// variation and for what the gateways do not know of each other.
+	// slowStartBudgetShare additionally limits this factor to a share of BudgetMultiple. The rest is a
+	// margin for random variation and for the attempts of other gateways, which this gateway does not
+	// observe.
 	slowStartBudgetShare = 0.6
-	// minBudgetSpanSeconds bounds BudgetSpan below, in seconds: over a shorter span the rate of answers is too
-	// uncertain.
+	// minBudgetSpanSeconds is the minimum of BudgetSpan, in seconds: the answer rate over a shorter span is
+	// too uncertain.
 	minBudgetSpanSeconds = 1
 )
 
-// capacityCache is a cached sum over the serving endpoints.
+// capacityCache holds cached sums over the serving endpoints.
 type capacityCache struct {
-	computedAt          time.Duration
-	warmEquivalents     float64 // sum of the slow-start weights
-	warmConnectionShare float64 // share of the warm endpoints that likely have a warm connection
+	computedAt          time.Duration // time of the computation
+	warmEquivalents     float64       // capacity in warm endpoints: sum of the slow-start weights
+	warmConnectionShare float64       // share of the warm endpoints that probably have a warm connection
 }
 
-// expire makes the capacity be computed anew at the next use.
+// expire invalidates the cache, so that the next use computes the capacity again.
 func (c *capacityCache) expire(interval time.Duration) { c.computedAt = -interval }
 
 // answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
-	lastAnswerAt time.Duration // of the last answer
+	lastAnswerAt time.Duration // time of the last answer
 	perSecond    float64       // answers a second, with a time constant of one second
 
 	spanAnswersPerSecond     float64 // answers a second, with the budget span as the time constant
-	spanCapacity             float64 // capacity that they came from, in warm endpoints, with the same time constant
-	perSecondPerWarmEndpoint float64 // answers a second of one warm endpoint, as of the last answer
+	spanCapacity             float64 // capacity in warm endpoints, with the budget span as the time constant
+	perSecondPerWarmEndpoint float64 // answers a second of one warm endpoint, at the last answer
 }
 
-// slowStartWeight is the share of its capacity that an endpoint has at its age: it grows evenly from the
-// minimum to 1.
+// slowStartWeight returns the share of its capacity that an endpoint has at its age. It grows linearly from
+// the minimum to 1.
 func (b *Balancer) slowStartWeight(now time.Duration, e *Endpoint) float64 {
 	age := now - e.StartedAt
 	if e.StartedAt == 0 || age >= b.config.SlowStart.Window || b.config.SlowStart.Window <= 0 {
@@ -65,7 +67,7 @@
 	return minWeight + (1-minWeight)*max(0, age.Seconds())/b.config.SlowStart.Window.Seconds()
 }
 
-// servingCapacity is the capacity of the serving endpoints, in warm endpoints.
+// servingCapacity returns the capacity of the serving endpoints, in warm endpoints.
 func (b *Balancer) servingCapacity(now time.Duration) float64 {
 	if now >= b.capacity.computedAt+b.config.CapacityCacheTTL {
 		b.computeCapacity(now)
@@ -92,10 +94,11 @@
 	}
 }
 
-// recordAnswer counts an answer in the rates. The budget span is the one over which the settings count what
-// an endpoint in slow start gets: over a shorter one the rate of a gateway with few requests, computed as an
-// answer comes, would seem larger than it is. The rate is put in relation to the capacity of that time: where
-// all endpoints restart at once, what they answered when they were warm is no measure of what they can now.
+// recordAnswer counts an answer in the rates. The time constant is the budget span, in which the settings
+// limit the attempts at an endpoint in slow start: with a shorter one, the rate of a gateway with few
+// requests, computed at each answer, would be too high. The rate is divided by the capacity over the same
+// time, so that after a restart of all endpoints the answers of warm endpoints do not overstate the rate of
+// those in slow start.
 func (b *Balancer) recordAnswer(now time.Duration) {
 	elapsed := (now - b.answerRates.lastAnswerAt).Seconds()
 	span := max(b.config.SlowStart.BudgetSpan.Seconds(), minBudgetSpanSeconds)
@@ -109,10 +112,11 @@
 	rates.lastAnswerAt = now
 }
 
-// pacingAllows reports whether an endpoint in slow start may get an attempt now. Attempts are spaced by what
-// one warm endpoint answers to this gateway, scaled to the weight, so that the sum over all gateways stays
-// within the endpoint's capacity. The first comes after a random part of the pause, from when the endpoint is
-// known: the gateways do not all start at once.
+// pacingAllows reports whether an endpoint in slow start may get an attempt now. The interval between
+// attempts is derived from the rate at which one warm endpoint answers this gateway, scaled to the weight,
+// so that the sum over all gateways stays within the endpoint's capacity. The first attempt comes after a
+// random part of the interval, counted from when the endpoint was added, so that the gateways do not all
+// start at once.
 func (b *Balancer) pacingAllows(now time.Duration, e *Endpoint, weight float64) bool {
 	multiple := cmp.Or(b.config.SlowStart.BudgetMultiple, math.Inf(1))
 	rateFactor := min(slowStartRateFactor, slowStartBudgetShare*multiple)
--- a/policy/latency/latency.go
+++ b/policy/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency estimates how long answers take: a running mean and mean deviation for each class of
+// Package latency estimates the latency of answers: a moving mean and mean deviation for each class of
 // requests, and one mean over all classes.
 package latency
 
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// MaxRelative limits what one answer counts for, in multiples of the mean latency of its class: a single
-// answer that took very long must not outweigh many.
+// MaxRelative limits the latency recorded for one answer, in multiples of the mean latency of its class, so
+// that a single slow answer does not outweigh many others.
 const MaxRelative = 8.0
 
 const (
 	overallGain = 0.05 // weight of one answer in the mean over all classes
-	classGain   = 0.02 // weight of one answer in the estimate of its class: classes are seen less often
+	classGain   = 0.02 // weight of one answer in the estimate of its class
 
 	initialDeviationShare = 0.5 // mean deviation after the first answer, as a share of its latency
 )
 
-// OverallMean is the mean latency of the answers of all classes. The zero value has seen no answer. Its estimates
-// and those who read it share one by pointer.
+// OverallMean is the mean latency of the answers of all classes. The zero value is the state before the
+// first answer. The estimates of all classes share one OverallMean by pointer.
 type OverallMean struct {
 	mean float64 // seconds
 }
 
-// Seconds returns the mean latency in seconds, 0 before the first answer.
+// Seconds returns the mean latency in seconds, or 0 before the first answer.
 func (o *OverallMean) Seconds() float64 { return o.mean }
 
-// Duration returns the mean latency, 0 before the first answer.
+// Duration returns the mean latency, or 0 before the first answer.
 func (o *OverallMean) Duration() time.Duration { return time.Duration(o.mean * float64(time.Second)) }
 
 func (o *OverallMean) record(seconds float64) {
 	o.mean += overallGain * (seconds - o.mean)
 }
 
-// Estimate is the running estimate of the latency of one class.
+// Estimate is the moving estimate of the latency of one class.
 type Estimate struct {
 	overall   *OverallMean
-	mean      float64 // seconds; 0 before the first answer
-	deviation float64 // mean absolute deviation, seconds
+	mean      float64 // seconds; zero before the first answer
+	deviation float64 // mean absolute deviation in seconds
 }
 
-// NewEstimate returns an estimate that has seen no answer. What it records counts in overall as well.
+// NewEstimate returns an estimate without answers. The latencies that it records also count in overall.
 func NewEstimate(overall *OverallMean) Estimate { return Estimate{overall: overall} }
 
-// HasSamples reports whether there has been an answer to estimate from.
+// HasSamples reports whether at least one answer has been recorded.
 func (e *Estimate) HasSamples() bool { return e.mean > 0 }
 
-// Expected returns the mean latency plus a number of mean deviations, 0 before the first answer.
+// Expected returns the mean latency plus a number of mean deviations, or 0 before the first answer.
 func (e *Estimate) Expected(deviations float64) time.Duration {
 	return time.Duration((e.mean + deviations*e.deviation) * float64(time.Second))
 }
 
-// Record takes in the latency of one successful answer. It returns that latency in multiples of the mean
-// before it, at most MaxRelative.
+// Record adds the latency of one successful answer. It returns that latency in multiples of the previous
+// mean, at most MaxRelative.
 func (e *Estimate) Record(latency time.Duration) (relative float64) {
 	seconds := latency.Seconds()
 	if e.mean == 0 {
--- a/policy/latency/latency_test.go
+++ b/policy/latency/latency_test.go
@@ -12,28 +12,30 @@
 	var overall OverallMean
 	e := NewEstimate(&overall)
 	if e.HasSamples() || e.Expected(3) != 0 || overall.Duration() != 0 {
-		t.Fatalf("before the first answer: known %v, expected %v, overall %v", e.HasSamples(), e.Expected(3), overall.Duration())
+		t.Fatalf("before the first answer: got samples %v, expected %v, overall %v; want false, 0, 0", e.HasSamples(),
+			e.Expected(3), overall.Duration())
 	}
 	if relative := e.Record(100 * ms); relative != 1 {
-		t.Errorf("relative latency of the first answer %v, want 1", relative)
+		t.Errorf("got relative latency %v for the first answer, want 1", relative)
 	}
 	if !e.HasSamples() || e.Expected(0) != 100*ms || overall.Duration() != 100*ms {
-		t.Errorf("known %v, expected %v, overall %v; want 100ms", e.HasSamples(), e.Expected(0), overall.Duration())
+		t.Errorf("got samples %v, expected %v, overall %v; want true, 100ms, 100ms", e.HasSamples(),
+			e.Expected(0), overall.Duration())
 	}
 	if got := e.Expected(1); got < 148*ms || got > 150*ms {
-		t.Errorf("expected with one deviation %v, want nearly 150ms", got)
+		t.Errorf("got expected latency %v with one deviation, want 148ms to 150ms", got)
 	}
 }
 
-func TestVeryLateAnswerCountsAsMaxRelative(t *testing.T) {
+func TestVerySlowAnswerCountsAsMaxRelative(t *testing.T) {
 	var overall OverallMean
 	e := NewEstimate(&overall)
 	e.Record(100 * ms)
 	if relative := e.Record(time.Hour); relative != MaxRelative {
-		t.Errorf("relative latency %v, want %v", relative, MaxRelative)
+		t.Errorf("got relative latency %v, want %v", relative, MaxRelative)
 	}
 	if got, want := e.Expected(0).Seconds(), 0.1+classGain*(0.8-0.1); math.Abs(got-want) > 1e-6 {
-		t.Errorf("mean %v, want %v", got, want)
+		t.Errorf("got mean %v, want %v", got, want)
 	}
 }
 
@@ -43,6 +45,6 @@
 	slow.Record(400 * ms)
 	fast.Record(10 * ms)
 	if got := overall.Duration(); got < 350*ms || got > 400*ms {
-		t.Errorf("overall mean %v after a first answer of a second class, want little below 400ms", got)
+		t.Errorf("got overall mean %v after the first answer of a second class, want 350ms to 400ms", got)
 	}
 }
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -1,9 +1,9 @@
-// Package limiter limits how many attempts a gateway has in flight: an AIMD window, as of TCP's congestion
+// Package limiter limits the attempts that a gateway has in flight, by an AIMD window as in TCP congestion
 // control.
 //
-// Timely ends of attempts widen the window additively. Late ends narrow it multiplicatively, once a round
-// trip at most, and only where they are a sign that the endpoints as a whole are overloaded: one slow
-// endpoint, or one class whose requests take long, leaves the window as it is.
+// Timely attempts increase the window additively. Late attempts decrease it multiplicatively, at most once
+// per round trip, and only if they indicate that the endpoints as a whole are overloaded: a single slow
+// endpoint, or a class whose requests take long, does not change the window.
 package limiter
 
 import (
@@ -15,46 +15,51 @@
 )
 
 const (
-	// lateSampleThreshold is the share of late samples in a round above which the window narrows.
+	// lateSampleThreshold is the share of late samples in a round above which the window decreases.
 	lateSampleThreshold = 0.1
-	// minLateEndpointShare is the share of the endpoints that must have late samples: with fewer of them,
-	// only these are slow.
+	// minLateEndpointShare is the share of the endpoints that must have late samples. If fewer have them,
+	// only those endpoints are slow.
 	minLateEndpointShare = 0.25
-	// minLateEndpoints bounds that share below, in endpoints: two may be slow by chance.
+	// minLateEndpoints is the minimum number of endpoints with late samples: two may be slow by chance.
 	minLateEndpoints = 3
-	// minClassSamples is the number of samples in a round from which on a class has a late share of its own.
+	// minClassSamples is the number of samples in a round from which on a class has a late share of its
+	// own.
 	minClassSamples = 4
-	// minRoundSamples is the number of samples that end a round, so that its late share means something.
+	// minRoundSamples is the number of samples that a round needs to end, so that its late share is
+	// significant.
 	minRoundSamples = 8
-	// minLateRoundSamples is the number of late samples that end a round earlier, so that the window reacts.
+	// minLateRoundSamples is the number of late samples with which a round may end earlier.
 	minLateRoundSamples = 3
-	// lateObjectiveDivisor makes an answer late after this part of its latency objective: the window has to
-	// narrow before the objective is missed.
+	// lateObjectiveDivisor divides the latency objective into the latency above which an answer is late:
+	// the window has to decrease before the objective is missed.
 	lateObjectiveDivisor = 3
 
-	// maxWindowIncrease is the share of a small window by which one timely sample widens it.
+	// maxWindowIncrease is the maximum increase by one timely sample, as a share of the window; it limits
+	// the increase of a small window.
 	maxWindowIncrease = 0.05
-	// windowDecreaseFactor is the multiplicative decrease, for each round trip that a round lasted.
+	// windowDecreaseFactor is the multiplicative decrease for each round trip that a round has lasted.
 	windowDecreaseFactor = 0.85
-	// maxRoundTripsPerRound is the number of round trips that a long round stands for at most: half the
-	// window.
+	// maxRoundTripsPerRound is the maximum number of round trips counted for a long round. It limits the
+	// decrease to about half of the window.
 	maxRoundTripsPerRound = 4.0
-	// minWindow keeps the window open for one attempt in ten round trips, so that the gateway still learns.
+	// minWindow permits one attempt in ten round trips, so that the gateway still gets samples.
 	minWindow = 0.1
 
-	// fullShareToIncrease is the share of the window in flight from which on the window limits, and may widen.
+	// fullShareToIncrease is the share of the window that must be in flight for the window to count as the
+	// limit and increase.
 	fullShareToIncrease = 0.8
-	// nearlyFullShare is the share of the window in flight from which on requests are about to wait.
+	// nearlyFullShare is the share of the window in flight above which requests are about to wait.
 	nearlyFullShare = 0.7
 )
 
-// Limiter is the window of one gateway. It is not safe for concurrent use. Times are on the gateway's clock.
+// Limiter is the window of one gateway. It is not safe for concurrent use. Times are on the gateway's
+// clock.
 type Limiter struct {
 	latency      *latency.OverallMean
 	tickInterval time.Duration // time between two calls of EndRoundIfDue
 
-	window    float64       // attempts that may be in flight
-	inFlight  int           // attempts in flight that count
+	window    float64       // limit on the attempts in flight
+	inFlight  int           // attempts in flight, as counted by Acquire and Release
 	lastStart time.Duration // start of the last attempt
 
 	round         int // number of the current round; the first is 1
@@ -71,51 +76,51 @@
 	late   int
 }
 
-// EndpointSamples remembers in which round an endpoint last had a late sample. The zero value stands for
-// none.
+// EndpointSamples holds the last round in which an endpoint had a late sample. The zero value means none.
 type EndpointSamples struct {
 	lastLateRound int
 }
 
-// Sample tells how an attempt ended.
+// Sample describes the end of an attempt.
 type Sample struct {
 	Outcome          model.Outcome
 	Latency          time.Duration
-	LatencyObjective time.Duration    // of the request's class
-	LoadReport       model.LoadReport // of the endpoint, with the answer
-	RequestsQueued   bool             // requests wait for the window
+	LatencyObjective time.Duration    // objective of the request's class
+	LoadReport       model.LoadReport // load report that the endpoint sent with the answer
+	RequestsQueued   bool             // requests are waiting for the window
 }
 
-// New returns a limiter with an empty window. A round lasts one mean latency of overall, and two tick
-// intervals at least; tickInterval is the time between two calls of EndRoundIfDue.
+// New returns a limiter with a window of zero. A round lasts at least one mean latency of overall and at
+// least two tick intervals; tickInterval is the time between two calls of EndRoundIfDue.
 func New(overall *latency.OverallMean, tickInterval time.Duration) *Limiter {
 	return &Limiter{latency: overall, tickInterval: tickInterval, round: 1}
 }
 
-// AddClass lets a class count by itself when rounds end: a class that is answered in time keeps the window
-// open.
+// AddClass makes the samples of a class count separately when a round ends. The window does not decrease
+// while one class is answered in time.
 func (l *Limiter) AddClass(class *ClassSamples) { l.classes = append(l.classes, class) }
 
-// SetWindow sets the window, in attempts: where nothing has been learned yet.
+// SetWindow sets the window, in attempts, when nothing is known about the endpoints yet.
 func (l *Limiter) SetWindow(window float64) { l.window = window }
 
-// Window returns the number of attempts that may be in flight. It can be below 1.
+// Window returns the limit on attempts in flight. It can be below 1.
 func (l *Limiter) Window() float64 { return l.window }
 
-// InFlight returns the number of attempts in flight that count.
+// InFlight returns the number of attempts in flight that are counted.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Acquire counts an attempt that starts as in flight.
+// Acquire counts a starting attempt as in flight.
 func (l *Limiter) Acquire(now time.Duration) {
 	l.inFlight++
 	l.lastStart = now
 }
 
-// Release no longer counts an attempt as in flight: it has ended, or is overdue.
+// Release stops counting an attempt that has ended or is overdue.
 func (l *Limiter) Release() { l.inFlight-- }
 
-// HasCapacity reports whether another attempt may start. A window below 1 lets attempts start one by one,
-// with pauses of so many mean latencies that the mean number in flight is the window.
+// HasCapacity reports whether another attempt may start. A window below 1 permits one attempt at a time,
+// with pauses of 1/window mean latencies between two starts, so that the mean number in flight is the
+// window.
 func (l *Limiter) HasCapacity(now time.Duration) bool {
 	if float64(l.inFlight) >= l.window {
 		return false
@@ -128,8 +133,8 @@
 	return float64(l.inFlight) > max(1, nearlyFullShare*l.window)
 }
 
-// Record counts the end of an attempt for its class and endpoint, and widens the window on a timely one. Ends
-// that say nothing of the load, as that of a cancelled attempt, do not count.
+// Record counts the end of an attempt for its class and endpoint, and increases the window if the attempt
+// was timely. Outcomes that do not depend on the load, such as cancellation, are not counted.
 func (l *Limiter) Record(sample Sample, class *ClassSamples, endpoint *EndpointSamples) {
 	switch {
 	case sample.isLate():
@@ -139,8 +144,8 @@
 	}
 }
 
-// isLate reports whether the sample is a sign of overload. An answer that took long from an endpoint that
-// reports an empty queue is none: the request took long to process, or the machine is slow.
+// isLate reports whether the sample indicates overload. A slow answer from an endpoint that reports an
+// empty queue does not: the request took long to process, or the endpoint is slow.
 func (sample Sample) isLate() bool {
 	switch sample.Outcome {
 	case model.Rejected, model.TimedOut:
@@ -162,8 +167,8 @@
 	}
 }
 
-// recordTimely widens the window by about one attempt in a round trip, but only while the window is what
-// limits.
+// recordTimely increases the window by about one attempt per round trip, but only if the window is the
+// limit.
 func (l *Limiter) recordTimely(class *ClassSamples, requestsQueued bool) {
 	l.timelySamples++
 	class.timely++
@@ -172,9 +177,10 @@
 	}
 }
 
-// EndRoundIfDue ends the round once it has lasted a round trip and has enough samples, and narrows the window
-// where they show overload. The window stays above this gateway's share of one attempt in flight at each of
-// the endpoints; gatewaysPerEndpoint is the number of gateways that share one of them.
+// EndRoundIfDue ends the round if it has lasted a round trip and has enough samples, and decreases the
+// window if the samples indicate overload. The window does not decrease below minWindow or below this
+// gateway's share of one attempt in flight at each endpoint; gatewaysPerEndpoint is the number of gateways
+// that share one endpoint.
 func (l *Limiter) EndRoundIfDue(now time.Duration, endpoints int, gatewaysPerEndpoint float64) {
 	samples := float64(l.timelySamples + l.lateSamples)
 	if now < l.roundEnd || samples < minRoundSamples && l.lateSamples < minLateRoundSamples {
@@ -190,9 +196,9 @@
 	l.roundEnd = now + max(l.latency.Duration(), 2*l.tickInterval)
 }
 
-// takeLateShare returns the least share of late samples, of all samples or of those of one class, and clears
-// the counts of the classes. The class with the least share decides: requests of one class that take long are
-// no overload.
+// takeLateShare returns the lowest share of late samples, of all samples or of those of one class, and
+// resets the counts of the classes. The lowest share is used since slow requests of one class are not an
+// overload.
 func (l *Limiter) takeLateShare(overall float64) float64 {
 	least := overall
 	for _, class := range l.classes {
@@ -204,15 +210,15 @@
 	return least
 }
 
-// hasEnoughLateEndpoints reports whether the late samples come from so many endpoints that it is not the fault
-// of a few. With fewer samples than endpoints the samples bound how many can have shown anything.
+// hasEnoughLateEndpoints reports whether so many endpoints have late samples that the cause is not a few
+// slow endpoints. If there are fewer samples than endpoints, the required share refers to the samples.
 func (l *Limiter) hasEnoughLateEndpoints(samples, endpoints float64) bool {
 	enough := max(min(minLateEndpoints, endpoints), minLateEndpointShare*min(samples, endpoints))
 	return float64(l.lateEndpoints) >= enough
 }
 
-// decreaseFactor is the factor on the window of a round that shows overload. A gateway with few requests fills a
-// round slowly; the round then stands for the round trips that have gone by meanwhile.
+// decreaseFactor returns the factor on the window after a round that indicates overload. With few requests
+// a round has lasted several round trips; the decrease then applies once for each of them.
 func (l *Limiter) decreaseFactor(now time.Duration) float64 {
 	roundTrip := max(l.latency.Seconds(), l.tickInterval.Seconds())
 	roundTrips := min(1+(now-l.roundEnd).Seconds()/roundTrip, maxRoundTripsPerRound)
--- a/policy/limiter/limiter_test.go
+++ b/policy/limiter/limiter_test.go
@@ -23,7 +23,7 @@
 	return Sample{Outcome: outcome, Latency: took, LatencyObjective: objective}
 }
 
-func TestLateAnswerCountsOnlyWhereRequestsWaitAtTheEndpoint(t *testing.T) {
+func TestSlowAnswerIsLateOnlyIfRequestsWaitAtTheEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome model.Outcome
@@ -47,7 +47,8 @@
 		s.LoadReport = c.load
 		l.Record(s, &ClassSamples{}, &EndpointSamples{})
 		if l.lateSamples != c.late || l.timelySamples != c.timely {
-			t.Errorf("%s: %d late and %d timely, want %d and %d", c.name, l.lateSamples, l.timelySamples, c.late, c.timely)
+			t.Errorf("%s: got %d late and %d timely samples, want %d and %d", c.name, l.lateSamples, l.timelySamples,
+				c.late, c.timely)
 		}
 	}
 }
@@ -71,7 +72,7 @@
 		s.RequestsQueued = c.queued
 		l.Record(s, &ClassSamples{}, &EndpointSamples{})
 		if l.Window() != c.want {
-			t.Errorf("%s: window %v, want %v", c.name, l.Window(), c.want)
+			t.Errorf("%s: got window %v, want %v", c.name, l.Window(), c.want)
 		}
 	}
 }
@@ -80,14 +81,14 @@
 	l := newLimiter(2)
 	for i, want := range []bool{true, true, false} {
 		if got := l.HasCapacity(0); got != want {
-			t.Errorf("%d in flight: capacity %v, want %v", i, got, want)
+			t.Errorf("%d in flight: got capacity %v, want %v", i, got, want)
 		}
 		l.Acquire(0)
 	}
 	l.Release()
 	l.Release()
 	if !l.HasCapacity(0) || l.InFlight() != 1 {
-		t.Errorf("capacity %v with %d in flight, want some with 1", l.HasCapacity(0), l.InFlight())
+		t.Errorf("got capacity %v with %d in flight, want true with 1", l.HasCapacity(0), l.InFlight())
 	}
 }
 
@@ -100,10 +101,10 @@
 	l.Acquire(time.Minute)
 	l.Release()
 	if l.HasCapacity(time.Minute + 190*ms) {
-		t.Error("capacity before two mean latencies have passed")
+		t.Error("got capacity before two mean latencies have passed, want none")
 	}
 	if !l.HasCapacity(time.Minute + 210*ms) {
-		t.Error("no capacity after two mean latencies")
+		t.Error("got no capacity after two mean latencies, want some")
 	}
 }
 
@@ -115,18 +116,18 @@
 		l.Record(sample(model.TimedOut, 0), &ClassSamples{}, &endpoints[i%12])
 	}
 	l.EndRoundIfDue(now, 12, 1)
-	narrowed := l.Window()
-	if narrowed >= 100 || narrowed < 100*0.5 {
-		t.Fatalf("window %v after a round of late samples, want it narrowed by half at most", narrowed)
+	decreased := l.Window()
+	if decreased >= 100 || decreased < 100*0.5 {
+		t.Fatalf("got window %v after a round of late samples, want at least 50 and less than 100", decreased)
 	}
 	for i := range 24 {
 		l.Record(sample(model.TimedOut, 0), &ClassSamples{}, &endpoints[i%12])
 	}
-	if l.EndRoundIfDue(now+19*ms, 12, 1); l.Window() != narrowed {
-		t.Errorf("window %v before the round is over, want %v", l.Window(), narrowed)
+	if l.EndRoundIfDue(now+19*ms, 12, 1); l.Window() != decreased {
+		t.Errorf("got window %v before the end of the round, want %v", l.Window(), decreased)
 	}
-	if l.EndRoundIfDue(now+20*ms, 12, 1); l.Window() >= narrowed {
-		t.Errorf("window %v after a second round, want less than %v", l.Window(), narrowed)
+	if l.EndRoundIfDue(now+20*ms, 12, 1); l.Window() >= decreased {
+		t.Errorf("got window %v after a second round, want less than %v", l.Window(), decreased)
 	}
 }
 
@@ -137,11 +138,11 @@
 		l.Record(sample(model.TimedOut, 0), &ClassSamples{}, &endpoints[i%2])
 	}
 	if l.EndRoundIfDue(time.Minute, 12, 1); l.Window() != 100 {
-		t.Errorf("window %v, narrowed by two endpoints of twelve", l.Window())
+		t.Errorf("got window %v after late samples of two endpoints of twelve, want 100", l.Window())
 	}
 }
 
-func TestOneTimelyClassKeepsTheWindow(t *testing.T) {
+func TestTimelyClassKeepsTheWindow(t *testing.T) {
 	for _, registered := range []bool{true, false} {
 		l := newLimiter(100)
 		endpoints := make([]EndpointSamples, 4)
@@ -156,12 +157,12 @@
 		}
 		l.EndRoundIfDue(time.Minute, 4, 1)
 		if kept := l.Window() == 100; kept != registered {
-			t.Errorf("classes added %v: window %v", registered, l.Window())
+			t.Errorf("classes added %v: got window %v, want 100 only if added", registered, l.Window())
 		}
 	}
 }
 
-func TestWindowStaysAboveTheGatewaysShareOfTheEndpoints(t *testing.T) {
+func TestWindowStaysAtOrAboveTheGatewaysShareOfTheEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		endpoints           int
 		gatewaysPerEndpoint float64
@@ -178,7 +179,7 @@
 			l.EndRoundIfDue(now, c.endpoints, c.gatewaysPerEndpoint)
 		}
 		if l.Window() != c.want {
-			t.Errorf("window %v for %d endpoints of %v gateways each, want %v", l.Window(), c.endpoints,
+			t.Errorf("got window %v for %d endpoints of %v gateways each, want %v", l.Window(), c.endpoints,
 				c.gatewaysPerEndpoint, c.want)
 		}
 	}
--- a/policy/model/outcome.go
+++ b/policy/model/outcome.go
@@ -1,16 +1,16 @@
 package model
 
-// Outcome tells how an attempt, a health check or a call of the shared counter ended.
+// Outcome is the result of an attempt, a health check or a call of the shared counter.
 type Outcome uint8
 
-// Outcomes; a reader takes anything it does not know for Failed, which may have been executed.
+// Outcomes. An unknown value is treated as Failed, which may have been executed.
 const (
 	Failed        Outcome = iota // answered with an error
-	Succeeded                    // served
-	Rejected                     // rejected before it was processed: not executed
+	Succeeded                    // answered successfully
+	Rejected                     // rejected before processing: not executed
 	TimedOut                     // no answer in time
 	ConnectFailed                // no connection: not executed
-	Reset                        // the connection broke
+	Reset                        // connection broken
 	Cancelled                    // cancelled by the gateway
 	NotSent                      // cancelled before its first byte was written: not executed
 )
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -23,11 +23,11 @@
 	}
 	want := []string{"high 1", "high 2", "middle", "low 1", "low 2", "zero"}
 	if got := items(&q); !slices.Equal(got, want) {
-		t.Errorf("order %q, want %q", got, want)
+		t.Errorf("got order %q, want %q", got, want)
 	}
 }
 
-func TestRemovedItemLeavesTheOrderOfTheOthers(t *testing.T) {
+func TestRemovalKeepsTheOrderOfOtherItems(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		remove func(q *Queue[string])
@@ -48,7 +48,7 @@
 			}
 			c.remove(&q)
 			if got := items(&q); !slices.Equal(got, c.want) {
-				t.Errorf("order %q, want %q", got, c.want)
+				t.Errorf("got order %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/policy/quota/callthrottle.go
+++ b/policy/quota/callthrottle.go
@@ -9,10 +9,11 @@
 const (
 	// minCallShare is the minimum share of requests that call the counter, so that its recovery is noticed.
 	minCallShare = 0.05
-	// minHealthyCallShare is the share of requests calling the counter below which it counts as
+	// minHealthyCallShare is the share of requests calling the counter below which the counter counts as
 	// unavailable.
 	minHealthyCallShare = 0.3
-	// spareCallShare is the share of requests calling the counter from which on it has spare calls.
+	// spareCallShare is the share of requests calling the counter from which on the counter has spare
+	// calls.
 	spareCallShare = 0.99
 	// callShareFactorOnFailure is the multiplicative decrease after a failed call, whose work is wasted.
 	callShareFactorOnFailure = 0.7
--- a/policy/quota/ceiling.go
+++ b/policy/quota/ceiling.go
@@ -6,7 +6,7 @@
 // the usage before a restart is unknown.
 type ceilingBucket struct {
 	tokens    float64       // level in units
-	updatedAt time.Duration // time of tokens
+	updatedAt time.Duration // time to which tokens refers
 }
 
 // hasCeiling reports whether the customer has a ceiling. If so, each window of its central bucket grants at
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -8,7 +8,7 @@
 	Customer       string
 	Plan           string
 	PriorityWeight float64 // weight of its class, before the plan's price
-	Units          float64 // cost of the request, above 0
+	Units          float64 // units charged to its quotas, above 0
 	GatewaySpan    int     // number of gateways at which the customer's requests arrive
 	FirstGateway   int     // index of the first of these gateways
 	IsRetry        bool    // the client has marked it as a retry
@@ -26,12 +26,12 @@
 	semaphoreName          string // name on the counter under which the permits were acquired
 	id                     model.RequestID
 	isRetry                bool
-	leaseCharged           bool // its units were taken from the lease
-	claimCharged           bool // its units were claimed from the central bucket
-	ceilingGranted         bool // the counter has granted it within the ceiling
-	dispatched             bool // its first attempt has started
+	leaseCharged           bool // the units were taken from the lease
+	claimCharged           bool // the units were claimed from the central bucket
+	ceilingGranted         bool // the counter has granted the units within the ceiling
+	dispatched             bool // the first attempt has started
 	mayHaveReachedEndpoint bool // an attempt may have reached an endpoint
-	finished               bool // it has its final answer
+	finished               bool // the request has its final answer
 }
 
 // NewCharge returns the account of a new request, to be passed to Admit.
--- a/policy/quota/lease.go
+++ b/policy/quota/lease.go
@@ -19,7 +19,7 @@
 type lease struct {
 	tokens              float64       // units that this gateway may still spend
 	estimatedTokens     float64       // level of the token bucket in units, without the known leases
-	estimatedAt         time.Duration // time of estimatedTokens
+	estimatedAt         time.Duration // time to which estimatedTokens refers
 	refreshedAt         time.Duration // time up to which tokens and demandRate are computed
 	demandRate          float64       // units a second that requests at this gateway need
 	remoteUsageRate     float64       // units a second that the other gateways use
