--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -44,7 +44,7 @@
 }
 
 // expire invalidates the cache, so that the next use computes the capacity again.
-func (c *capacityCache) expire(interval time.Duration) { c.computedAt = -interval }
+func (cache *capacityCache) expire(interval time.Duration) { cache.computedAt = -interval }
 
 // answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -45,9 +45,9 @@
 	// minWindow permits one attempt in ten round trips, so that the gateway still gets samples.
 	minWindow = 0.1
 
-	// fullShareToIncrease is the share of the window that must be in flight for the window to count as the
-	// limit and increase.
-	fullShareToIncrease = 0.8
+	// limitingWindowShare is the share of the window in flight from which on the window counts as the
+	// limit, and may increase.
+	limitingWindowShare = 0.8
 	// nearlyFullShare is the share of the window in flight above which requests are about to wait.
 	nearlyFullShare = 0.7
 )
@@ -172,7 +172,7 @@
 func (l *Limiter) recordTimely(class *ClassSamples, requestsQueued bool) {
 	l.timelySamples++
 	class.timely++
-	if float64(l.inFlight) >= fullShareToIncrease*l.window-1 || requestsQueued {
+	if float64(l.inFlight) >= limitingWindowShare*l.window-1 || requestsQueued {
 		l.window += min(1/l.window, l.window*maxWindowIncrease)
 	}
 }
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -51,7 +51,7 @@
 // a second call.
 func TestTotalOfACentralBucketIsCorrected(t *testing.T) {
 	const add = 2.0
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		usedBefore func(refilled float64) float64 // total before the request's own add
 		sent       bool
@@ -63,14 +63,14 @@
 		{"overflowed by much", func(f float64) float64 { return f - 6 }, true, func(float64) float64 { return 6 }},
 		{"empty", func(f float64) float64 { return f + 7 }, false, func(float64) float64 { return -add }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			g, call := newCentralCall(t, "thin")
 			refilled := g.refilled()
-			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: c.usedBefore(refilled) + add})
-			if sent := len(got.sent) == 1; sent != c.sent {
-				t.Errorf("got sent %v, want %v", sent, c.sent)
+			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: test.usedBefore(refilled) + add})
+			if sent := len(got.sent) == 1; sent != test.sent {
+				t.Errorf("got sent %v, want %v", sent, test.sent)
 			}
-			want := c.correction(refilled)
+			want := test.correction(refilled)
 			if corrected := sumOfAdds(got.calls); corrected < want-0.01 || corrected > want+0.01 {
 				t.Errorf("got a correction by %v, want %v", corrected, want)
 			}
@@ -96,7 +96,7 @@
 // Two gateways may correct the total of a new window from the same value. The second correction must be
 // reverted: otherwise the customer would be rejected until the window ends.
 func TestDuplicateCorrectionIsReverted(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name             string
 		otherCorrections float64 // corrections by other gateways before the reply to this one
 		wantReverted     int
@@ -104,7 +104,7 @@
 		{"no other gateway", 0, 0},
 		{"another gateway", 1, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			g, call := newCentralCall(t, "thick")
 			const claimedBefore = 1.0 // unit claimed by another gateway just before
 			claimTotal := call.Add + claimedBefore
@@ -112,11 +112,11 @@
 			if len(corrections) != 1 || corrections[0].Add <= 0 {
 				t.Fatalf("got calls %v, want one that corrects the total", corrections)
 			}
-			total := claimTotal + corrections[0].Add*(1+c.otherCorrections)
+			total := claimTotal + corrections[0].Add*(1+test.otherCorrections)
 			reverted := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}).calls
-			if len(reverted) != c.wantReverted || c.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
+			if len(reverted) != test.wantReverted || test.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
 				t.Errorf("got calls %v after a correction of %v, want %d that reverts it", reverted,
-					corrections[0].Add, c.wantReverted)
+					corrections[0].Add, test.wantReverted)
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 // gets no second burst.
 func TestDeficitIsCarriedIntoTheNextWindow(t *testing.T) {
 	const rate, elapsed = 14.0, 2.0
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		deficit float64 // units at the end of the previous window
 		carried float64 // units; the rate has refilled for 2 s since
@@ -160,7 +160,7 @@
 		{"less than was refilled", 20, 0},
 		{"nearly all", 45, 45 - elapsed*rate},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			g := newCentralGateway(t)
 			customer := g.customer("thick", largeGatewaySpan)
 			window := customer.bucket.windowLength
@@ -170,10 +170,10 @@
 			if len(calls) == 0 || calls[0].Name == call.Name || calls[0].Add != 0 {
 				t.Fatalf("got calls %v, want one that reads the previous window's name first", calls)
 			}
-			previousUsage := rate*window.Seconds() + c.deficit
+			previousUsage := rate*window.Seconds() + test.deficit
 			got := sumOfAdds(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
-			if got < c.carried-0.1 || got > c.carried+0.1 {
-				t.Errorf("got deficit %v carried over, want %v", got, c.carried)
+			if got < test.carried-0.1 || got > test.carried+0.1 {
+				t.Errorf("got deficit %v carried over, want %v", got, test.carried)
 			}
 		})
 	}
--- a/policy/quota/callthrottle_test.go
+++ b/policy/quota/callthrottle_test.go
@@ -9,7 +9,7 @@
 
 // Each gateway must call less when the counter's delay grows, before calls fail.
 func TestCallShareFollowsTheDelayOfTheCounter(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		outcome    model.Outcome
 		delay      time.Duration
@@ -21,12 +21,12 @@
 		{"fast", model.Succeeded, 5 * ms, false, true},
 		{"error reply", model.Failed, 5 * ms, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			throttle := newCallThrottle(50 * ms)
 			throttle.callShare = 0.5
-			throttle.adapt(c.outcome, c.delay)
-			if got := throttle.callShare; got < 0.5 != c.less || got > 0.5 != c.more {
-				t.Errorf("got share %v after 0.5, want less %v, more %v", got, c.less, c.more)
+			throttle.adapt(test.outcome, test.delay)
+			if got := throttle.callShare; got < 0.5 != test.less || got > 0.5 != test.more {
+				t.Errorf("got share %v after 0.5, want less %v, more %v", got, test.less, test.more)
 			}
 		})
 	}
