--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -38,9 +38,9 @@
 
 // capacityCache holds cached sums over the serving endpoints.
 type capacityCache struct {
-	computedAt          time.Duration // time of the computation
-	warmEquivalents     float64       // capacity in warm endpoints: sum of the slow-start weights
-	warmConnectionShare float64       // share of the warm endpoints that probably have a warm connection
+	computedAt          time.Duration
+	warmEquivalents     float64 // capacity in warm endpoints: sum of the slow-start weights
+	warmConnectionShare float64 // share of the warm endpoints that probably have a warm connection
 }
 
 // expire invalidates the cache, so that the next use computes the capacity again.
@@ -48,8 +48,8 @@
 
 // answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
-	lastAnswerAt time.Duration // time of the last answer
-	perSecond    float64       // answers a second, with a time constant of one second
+	lastAnswerAt time.Duration
+	perSecond    float64 // answers a second, with a time constant of one second
 
 	spanAnswersPerSecond     float64 // answers a second, with the budget span as the time constant
 	spanCapacity             float64 // capacity in warm endpoints, with the budget span as the time constant
--- a/policy/quota/customer.go
+++ b/policy/quota/customer.go
@@ -39,7 +39,7 @@
 	unreportedUnits  float64 // units to be added by the next call
 	callsInFlight    []pendingCall
 	attemptsInFlight int
-	lastRequestAt    time.Duration // time of its last request
+	lastRequestAt    time.Duration
 }
 
 // customerFor returns the customer of a request. A new customer has the plan of its first request.
