--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -39,14 +39,14 @@
 	return b
 }
 
-func serving(ids ...model.EndpointID) (endpoints []model.Endpoint) {
+func servingEndpoints(ids ...model.EndpointID) (endpoints []model.Endpoint) {
 	for _, id := range ids {
 		endpoints = append(endpoints, model.Endpoint{ID: id, Zone: "a", State: model.Serving})
 	}
 	return endpoints
 }
 
-func ids(b *Balancer) string {
+func servingIDs(b *Balancer) string {
 	names := []model.EndpointID{}
 	for _, e := range b.ServingEndpoints() {
 		names = append(names, e.ID)
@@ -54,7 +54,7 @@
 	return fmt.Sprint(names)
 }
 
-func attemptAt(b *Balancer, now time.Duration, e *Endpoint) *Attempt {
+func startAttempt(b *Balancer, now time.Duration, e *Endpoint) *Attempt {
 	a := &Attempt{Endpoint: e}
 	b.AttemptStarted(now, a)
 	return a
@@ -66,56 +66,56 @@
 		change Change
 		want   string
 	}{
-		{"one more", Change{Endpoints: serving("t")}, "[s t u]"},
+		{"one more", Change{Endpoints: servingEndpoints("t")}, "[s t u]"},
 		{"one draining", Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Draining}}}, "[u]"},
 		{"one removed", Change{Endpoints: []model.Endpoint{{ID: "u", State: model.Removed}}}, "[s]"},
 		{"one in an unknown state", Change{Endpoints: []model.Endpoint{{ID: "u", State: 9}}}, "[s]"},
-		{"snapshot without one", Change{Snapshot: true, Endpoints: serving("u")}, "[u]"},
+		{"snapshot without one", Change{Snapshot: true, Endpoints: servingEndpoints("u")}, "[u]"},
 		{"empty snapshot", Change{Snapshot: true}, "[]"},
 		{"no change", Change{}, "[s u]"},
 	} {
-		b := newBalancer(testConfig(), serving("u", "s")...)
+		b := newBalancer(testConfig(), servingEndpoints("u", "s")...)
 		b.Apply(start, c.change)
-		if got := ids(b); got != c.want {
-			t.Errorf("%s: serving %s, want %s", c.name, got, c.want)
+		if got := servingIDs(b); got != c.want {
+			t.Errorf("%s: got serving endpoints %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// Endpoints come under ever new ids: the map of endpoints must not grow for good.
-func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s")...)
-	a := attemptAt(b, start, b.ServingEndpoints()[0])
-	b.Apply(start, Change{Endpoints: append(serving("u"), model.Endpoint{ID: "s", State: model.Removed})})
+// Endpoints get ever new ids: the map of endpoints must not grow without bound.
+func TestRemovedEndpointIsDeletedOnceNothingIsInFlight(t *testing.T) {
+	b := newBalancer(testConfig(), servingEndpoints("s")...)
+	a := startAttempt(b, start, b.ServingEndpoints()[0])
+	b.Apply(start, Change{Endpoints: append(servingEndpoints("u"), model.Endpoint{ID: "s", State: model.Removed})})
 	if len(b.endpoints) != 2 {
-		t.Fatal("forgotten while an attempt is in flight")
+		t.Fatal("got a removed endpoint deleted while an attempt is in flight, want it kept")
 	}
 	b.AttemptEnded(a)
-	b.Apply(start, Change{Endpoints: serving("v")})
-	if b.endpoints["s"] != nil || len(b.endpoints) != 2 || ids(b) != "[u v]" {
-		t.Fatalf("endpoints %v, serving %s", b.endpoints, ids(b))
+	b.Apply(start, Change{Endpoints: servingEndpoints("v")})
+	if b.endpoints["s"] != nil || len(b.endpoints) != 2 || servingIDs(b) != "[u v]" {
+		t.Fatalf("got endpoints %v, serving %s; want only u and v", b.endpoints, servingIDs(b))
 	}
 }
 
-func TestRestartedEndpointKeepsItsAttemptsAndNothingElse(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s", "u")...)
+func TestRestartedEndpointKeepsOnlyItsAttemptsInFlight(t *testing.T) {
+	b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
 	e := b.ServingEndpoints()[0]
-	first, second := attemptAt(b, start, e), attemptAt(b, start, e)
+	first, second := startAttempt(b, start, e), startAttempt(b, start, e)
 	for range failuresToEject {
 		b.RecordFailure(start, e)
 	}
-	if !e.ejected(start + ms) {
-		t.Fatal("not ejected before the restart")
+	if !e.isEjected(start + ms) {
+		t.Fatal("got the endpoint not ejected before the restart, want it ejected")
 	}
 	b.Apply(start+ms, Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
-	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.ejected(start+ms) || e.consecutiveFailures != 0 {
-		t.Fatalf("%d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(), e.ejected(start+ms),
-			e.consecutiveFailures)
+	if b.ServingEndpoints()[0] != e || e.InFlight() != 2 || e.isEjected(start+ms) || e.consecutiveFailures != 0 {
+		t.Fatalf("got %d in flight, ejected %v, %d failures; want 2, false and 0", e.InFlight(),
+			e.isEjected(start+ms), e.consecutiveFailures)
 	}
 	b.AttemptEnded(first)
 	b.AttemptEnded(second)
 	if e.InFlight() != 0 {
-		t.Errorf("%d in flight after both have ended", e.InFlight())
+		t.Errorf("got %d in flight after both attempts have ended, want 0", e.InFlight())
 	}
 }
 
@@ -130,19 +130,19 @@
 		b := newBalancer(testConfig())
 		var list []model.Endpoint
 		for i := range c.endpoints {
-			list = append(list, serving(model.EndpointID(fmt.Sprint("s", i)))...)
+			list = append(list, servingEndpoints(model.EndpointID(fmt.Sprint("s", i)))...)
 		}
 		b.Apply(start, Change{Snapshot: true, Endpoints: list, GatewaysPerEndpoint: c.gatewaysPerEndpoint})
 		if got := b.InitialAttempts(); got != c.want {
-			t.Errorf("%d endpoints of %v gateways: %v initial attempts, want %v", c.endpoints, c.gatewaysPerEndpoint, got,
-				c.want)
+			t.Errorf("%d endpoints of %v gateways: got %v initial attempts, want %v", c.endpoints,
+				c.gatewaysPerEndpoint, got, c.want)
 		}
 	}
 }
 
 func TestPickAvoidsBusySlowAndFailingEndpoints(t *testing.T) {
-	for name, burden := range map[string]func(b *Balancer, e *Endpoint){
-		"attempt in flight": func(b *Balancer, e *Endpoint) { attemptAt(b, start, e) },
+	for name, degrade := range map[string]func(b *Balancer, e *Endpoint){
+		"attempt in flight": func(b *Balancer, e *Endpoint) { startAttempt(b, start, e) },
 		"slow answers": func(b *Balancer, e *Endpoint) {
 			for range 5 {
 				b.RecordSuccess(start, e, 4)
@@ -155,43 +155,43 @@
 			}
 		},
 	} {
-		b := newBalancer(testConfig(), serving("s", "u")...)
-		burden(b, b.ServingEndpoints()[0])
+		b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
+		degrade(b, b.ServingEndpoints()[0])
 		for range 50 {
 			if e := b.Pick(start+ms, Query{}); e.ID != "u" {
-				t.Errorf("%s: picked %s", name, e.ID)
+				t.Errorf("%s: got endpoint %s, want u", name, e.ID)
 			}
 		}
 	}
 }
 
 func TestEjectedEndpointIsTriedByOneAttemptAtATime(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s")...)
+	b := newBalancer(testConfig(), servingEndpoints("s")...)
 	e := b.ServingEndpoints()[0]
 	for range failuresToEject {
 		b.RecordFailure(start, e)
 	}
 	if b.Pick(start, Query{}) != e {
-		t.Error("the only endpoint is not picked while it is ejected")
+		t.Error("got the only endpoint not picked while it is ejected, want it picked")
 	}
-	if !e.ejected(start + objective - ms) {
-		t.Error("back before its time")
+	if !e.isEjected(start + objective - ms) {
+		t.Error("got the ejection over too early, want it to last one latency objective")
 	}
-	if e.ejected(start + objective) {
-		t.Error("still ejected after its time")
+	if e.isEjected(start + objective) {
+		t.Error("got the endpoint still ejected after one latency objective, want it available")
 	}
-	a := attemptAt(b, start+objective, e)
-	if !e.ejected(start + objective) {
-		t.Error("open for a second attempt while the first is in flight")
+	a := startAttempt(b, start+objective, e)
+	if !e.isEjected(start + objective) {
+		t.Error("got the endpoint available while its first attempt is in flight, want it ejected")
 	}
 	b.AttemptEnded(a)
 	b.RecordFailure(start+objective, e)
-	if !e.ejected(start + 3*objective - ms) {
-		t.Error("a further failure did not double the time")
+	if !e.isEjected(start + 3*objective - ms) {
+		t.Error("got the ejection over too early after a further failure, want it doubled")
 	}
 	b.RecordSuccess(start+3*objective, e, 1)
-	if e.ejected(start + 3*objective) {
-		t.Error("still ejected after a success")
+	if e.isEjected(start + 3*objective) {
+		t.Error("got the endpoint still ejected after a success, want it available")
 	}
 }
 
@@ -207,27 +207,27 @@
 		for range 20 {
 			if e := b.Pick(start, Query{MaybeExecutedAt: executed, DeduplicationScope: scope}); e != nil {
 				picked[e.ID] = true
-				attemptAt(b, start, e)
+				startAttempt(b, start, e)
 			}
 		}
 		if len(picked) != want {
-			t.Errorf("scope %d: picked %v, want %d endpoints", scope, picked, want)
+			t.Errorf("scope %d: got endpoints %v, want %d of them", scope, picked, want)
 		}
 	}
 }
 
 func TestTriedEndpointIsTheLastResort(t *testing.T) {
-	b := newBalancer(testConfig(), serving("s", "u")...)
+	b := newBalancer(testConfig(), servingEndpoints("s", "u")...)
 	tried := b.ServingEndpoints()[0]
 	for range 5 {
 		if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e.ID != "u" {
-			t.Errorf("picked %s, which was tried", e.ID)
+			t.Errorf("got endpoint %s, which was tried, want u", e.ID)
 		}
-		attemptAt(b, start, b.ServingEndpoints()[1])
+		startAttempt(b, start, b.ServingEndpoints()[1])
 	}
-	b.Apply(start, Change{Snapshot: true, Endpoints: serving("s")})
+	b.Apply(start, Change{Snapshot: true, Endpoints: servingEndpoints("s")})
 	if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e != tried {
-		t.Errorf("picked %v, want the tried one where there is no other", e)
+		t.Errorf("got endpoint %v, want the tried one since there is no other", e)
 	}
 }
 
@@ -241,7 +241,7 @@
 	} {
 		e := &Endpoint{Endpoint: model.Endpoint{StartedAt: c.startedAt}}
 		if got := b.slowStartWeight(start, e); got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("started %v before: weight %v, want %v", start-c.startedAt, got, c.want)
+			t.Errorf("started %v before: got weight %v, want %v", start-c.startedAt, got, c.want)
 		}
 	}
 }
@@ -256,15 +256,15 @@
 		if e == nil {
 			continue
 		}
-		// A warm endpoint is taken to answer 4/2 a second here: 1.5 x 0.2 to 1.5 x 0.44 of that.
+		// The assumed rate of a warm endpoint is 4/2 answers a second; the limit is 1.5 x 0.2 to 1.5 x 0.44 of it.
 		if pause := now - last; last > 0 && pause < 750*ms {
-			t.Errorf("pause of %v between two attempts", pause)
+			t.Errorf("got an interval of %v between two attempts, want at least 750ms", pause)
 		}
-		b.AttemptEnded(attemptAt(b, now, e))
+		b.AttemptEnded(startAttempt(b, now, e))
 		last = now
 		attempts++
 	}
 	if attempts == 0 || attempts > 4 {
-		t.Errorf("%d attempts in 3 s, want 1 to 4", attempts)
+		t.Errorf("got %d attempts in 3 s, want 1 to 4", attempts)
 	}
 }
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// permitWindowDeadlines is the window of a permit name in longest deadlines: few attempts outlast it.
-	permitWindowDeadlines = 4
-	// minPermitWindow is the shortest window of a permit name.
-	minPermitWindow = 4 * time.Second
-	// maxPermitWindow is the longest window of a permit name: the counter has to keep names for two windows.
-	maxPermitWindow = 30 * time.Second
+	// semaphoreWindowDeadlines is the length of the window in a semaphore's name, in longest deadlines: few
+	// attempts last longer.
+	semaphoreWindowDeadlines = 4
+	// minSemaphoreWindow is the shortest window in a semaphore's name.
+	minSemaphoreWindow = 4 * time.Second
+	// maxSemaphoreWindow is the longest window in a semaphore's name: the counter has to keep names for two
+	// windows.
+	maxSemaphoreWindow = 30 * time.Second
 )
 
-// semaphore is what this gateway knows of a customer's permits.
+// semaphore is this gateway's state of a customer's permits.
 type semaphore struct {
-	grantEstimate                // of this customer alone
-	samples        int           // replies in the estimate
-	window         int64         // window of the present name
-	held           int           // permits that this gateway holds under the present name
-	unreported     int           // permits that the next call has to add, since calls were not executed
-	exhaustedUntil time.Duration // all permits are taken until then
+	grantEstimate                   // grants of this customer only
+	samples           int           // number of replies in the estimate
+	window            int64         // window in the current name
+	held              int           // permits that this gateway holds under the current name
+	unreportedPermits int           // permits to be added by the next call, since a call was not executed
+	exhaustedUntil    time.Duration // time until which no permit is expected to be free
 }
 
-// usesSemaphore reports whether the limit on concurrent attempts is held by permits. A limit of at least one
-// attempt for each gateway is split instead.
+// usesSemaphore reports whether permits on the counter enforce the limit on concurrent attempts. A limit of
+// at least one attempt for each gateway is divided among the gateways instead.
 func (m *Manager) usesSemaphore(c *customer) bool {
 	return m.config.HasSharedCounter && c.gatewaySpan > c.plan.MaxConcurrency
 }
 
-// acquirePermit decides on a request that is inside its rate by the limit on concurrent attempts, or calls
-// the counter for a permit.
+// acquirePermit decides, by the limit on concurrent attempts, on a request that is within its rate, or
+// calls the counter for a permit.
 func (m *Manager) acquirePermit(charge *Charge) Decision {
 	c := charge.customer
 	calledShare := &c.plan.permitGrants.calledShare
@@ -42,28 +44,28 @@
 	}
 	if m.usesSemaphore(c) && m.shouldCallForPermit(charge) {
 		updateShare(calledShare, true, grantGain)
-		m.callSemaphore(c, pendingCall{name: m.semaphoreName(c), charge: charge, claim: 1})
+		m.callCounterForPermits(c, pendingCall{name: m.semaphoreName(c), charge: charge, claim: 1})
 		return pending
 	}
 	updateShare(calledShare, false, grantGain)
 	return m.decideWithoutPermit(charge)
 }
 
-// decideWithoutPermit decides by the estimated probability that a permit is free. Requests that it admits are
-// limited to this gateway's share of the attempts; see MayDispatch. For a customer with a rate that share
-// alone decides.
+// decideWithoutPermit decides by the estimated probability that a permit is free. Attempts of the admitted
+// requests are limited to this gateway's share of the limit; see MayDispatch. For a customer with a rate,
+// or one that does not use the semaphore, only that share limits the attempts.
 func (m *Manager) decideWithoutPermit(charge *Charge) Decision {
 	c := charge.customer
 	if charge.plan.Rate > 0 || !m.usesSemaphore(c) {
 		return admitted
 	}
-	if worthAdmitting(charge, c.permitProbabilityUncalled(charge)) {
+	if worthAdmitting(charge, c.permitProbabilityWithoutCall(charge)) {
 		return admitted
 	}
 	return rejected(m.host.MeanLatency())
 }
 
-// handleSemaphoreReply takes the reply to a call by a permit name.
+// handleSemaphoreReply handles the reply to a call for a semaphore.
 func (m *Manager) handleSemaphoreReply(c *customer, call pendingCall, reply Reply) Decision {
 	m.repairSemaphore(c, &call, reply)
 	if call.charge == nil {
@@ -72,32 +74,32 @@
 	return m.handlePermitReply(call, reply)
 }
 
-// repairSemaphore takes back the permits of a call that was not executed, and corrects the total of a counter
-// that has lost its numbers.
+// repairSemaphore reverts the permits of a call that was not executed, and corrects the total of a counter
+// that has lost its data.
 func (m *Manager) repairSemaphore(c *customer, call *pendingCall, reply Reply) {
 	isPresentName := call.name == m.semaphoreName(c)
 	if reply.Outcome.NotExecuted() {
 		if isPresentName {
 			c.permits.held -= int(call.claim + call.adjustment)
-			c.permits.unreported += int(call.adjustment)
+			c.permits.unreportedPermits += int(call.adjustment)
 		}
 		call.claim = 0
 	}
 	missing := float64(c.permits.held) - reply.Total
 	if reply.Outcome == model.Succeeded && isPresentName && missing > 0 && !c.hasCallInFlight(call.name) {
-		m.call(c, pendingCall{name: call.name, adjustment: missing}, m.permitWindow())
+		m.callCounter(c, pendingCall{name: call.name, adjustment: missing}, m.semaphoreWindowLength())
 	}
 }
 
-// handlePermitReply decides on a request by the reply to its call for a permit.
+// handlePermitReply decides on a request from the reply to its call for a permit.
 func (m *Manager) handlePermitReply(call pendingCall, reply Reply) Decision {
 	charge := call.charge
 	c := charge.customer
 	charge.permits = int(call.claim)
-	charge.permitName = call.name
+	charge.semaphoreName = call.name
 	granted := reply.Total <= float64(charge.plan.MaxConcurrency)
 	if reply.Outcome == model.Succeeded {
-		c.recordPermit(charge, granted)
+		c.recordPermitReply(charge, granted)
 	}
 	switch {
 	case charge.finished:
@@ -129,33 +131,34 @@
 // hedge or retry.
 func (m *Manager) adjustPermits(charge *Charge, permits int) {
 	difference := float64(permits - charge.permits)
-	m.callSemaphore(charge.customer, pendingCall{name: charge.permitName, adjustment: difference})
+	m.callCounterForPermits(charge.customer, pendingCall{name: charge.semaphoreName, adjustment: difference})
 	charge.permits = permits
 }
 
-// callSemaphore calls the counter by a permit name; by that of the present window with what is unreported.
-func (m *Manager) callSemaphore(c *customer, call pendingCall) {
+// callCounterForPermits calls the counter with the name of a semaphore. A call for the current window also
+// adds the unreported permits.
+func (m *Manager) callCounterForPermits(c *customer, call pendingCall) {
 	if call.name == m.semaphoreName(c) {
-		call.adjustment += float64(c.permits.unreported)
-		c.permits.unreported = 0
+		call.adjustment += float64(c.permits.unreportedPermits)
+		c.permits.unreportedPermits = 0
 		c.permits.held += int(call.claim + call.adjustment)
 	}
-	m.call(c, call, m.permitWindow())
+	m.callCounter(c, call, m.semaphoreWindowLength())
 }
 
-// permitWindow returns the length of the windows of permit names, the same at all gateways.
-func (m *Manager) permitWindow() time.Duration {
-	return min(max(permitWindowDeadlines*m.config.MaxDeadline, minPermitWindow), maxPermitWindow)
+// semaphoreWindowLength returns the length of the windows in semaphore names, the same at all gateways.
+func (m *Manager) semaphoreWindowLength() time.Duration {
+	return min(max(semaphoreWindowDeadlines*m.config.MaxDeadline, minSemaphoreWindow), maxSemaphoreWindow)
 }
 
-// semaphoreName returns the permit name of the present window. A new window begins without permits, which
-// ends those of crashed gateways.
+// semaphoreName returns the name of the customer's semaphore in the current window. A new window begins
+// without permits, which releases those of crashed gateways.
 func (m *Manager) semaphoreName(c *customer) string {
-	window := c.windowAt(m.host.Now(), m.permitWindow())
+	window := c.windowAt(m.host.Now(), m.semaphoreWindowLength())
 	if window != c.permits.window {
 		c.permits.window = window
 		c.permits.held = 0
-		c.permits.unreported = 0
+		c.permits.unreportedPermits = 0
 	}
 	return c.semaphoreNameOf(window)
 }
