--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// acceptRetryPause follows an error that the next call may meet too.
-	acceptRetryPause = 5 * time.Millisecond
-	// connSlotPause is how long a connection that was told to end may take before a further one is told.
-	connSlotPause = 5 * time.Millisecond
+	// acceptRetryDelay follows an error that the next call may meet too.
+	acceptRetryDelay = 5 * time.Millisecond
+	// slotRetryInterval is how long a connection that was told to end may take before a further one is told.
+	slotRetryInterval = 5 * time.Millisecond
 )
 
 // Serve accepts connections until the listener closes, or none has come for as long as Drain waits for them. Each one is
 // served by goroutines that end with it, and that Drain waits for.
 func (s *Server) Serve() {
-	defer close(s.acceptEnded)
+	defer close(s.acceptDone)
 	for {
-		began := time.Now()
+		slotWaitStart := time.Now()
 		s.acquireConnSlot()
-		called := time.Now()
-		s.acceptDelay.waitedForSlot(began, called)
+		acceptStart := time.Now()
+		s.acceptDelay.recordSlotWait(slotWaitStart, acceptStart)
 		socket, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		if err != nil {
 			<-s.connSlots
-			s.acceptFailed(err, called)
+			s.handleAcceptError(err, acceptStart)
 			continue
 		}
 		c := newConn(s, socket)
-		c.reader.openedAt, c.reader.queued = s.acceptDelay.accepted(c.reader.openedAt)
+		c.reader.openedAt, c.reader.mayHaveQueued = s.acceptDelay.recordAccept(c.reader.openedAt)
 		s.track(c)
 		go c.serve() // ends with the connection; Drain waits for it
 	}
 }
 
-// acceptFailed pauses where the next call may fail likewise: the process or the machine is out of descriptors or memory. A
+// handleAcceptError pauses where the next call may fail likewise: the process or the machine is out of descriptors or memory. A
 // connection that was given up before it was accepted tells nothing of the next one.
-func (s *Server) acceptFailed(err error, called time.Time) {
+func (s *Server) handleAcceptError(err error, acceptStart time.Time) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return
 	}
-	if ok, suppressed := s.cfg.LogLimiter.Allow(called); ok {
+	if ok, suppressed := s.cfg.LogLimiter.Allow(acceptStart); ok {
 		s.cfg.Log.Warn("accept failed", "err", err, "suppressed", suppressed)
 	}
-	time.Sleep(acceptRetryPause)
-	s.acceptDelay.failed(called, time.Now())
+	time.Sleep(acceptRetryDelay)
+	s.acceptDelay.recordFailure(acceptStart, time.Now())
 }
 
 // acquireConnSlot waits for the slot of a further connection. Clients keep idle connections for good and hundreds may say
@@ -62,11 +62,11 @@
 			return
 		default:
 		}
-		s.closeMostIdle(time.Now())
+		s.closeMostIdleConn(time.Now())
 		select {
 		case s.connSlots <- struct{}{}:
 			return
-		case <-time.After(connSlotPause):
+		case <-time.After(slotRetryInterval):
 		}
 	}
 }
--- a/internal/listener/accept_test.go
+++ b/internal/listener/accept_test.go
@@ -15,12 +15,12 @@
 // failingListener is a listener whose calls fail, each error once, before they go through.
 type failingListener struct {
 	net.Listener
-	errs   []error
-	failed atomic.Int32
+	errs     []error
+	failures atomic.Int32
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if n := int(l.failed.Add(1)); n <= len(l.errs) {
+	if n := int(l.failures.Add(1)); n <= len(l.errs) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.errs[n-1])}
 	}
 	return l.Listener.Accept()
--- a/internal/listener/acceptdelay.go
+++ b/internal/listener/acceptdelay.go
@@ -6,36 +6,36 @@
 	"lemontack/internal/stall"
 )
 
-// minAcceptDelay is the shortest wait for a slot that delays accepting: without one it takes less.
-const minAcceptDelay = time.Millisecond
+// minSlotWait is the shortest wait for a slot that delays accepting: without one it takes less.
+const minSlotWait = time.Millisecond
 
 // acceptDelay notes when accepting could not go on. Connections that came meanwhile waited in the system's accept queue, and
 // the time of a request on them counts from then. It belongs to the goroutine that accepts.
 type acceptDelay struct {
-	from, until time.Time // of the last delay
-	failing     bool      // no connection has been accepted since from
+	start, end time.Time // of the last delay
+	isFailing  bool      // no connection has been accepted since from
 }
 
-// failed notes a call of accept that failed.
-func (delay *acceptDelay) failed(called, now time.Time) {
-	if !delay.failing {
-		delay.from = called
+// recordFailure notes a call of accept that failed.
+func (delay *acceptDelay) recordFailure(acceptStart, now time.Time) {
+	if !delay.isFailing {
+		delay.start = acceptStart
 	}
-	delay.until, delay.failing = now, true
+	delay.end, delay.isFailing = now, true
 }
 
-// waitedForSlot notes that nothing was accepted between two times for want of a slot.
-func (delay *acceptDelay) waitedForSlot(from, until time.Time) {
-	if until.Sub(from) > minAcceptDelay && !delay.failing {
-		delay.from, delay.until = from, until
+// recordSlotWait notes that nothing was accepted between two times for want of a slot.
+func (delay *acceptDelay) recordSlotWait(start, end time.Time) {
+	if end.Sub(start) > minSlotWait && !delay.isFailing {
+		delay.start, delay.end = start, end
 	}
 }
 
-// accepted returns since when a connection that is accepted now may have waited, and whether that is before now.
-func (delay *acceptDelay) accepted(now time.Time) (since time.Time, waited bool) {
-	delay.failing = false
-	if delay.until.IsZero() || now.Sub(delay.until) >= stall.SettleTime {
+// recordAccept returns since when a connection that is accepted now may have waited, and whether that is before now.
+func (delay *acceptDelay) recordAccept(now time.Time) (earliest time.Time, mayHaveWaited bool) {
+	delay.isFailing = false
+	if delay.end.IsZero() || now.Sub(delay.end) >= stall.SettleTime {
 		return now, false
 	}
-	return delay.from, true
+	return delay.start, true
 }
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -9,8 +9,8 @@
 const MaxPipelined = 64
 
 const (
-	// maxUnwritten is the same for commands of any kind, rejected ones included; with one more the connection ends.
-	maxUnwritten = 512
+	// maxUnwrittenCommands is the same for commands of any kind, rejected ones included; with one more the connection ends.
+	maxUnwrittenCommands = 512
 	// maxFaults is the number of faults with which a connection ends.
 	maxFaults = 10
 )
@@ -18,7 +18,7 @@
 // Texts of faults that clients are sent.
 const (
 	floodText          = "too many commands at once"
-	notACommandText    = "a command is an array of bulk strings"
+	invalidCommandText = "a command is an array of bulk strings"
 	unknownCommandText = "unknown command"
 )
 
@@ -30,33 +30,33 @@
 )
 
 // handleCommand takes one complete command; it reports whether the client is still there.
-func (c *conn) handleCommand(frame []byte) (present bool) {
-	present = true
-	if !c.reader.rejecting && c.unwrittenAtLeast(maxUnwritten) {
+func (c *conn) handleCommand(frame []byte) (connected bool) {
+	connected = true
+	if !c.reader.rejectsRequests && c.hasUnwrittenCommands(maxUnwrittenCommands) {
 		c.answerFlood()
 	} else {
-		present = c.dispatch(frame)
+		connected = c.dispatch(frame)
 	}
 	switch faults := c.faults.Load(); {
-	case !present:
+	case !connected:
 		return false
-	case c.reader.rejecting:
+	case c.reader.rejectsRequests:
 	case faults >= maxFaults:
 		c.startRejecting()
-	case faults > c.reader.pausedFaults && !c.pauseAfterFault(faults): // one that the handler found
+	case faults > c.reader.faultsAtLastPause && !c.pauseAfterFault(faults): // one that the handler found
 		return false
 	}
-	c.unlimitCommand()
+	c.clearCommandDeadline()
 	return true
 }
 
 // dispatch takes one command by its name; it reports whether the client is still there.
-func (c *conn) dispatch(frame []byte) (present bool) {
+func (c *conn) dispatch(frame []byte) (connected bool) {
 	complete, args, _, _, err := redcon.ReadNextCommand(frame, nil)
 	switch {
 	case err != nil || !complete || len(args) == 0:
-		return c.answerFault(FaultCommand, notACommandText)
-	case isRequest(args[0]):
+		return c.answerFault(FaultCommand, invalidCommandText)
+	case isRequestCommand(args[0]):
 		return c.handleRequest(args)
 	case string(args[0]) != commandPing:
 		return c.answerFault(FaultCommand, unknownCommandText)
@@ -65,28 +65,30 @@
 	return true
 }
 
-func isRequest(name []byte) bool { return string(name) == commandAsk || string(name) == commandDo }
+func isRequestCommand(name []byte) bool {
+	return string(name) == commandAsk || string(name) == commandDo
+}
 
 // handleRequest hands a request to the handler, or rejects it; it reports whether the client is still there. Reading never
 // stops for want of capacity, or nobody would see this client leave.
-func (c *conn) handleRequest(args [][]byte) (present bool) {
-	request, err := c.server.cfg.parseRequest(args, c.reader.readAt)
+func (c *conn) handleRequest(args [][]byte) (connected bool) {
+	request, err := c.server.cfg.parseRequest(args, c.reader.arrivedAt)
 	if err != nil {
 		return c.answerFault(FaultRequest, err.Error())
 	}
 	observer := c.server.cfg.Observer
 	observer.RequestRead()
-	if c.reader.rejecting || c.reader.presenceUnknown || c.unwrittenAtLeast(MaxPipelined) {
+	if c.reader.rejectsRequests || c.reader.mayBeDisconnected || c.hasUnwrittenCommands(MaxPipelined) {
 		observer.RequestRejected(request, "the connection is closing, or has too many open commands")
 		c.answerCommand(c.server.cfg.RejectedReply)
 		return true
 	}
-	pending := c.openResponse(request)
-	if pending == nil {
+	response := c.addPendingResponse(request)
+	if response == nil {
 		observer.RequestUnanswered(request, "read on a connection that has ended")
 		return true
 	}
-	request.response = pending
+	request.response = response
 	c.server.cfg.Handler.RequestReceived(request)
 	return true
 }
@@ -99,10 +101,10 @@
 }
 
 // answerFault answers a fault after a pause; it reports whether the client is still there.
-func (c *conn) answerFault(kind FaultKind, text string) (present bool) {
+func (c *conn) answerFault(kind FaultKind, text string) (connected bool) {
 	faults := c.faults.Add(1)
 	c.observeFault(kind, text, faults)
-	if !c.reader.rejecting && !c.pauseAfterFault(faults) {
+	if !c.reader.rejectsRequests && !c.pauseAfterFault(faults) {
 		return false
 	}
 	c.answerCommand(errorReply(text))
@@ -112,8 +114,8 @@
 // startRejecting ends the connection as soon as no answer is owed on it. What is read until then is answered in its order,
 // without pauses, and requests are rejected.
 func (c *conn) startRejecting() {
-	c.reader.rejecting = true
-	c.close(CloseForFaults)
+	c.reader.rejectsRequests = true
+	c.requestClose(CloseForFaults)
 }
 
 func errorReply(text string) []byte { return redcon.AppendError(nil, "ERR "+text) }
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -9,33 +9,33 @@
 
 // conn is a client's connection.
 type conn struct {
-	server     *Server
-	socket     net.Conn
-	reader     reader        // of the goroutine that reads
-	faults     atomic.Int32  // faults that the client has committed
-	duplicate  atomic.Uint64 // the id of the last request that was rejected as a duplicate
-	gone       atomic.Bool   // the reader has ended: no answer is kept, and no attempt should begin; set with mu held
-	goneAt     atomic.Int64  // when gone was set, by Config.Clock; 0: not yet
-	wake       chan struct{} // tells the writer of a change; holds one element
-	writerDone chan struct{} // closed when nothing is written any more
-
-	mu           sync.Mutex  // guards the fields below
-	state        connState   // changed by transition only
-	reason       CloseReason // for the end of the connection; the first one stays
-	aborted      bool        // the server closed the socket, whatever was owed
-	received     bool        // a complete command has come
-	readDeadline time.Time   // what the reader has set, zero: none; in force unless the writer has set another one
-	lastUsed     time.Time   // when it was opened, the last command came or the last answer was given
-	waiting      []*pendingResponse
-	out          []byte // answers whose turn has come
-	outCount     int    // commands that they answer
-	unwritten    int    // commands whose answers have not been written
-	unsentBytes  int    // of answers, in out or not, that have not been written
+	server         *Server
+	socket         net.Conn
+	reader         reader        // of the goroutine that reads
+	faults         atomic.Int32  // faults that the client has committed
+	duplicateID    atomic.Uint64 // the id of the last request that was rejected as a duplicate
+	disconnected   atomic.Bool   // the reader has ended: no answer is kept, and no attempt should begin; set with mu held
+	disconnectedAt atomic.Int64  // when gone was set, by Config.Clock; 0: not yet
+	wake           chan struct{} // tells the writer of a change; holds one element
+	writerDone     chan struct{} // closed when nothing is written any more
+
+	mu                sync.Mutex  // guards the fields below
+	state             connState   // changed by transition only
+	reason            CloseReason // for the end of the connection; the first one stays
+	aborted           bool        // the server closed the socket, whatever was owed
+	commandReceived   bool        // a complete command has come
+	readDeadline      time.Time   // what the reader has set, zero: none; in force unless the writer has set another one
+	lastActivity      time.Time   // when it was opened, the last command came or the last answer was given
+	pendingResponses  []*pendingResponse
+	readyAnswers      []byte // answers whose turn has come
+	readyCount        int    // commands that they answer
+	unwrittenCommands int    // commands whose answers have not been written
+	unsentBytes       int    // of answers, in out or not, that have not been written
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
 	now := time.Now()
-	c := &conn{server: s, socket: socket, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), lastUsed: now}
+	c := &conn{server: s, socket: socket, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), lastActivity: now}
 	c.reader.openedAt = now
 	c.reader.buffer.Budget = s.commandMemory
 	return c
@@ -43,16 +43,16 @@
 
 // serve runs the connection to its end.
 func (c *conn) serve() {
-	defer c.server.serving.Done()
+	defer c.server.activeConns.Done()
 	stopWriter := make(chan struct{})
 	go func() { // ends after the last answer or when stopWriter closes; this function waits for it
 		defer close(c.writerDone)
-		c.write(stopWriter)
+		c.runWriter(stopWriter)
 	}()
-	if c.read() {
+	if c.readCommands() {
 		c.discard()
 	}
-	unanswered := c.markGone()
+	unanswered := c.markDisconnected()
 	c.socket.Close()
 	c.observeEnd(unanswered)
 	if len(unanswered) > 0 { // said before the writer has ended: it may not run for a while
@@ -60,17 +60,17 @@
 	}
 	close(stopWriter)
 	<-c.writerDone
-	c.releaseUnsent()
+	c.releaseUnsentBytes()
 	c.server.untrack(c)
 }
 
-// markGone marks the connection as over and returns the requests that nobody waits for any more.
-func (c *conn) markGone() (unanswered []*Request) {
+// markDisconnected marks the connection as over and returns the requests that nobody waits for any more.
+func (c *conn) markDisconnected() (unanswered []*Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone.Store(true)
-	c.goneAt.Store(int64(c.server.cfg.Clock(time.Now())))
-	for _, pending := range c.waiting {
+	c.disconnected.Store(true)
+	c.disconnectedAt.Store(int64(c.server.cfg.Clock(time.Now())))
+	for _, pending := range c.pendingResponses {
 		if pending.answer == nil {
 			unanswered = append(unanswered, pending.request)
 		}
@@ -78,32 +78,32 @@
 	return unanswered
 }
 
-// releaseUnsent takes what will never be written out of the sum over all connections.
-func (c *conn) releaseUnsent() {
+// releaseUnsentBytes takes what will never be written out of the sum over all connections.
+func (c *conn) releaseUnsentBytes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.server.unsentBytes.Add(-int64(c.unsentBytes))
 }
 
-// isOwed reports whether a command waits for its answer.
-func (c *conn) isOwed() bool {
+// hasPendingResponse reports whether a command waits for its answer.
+func (c *conn) hasPendingResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.waiting) > 0
+	return len(c.pendingResponses) > 0
 }
 
-// hasReceived reports whether a complete command has come.
-func (c *conn) hasReceived() bool {
+// hasReceivedCommand reports whether a complete command has come.
+func (c *conn) hasReceivedCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.received
+	return c.commandReceived
 }
 
-// unwrittenAtLeast reports whether so many commands wait for their answers to be written.
-func (c *conn) unwrittenAtLeast(count int) bool {
+// hasUnwrittenCommands reports whether so many commands wait for their answers to be written.
+func (c *conn) hasUnwrittenCommands(minCount int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unwritten >= count
+	return c.unwrittenCommands >= minCount
 }
 
 // setReadDeadline sets the deadline of reads. Once the connection has ended, or the reader is asked about its end, the
@@ -126,14 +126,14 @@
 
 // confirmEnd is the reader's answer to proposeEnd, given while it holds no complete command: the connection ends, unless a
 // command waits for its answer or has begun to come. One that has begun is no reason to keep a slot that others need.
-func (c *conn) confirmEnd() (asked, ended bool) {
+func (c *conn) confirmEnd() (proposed, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != stateConfirming {
 		return false, false
 	}
-	if len(c.waiting) == 0 && (!c.reader.buffer.HasPartialFrame() || c.reason == CloseForSlot) {
-		c.end()
+	if len(c.pendingResponses) == 0 && (!c.reader.buffer.HasPartialFrame() || c.reason == CloseForSlot) {
+		c.decideEnd()
 		return true, true
 	}
 	c.transition(endDeclined)
@@ -141,19 +141,19 @@
 	return true, false
 }
 
-// endIfNotOwed ends the connection if no answer is owed on it; the reader does so between two reads.
-func (c *conn) endIfNotOwed() bool {
+// endIfNonePending ends the connection if no answer is owed on it; the reader does so between two reads.
+func (c *conn) endIfNonePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) > 0 {
+	if len(c.pendingResponses) > 0 {
 		return false
 	}
-	c.end()
+	c.decideEnd()
 	return true
 }
 
-// end leaves the rest of the connection to the writer; c.mu is held.
-func (c *conn) end() {
+// decideEnd leaves the rest of the connection to the writer; c.mu is held.
+func (c *conn) decideEnd() {
 	c.transition(endDecided)
 	c.socket.SetReadDeadline(time.Time{})
 	c.wakeWriter()
@@ -168,22 +168,22 @@
 	c.wakeWriter()
 }
 
-// closeSoon closes for a shutdown as close does, but leaves a connection that is so new that its first command may be under
+// closeForShutdown closes for a shutdown as close does, but leaves a connection that is so new that its first command may be under
 // way the time to bring it.
-func (c *conn) closeSoon() {
+func (c *conn) closeForShutdown() {
 	c.mu.Lock()
-	grace := newConnGrace - time.Since(c.lastUsed)
-	received := c.received
+	grace := newConnGrace - time.Since(c.lastActivity)
+	received := c.commandReceived
 	c.mu.Unlock()
 	if received || grace <= 0 {
-		c.close(CloseShutdown)
+		c.requestClose(CloseShutdown)
 		return
 	}
-	time.AfterFunc(grace, func() { c.close(CloseShutdown) }) // does nothing to a connection that has ended by then
+	time.AfterFunc(grace, func() { c.requestClose(CloseShutdown) }) // does nothing to a connection that has ended by then
 }
 
-// close asks for the end of the connection at the next moment between requests.
-func (c *conn) close(reason CloseReason) {
+// requestClose asks for the end of the connection at the next moment between requests.
+func (c *conn) requestClose(reason CloseReason) {
 	c.mu.Lock()
 	c.transition(closeRequested)
 	c.setReason(reason)
--- a/internal/listener/conn_test.go
+++ b/internal/listener/conn_test.go
@@ -19,7 +19,7 @@
 	c := newConn(s, nil)
 	c.state = stateEnded
 	for range MaxPipelined + 1 {
-		if c.openResponse(nil) != nil {
+		if c.addPendingResponse(nil) != nil {
 			t.Fatal("a command was read")
 		}
 	}
@@ -30,26 +30,26 @@
 	for received, closing := range map[bool]bool{false: false, true: true} {
 		s, _ := newServer(nil, 1, 1<<20)
 		c := newConn(s, nil)
-		c.lastUsed, c.received = time.Now().Add(time.Hour), received
+		c.lastActivity, c.commandReceived = time.Now().Add(time.Hour), received
 		if received {
 			c.state = stateIdle
 		}
-		if c.closeSoon(); c.state.isOpen() == closing {
+		if c.closeForShutdown(); c.state.isOpen() == closing {
 			t.Errorf("a command received %v: state %v", received, c.state)
 		}
 	}
 }
 
-// crossedConn is a connection that calls meanwhile between a read from the socket and the reader's next step.
-type crossedConn struct {
+// interceptedConn is a connection that calls meanwhile between a read from the socket and the reader's next step.
+type interceptedConn struct {
 	*net.TCPConn
-	meanwhile func()
+	afterRead func()
 }
 
-func (c *crossedConn) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.meanwhile != nil {
-		c.meanwhile()
+func (ic *interceptedConn) Read(b []byte) (int, error) {
+	n, err := ic.TCPConn.Read(b)
+	if n > 0 && ic.afterRead != nil {
+		ic.afterRead()
 	}
 	return n, err
 }
@@ -59,11 +59,11 @@
 	for _, reason := range []CloseReason{CloseIdle, CloseForSlot, CloseShutdown} {
 		near, far := nettest.ConnPair(t)
 		s, rec := newServer(nil, 1, 1<<20)
-		socket := &crossedConn{TCPConn: near}
+		socket := &interceptedConn{TCPConn: near}
 		c := newConn(s, socket)
-		socket.meanwhile = func() {
-			socket.meanwhile = nil
-			c.close(reason)
+		socket.afterRead = func() {
+			socket.afterRead = nil
+			c.requestClose(reason)
 			for proposed := false; !proposed; time.Sleep(time.Millisecond) { // until the writer proposes the end
 				c.mu.Lock()
 				proposed = c.state == stateConfirming || c.state == stateEnded
@@ -74,7 +74,7 @@
 		io.WriteString(far, nettest.Ask(1, nettest.ReadFields))
 		select {
 		case request := <-rec.received:
-			request.Respond(value)
+			request.Respond(valueReply)
 		case <-rec.disconnected:
 			t.Fatal("the request counts as one of a disconnected client")
 		case <-done:
@@ -100,8 +100,8 @@
 		ends[i], conns[i] = far, newConn(s, near)
 		s.conns[conns[i]] = true
 	}
-	conns[0].openResponse(nil).respond(make([]byte, 900))
-	conns[1].openResponse(nil).respond(make([]byte, 200))
+	conns[0].addPendingResponse(nil).respond(make([]byte, 900))
+	conns[1].addPendingResponse(nil).respond(make([]byte, 200))
 	ends[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
 	if _, err := ends[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Fatalf("the slow reader's connection is open: %v", err)
@@ -118,7 +118,7 @@
 	c := newConn(s, near)
 	s.connSlots <- struct{}{}
 	s.track(c)
-	first, second := c.openResponse(&Request{}), c.openResponse(nil)
+	first, second := c.addPendingResponse(&Request{}), c.addPendingResponse(nil)
 	second.respond([]byte("+PONG\r\n"))
 	far.Close()
 	c.serve()
--- a/internal/listener/drain.go
+++ b/internal/listener/drain.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// acceptQueueTime is how long a shutdown waits for connections that have come and were not accepted yet.
-const acceptQueueTime = 50 * time.Millisecond
+// acceptQueueTimeout is how long a shutdown waits for connections that have come and were not accepted yet.
+const acceptQueueTimeout = 50 * time.Millisecond
 
 // Drain closes every connection as soon as no command on it waits for an answer, and the listener. Connections that have come
 // and wait to be accepted may hold requests already: they are served first. When ctx ends, what is open still is closed at
 // once. Drain returns when every connection has ended.
 func (s *Server) Drain(ctx context.Context) {
 	s.startDraining()
-	s.emptyAcceptQueue()
+	s.drainAcceptQueue()
 	s.listener.Close()
 	ended := make(chan struct{})
 	go func() { // ends with the last connection, which Drain waits for
-		s.serving.Wait()
+		s.activeConns.Wait()
 		close(ended)
 	}()
 	select {
@@ -36,20 +36,20 @@
 	defer s.mu.Unlock()
 	s.draining = true
 	for c := range s.conns {
-		c.closeSoon()
+		c.closeForShutdown()
 	}
 }
 
-// emptyAcceptQueue lets Serve accept what has come.
-func (s *Server) emptyAcceptQueue() {
+// drainAcceptQueue lets Serve accept what has come.
+func (s *Server) drainAcceptQueue() {
 	tcp, ok := s.listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
-	tcp.SetDeadline(time.Now().Add(acceptQueueTime))
+	tcp.SetDeadline(time.Now().Add(acceptQueueTimeout))
 	select {
-	case <-s.acceptEnded:
-	case <-time.After(2 * acceptQueueTime):
+	case <-s.acceptDone:
+	case <-time.After(2 * acceptQueueTimeout):
 	}
 }
 
--- a/internal/listener/fixtures_test.go
+++ b/internal/listener/fixtures_test.go
@@ -72,7 +72,7 @@
 	return done
 }
 
-var value = []byte("$5\r\nvalue\r\n")
+var valueReply = []byte("$5\r\nvalue\r\n")
 
 // wantOneUnanswered receives the disconnect of a client that waits for one answer.
 func wantOneUnanswered(t *testing.T, rec *recorder) {
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -13,8 +13,8 @@
 const (
 	// maxKeyLength bounds an idempotency key, in bytes.
 	maxKeyLength = 256
-	// maxCustomer is above every customer's number.
-	maxCustomer = 1 << 33
+	// customerNumberLimit is above every customer's number.
+	customerNumberLimit = 1 << 33
 	// answerMargin is the time before the client gives up that an answer needs on its way back, on a busy machine too. Of a
 	// short time-out it is a quarter at most.
 	answerMargin = 20 * time.Millisecond
@@ -24,20 +24,20 @@
 
 // Faults of requests. Their texts are sent to clients.
 var (
-	errCustomer      = errors.New("the customer is not 16 hex digits below 2^33")
-	errID            = errors.New("the id is not 16 hex digits")
-	errFields        = errors.New("the fields are not a list of different names and values")
-	errUnitsForm     = errors.New("field units is not a plain number")
-	errUnknownClass  = errors.New("unknown class")
-	errUnknownPlan   = errors.New("unknown plan")
-	errClassCommand  = errors.New("the class does not go with the command")
-	errKey           = errors.New("field k is missing or too long")
-	errMissingField  = errors.New("field d or first is missing")
-	errGatewaySpan   = errors.New("there is no such set of gateways")
-	errUnitsRange    = errors.New("field units is missing or out of range")
-	errNot16Digits   = errors.New("not 16 digits")
-	errFieldValue    = errors.New("cannot be read")
-	errArgumentCount = errors.New("wants a customer, an id, fields and at most a body")
+	errInvalidCustomer   = errors.New("the customer is not 16 hex digits below 2^33")
+	errInvalidID         = errors.New("the id is not 16 hex digits")
+	errInvalidFields     = errors.New("the fields are not a list of different names and values")
+	errUnitsFormat       = errors.New("field units is not a plain number")
+	errUnknownClass      = errors.New("unknown class")
+	errUnknownPlan       = errors.New("unknown plan")
+	errClassMismatch     = errors.New("the class does not go with the command")
+	errIdempotencyKey    = errors.New("field k is missing or too long")
+	errMissingField      = errors.New("field d or first is missing")
+	errInvalidGatewaySet = errors.New("there is no such set of gateways")
+	errUnitsRange        = errors.New("field units is missing or out of range")
+	errNot16Digits       = errors.New("not 16 digits")
+	errFieldValue        = errors.New("cannot be read")
+	errArgumentCount     = errors.New("wants a customer, an id, fields and at most a body")
 )
 
 // fields are the named values of a request.
@@ -57,19 +57,19 @@
 		return nil, fmt.Errorf("%s %w", args[0], errArgumentCount)
 	}
 	customer, err := parseHex16(args[1])
-	if err != nil || customer >= maxCustomer {
-		return nil, errCustomer
+	if err != nil || customer >= customerNumberLimit {
+		return nil, errInvalidCustomer
 	}
 	id, err := parseHex16(args[2])
 	if err != nil {
-		return nil, errID
+		return nil, errInvalidID
 	}
 	values, err := parseFields(string(args[3]))
 	if err != nil {
 		return nil, err
 	}
-	class, known := cfg.Classes[values.class]
-	if !known {
+	class, found := cfg.Classes[values.class]
+	if !found {
 		return nil, errUnknownClass
 	}
 	if err := cfg.checkFields(values, class, string(args[0])); err != nil {
@@ -102,13 +102,13 @@
 	case !cfg.Plans[values.plan]:
 		return errUnknownPlan
 	case (command == commandDo) == (class.Idempotency == policy.Idempotent):
-		return errClassCommand
+		return errClassMismatch
 	case class.Idempotency == policy.IdempotencyKey && (values.key == "" || len(values.key) > maxKeyLength):
-		return errKey
+		return errIdempotencyKey
 	case !values.hasTimeout || !values.hasFirst:
 		return errMissingField
 	case values.span == 0 || values.span > gateways || values.first >= gateways:
-		return errGatewaySpan
+		return errInvalidGatewaySet
 	case !(values.units > 0) || values.units > cfg.MaxUnits: // NaN is not above 0
 		return errUnitsRange
 	}
@@ -139,10 +139,10 @@
 		part, _, _ := strings.Cut(text[start:], ",")
 		name, value, ok := strings.Cut(part, "=")
 		if !ok || name == "" || seen[name] {
-			return fields{}, errFields
+			return fields{}, errInvalidFields
 		}
 		seen[name] = true
-		if err := values.set(name, value); err != nil {
+		if err := values.setField(name, value); err != nil {
 			return fields{}, err
 		}
 		end := start + len(part)
@@ -155,8 +155,8 @@
 	return values, nil
 }
 
-// set reads the value of a field.
-func (values *fields) set(name, value string) (err error) {
+// setField reads the value of a field.
+func (values *fields) setField(name, value string) (err error) {
 	switch name {
 	case "c":
 		values.class = value
@@ -170,7 +170,7 @@
 		values.key = value
 	case "units":
 		if strings.Trim(value, "0123456789.") != "" {
-			return errUnitsForm
+			return errUnitsFormat
 		}
 		values.units, err = strconv.ParseFloat(value, 64)
 	case "spread":
--- a/internal/listener/presence.go
+++ b/internal/listener/presence.go
@@ -10,12 +10,12 @@
 	"lemontack/internal/sockets"
 )
 
-// checkPresence reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
+// checkClientConnected reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
 // whether that is not there. After what the client sent last its presence is known again.
-func (c *conn) checkPresence() (present bool) {
+func (c *conn) checkClientConnected() (connected bool) {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
-		c.reader.presenceUnknown = false
+		c.reader.mayBeDisconnected = false
 		return true
 	}
 	raw, err := socket.SyscallConn()
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
-		c.reader.presenceUnknown = false
+		c.reader.mayBeDisconnected = false
 		return true
 	case sockets.IsTransient(err), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrNoMemory),
 		errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/listener/presence_test.go
+++ b/internal/listener/presence_test.go
@@ -14,8 +14,8 @@
 	"lemontack/internal/resp"
 )
 
-// maxNoticeTime is the time after a client's disconnect within which an attempt of it may still start, on a simulated clock.
-const maxNoticeTime = 100 * time.Millisecond
+// maxDetectionTime is the time after a client's disconnect within which an attempt of it may still start, on a simulated clock.
+const maxDetectionTime = 100 * time.Millisecond
 
 // gatedConn is a connection whose reads and writes each wait for a token of the test. A nil channel does not block.
 type gatedConn struct {
@@ -92,10 +92,10 @@
 			}
 			go func() {
 				defer close(done)
-				c.read()
+				c.readCommands()
 			}()
 			if test.first != "" {
-				nettest.Eventually(t, "the first command is read", c.hasReceived)
+				nettest.Eventually(t, "the first command is read", c.hasReceivedCommand)
 			}
 			io.WriteString(far, test.then)
 			if test.halfClose {
@@ -121,13 +121,13 @@
 	s, rec := newServer(nil, 1, 1<<20)
 	writes := make(chan struct{})
 	c := newConn(s, &gatedConn{TCPConn: near, writes: writes})
-	first := c.openResponse(nil)
-	c.openResponse(&Request{})
+	first := c.addPendingResponse(nil)
+	c.addPendingResponse(&Request{})
 	first.respond([]byte("+PONG\r\n"))
 	done := serve(c)
 	for waiting := true; waiting; time.Sleep(time.Millisecond) { // until the writer has the answer
 		c.mu.Lock()
-		waiting = c.outCount > 0
+		waiting = c.readyCount > 0
 		c.mu.Unlock()
 	}
 	far.Close()
@@ -146,16 +146,16 @@
 	closed   bool
 }
 
-func (s *scriptedConn) Read(b []byte) (int, error) { return s.in.Read(b) }
+func (script *scriptedConn) Read(b []byte) (int, error) { return script.in.Read(b) }
 
-func (s *scriptedConn) Write(b []byte) (int, error) { return len(b), nil }
+func (script *scriptedConn) Write(b []byte) (int, error) { return len(b), nil }
 
-func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
+func (script *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
+func (script *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-func (s *scriptedConn) Close() error {
-	s.closed = true
+func (script *scriptedConn) Close() error {
+	script.closed = true
 	return nil
 }
 
@@ -181,9 +181,9 @@
 				s, rec := newServer(nil, 1, 1<<20)
 				c := newConn(s, &scriptedConn{in: strings.NewReader(test.text)})
 				c.faults.Store(test.faults)
-				c.reader.pausedFaults = test.faults
+				c.reader.faultsAtLastPause = test.faults
 				if test.open {
-					c.openResponse(&Request{})
+					c.addPendingResponse(&Request{})
 				}
 				began := time.Now()
 				done := serve(c)
@@ -195,7 +195,7 @@
 					return
 				}
 				wantOneUnanswered(t, rec)
-				if took := time.Since(began); took >= maxNoticeTime {
+				if took := time.Since(began); took >= maxDetectionTime {
 					t.Errorf("noticed after %v", took)
 				}
 				<-done
@@ -208,14 +208,14 @@
 func TestDisconnectInAPauseIsNoticed(t *testing.T) {
 	near, far := nettest.ConnPair(t)
 	s, _ := newServer(nil, 1, 1<<20)
-	s.maxUnread = math.MaxInt64
+	s.maxReadPause = math.MaxInt64
 	c := newConn(s, near)
-	noticed := make(chan struct{})
+	detected := make(chan struct{})
 	go func() {
 		if !c.pauseAfterFault(1 << 20) { // a day
-			close(noticed)
+			close(detected)
 		}
 	}()
 	far.Close()
-	nettest.Await(t, "the disconnect", noticed)
+	nettest.Await(t, "the disconnect", detected)
 }
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -19,13 +19,13 @@
 	set []bool
 }
 
-func (l *deadlineConn) SetReadDeadline(t time.Time) error {
-	l.set = append(l.set, !t.IsZero())
+func (d *deadlineConn) SetReadDeadline(t time.Time) error {
+	d.set = append(d.set, !t.IsZero())
 	return nil
 }
 
-// deadlinesSet sends the parts in writes of their own and returns the calls of SetReadDeadline in the meantime.
-func deadlinesSet(t *testing.T, parts ...string) string {
+// readDeadlineCalls sends the parts in writes of their own and returns the calls of SetReadDeadline in the meantime.
+func readDeadlineCalls(t *testing.T, parts ...string) string {
 	t.Helper()
 	near, far := net.Pipe()
 	s, _ := newServer(nil, 1, 1<<20)
@@ -34,7 +34,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.read()
+		c.readCommands()
 	}()
 	for _, part := range parts {
 		io.WriteString(far, part)
@@ -48,7 +48,7 @@
 // idle.
 func TestOnlyPartialCommandsHaveADeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
-	if got := deadlinesSet(t, ping, ping[:5], ping[5:], ping); got != "[true false]" {
+	if got := readDeadlineCalls(t, ping, ping[:5], ping[5:], ping); got != "[true false]" {
 		t.Fatalf("deadlines set: %v, want one inside the split command, cleared after it", got)
 	}
 }
@@ -56,7 +56,7 @@
 // Each partial command has its own deadline: a client that goes on sending was once disconnected by that of the first one.
 func TestEachCommandHasItsOwnDeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
-	got := deadlinesSet(t, ping[:5], ping[5:]+ping[:5], ping[5:]+ping[:5], ping[5:])
+	got := readDeadlineCalls(t, ping[:5], ping[5:]+ping[:5], ping[5:]+ping[:5], ping[5:])
 	if got != "[true false true false true false]" {
 		t.Fatalf("deadlines set: %s, want one for each command", got)
 	}
@@ -93,7 +93,7 @@
 func TestCommandsBeyondThePipelineLimitAreRejectedInOrder(t *testing.T) {
 	const behind = 39
 	var b strings.Builder
-	for i := range maxUnwritten + 1 + behind {
+	for i := range maxUnwrittenCommands + 1 + behind {
 		b.WriteString(nettest.Ask(i, nettest.ReadFields))
 	}
 	near, far := nettest.ConnPair(t)
@@ -105,11 +105,11 @@
 	for range MaxPipelined {
 		admitted = append(admitted, <-rec.received)
 	}
-	nettest.Eventually(t, "all commands are read", func() bool { return c.unwrittenAtLeast(maxUnwritten + 1 + behind) })
+	nettest.Eventually(t, "all commands are read", func() bool { return c.hasUnwrittenCommands(maxUnwrittenCommands + 1 + behind) })
 	for _, request := range admitted { // no command is answered before
 		request.Respond([]byte("+admitted\r\n"))
 	}
-	want := strings.Repeat("+admitted\r\n", MaxPipelined) + strings.Repeat("-BUSY\r\n", maxUnwritten-MaxPipelined) +
+	want := strings.Repeat("+admitted\r\n", MaxPipelined) + strings.Repeat("-BUSY\r\n", maxUnwrittenCommands-MaxPipelined) +
 		"-ERR too many commands at once\r\n" + strings.Repeat("-BUSY\r\n", behind)
 	if got, err := io.ReadAll(far); string(got) != want || err != nil {
 		t.Fatalf("answers %q, %v", got, err)
--- a/internal/listener/request.go
+++ b/internal/listener/request.go
@@ -27,7 +27,7 @@
 
 // ClientDisconnected reports whether the client has gone. The event that says so may still be on its way to the handler.
 func (request *Request) ClientDisconnected() bool {
-	return request.response != nil && request.response.conn.gone.Load()
+	return request.response != nil && request.response.conn.disconnected.Load()
 }
 
 // ClientDisconnectedAt returns when the client has gone; 0: it has not.
@@ -35,13 +35,13 @@
 	if request.response == nil {
 		return 0
 	}
-	return time.Duration(request.response.conn.goneAt.Load())
+	return time.Duration(request.response.conn.disconnectedAt.Load())
 }
 
 // RejectDuplicate answers a request whose id is that of an open one, which counts as a fault of the connection.
 func (request *Request) RejectDuplicate() {
 	c := request.response.conn
-	c.duplicate.Store(request.ExternalID)
+	c.duplicateID.Store(request.ExternalID)
 	c.observeFault(FaultDuplicate, "the id "+request.ExternalIDString()+" is taken", c.faults.Add(1))
 	request.Respond([]byte("-ERR a request of this id is being served\r\n"))
 }
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -20,9 +20,9 @@
 	"lemontack/policy"
 )
 
-// maxUnreadShare is the part of the shortest deadline for which a client that is owed nothing may be left unread: one
+// maxReadPauseDivisor is the part of the shortest deadline for which a client that is owed nothing may be left unread: one
 // quarter, so that a request behind it keeps most of its time.
-const maxUnreadShare = 4
+const maxReadPauseDivisor = 4
 
 // Handler receives what clients ask for. Its methods are called by the goroutines of many connections at once, and in the
 // order of the commands for each connection.
@@ -68,16 +68,16 @@
 // Server accepts and serves the clients' connections on one address.
 type Server struct {
 	cfg            Config
-	tracing        bool // records of level debug are written
+	debugEnabled   bool // records of level debug are written
 	listener       net.Listener
 	connSlots      chan struct{}      // one element for each connection that is open, or about to be accepted
 	commandMemory  *resp.MemoryBudget // of commands that are coming in
 	unsentBytes    atomic.Int64       // of answers that clients have not read, on all connections
 	maxUnsentBytes int64
-	maxUnread      time.Duration  // for which a client that is owed nothing may be left unread
+	maxReadPause   time.Duration  // for which a client that is owed nothing may be left unread
 	acceptDelay    acceptDelay    // of the goroutine that runs Serve
-	acceptEnded    chan struct{}  // closed when no more connections are accepted
-	serving        sync.WaitGroup // one for each connection
+	acceptDone     chan struct{}  // closed when no more connections are accepted
+	activeConns    sync.WaitGroup // one for each connection
 
 	mu       sync.Mutex // guards the fields below; taken before the mu of a conn
 	conns    map[*conn]bool
@@ -88,17 +88,17 @@
 func New(listener net.Listener, cfg Config) *Server {
 	s := &Server{
 		cfg:            cfg,
-		tracing:        cfg.Log.Enabled(context.Background(), slog.LevelDebug),
+		debugEnabled:   cfg.Log.Enabled(context.Background(), slog.LevelDebug),
 		listener:       listener,
 		connSlots:      make(chan struct{}, cfg.MaxConnections),
 		commandMemory:  resp.NewMemoryBudget(cfg.Memory),
 		maxUnsentBytes: int64(cfg.Memory),
-		maxUnread:      time.Duration(math.MaxInt64),
-		acceptEnded:    make(chan struct{}),
+		maxReadPause:   time.Duration(math.MaxInt64),
+		acceptDone:     make(chan struct{}),
 		conns:          map[*conn]bool{},
 	}
 	for _, class := range cfg.Classes {
-		s.maxUnread = min(s.maxUnread, class.Deadline/maxUnreadShare)
+		s.maxReadPause = min(s.maxReadPause, class.Deadline/maxReadPauseDivisor)
 	}
 	return s
 }
@@ -115,11 +115,11 @@
 func (s *Server) track(c *conn) {
 	s.mu.Lock()
 	s.conns[c] = true
-	s.serving.Add(1)
+	s.activeConns.Add(1)
 	draining := s.draining
 	s.mu.Unlock()
 	if draining {
-		c.closeSoon()
+		c.closeForShutdown()
 	}
 }
 
--- a/internal/listener/state.go
+++ b/internal/listener/state.go
@@ -60,28 +60,30 @@
 )
 
 // next returns the state after an event.
-func (s connState) next(event connEvent) connState {
+func (state connState) next(event connEvent) connState {
 	switch {
-	case event == commandTaken && (s == stateNew || s == stateIdle):
+	case event == commandTaken && (state == stateNew || state == stateIdle):
 		return stateActive
-	case event == allAnswered && s == stateActive:
+	case event == allAnswered && state == stateActive:
 		return stateIdle
-	case event == closeRequested && s.isOpen():
+	case event == closeRequested && state.isOpen():
 		return stateDraining
-	case event == endProposed && s == stateDraining:
+	case event == endProposed && state == stateDraining:
 		return stateConfirming
-	case event == endDeclined && s == stateConfirming:
+	case event == endDeclined && state == stateConfirming:
 		return stateDraining
-	case event == commandsRefused && s != stateEnded:
+	case event == commandsRefused && state != stateEnded:
 		return stateFaulted
 	case event == endDecided:
 		return stateEnded
 	}
-	return s
+	return state
 }
 
 // isOpen reports whether nobody has asked for the end of the connection.
-func (s connState) isOpen() bool { return s == stateNew || s == stateActive || s == stateIdle }
+func (state connState) isOpen() bool {
+	return state == stateNew || state == stateActive || state == stateIdle
+}
 
 // transition changes the state as the event demands; c.mu is held.
 func (c *conn) transition(event connEvent) { c.state = c.state.next(event) }
--- a/internal/listener/sweep.go
+++ b/internal/listener/sweep.go
@@ -15,8 +15,8 @@
 	newConnGrace = 50 * time.Millisecond
 )
 
-// closeMostIdle closes the oldest connection that has sent no command yet, or else the one that has been idle for longest.
-func (s *Server) closeMostIdle(now time.Time) {
+// closeMostIdleConn closes the oldest connection that has sent no command yet, or else the one that has been idle for longest.
+func (s *Server) closeMostIdleConn(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var mostIdle *conn
@@ -24,15 +24,15 @@
 	var since time.Time
 	for c := range s.conns {
 		c.mu.Lock()
-		idle := c.state == stateIdle || c.state == stateNew && now.Sub(c.lastUsed) > newConnGrace
-		better := mostIdle == nil || state == stateIdle && c.state == stateNew || state == c.state && c.lastUsed.Before(since)
-		if idle && better {
-			mostIdle, state, since = c, c.state, c.lastUsed
+		idle := c.state == stateIdle || c.state == stateNew && now.Sub(c.lastActivity) > newConnGrace
+		isPreferred := mostIdle == nil || state == stateIdle && c.state == stateNew || state == c.state && c.lastActivity.Before(since)
+		if idle && isPreferred {
+			mostIdle, state, since = c, c.state, c.lastActivity
 		}
 		c.mu.Unlock()
 	}
 	if mostIdle != nil {
-		mostIdle.close(CloseForSlot)
+		mostIdle.requestClose(CloseForSlot)
 	}
 }
 
@@ -46,31 +46,31 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.closeIdle(now)
+			s.closeIdleConns(now)
 		}
 	}
 }
 
-// closeIdle closes every connection that has been idle for too long.
-func (s *Server) closeIdle(now time.Time) {
+// closeIdleConns closes every connection that has been idle for too long.
+func (s *Server) closeIdleConns(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.idleTooLong(now) {
-			c.close(CloseIdle)
+		if c.hasIdledTooLong(now) {
+			c.requestClose(CloseIdle)
 		}
 	}
 }
 
-// idleTooLong reports whether the connection has been without an open request for too long.
-func (c *conn) idleTooLong(now time.Time) bool {
+// hasIdledTooLong reports whether the connection has been without an open request for too long.
+func (c *conn) hasIdledTooLong(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) > 0 {
+	if len(c.pendingResponses) > 0 {
 		return false
 	}
-	idle := now.Sub(c.lastUsed)
-	if c.received {
+	idle := now.Sub(c.lastActivity)
+	if c.commandReceived {
 		return idle > idleTimeout
 	}
 	return idle > commandTimeout-sweepInterval
--- a/internal/listener/telemetry.go
+++ b/internal/listener/telemetry.go
@@ -49,7 +49,7 @@
 func (c *conn) observeFault(kind FaultKind, text string, number int32) {
 	counters := c.server.cfg.Counters
 	counters.Faults.Add(kind)
-	if c.server.tracing {
+	if c.server.debugEnabled {
 		c.server.cfg.Log.Debug("client fault", "client", c.remoteAddr(), "kind", counters.Faults.Name(kind), "reason", text,
 			"number", number)
 	}
@@ -63,7 +63,7 @@
 	c.mu.Unlock()
 	counters := c.server.cfg.Counters
 	counters.Closes.Add(reason)
-	if c.server.tracing {
+	if c.server.debugEnabled {
 		c.server.cfg.Log.Debug("client connection closed", "client", c.remoteAddr(), "reason", counters.Closes.Name(reason),
 			"unanswered", len(unanswered), "faults", c.faults.Load())
 	}
--- a/internal/listener/transient_test.go
+++ b/internal/listener/transient_test.go
@@ -11,36 +11,36 @@
 	"lemontack/internal/nettest"
 )
 
-// scarceConn is a connection of which every second read and write fails for lack of memory, the writes after half their bytes.
-type scarceConn struct {
+// lowMemoryConn is a connection of which every second read and write fails for lack of memory, the writes after half their bytes.
+type lowMemoryConn struct {
 	*net.TCPConn
 	reads, writes atomic.Int32
 }
 
-func (s *scarceConn) Read(b []byte) (int, error) {
-	if s.reads.Add(1)%2 == 1 {
+func (m *lowMemoryConn) Read(b []byte) (int, error) {
+	if m.reads.Add(1)%2 == 1 {
 		return 0, &net.OpError{Op: "read", Err: syscall.ENOMEM}
 	}
-	return s.TCPConn.Read(b)
+	return m.TCPConn.Read(b)
 }
 
-func (s *scarceConn) Write(b []byte) (int, error) {
-	if s.writes.Add(1)%2 == 1 {
-		n, _ := s.TCPConn.Write(b[:len(b)/2])
+func (m *lowMemoryConn) Write(b []byte) (int, error) {
+	if m.writes.Add(1)%2 == 1 {
+		n, _ := m.TCPConn.Write(b[:len(b)/2])
 		return n, &net.OpError{Op: "write", Err: syscall.ENOBUFS}
 	}
-	return s.TCPConn.Write(b)
+	return m.TCPConn.Write(b)
 }
 
 // Requests are read and answered completely though system calls fail for lack of memory.
 func TestAnswersGoOnOverTransientErrors(t *testing.T) {
 	near, far := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
-	done := serve(newConn(s, &scarceConn{TCPConn: near}))
+	done := serve(newConn(s, &lowMemoryConn{TCPConn: near}))
 	in := bufio.NewReader(far)
 	for i := range 5 {
 		io.WriteString(far, nettest.Ask(i, nettest.ReadFields))
-		(<-rec.received).Respond(value)
+		(<-rec.received).Respond(valueReply)
 		nettest.WantValue(t, in)
 	}
 	far.Close()
--- a/internal/listener/writer.go
+++ b/internal/listener/writer.go
@@ -22,24 +22,24 @@
 	answer  []byte   // nil until given; guarded by conn.mu
 }
 
-// openResponse keeps a place for the answer of a command; it returns nil when the connection takes no more.
-func (c *conn) openResponse(request *Request) *pendingResponse {
+// addPendingResponse keeps a place for the answer of a command; it returns nil when the connection takes no more.
+func (c *conn) addPendingResponse(request *Request) *pendingResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == stateEnded {
 		return nil
 	}
 	pending := &pendingResponse{conn: c, request: request}
-	c.waiting = append(c.waiting, pending)
-	c.unwritten++
-	c.lastUsed, c.received = time.Now(), true
+	c.pendingResponses = append(c.pendingResponses, pending)
+	c.unwrittenCommands++
+	c.lastActivity, c.commandReceived = time.Now(), true
 	c.transition(commandTaken)
 	return pending
 }
 
 // answerCommand answers a command without the handler.
 func (c *conn) answerCommand(answer []byte) {
-	if pending := c.openResponse(nil); pending != nil {
+	if pending := c.addPendingResponse(nil); pending != nil {
 		pending.respond(answer)
 	}
 }
@@ -49,7 +49,7 @@
 func (pending *pendingResponse) respond(answer []byte) {
 	c := pending.conn
 	c.mu.Lock()
-	if c.gone.Load() {
+	if c.disconnected.Load() {
 		c.mu.Unlock()
 		return
 	}
@@ -61,8 +61,8 @@
 	pending.answer = answer
 	c.unsentBytes += len(answer)
 	c.server.unsentBytes.Add(int64(len(answer)))
-	c.queueAnswers()
-	c.lastUsed = time.Now()
+	c.queueReadyAnswers()
+	c.lastActivity = time.Now()
 	c.mu.Unlock()
 	if c.server.unsentBytes.Load() > c.server.maxUnsentBytes {
 		c.server.closeSlowestReader()
@@ -70,21 +70,21 @@
 	c.wakeWriter()
 }
 
-// queueAnswers hands the writer the answers whose turn has come; c.mu is held.
-func (c *conn) queueAnswers() {
-	for len(c.waiting) > 0 && c.waiting[0].answer != nil {
-		c.out = append(c.out, c.waiting[0].answer...)
-		c.outCount++
-		c.waiting[0] = nil
-		c.waiting = c.waiting[1:]
+// queueReadyAnswers hands the writer the answers whose turn has come; c.mu is held.
+func (c *conn) queueReadyAnswers() {
+	for len(c.pendingResponses) > 0 && c.pendingResponses[0].answer != nil {
+		c.readyAnswers = append(c.readyAnswers, c.pendingResponses[0].answer...)
+		c.readyCount++
+		c.pendingResponses[0] = nil
+		c.pendingResponses = c.pendingResponses[1:]
 	}
-	if len(c.waiting) == 0 {
+	if len(c.pendingResponses) == 0 {
 		c.transition(allAnswered)
 	}
 }
 
-// write sends answers as they come due until stop closes, and ends the connection between requests where that was asked for.
-func (c *conn) write(stop <-chan struct{}) {
+// runWriter sends answers as they come due until stop closes, and ends the connection between requests where that was asked for.
+func (c *conn) runWriter(stop <-chan struct{}) {
 	var buffer []byte
 	for {
 		select {
@@ -100,7 +100,7 @@
 			}
 		}
 		if last {
-			c.shutDown()
+			c.closeWriteSide()
 			return
 		}
 		buffer = answers
@@ -115,10 +115,10 @@
 func (c *conn) takeAnswers(empty []byte) (answers []byte, count int, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answers, c.out = c.out, empty
-	count, c.outCount = c.outCount, 0
+	answers, c.readyAnswers = c.readyAnswers, empty
+	count, c.readyCount = c.readyCount, 0
 	switch {
-	case len(c.waiting) > 0 || c.state.isOpen():
+	case len(c.pendingResponses) > 0 || c.state.isOpen():
 	case c.state == stateFaulted || c.state == stateEnded:
 		c.transition(endDecided)
 		last = true
@@ -133,15 +133,15 @@
 	_, err := sockets.WriteAll(c.socket, answers, time.Now().Add(writeTimeout))
 	c.mu.Lock()
 	c.unsentBytes -= len(answers)
-	c.unwritten -= count
+	c.unwrittenCommands -= count
 	c.mu.Unlock()
 	c.server.unsentBytes.Add(-int64(len(answers)))
 	return err
 }
 
-// shutDown tells the client the end and leaves it a moment to see that before the reader closes the socket: so no answer is
+// closeWriteSide tells the client the end and leaves it a moment to see that before the reader closes the socket: so no answer is
 // lost to a reset.
-func (c *conn) shutDown() {
+func (c *conn) closeWriteSide() {
 	c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		tcp.CloseWrite()
