--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// acceptRetryDelay follows an error that the next call may meet too.
+	// acceptRetryDelay is the wait after an accept error that is likely to recur.
 	acceptRetryDelay = 5 * time.Millisecond
-	// slotRetryInterval is how long a connection that was told to end may take before a further one is told.
+	// slotRetryInterval is how long a connection that was asked to close may take before another one is closed.
 	slotRetryInterval = 5 * time.Millisecond
 )
 
-// Serve accepts connections until the listener closes, or none has come for as long as Drain waits for them. Each one is
-// served by goroutines that end with it, and that Drain waits for.
+// Serve accepts connections until the listener is closed or the accept deadline that Drain sets has passed. Each connection is
+// served by its own goroutines, which end with it; Drain waits for them.
 func (s *Server) Serve() {
 	defer close(s.acceptDone)
 	for {
@@ -40,8 +40,9 @@
 	}
 }
 
-// handleAcceptError pauses where the next call may fail likewise: the process or the machine is out of descriptors or memory. A
-// connection that was given up before it was accepted tells nothing of the next one.
+// handleAcceptError logs the error and waits before the next call if that is likely to fail too, because the process or the
+// machine is out of descriptors or memory. It does neither for an interrupted call or a connection that was aborted in the
+// accept queue.
 func (s *Server) handleAcceptError(err error, acceptStart time.Time) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return
@@ -53,8 +54,8 @@
 	s.acceptDelay.recordFailure(acceptStart, time.Now())
 }
 
-// acquireConnSlot waits for the slot of a further connection. Clients keep idle connections for good and hundreds may say
-// nothing at all, so where all slots are taken one of these is closed.
+// acquireConnSlot waits for the slot of a new connection. If all slots are taken it closes an idle connection: clients keep idle
+// connections open indefinitely, and hundreds may never send a command.
 func (s *Server) acquireConnSlot() {
 	for {
 		select {
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -4,18 +4,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// MaxPipelined is the number of commands of one connection whose answers have not been written; requests beyond it are
+// MaxPipelined is the maximum number of commands of one connection whose answers have not been written; requests beyond it are
 // rejected.
 const MaxPipelined = 64
 
 const (
-	// maxUnwrittenCommands is the same for commands of any kind, rejected ones included; with one more the connection ends.
+	// maxUnwrittenCommands is the same limit for commands of any kind, including rejected ones; the connection is closed when
+	// it is exceeded.
 	maxUnwrittenCommands = 512
-	// maxFaults is the number of faults with which a connection ends.
+	// maxFaults is the number of faults at which a connection is closed.
 	maxFaults = 10
 )
 
-// Texts of faults that clients are sent.
+// Error texts that are sent to clients.
 const (
 	floodText          = "too many commands at once"
 	invalidCommandText = "a command is an array of bulk strings"
@@ -29,7 +30,7 @@
 	commandPing = "PING"
 )
 
-// handleCommand takes one complete command; it reports whether the client is still there.
+// handleCommand processes one complete command. It reports whether the client is still connected.
 func (c *conn) handleCommand(frame []byte) (connected bool) {
 	connected = true
 	if !c.reader.rejectsRequests && c.hasUnwrittenCommands(maxUnwrittenCommands) {
@@ -43,14 +44,14 @@
 	case c.reader.rejectsRequests:
 	case faults >= maxFaults:
 		c.startRejecting()
-	case faults > c.reader.faultsAtLastPause && !c.pauseAfterFault(faults): // one that the handler found
+	case faults > c.reader.faultsAtLastPause && !c.pauseAfterFault(faults): // the handler rejected a duplicate request
 		return false
 	}
 	c.clearCommandDeadline()
 	return true
 }
 
-// dispatch takes one command by its name; it reports whether the client is still there.
+// dispatch processes one command according to its name. It reports whether the client is still connected.
 func (c *conn) dispatch(frame []byte) (connected bool) {
 	complete, args, _, _, err := redcon.ReadNextCommand(frame, nil)
 	switch {
@@ -69,8 +70,8 @@
 	return string(name) == commandAsk || string(name) == commandDo
 }
 
-// handleRequest hands a request to the handler, or rejects it; it reports whether the client is still there. Reading never
-// stops for want of capacity, or nobody would see this client leave.
+// handleRequest passes a request to the handler, or rejects it. It reports whether the client is still connected. Reading never
+// stops for lack of capacity, because a disconnect is detected only by reading.
 func (c *conn) handleRequest(args [][]byte) (connected bool) {
 	request, err := c.server.cfg.parseRequest(args, c.reader.arrivedAt)
 	if err != nil {
@@ -93,14 +94,15 @@
 	return true
 }
 
-// answerFlood answers the command that is one too many on the connection.
+// answerFlood answers the command that exceeds maxUnwrittenCommands and starts closing the connection.
 func (c *conn) answerFlood() {
 	c.observeFault(FaultFlood, floodText, c.faults.Add(1))
 	c.answerCommand(errorReply(floodText))
 	c.startRejecting()
 }
 
-// answerFault answers a fault after a pause; it reports whether the client is still there.
+// answerFault answers a fault, after a pause unless the connection is closing because of faults. It reports whether the client is
+// still connected.
 func (c *conn) answerFault(kind FaultKind, text string) (connected bool) {
 	faults := c.faults.Add(1)
 	c.observeFault(kind, text, faults)
@@ -111,8 +113,8 @@
 	return true
 }
 
-// startRejecting ends the connection as soon as no answer is owed on it. What is read until then is answered in its order,
-// without pauses, and requests are rejected.
+// startRejecting closes the connection as soon as all its commands are answered. Commands that are read until then are answered
+// in order and without pauses, and requests are rejected.
 func (c *conn) startRejecting() {
 	c.reader.rejectsRequests = true
 	c.requestClose(CloseForFaults)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -11,26 +11,26 @@
 type conn struct {
 	server         *Server
 	socket         net.Conn
-	reader         reader        // of the goroutine that reads
-	faults         atomic.Int32  // faults that the client has committed
-	duplicateID    atomic.Uint64 // the id of the last request that was rejected as a duplicate
-	disconnected   atomic.Bool   // the reader has ended: no answer is kept, and no attempt should begin; set with mu held
-	disconnectedAt atomic.Int64  // when gone was set, by Config.Clock; 0: not yet
-	wake           chan struct{} // tells the writer of a change; holds one element
-	writerDone     chan struct{} // closed when nothing is written any more
-
-	mu                sync.Mutex  // guards the fields below
-	state             connState   // changed by transition only
-	reason            CloseReason // for the end of the connection; the first one stays
-	aborted           bool        // the server closed the socket, whatever was owed
-	commandReceived   bool        // a complete command has come
-	readDeadline      time.Time   // what the reader has set, zero: none; in force unless the writer has set another one
-	lastActivity      time.Time   // when it was opened, the last command came or the last answer was given
-	pendingResponses  []*pendingResponse
-	readyAnswers      []byte // answers whose turn has come
-	readyCount        int    // commands that they answer
-	unwrittenCommands int    // commands whose answers have not been written
-	unsentBytes       int    // of answers, in out or not, that have not been written
+	reader         reader        // used only by the reading goroutine
+	faults         atomic.Int32  // number of faults of the client
+	duplicateID    atomic.Uint64 // id of the last request that was rejected as a duplicate
+	disconnected   atomic.Bool   // the reader has ended: answers are dropped, and no attempt may start; set with mu held
+	disconnectedAt atomic.Int64  // when disconnected was set, on Config.Clock; zero before that
+	wake           chan struct{} // signals the writer that the state or the answers have changed; capacity 1
+	writerDone     chan struct{} // closed when the writer has ended
+
+	mu                sync.Mutex         // guards the fields below
+	state             connState          // changed only by transition
+	reason            CloseReason        // reason for the end of the connection; the first one set is kept
+	aborted           bool               // the server closed the socket without waiting for answers
+	commandReceived   bool               // a complete command has been received
+	readDeadline      time.Time          // deadline of the reader, zero for none; in effect unless the writer has set another one
+	lastActivity      time.Time          // when the connection was opened, or last received a command or an answer
+	pendingResponses  []*pendingResponse // in the order of their commands; without those in readyAnswers
+	readyAnswers      []byte             // encoded answers for the writer, in the order of the commands
+	readyCount        int                // number of answers in readyAnswers
+	unwrittenCommands int                // number of commands whose answers have not been written
+	unsentBytes       int                // size of the answers, ready or not, that have not been written
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
@@ -41,7 +41,7 @@
 	return c
 }
 
-// serve runs the connection to its end.
+// serve runs the connection until its reader and its writer have ended.
 func (c *conn) serve() {
 	defer c.server.activeConns.Done()
 	stopWriter := make(chan struct{})
@@ -55,7 +55,7 @@
 	unanswered := c.markDisconnected()
 	c.socket.Close()
 	c.observeEnd(unanswered)
-	if len(unanswered) > 0 { // said before the writer has ended: it may not run for a while
+	if len(unanswered) > 0 { // reported before waiting for the writer, which may end much later
 		c.server.cfg.Handler.ClientDisconnected(unanswered)
 	}
 	close(stopWriter)
@@ -64,7 +64,7 @@
 	c.server.untrack(c)
 }
 
-// markDisconnected marks the connection as over and returns the requests that nobody waits for any more.
+// markDisconnected marks the client as disconnected and returns its requests that have no answer.
 func (c *conn) markDisconnected() (unanswered []*Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,36 +78,36 @@
 	return unanswered
 }
 
-// releaseUnsentBytes takes what will never be written out of the sum over all connections.
+// releaseUnsentBytes subtracts the answers that will never be written from the total over all connections.
 func (c *conn) releaseUnsentBytes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.server.unsentBytes.Add(-int64(c.unsentBytes))
 }
 
-// hasPendingResponse reports whether a command waits for its answer.
+// hasPendingResponse reports whether a command waits for its answer or for an earlier one.
 func (c *conn) hasPendingResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pendingResponses) > 0
 }
 
-// hasReceivedCommand reports whether a complete command has come.
+// hasReceivedCommand reports whether a complete command has been received.
 func (c *conn) hasReceivedCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.commandReceived
 }
 
-// hasUnwrittenCommands reports whether so many commands wait for their answers to be written.
+// hasUnwrittenCommands reports whether the answers of at least minCount commands have not been written.
 func (c *conn) hasUnwrittenCommands(minCount int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unwrittenCommands >= minCount
 }
 
-// setReadDeadline sets the deadline of reads. Once the connection has ended, or the reader is asked about its end, the
-// socket's deadline is the writer's.
+// setReadDeadline sets the deadline of the reader. It does not change the deadline of the socket while the reader has to confirm
+// the end of the connection or after that end: the writer controls it then.
 func (c *conn) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,15 +117,16 @@
 	}
 }
 
-// proposeEnd makes the reader say whether the connection may end: only it knows whether it holds commands that were read and
-// not taken. c.mu is held.
+// proposeEnd makes the reader call confirmEnd, which decides whether the connection may end: only the reader knows whether its
+// buffer holds unprocessed commands. c.mu is held.
 func (c *conn) proposeEnd() {
 	c.transition(endProposed)
-	c.socket.SetReadDeadline(time.Unix(1, 0)) // the reader's call returns at once
+	c.socket.SetReadDeadline(time.Unix(1, 0)) // in the past, so that a blocked read returns
 }
 
-// confirmEnd is the reader's answer to proposeEnd, given while it holds no complete command: the connection ends, unless a
-// command waits for its answer or has begun to come. One that has begun is no reason to keep a slot that others need.
+// confirmEnd decides on an end that proposeEnd has proposed. The reader calls it while its buffer holds no complete command. The
+// connection ends unless a response is pending or the buffer holds part of a command. A partial command does not prevent the
+// end if the slot is needed. It returns whether an end was proposed, and whether the connection has ended.
 func (c *conn) confirmEnd() (proposed, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +142,7 @@
 	return true, false
 }
 
-// endIfNonePending ends the connection if no answer is owed on it; the reader does so between two reads.
+// endIfNonePending ends the connection if no response is pending. The reader calls it between two reads.
 func (c *conn) endIfNonePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,14 +153,14 @@
 	return true
 }
 
-// decideEnd leaves the rest of the connection to the writer; c.mu is held.
+// decideEnd makes the connection take no more commands and leaves the remaining answers to the writer; c.mu is held.
 func (c *conn) decideEnd() {
 	c.transition(endDecided)
 	c.socket.SetReadDeadline(time.Time{})
 	c.wakeWriter()
 }
 
-// refuseCommands leaves the end of the connection to the writer: what is read from now on is of no use.
+// refuseCommands makes the writer end the connection once all commands are answered; the reader discards further input.
 func (c *conn) refuseCommands() {
 	c.mu.Lock()
 	c.transition(commandsRefused)
@@ -168,8 +169,8 @@
 	c.wakeWriter()
 }
 
-// closeForShutdown closes for a shutdown as close does, but leaves a connection that is so new that its first command may be under
-// way the time to bring it.
+// closeForShutdown calls requestClose for a shutdown. For a new connection, whose first command may be in transit, it does so
+// after the rest of newConnGrace.
 func (c *conn) closeForShutdown() {
 	c.mu.Lock()
 	grace := newConnGrace - time.Since(c.lastActivity)
@@ -179,10 +180,10 @@
 		c.requestClose(CloseShutdown)
 		return
 	}
-	time.AfterFunc(grace, func() { c.requestClose(CloseShutdown) }) // does nothing to a connection that has ended by then
+	time.AfterFunc(grace, func() { c.requestClose(CloseShutdown) }) // has no effect on a connection that has ended by then
 }
 
-// requestClose asks for the end of the connection at the next moment between requests.
+// requestClose asks for the end of the connection as soon as no response is pending.
 func (c *conn) requestClose(reason CloseReason) {
 	c.mu.Lock()
 	c.transition(closeRequested)
@@ -191,7 +192,7 @@
 	c.wakeWriter()
 }
 
-// abort ends the connection at once, whatever is owed on it.
+// abort closes the socket at once, even if responses are pending.
 func (c *conn) abort(reason CloseReason) {
 	c.mu.Lock()
 	c.setReason(reason)
@@ -200,14 +201,14 @@
 	c.socket.Close()
 }
 
-// setReason keeps the first reason for the end of the connection; c.mu is held.
+// setReason sets the reason for the end of the connection unless one is set; c.mu is held.
 func (c *conn) setReason(reason CloseReason) {
 	if c.reason == CloseByClient {
 		c.reason = reason
 	}
 }
 
-// remoteAddr is the client's address, for the log.
+// remoteAddr returns the client's address for log records, or "" if it is unknown.
 func (c *conn) remoteAddr() string {
 	if c.socket == nil || c.socket.RemoteAddr() == nil {
 		return ""
@@ -215,7 +216,7 @@
 	return c.socket.RemoteAddr().String()
 }
 
-// wakeWriter makes the writer look at the connection again; it never blocks.
+// wakeWriter makes the writer check the state and the answers again; it never blocks.
 func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/listener/disconnect.go
+++ b/internal/listener/disconnect.go
@@ -10,8 +10,8 @@
 	"lemontack/internal/sockets"
 )
 
-// checkClientConnected reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
-// whether that is not there. After what the client sent last its presence is known again.
+// checkClientConnected reads the available input without blocking, as far as the memory allows. It reports false if it reached
+// the end of the input, and clears mayBeDisconnected if it has read all input without reaching the end.
 func (c *conn) checkClientConnected() (connected bool) {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
@@ -28,12 +28,12 @@
 		return true
 	case sockets.IsTransient(err), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrNoMemory),
 		errors.Is(err, os.ErrDeadlineExceeded):
-		return true // the next read will tell
+		return true // a later read detects a disconnect
 	}
 	return false
 }
 
-// readWithoutWaiting reads once; where nothing has come the error is EAGAIN.
+// readWithoutWaiting reads once without blocking; the error is EAGAIN if no input is available.
 func readWithoutWaiting(raw syscall.RawConn, b []byte) (n int, err error) {
 	rawErr := raw.Read(func(fd uintptr) bool {
 		for n, err = syscall.Read(int(fd), b); errors.Is(err, syscall.EINTR); {
--- a/internal/listener/drain.go
+++ b/internal/listener/drain.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// acceptQueueTimeout is how long a shutdown waits for connections that have come and were not accepted yet.
+// acceptQueueTimeout is how long a shutdown goes on accepting connections from the accept queue.
 const acceptQueueTimeout = 50 * time.Millisecond
 
-// Drain closes every connection as soon as no command on it waits for an answer, and the listener. Connections that have come
-// and wait to be accepted may hold requests already: they are served first. When ctx ends, what is open still is closed at
-// once. Drain returns when every connection has ended.
+// Drain closes the listener, and each connection as soon as no response is pending on it. Connections in the accept queue may
+// already hold requests, so they are accepted first. When ctx ends, the remaining connections are closed at once. Drain returns
+// when every connection has ended.
 func (s *Server) Drain(ctx context.Context) {
 	s.startDraining()
 	s.drainAcceptQueue()
@@ -30,7 +30,7 @@
 	<-ended
 }
 
-// startDraining asks for the end of every connection, also of those that are accepted from now on.
+// startDraining requests the close of every connection, including those that are accepted from now on.
 func (s *Server) startDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// drainAcceptQueue lets Serve accept what has come.
+// drainAcceptQueue lets Serve accept the connections in the accept queue, and waits 2*acceptQueueTimeout at most for its return.
 func (s *Server) drainAcceptQueue() {
 	tcp, ok := s.listener.(*net.TCPListener)
 	if !ok {
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxKeyLength bounds an idempotency key, in bytes.
+	// maxKeyLength is the maximum length of an idempotency key, in bytes.
 	maxKeyLength = 256
 	// customerNumberLimit is above every customer's number.
 	customerNumberLimit = 1 << 33
-	// answerMargin is the time before the client gives up that an answer needs on its way back, on a busy machine too. Of a
-	// short time-out it is a quarter at most.
+	// answerMargin is the time reserved for an answer to reach the client before its timeout, also on a busy machine. It is
+	// limited to a quarter of the timeout.
 	answerMargin = 20 * time.Millisecond
-	// maxTimeoutDeadlines bounds the time-out that a client may name, in deadlines of its class.
-	maxTimeoutDeadlines = 2
+	// maxTimeoutFactor is the maximum timeout of a request, as a multiple of the deadline of its class.
+	maxTimeoutFactor = 2
 )
 
-// Faults of requests. Their texts are sent to clients.
+// Errors of invalid requests. Their texts are sent to clients.
 var (
 	errInvalidCustomer   = errors.New("the customer is not 16 hex digits below 2^33")
 	errInvalidID         = errors.New("the id is not 16 hex digits")
@@ -40,18 +40,19 @@
 	errArgumentCount     = errors.New("wants a customer, an id, fields and at most a body")
 )
 
-// fields are the named values of a request.
+// fields holds the values of a request's fields.
 type fields struct {
 	class, plan, key         string
 	timeout                  uint64 // ms
-	timeoutStart, timeoutEnd int    // of its value in the text
+	timeoutStart, timeoutEnd int    // offsets of its value in the text
 	hasTimeout, hasFirst     bool
 	span, first              uint64
 	units                    float64
 	isRetry                  bool
 }
 
-// parseRequest checks a request that may have come at a time. It returns one only if a backend would take it.
+// parseRequest parses and validates a request; at is the earliest time at which it may have arrived. It returns an error for a
+// request that a backend would refuse.
 func (cfg *Config) parseRequest(args [][]byte, at time.Time) (*Request, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return nil, fmt.Errorf("%s %w", args[0], errArgumentCount)
@@ -94,8 +95,8 @@
 	return request, nil
 }
 
-// checkFields checks the values against the settings. The decision module takes a customer's plan and gateways from the first
-// request that names it, so only what can be true goes on.
+// checkFields validates the values against the settings. The decision module takes a customer's plan and gateways from the
+// customer's first request, so invalid values must not reach it.
 func (cfg *Config) checkFields(values fields, class policy.Class, command string) error {
 	gateways := uint64(cfg.GatewayCount)
 	switch {
@@ -109,21 +110,21 @@
 		return errMissingField
 	case values.span == 0 || values.span > gateways || values.first >= gateways:
 		return errInvalidGatewaySet
-	case !(values.units > 0) || values.units > cfg.MaxUnits: // NaN is not above 0
+	case !(values.units > 0) || values.units > cfg.MaxUnits: // the negated form also rejects NaN
 		return errUnitsRange
 	}
 	return nil
 }
 
-// setTimes derives the deadline from the client's time-out in ms. A client that says it will wait for ever is not believed.
+// setTimes derives the request's times from the client's timeout in ms, limited to maxTimeoutFactor deadlines.
 func (request *Request) setTimes(readAt time.Duration, timeout uint64, class policy.Class) {
-	wait := min(time.Duration(timeout)*time.Millisecond, maxTimeoutDeadlines*class.Deadline)
+	wait := min(time.Duration(timeout)*time.Millisecond, maxTimeoutFactor*class.Deadline)
 	request.ReadAt = readAt
 	request.GiveUpAt = readAt + wait
 	request.Deadline = request.GiveUpAt - min(answerMargin, wait/4)
 }
 
-// copyArgs keeps the command; the buffer that it came in is the connection's.
+// copyArgs copies the command, because the connection reuses the buffer that holds it.
 func (request *Request) copyArgs(args [][]byte) {
 	for _, arg := range args {
 		request.Args = append(request.Args, append(make([]byte, 0, len(arg)), arg...))
@@ -131,7 +132,7 @@
 	}
 }
 
-// parseFields reads "name=value,name=value"; names that are not known are left to the backend.
+// parseFields parses "name=value,name=value". It accepts unknown fields, which the backend interprets.
 func parseFields(text string) (fields, error) {
 	var values fields
 	seen := map[string]bool{}
@@ -155,7 +156,7 @@
 	return values, nil
 }
 
-// setField reads the value of a field.
+// setField parses and stores the value of a field; it ignores unknown fields.
 func (values *fields) setField(name, value string) (err error) {
 	switch name {
 	case "c":
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// faultPause precedes the answer to a fault, once for each fault of the connection so far.
+	// faultPause is the pause before the answer to a fault, multiplied by the connection's number of faults so far.
 	faultPause = 100 * time.Millisecond
-	// maxRequestNameEnd is where the name of a request has ended in its command at the latest, in bytes.
+	// maxRequestNameEnd is the maximum offset in bytes of the end of the name in a request's command.
 	maxRequestNameEnd = 32
 )
 
-// pauseAfterFault follows a fault, longer each time: a client that repeats faulty input as soon as it is answered takes no
-// CPU from the others. It reports whether the client is still there.
+// pauseAfterFault pauses after a fault, longer after each one, so that a client that repeats faulty input as soon as it is
+// answered does not take CPU time from other clients. It reports whether the client is still connected.
 //
-// What comes meanwhile is kept as far as the buffer holds it, so that a client that leaves is noticed. A request among it
-// ends the pause: it must not wait for the faults before it, which may be other clients' where a proxy shares the
-// connection. Where more comes than the buffer holds, a client that is owed an answer is read on at once, or nobody would
-// see it leave.
+// Input that arrives during the pause is buffered, so that a disconnect is detected. A request in it ends the pause, because the
+// faults before it may be those of another client if a proxy shares the connection. If the buffer is full and a response is
+// pending, the pause ends at once, because a disconnect is detected only by reading on.
 func (c *conn) pauseAfterFault(faults int32) (connected bool) {
 	c.reader.faultsAtLastPause = faults
 	until := time.Now().Add(time.Duration(faults) * faultPause)
@@ -35,7 +34,7 @@
 			return c.checkClientConnected()
 		}
 		switch err := c.readUntil(until); {
-		case errors.Is(err, os.ErrDeadlineExceeded): // or the writer proposes the end: the next read answers
+		case errors.Is(err, os.ErrDeadlineExceeded): // or the writer has proposed the end, which the next read handles
 			return true
 		case sockets.IsTransient(err):
 			time.Sleep(sockets.TransientErrorPause)
@@ -55,14 +54,14 @@
 	return c.checkClientConnected()
 }
 
-// readUntil reads once, until a deadline.
+// readUntil reads once, with a deadline.
 func (c *conn) readUntil(deadline time.Time) error {
 	c.setReadDeadline(deadline)
 	defer c.setReadDeadline(time.Time{})
 	return c.reader.buffer.Fill(c.socket.Read)
 }
 
-// waitWithoutReading waits without reading, for as long as a client that is owed nothing may be left unread.
+// waitWithoutReading waits until the given time, but for maxReadPause at most and only while the writer runs.
 func (c *conn) waitWithoutReading(until time.Time) {
 	select {
 	case <-time.After(min(time.Until(until), c.server.maxReadPause)):
@@ -70,8 +69,8 @@
 	}
 }
 
-// hasBufferedRequest reports whether a well-formed request has been read and not taken. A duplicate does not count: its client
-// would get round the pauses with it.
+// hasBufferedRequest reports whether the buffer holds a well-formed request that has not been processed. Duplicates do not count,
+// because a client could avoid the pauses with them.
 func (c *conn) hasBufferedRequest() bool {
 	for buffered := c.reader.buffer.Buffered(); ; {
 		length, err := resp.FrameLength(buffered)
@@ -85,9 +84,9 @@
 	}
 }
 
-// isNewRequest reports whether a command is a well-formed request whose id was not found taken on this connection.
+// isNewRequest reports whether a command is a well-formed request whose id differs from the connection's last duplicate.
 func (c *conn) isNewRequest(frame []byte) bool {
-	if !bytes.Contains(frame[:min(len(frame), maxRequestNameEnd)], []byte("Q.")) { // a flood of others is cheap to look through
+	if !bytes.Contains(frame[:min(len(frame), maxRequestNameEnd)], []byte("Q.")) { // skips the parser for other commands
 		return false
 	}
 	complete, args, _, _, err := redcon.ReadNextCommand(frame, nil)
--- a/internal/listener/reader.go
+++ b/internal/listener/reader.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// commandTimeout bounds the time from connecting to the end of the first command, and for the rest of a later one.
+	// commandTimeout is the maximum time from connecting to the end of the first command, and for the rest of a later command
+	// that has been read in part.
 	commandTimeout = 2400 * time.Millisecond
-	// discardBufferSize is the size in bytes of one read of what is of no use.
+	// discardBufferSize is the maximum size in bytes of one read of discarded input.
 	discardBufferSize = 16 << 10
-	// throttlePause follows each discardBytes that are of no use, or each discardBytesOwed where the client is owed an
-	// answer: what the buffers of two systems hold is read in time then.
+	// throttlePause is the pause after each throttleBytes of input that is discarded or rejected, or after each
+	// throttleBytesPending while a response is pending: the contents of both sides' socket buffers are then read in time to detect a disconnect.
 	throttlePause        = 10 * time.Millisecond
 	throttleBytes        = 64 << 10
 	throttleBytesPending = 2 << 20
 )
 
-// Reasons for which reading ends.
+// Errors that end the reading of commands.
 var (
 	errConnEnded         = errors.New("the connection has ended between requests")
 	errUnfinishedCommand = errors.New("the command does not end")
 )
 
-// reader is what the goroutine that reads a connection knows; no other one uses it.
+// reader is the state of the goroutine that reads a connection; no other goroutine uses it.
 type reader struct {
 	buffer             resp.FrameBuffer
-	openedAt           time.Time // when the connection was accepted, or may have come
-	mayHaveQueued      bool      // it may have waited to be accepted since openedAt
-	arrivedAt          time.Time // when what is in the buffer may have come
-	hasRead            bool      // something has been read
-	hasCommandDeadline bool      // the rest of a command has a deadline
-	rejectsRequests    bool      // the connection is closing for faults: requests are rejected, pauses left out
-	mayBeDisconnected  bool      // what is read may have waited for long, and the client may have gone since
-	faultsAtLastPause  int32     // faults of the connection up to the last that was followed by a pause
-	bytesSincePause    int       // read since the last discardPause
+	openedAt           time.Time // when the connection was accepted, or the earliest time at which it may have arrived
+	mayHaveQueued      bool      // the connection may have waited in the accept queue since openedAt
+	arrivedAt          time.Time // earliest time at which the input read last may have arrived
+	hasRead            bool      // some input has been read
+	hasCommandDeadline bool      // a deadline is set for the rest of a command
+	rejectsRequests    bool      // the connection is closing because of faults: requests are rejected, pauses omitted
+	mayBeDisconnected  bool      // the input may have waited for long, and the client may have disconnected since
+	faultsAtLastPause  int32     // the connection's number of faults at the last pause after a fault
+	bytesSincePause    int       // bytes of discarded or rejected input since the last throttlePause
 }
 
-// readCommands takes commands until the connection ends. It reports whether the writer is to end it while what still comes is read
-// and discarded.
+// readCommands processes commands until the connection ends or its framing is lost. It reports whether further input has to be
+// read and discarded while the writer ends the connection.
 func (c *conn) readCommands() (discardRest bool) {
 	defer c.reader.buffer.Close()
 	for {
@@ -61,7 +62,7 @@
 		case err == nil:
 		case errors.Is(err, errConnEnded):
 			return true
-		case isFault: // the framing is lost: what came before is answered, then the fault, then the connection ends
+		case isFault: // the framing is lost: earlier commands are answered, then the fault, then the connection ends
 			c.answerFault(kind, err.Error())
 			c.refuseCommands()
 			return true
@@ -71,7 +72,7 @@
 	}
 }
 
-// faultKindOf reports whether an error of reading is the client's fault, and which.
+// faultKindOf returns the kind of fault that a read error stands for, and false if the client is not at fault.
 func faultKindOf(err error) (kind FaultKind, isFault bool) {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
@@ -86,7 +87,7 @@
 	return 0, false
 }
 
-// readMore reads once more.
+// readMore reads once. It returns nil after a transient error, and after a proposed end that was declined.
 func (c *conn) readMore() error {
 	if c.reader.rejectsRequests && c.endIfNonePending() {
 		return errConnEnded
@@ -95,10 +96,10 @@
 	before := len(c.reader.buffer.Buffered())
 	err := c.reader.buffer.Fill(c.socket.Read)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		switch asked, ended := c.confirmEnd(); {
+		switch proposed, ended := c.confirmEnd(); {
 		case ended:
 			return errConnEnded
-		case asked:
+		case proposed:
 			return nil
 		case c.reader.hasCommandDeadline:
 			return errUnfinishedCommand
@@ -117,8 +118,8 @@
 	return c.recordArrival()
 }
 
-// setCommandDeadline sets a deadline for the rest of a command that has begun, once for each command: a deadline for each read
-// would cost CPU.
+// setCommandDeadline sets a deadline for the rest of a command that has been read in part. It does so once for each command: a
+// deadline for each read would cost CPU time.
 func (c *conn) setCommandDeadline() {
 	if !c.reader.buffer.HasPartialFrame() || c.reader.hasCommandDeadline {
 		return
@@ -131,7 +132,7 @@
 	c.reader.hasCommandDeadline = true
 }
 
-// clearCommandDeadline takes the deadline off again: the next command has its own time.
+// clearCommandDeadline clears the deadline; the next command has its own.
 func (c *conn) clearCommandDeadline() {
 	if c.reader.hasCommandDeadline {
 		c.setReadDeadline(time.Time{})
@@ -139,8 +140,8 @@
 	}
 }
 
-// recordArrival notes when what was just read may have come. What may have waited for long is read up to its end, in case the
-// client has gone since; io.EOF says that it has.
+// recordArrival records the earliest time at which the input just read may have arrived. If the input may have waited for long,
+// it reads all further input, and returns io.EOF if the client has disconnected since.
 func (c *conn) recordArrival() error {
 	now := time.Now()
 	c.reader.arrivedAt = c.server.cfg.Stalls.EarliestArrival(now)
@@ -155,9 +156,9 @@
 	return nil
 }
 
-// discard reads on without a use for it until the last answer is written, so that a client that leaves before is noticed,
-// and for a little after. It is slow on purpose: a flood costs its sender's time only. But the end of a client that is
-// owed an answer lies behind all that it sent, so until then it is only as slow as lets that be read in time.
+// discard reads and discards input until lingerTimeout after the last answer, so that a disconnect before that is detected. It is
+// throttled, so that a flood of input takes little CPU time. While a response is pending the throttling is weaker, because a
+// disconnect is detected only at the end of the input.
 func (c *conn) discard() {
 	c.setReadDeadline(time.Time{})
 	buffer := make([]byte, discardBufferSize)
@@ -167,14 +168,14 @@
 			time.Sleep(sockets.TransientErrorPause)
 			continue
 		}
-		if err != nil { // the client has gone, or the writer's deadline has passed
+		if err != nil { // the client has disconnected, or the writer's deadline has passed
 			return
 		}
 		c.throttleReading(n)
 	}
 }
 
-// throttleReading pauses now and then while bytes are read that are of no use.
+// throttleReading counts bytes of discarded or rejected input, and pauses after throttleBytes or throttleBytesPending of them.
 func (c *conn) throttleReading(count int) {
 	limit := throttleBytes
 	if c.hasPendingResponse() {
--- a/internal/listener/request.go
+++ b/internal/listener/request.go
@@ -7,30 +7,30 @@
 	"lemontack/policy"
 )
 
-// Request is a client's request, taken apart, with the place of its answer on the client's connection. Times are those of
+// Request is a client's parsed request, with a reference to the connection on which it is answered. Its times are those of
 // Config.Clock.
 type Request struct {
 	policy.Request
-	ExternalID   uint64        // the id that the client gave it
-	Args         [][]byte      // the command as it came: name, customer, id, fields, body
-	Size         int           // of Args, in bytes
-	TimeoutStart int           // where the value of d, the client's time-out in ms, begins in the fields
-	TimeoutEnd   int           // where it ends
-	ReadAt       time.Duration // when its last byte had been read, or may have come
-	GiveUpAt     time.Duration // when its client gives up
+	ExternalID   uint64        // id that the client assigned
+	Args         [][]byte      // the command as received: name, customer, id, fields, body
+	Size         int           // total length of Args, in bytes
+	TimeoutStart int           // offset in the fields of the value of d, the client's timeout in ms
+	TimeoutEnd   int           // offset of its end
+	ReadAt       time.Duration // when its last byte was read, or the earliest time at which it may have arrived
+	GiveUpAt     time.Duration // when its client stops waiting for the answer
 
-	response *pendingResponse // nil: released, or not the request of a connection
+	response *pendingResponse // nil after Release, and for a request without a connection
 }
 
-// Respond gives the client the one final answer.
+// Respond sends the final answer to the client. It has to be called exactly once, and never blocks.
 func (request *Request) Respond(answer []byte) { request.response.respond(answer) }
 
-// ClientDisconnected reports whether the client has gone. The event that says so may still be on its way to the handler.
+// ClientDisconnected reports whether the client has disconnected, which the handler may not have been notified of yet.
 func (request *Request) ClientDisconnected() bool {
 	return request.response != nil && request.response.conn.disconnected.Load()
 }
 
-// ClientDisconnectedAt returns when the client has gone; 0: it has not.
+// ClientDisconnectedAt returns when the client disconnected, or 0 if it has not.
 func (request *Request) ClientDisconnectedAt() time.Duration {
 	if request.response == nil {
 		return 0
@@ -38,21 +38,21 @@
 	return time.Duration(request.response.conn.disconnectedAt.Load())
 }
 
-// RejectDuplicate answers a request whose id is that of an open one, which counts as a fault of the connection.
+// RejectDuplicate sends an error to a request with the id of an open one, and counts a fault of its connection.
 func (request *Request) RejectDuplicate() {
 	c := request.response.conn
 	c.duplicateID.Store(request.ExternalID)
-	c.observeFault(FaultDuplicate, "the id "+request.ExternalIDString()+" is taken", c.faults.Add(1))
+	c.observeFault(FaultDuplicate, "the id "+request.ExternalIDString()+" is in use", c.faults.Add(1))
 	request.Respond([]byte("-ERR a request of this id is being served\r\n"))
 }
 
-// Release lets go of what is needed only until the request is over.
+// Release drops the references that are needed only until the request is answered or abandoned.
 func (request *Request) Release() { request.Args, request.response = nil, nil }
 
-// Released reports whether the request belongs to no connection any more.
+// Released reports whether the request has no connection, as after Release.
 func (request *Request) Released() bool { return request.response == nil }
 
-// RemoteAddr is the address of the request's client; "" once nothing is owed to it.
+// RemoteAddr returns the address of the request's client, or "" after Release.
 func (request *Request) RemoteAddr() string {
 	if request.response == nil {
 		return ""
@@ -60,5 +60,5 @@
 	return request.response.conn.remoteAddr()
 }
 
-// ExternalIDString is the request's id as the client wrote it.
+// ExternalIDString returns the id as 16 lower-case hex digits.
 func (request *Request) ExternalIDString() string { return fmt.Sprintf("%016x", request.ExternalID) }
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -1,8 +1,8 @@
 // Package listener is the client side of the ingress: it accepts connections, reads commands from them and writes the answers
-// in the order of the commands. Requests go to a Handler, which answers each of them once through the Request itself.
+// in the order of the commands. It passes requests to a Handler, which answers each of them once with Request.Respond.
 //
 // Each connection has a goroutine that reads and one that writes, which share it under a lock; connState describes its states.
-// Reading never waits for answers, so that the end of a client is noticed while it has open requests.
+// Reading never waits for answers, so that a disconnect is detected while requests are open.
 package listener
 
 import (
@@ -20,46 +20,46 @@
 	"lemontack/policy"
 )
 
-// maxReadPauseDivisor is the part of the shortest deadline for which a client that is owed nothing may be left unread: one
-// quarter, so that a request behind it keeps most of its time.
+// maxReadPauseDivisor divides the shortest deadline of a class; the result is Server.maxReadPause. A request that arrives during
+// such a pause keeps most of its time.
 const maxReadPauseDivisor = 4
 
-// Handler receives what clients ask for. Its methods are called by the goroutines of many connections at once, and in the
-// order of the commands for each connection.
+// Handler receives the requests of clients. Its methods are called concurrently by the goroutines of the connections, and for each
+// connection in the order of its commands.
 type Handler interface {
-	// RequestReceived takes a request that is complete and well formed. Exactly one answer has to be given to it.
+	// RequestReceived receives a complete and well-formed request, which has to be answered exactly once.
 	RequestReceived(request *Request)
-	// ClientDisconnected reports that the client of these requests has gone before they were answered.
+	// ClientDisconnected reports that the client of these requests disconnected before they were answered.
 	ClientDisconnected(unanswered []*Request)
 }
 
-// Observer counts and logs what happens to requests before the Handler has them and where it answers. Like those of Handler
-// its methods are called by many goroutines at once.
+// Observer counts and logs requests before the Handler receives them, and faults in answering them. Like those of Handler its
+// methods are called concurrently.
 type Observer interface {
-	// RequestRead is called for each request that is complete and well formed.
+	// RequestRead is called for each complete and well-formed request.
 	RequestRead()
-	// RequestRejected is called for a request that is answered with Config.RejectedReply here.
+	// RequestRejected is called for a request that the listener answers with Config.RejectedReply.
 	RequestRejected(request *Request, reason string)
-	// RequestUnanswered is called for a request that was read and cannot have its answer any more through a fault of the
-	// program, or because the listener closed its connection.
+	// RequestUnanswered is called for a request that was read and can no longer be answered, because of a fault of the program
+	// or because the listener closed the connection.
 	RequestUnanswered(request *Request, cause string)
-	// RequestAnsweredTwice is called when a second answer is given to a command. It is dropped.
+	// RequestAnsweredTwice is called for a second answer to a command, which is dropped.
 	RequestAnsweredTwice()
 }
 
-// Config configures a Server. All fields are needed unless said otherwise.
+// Config configures a Server. All fields are required except Stalls.
 type Config struct {
-	Classes        map[string]policy.Class       // of requests, by name
+	Classes        map[string]policy.Class       // request classes by name
 	Plans          map[string]bool               // names of the customers' plans
-	GatewayCount   int                           // gateways that a request may name
-	MaxUnits       float64                       // of one request
-	MaxConnections int                           // open at once
-	Memory         int                           // bytes for commands that are coming in, and as many for unread answers
-	RejectedReply  []byte                        // the answer to a request that is rejected
-	Clock          func(time.Time) time.Duration // the clock of the times in a Request
-	Stalls         *stall.Detector               // nil: stalls of the process are not noticed
+	GatewayCount   int                           // number of gateways that a request may name
+	MaxUnits       float64                       // maximum number of units of a request
+	MaxConnections int                           // maximum number of open connections
+	Memory         int                           // bytes for incoming commands, and as many for unsent answers
+	RejectedReply  []byte                        // encoded answer to a rejected request
+	Clock          func(time.Time) time.Duration // converts to the clock of the times in Request
+	Stalls         *stall.Detector               // nil disables the detection of process stalls
 	Log            *slog.Logger
-	LogLimiter     *telemetry.LogLimiter // of warnings
+	LogLimiter     *telemetry.LogLimiter // limits warnings
 	Counters       *Counters
 	Handler        Handler
 	Observer       Observer
@@ -68,23 +68,23 @@
 // Server accepts and serves the clients' connections on one address.
 type Server struct {
 	cfg            Config
-	debugEnabled   bool // records of level debug are written
+	debugEnabled   bool // log records of level debug are written
 	listener       net.Listener
-	connSlots      chan struct{}      // one element for each connection that is open, or about to be accepted
-	commandMemory  *resp.MemoryBudget // of commands that are coming in
-	unsentBytes    atomic.Int64       // of answers that clients have not read, on all connections
+	connSlots      chan struct{}      // holds one element for each connection that is open or about to be accepted
+	commandMemory  *resp.MemoryBudget // memory for incoming commands
+	unsentBytes    atomic.Int64       // size of the unwritten answers on all connections
 	maxUnsentBytes int64
-	maxReadPause   time.Duration  // for which a client that is owed nothing may be left unread
-	acceptDelay    acceptDelay    // of the goroutine that runs Serve
-	acceptDone     chan struct{}  // closed when no more connections are accepted
-	activeConns    sync.WaitGroup // one for each connection
+	maxReadPause   time.Duration  // longest time without reading from a connection that has no pending response
+	acceptDelay    acceptDelay    // used only by the goroutine that runs Serve
+	acceptDone     chan struct{}  // closed when Serve has returned
+	activeConns    sync.WaitGroup // counts the connections that are being served
 
-	mu       sync.Mutex // guards the fields below; taken before the mu of a conn
+	mu       sync.Mutex // guards the fields below; locked before the mu of a conn
 	conns    map[*conn]bool
 	draining bool
 }
 
-// New returns a server of the listener's connections, which the server closes in Drain.
+// New returns a server for the connections of a net.Listener, which Drain closes.
 func New(listener net.Listener, cfg Config) *Server {
 	s := &Server{
 		cfg:            cfg,
@@ -103,7 +103,7 @@
 	return s
 }
 
-// ServeConn serves one connection to its end, beside those that Serve accepts.
+// ServeConn serves one connection until it ends, in addition to those that Serve accepts.
 func (s *Server) ServeConn(socket net.Conn) {
 	s.connSlots <- struct{}{}
 	c := newConn(s, socket)
@@ -111,7 +111,7 @@
 	c.serve()
 }
 
-// track makes the connection known to the sweeps and to Drain; serve ends that.
+// track adds the connection to those that the sweeps and Drain close; untrack removes it.
 func (s *Server) track(c *conn) {
 	s.mu.Lock()
 	s.conns[c] = true
@@ -123,7 +123,7 @@
 	}
 }
 
-// untrack forgets a connection that has ended.
+// untrack removes a connection that has ended and releases its slot.
 func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
--- a/internal/listener/state.go
+++ b/internal/listener/state.go
@@ -1,39 +1,39 @@
 package listener
 
-// connState is the state of a client connection. Its reader, its writer and the server change it, always through transition
-// and with conn.mu held:
+// connState is the state of a client connection. Its reader, its writer and the server change it, always with transition and with
+// conn.mu held:
 //
 //	state         meaning                                             next states
-//	new           no complete command has come                        active, draining, faulted
-//	active        a command waits for its answer                      idle, draining, faulted
-//	idle          every command that came has its answer              active, draining, faulted
-//	draining      ends once no command waits for its answer           confirming, faulted, ended
-//	confirming    the writer wants to end it and asks the reader,     draining, faulted, ended
-//	              which may hold commands that were read and not
-//	              taken; its reads fail until it has answered
+//	new           no complete command has been received               active, draining, faulted
+//	active        a response is pending                               idle, draining, faulted
+//	idle          every command that was received has its answer      active, draining, faulted
+//	draining      ends once no response is pending                    confirming, faulted, ended
+//	confirming    the writer has proposed the end to the reader,      draining, faulted, ended
+//	              whose buffer may hold unprocessed commands; reads
+//	              fail until the reader has confirmed or declined
 //	faulted       the reader takes no more commands; the writer ends  ended
-//	              the connection once no command waits
-//	ended         no command is taken; the writer sends what is left  -
-//	              and shuts the sending side down
+//	              the connection once no response is pending
+//	ended         no command is taken; the writer sends the           -
+//	              remaining answers and closes the sending side
 //
 // Events that change it:
 //
 //	event             from                  to            by
 //	commandTaken      new, idle             active        reader
-//	allAnswered       active                idle          whoever gives the last answer that is waited for
+//	allAnswered       active                idle          the goroutine that gives the last pending answer
 //	closeRequested    new, active, idle     draining      reader, server
-//	endProposed       draining              confirming    writer, when no command waits
+//	endProposed       draining              confirming    writer, when no response is pending
 //	endDeclined       confirming            draining      reader
 //	commandsRefused   any but ended         faulted       reader, when the framing is lost
-//	endDecided        draining, confirming  ended         reader, when no command waits
-//	endDecided        faulted               ended         writer, when no command waits
+//	endDecided        draining, confirming  ended         reader, when no response is pending
+//	endDecided        faulted               ended         writer, when no response is pending
 //
-// An event in any other state changes nothing, except that endDecided ends a connection in every state. While a connection is
-// draining or confirming it takes commands and answers them, without a change of state.
+// An event in any other state has no effect, except that endDecided ends a connection in every state. A connection that is
+// draining or confirming takes and answers commands without a change of state.
 //
-// Three facts are independent of the state and are kept beside it in conn: whether any command has come, which also matters
-// while the connection is draining; whether the server aborted it with answers owed; and whether the client has gone, which
-// the handler reads without the lock, and after which the writer may still go through these states.
+// Three conditions are independent of the state and have their own fields in conn: commandReceived, which also matters while the
+// connection is draining; aborted, for a socket that the server closed without waiting for answers; and disconnected, which the
+// handler reads without the lock, and after which the writer may still change the state.
 type connState int
 
 const (
@@ -80,10 +80,10 @@
 	return state
 }
 
-// isOpen reports whether nobody has asked for the end of the connection.
+// isOpen reports whether the end of the connection has not been requested.
 func (state connState) isOpen() bool {
 	return state == stateNew || state == stateActive || state == stateIdle
 }
 
-// transition changes the state as the event demands; c.mu is held.
+// transition changes the state according to the event; c.mu is held.
 func (c *conn) transition(event connEvent) { c.state = c.state.next(event) }
--- a/internal/listener/sweep.go
+++ b/internal/listener/sweep.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// idleTimeout is how long a connection may be without an open request once it has sent a command.
+	// idleTimeout is how long a connection that has sent a command may be without an open request.
 	idleTimeout = 2100 * time.Millisecond
-	// sweepInterval is the time between two looks for idle connections.
+	// sweepInterval is the time between two sweeps for idle connections.
 	sweepInterval = 250 * time.Millisecond
-	// newConnGrace is how long the first command of a new connection may be under way before the connection is closed for
-	// want of slots, or in a shutdown.
+	// newConnGrace is the time in which a new connection is not closed for a shutdown or for its slot, because its first
+	// command may be in transit.
 	newConnGrace = 50 * time.Millisecond
 )
 
-// closeMostIdleConn closes the oldest connection that has sent no command yet, or else the one that has been idle for longest.
+// closeMostIdleConn closes the oldest connection that has sent no command within newConnGrace, or if there is none, the connection
+// that has been idle for longest.
 func (s *Server) closeMostIdleConn(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,8 +37,8 @@
 	}
 }
 
-// SweepIdle closes, until ctx ends, the connections that have been without an open request for too long: every one of them
-// keeps memory and a descriptor, and some clients ask once and stay for good, or never ask.
+// SweepIdle closes, until ctx ends, the connections that have been without an open request for too long: each of them uses
+// memory and a descriptor, and some clients stay connected after one request or without any.
 func (s *Server) SweepIdle(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -76,7 +77,7 @@
 	return idle > commandTimeout-sweepInterval
 }
 
-// closeSlowestReader closes the connection whose client leaves most bytes of answers unread.
+// closeSlowestReader closes the connection with the most unsent bytes of answers.
 func (s *Server) closeSlowestReader() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/listener/telemetry.go
+++ b/internal/listener/telemetry.go
@@ -2,41 +2,41 @@
 
 import "lemontack/internal/telemetry"
 
-// FaultKind numbers the kinds of input that no client should send.
+// FaultKind numbers the kinds of faulty input from clients.
 type FaultKind int
 
-// The kinds of faults, and what was sent.
+// Kinds of client faults.
 const (
-	FaultFraming    FaultKind = iota // bytes that are no RESP
-	FaultTooLong                     // more than the protocol allows
-	FaultMemory                      // something for which there is no memory now
-	FaultUnfinished                  // a command that does not end in its time
-	FaultCommand                     // an unknown command, or none
-	FaultRequest                     // a request with malformed or impossible fields
-	FaultDuplicate                   // the id of an open request
-	FaultFlood                       // too many commands at once
+	FaultFraming    FaultKind = iota // bytes that are not RESP
+	FaultTooLong                     // input that is longer than the protocol allows
+	FaultMemory                      // input for which no memory is available
+	FaultUnfinished                  // a command that does not end before its deadline
+	FaultCommand                     // an unknown or malformed command
+	FaultRequest                     // a request with malformed or invalid arguments
+	FaultDuplicate                   // a request with the id of an open one
+	FaultFlood                       // too many unanswered commands
 )
 
-// CloseReason numbers the reasons for which a connection ended.
+// CloseReason numbers the reasons for the end of a connection.
 type CloseReason int
 
-// The reasons for the end of a connection.
+// Reasons for the end of a connection.
 const (
-	CloseByClient   CloseReason = iota // the client closed it, or it broke
-	CloseIdle                          // no command came for too long
-	CloseForSlot                       // a new connection needs its slot
-	CloseForFaults                     // too many faults, or the framing is lost
-	CloseShutdown                      // the process ends
+	CloseByClient   CloseReason = iota // the client closed the connection, or it failed
+	CloseIdle                          // the connection had no open request for too long
+	CloseForSlot                       // a new connection needed the slot
+	CloseForFaults                     // too many faults, or lost framing
+	CloseShutdown                      // the process shuts down
 	CloseSlowReader                    // the client does not read its answers
 )
 
-// Counters counts the faults of clients and the ends of their connections. It is safe for concurrent use.
+// Counters counts client faults by kind and closed connections by reason. It is safe for concurrent use.
 type Counters struct {
 	Faults *telemetry.Counters[FaultKind]
 	Closes *telemetry.Counters[CloseReason]
 }
 
-// NewCounters returns counters that are all at 0.
+// NewCounters returns counters that are all 0.
 func NewCounters() *Counters {
 	return &Counters{
 		Faults: telemetry.NewCounters[FaultKind]("framing", "too_long", "memory", "unfinished", "command", "request",
@@ -45,7 +45,7 @@
 	}
 }
 
-// observeFault counts and logs a fault, which is the number-th of the connection.
+// observeFault counts and logs a fault; number is the connection's number of faults including this one.
 func (c *conn) observeFault(kind FaultKind, text string, number int32) {
 	counters := c.server.cfg.Counters
 	counters.Faults.Add(kind)
@@ -55,8 +55,8 @@
 	}
 }
 
-// observeEnd counts and logs the end of the connection. Requests without an answer were abandoned by their client, unless
-// the listener closed the socket; for a client that does not read its answers nothing more can be done.
+// observeEnd counts and logs the end of the connection. It reports requests without an answer to the Observer if the listener
+// aborted the connection, except that of a client that does not read its answers; otherwise the client abandoned them.
 func (c *conn) observeEnd(unanswered []*Request) {
 	c.mu.Lock()
 	reason, aborted := c.reason, c.aborted
--- a/internal/listener/writer.go
+++ b/internal/listener/writer.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// writeTimeout is how long a client may take to read what is written to it at once.
+	// writeTimeout is the maximum time for one write of answers to a client.
 	writeTimeout = 3 * time.Second
-	// lingerTimeout is how long the client has to see the server's end of a connection before the socket closes.
+	// lingerTimeout is how long the client has to close its side after the server's FIN before the socket is closed.
 	lingerTimeout = 250 * time.Millisecond
 )
 
-// pendingResponse keeps the place of one command's answer among those of its connection.
+// pendingResponse is the position of one command's answer among the answers of its connection.
 type pendingResponse struct {
 	conn    *conn
-	request *Request // nil: the command is none that the handler knows of
+	request *Request // nil for a command that is not passed to the handler
 	answer  []byte   // nil until given; guarded by conn.mu
 }
 
-// addPendingResponse keeps a place for the answer of a command; it returns nil when the connection takes no more.
+// addPendingResponse reserves the position of a command's answer; it returns nil if the connection has ended.
 func (c *conn) addPendingResponse(request *Request) *pendingResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// respond gives the answer, and never blocks. Clients that leave their answers unread lose their connections before they
-// can fill the memory.
+// respond sets the answer, and never blocks. If the unsent answers of all connections then exceed their limit, it closes the
+// connection with the most of them, so that clients that do not read cannot exhaust the memory.
 func (pending *pendingResponse) respond(answer []byte) {
 	c := pending.conn
 	c.mu.Lock()
@@ -70,7 +70,7 @@
 	c.wakeWriter()
 }
 
-// queueReadyAnswers hands the writer the answers whose turn has come; c.mu is held.
+// queueReadyAnswers moves the answers that are next in order to readyAnswers; c.mu is held.
 func (c *conn) queueReadyAnswers() {
 	for len(c.pendingResponses) > 0 && c.pendingResponses[0].answer != nil {
 		c.readyAnswers = append(c.readyAnswers, c.pendingResponses[0].answer...)
@@ -83,7 +83,8 @@
 	}
 }
 
-// runWriter sends answers as they come due until stop closes, and ends the connection between requests where that was asked for.
+// runWriter writes answers as they become ready until stop closes. If the end of the connection was requested, it ends the
+// connection once no response is pending.
 func (c *conn) runWriter(stop <-chan struct{}) {
 	var buffer []byte
 	for {
@@ -104,14 +105,14 @@
 			return
 		}
 		buffer = answers
-		if cap(buffer) > resp.InitialBufferSize { // a large answer's memory does not stay with the connection
+		if cap(buffer) > resp.InitialBufferSize { // releases the memory of a large answer
 			buffer = nil
 		}
 	}
 }
 
-// takeAnswers returns the answers to write and how many commands they answer, leaving an empty buffer in their place. It
-// reports whether they are the last, and asks the reader for the end of the connection where only that is missing.
+// takeAnswers returns the answers to write and their number, and replaces them by an empty buffer. It reports whether they are
+// the last ones. If the end was requested and no response is pending, it proposes the end to the reader.
 func (c *conn) takeAnswers(empty []byte) (answers []byte, count int, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +129,7 @@
 	return answers, count, last
 }
 
-// writeAnswers writes the answers of so many commands.
+// writeAnswers writes the answers of count commands.
 func (c *conn) writeAnswers(answers []byte, count int) error {
 	_, err := sockets.WriteAll(c.socket, answers, time.Now().Add(writeTimeout))
 	c.mu.Lock()
@@ -139,8 +140,8 @@
 	return err
 }
 
-// closeWriteSide tells the client the end and leaves it a moment to see that before the reader closes the socket: so no answer is
-// lost to a reset.
+// closeWriteSide sends a FIN and gives the reader lingerTimeout to receive the client's before it closes the socket: an earlier
+// close could cause a reset, which loses answers.
 func (c *conn) closeWriteSide() {
 	c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
