--- a/internal/listener/accept_test.go
+++ b/internal/listener/accept_test.go
@@ -12,7 +12,7 @@
 	"lemontack/internal/nettest"
 )
 
-// failingListener is a listener whose calls fail, each error once, before they go through.
+// failingListener is a listener whose first Accept calls return the errors errs, one after the other.
 type failingListener struct {
 	net.Listener
 	errs     []error
@@ -26,19 +26,19 @@
 	return l.Listener.Accept()
 }
 
-// Whatever accept fails with, later connections are accepted, and no slot is lost to the failures.
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
+// After any accept error later connections are accepted, and no connection slot is leaked.
+func TestAcceptContinuesAfterErrors(t *testing.T) {
 	ln := nettest.Listen(t)
 	errs := []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO,
 		syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unknown error")}
-	const slots = 2 // fewer than the errors
+	const slots = 2 // fewer than errs, to detect a leak
 	s, _ := newServer(&failingListener{Listener: ln, errs: errs}, slots, 1<<20)
 	go s.Serve() // ends with the listener
 	for range slots {
 		socket, in := nettest.Dial(t, ln.Addr().String())
 		io.WriteString(socket, nettest.Command(commandPing))
 		if got := nettest.ReadLine(t, in); got != "+PONG" {
-			t.Fatal(got)
+			t.Fatalf("got reply %q, want +PONG", got)
 		}
 	}
 }
--- a/internal/listener/acceptdelay_test.go
+++ b/internal/listener/acceptdelay_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A connection may have waited since the last delay began, or since calls began to fail, and no longer: where slots are always
-// scarce, each one waits for its own.
-func TestAcceptDelayCountsFromTheLastDelay(t *testing.T) {
+// A connection may have waited since the start of the last delay or of the last series of accept errors, but not since an earlier
+// delay.
+func TestConnectionMayHaveWaitedSinceTheLastDelay(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var delay acceptDelay
-	wantAccepted := func(now, since int) {
+	wantAccepted := func(now, earliest int) {
 		t.Helper()
-		got, waited := delay.recordAccept(at(now))
-		if !got.Equal(at(since)) || waited != (now != since) {
-			t.Fatalf("accepted at %d ms: waited %v, since %v", now, waited, got.Sub(start))
+		got, mayHaveWaited := delay.recordAccept(at(now))
+		if !got.Equal(at(earliest)) || mayHaveWaited != (now != earliest) {
+			t.Fatalf("accepted at %d ms: got earliest arrival %v, waited %v; want %d ms", now, got.Sub(start), mayHaveWaited, earliest)
 		}
 	}
 	wantAccepted(1, 1)
--- a/internal/listener/conn_test.go
+++ b/internal/listener/conn_test.go
@@ -12,35 +12,34 @@
 	"lemontack/internal/nettest"
 )
 
-// Commands on a connection that is closing are dropped, however many: a reader that waited for capacity there kept a shutdown
-// from ending.
-func TestClosingConnectionReadsNoCommand(t *testing.T) {
+// Any number of commands on an ended connection is dropped at once: a reader that waits for capacity would block a shutdown.
+func TestEndedConnectionTakesNoCommand(t *testing.T) {
 	s, _ := newServer(nil, 1, 1<<20)
 	c := newConn(s, nil)
 	c.state = stateEnded
 	for range MaxPipelined + 1 {
 		if c.addPendingResponse(nil) != nil {
-			t.Fatal("a command was read")
+			t.Fatal("got a pending response on an ended connection, want nil")
 		}
 	}
 }
 
-// A shutdown does not close a connection that is so new that its first command may still be in transit.
-func TestNewConnectionIsServedDuringAShutdown(t *testing.T) {
-	for received, closing := range map[bool]bool{false: false, true: true} {
+// A shutdown does not at once close a new connection, whose first command may still be in transit.
+func TestShutdownLeavesNewConnectionOpen(t *testing.T) {
+	for received, wantClosing := range map[bool]bool{false: false, true: true} {
 		s, _ := newServer(nil, 1, 1<<20)
 		c := newConn(s, nil)
 		c.lastActivity, c.commandReceived = time.Now().Add(time.Hour), received
 		if received {
 			c.state = stateIdle
 		}
-		if c.closeForShutdown(); c.state.isOpen() == closing {
-			t.Errorf("a command received %v: state %v", received, c.state)
+		if c.closeForShutdown(); c.state.isOpen() == wantClosing {
+			t.Errorf("command received %v: got state %v, want closing %v", received, c.state, wantClosing)
 		}
 	}
 }
 
-// interceptedConn is a connection that calls meanwhile between a read from the socket and the reader's next step.
+// interceptedConn is a connection that calls afterRead before a successful read returns.
 type interceptedConn struct {
 	*net.TCPConn
 	afterRead func()
@@ -54,12 +53,12 @@
 	return n, err
 }
 
-// A request that was read as its connection began to close is answered before it is closed.
-func TestRequestReadAsItsConnectionClosesIsAnswered(t *testing.T) {
+// A request that is read while the close of its connection is requested is answered before the connection ends.
+func TestRequestReadWhileConnectionClosesIsAnswered(t *testing.T) {
 	for _, reason := range []CloseReason{CloseIdle, CloseForSlot, CloseShutdown} {
-		near, far := nettest.ConnPair(t)
+		serverEnd, clientEnd := nettest.ConnPair(t)
 		s, rec := newServer(nil, 1, 1<<20)
-		socket := &interceptedConn{TCPConn: near}
+		socket := &interceptedConn{TCPConn: serverEnd}
 		c := newConn(s, socket)
 		socket.afterRead = func() {
 			socket.afterRead = nil
@@ -71,62 +70,62 @@
 			}
 		}
 		done := serve(c)
-		io.WriteString(far, nettest.Ask(1, nettest.ReadFields))
+		io.WriteString(clientEnd, nettest.Ask(1, nettest.ReadFields))
 		select {
 		case request := <-rec.received:
 			request.Respond(valueReply)
 		case <-rec.disconnected:
-			t.Fatal("the request counts as one of a disconnected client")
+			t.Fatal("the client was reported as disconnected, want the request to be received")
 		case <-done:
-			t.Fatal("the connection ended with a request that had been read")
+			t.Fatal("the connection ended, want the request to be received")
 		}
-		in := bufio.NewReader(far)
+		in := bufio.NewReader(clientEnd)
 		nettest.WantValue(t, in)
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Fatalf("%q, %v after the answer", rest, err)
+			t.Fatalf("got %q, error %v after the answer, want a clean end", rest, err)
 		}
 		nettest.Await(t, "the connection's end", done)
 	}
 }
 
-// The connection of a client that does not read its answers is closed before they fill the memory; one that is read remains
+// If the unsent answers exceed their memory limit, the connection with the most of them is closed and other connections remain
 // open.
 func TestSlowReaderIsClosed(t *testing.T) {
 	s, _ := newServer(nil, 2, 1000)
-	var ends [2]net.Conn
+	var clientEnds [2]net.Conn
 	var conns [2]*conn
-	for i := range ends {
-		near, far := net.Pipe()
-		ends[i], conns[i] = far, newConn(s, near)
+	for i := range clientEnds {
+		serverEnd, clientEnd := net.Pipe()
+		clientEnds[i], conns[i] = clientEnd, newConn(s, serverEnd)
 		s.conns[conns[i]] = true
 	}
 	conns[0].addPendingResponse(nil).respond(make([]byte, 900))
 	conns[1].addPendingResponse(nil).respond(make([]byte, 200))
-	ends[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
-	if _, err := ends[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Fatalf("the slow reader's connection is open: %v", err)
+	clientEnds[1].SetWriteDeadline(time.Now()) // the server end is not read, so a write blocks
+	if _, err := clientEnds[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+		t.Fatalf("slow reader's connection: got error %v, want io.ErrClosedPipe", err)
 	}
-	if _, err := ends[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the other connection was closed: %v", err)
+	if _, err := clientEnds[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("other connection: got error %v, want os.ErrDeadlineExceeded", err)
 	}
 }
 
-// Unsent bytes are released with their connection, also after the client has disconnected: the count once only rose.
+// The unsent bytes of a connection are subtracted from the total when it ends, including those of a disconnected client.
 func TestUnsentBytesAreReleasedWithTheConnection(t *testing.T) {
 	s, rec := newServer(nil, 1, 1<<20)
-	near, far := net.Pipe()
-	c := newConn(s, near)
+	serverEnd, clientEnd := net.Pipe()
+	c := newConn(s, serverEnd)
 	s.connSlots <- struct{}{}
 	s.track(c)
 	first, second := c.addPendingResponse(&Request{}), c.addPendingResponse(nil)
 	second.respond([]byte("+PONG\r\n"))
-	far.Close()
+	clientEnd.Close()
 	c.serve()
 	first.respond([]byte("-ERR failed\r\n"))
 	if n := s.unsentBytes.Load(); n != 0 {
-		t.Fatalf("%d unsent bytes remain", n)
+		t.Fatalf("got %d unsent bytes, want 0", n)
 	}
 	if unanswered := <-rec.disconnected; len(unanswered) != 1 {
-		t.Fatalf("%d requests abandoned", len(unanswered))
+		t.Fatalf("got %d unanswered requests, want 1", len(unanswered))
 	}
 }
--- a/internal/listener/fixtures_test.go
+++ b/internal/listener/fixtures_test.go
@@ -13,7 +13,7 @@
 	"lemontack/policy"
 )
 
-// recorder is a handler that queues the events for the test.
+// recorder is a Handler and an Observer that queues or counts its calls for the test.
 type recorder struct {
 	received      chan *Request
 	disconnected  chan []*Request
@@ -33,7 +33,7 @@
 
 func (r *recorder) RequestAnsweredTwice() { r.answeredTwice.Add(1) }
 
-// newServer returns a server with these limits of connections and of bytes of commands and answers.
+// newServer returns a server that allows the given number of connections, and memory bytes each for commands and answers.
 func newServer(ln net.Listener, connections, memory int) (*Server, *recorder) {
 	rec := &recorder{received: make(chan *Request, 256), disconnected: make(chan []*Request, 256)}
 	start := time.Now()
@@ -60,7 +60,7 @@
 	}), rec
 }
 
-// serve runs a connection to its end, which closes the channel.
+// serve runs a connection on a new goroutine and returns a channel that is closed when the connection has ended.
 func serve(c *conn) <-chan struct{} {
 	done := make(chan struct{})
 	c.server.connSlots <- struct{}{}
@@ -74,17 +74,17 @@
 
 var valueReply = []byte("$5\r\nvalue\r\n")
 
-// wantOneUnanswered receives the disconnect of a client that waits for one answer.
+// wantOneUnanswered checks that the disconnect of a client with one unanswered request is reported.
 func wantOneUnanswered(t *testing.T, rec *recorder) {
 	t.Helper()
 	select {
 	case request := <-rec.received:
-		t.Errorf("received request %v, want one request disconnected", request)
+		t.Errorf("got request %v, want a disconnect with one unanswered request", request)
 	case unanswered := <-rec.disconnected:
 		if len(unanswered) != 1 {
-			t.Errorf("%d requests disconnected, want one", len(unanswered))
+			t.Errorf("got %d unanswered requests, want 1", len(unanswered))
 		}
 	case <-time.After(nettest.SignalTimeout):
-		t.Error("the disconnect was not reported")
+		t.Error("got no report of the disconnect within the time limit, want one")
 	}
 }
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -13,7 +13,7 @@
 	"lemontack/internal/resp"
 )
 
-// deadlineConn records for each call of SetReadDeadline whether it sets a deadline or clears it.
+// deadlineConn records for each call of SetReadDeadline whether it sets a deadline (true) or clears it.
 type deadlineConn struct {
 	net.Conn
 	set []bool
@@ -24,12 +24,12 @@
 	return nil
 }
 
-// readDeadlineCalls sends the parts in writes of their own and returns the calls of SetReadDeadline in the meantime.
+// readDeadlineCalls sends each part in a separate write and returns the recorded calls of SetReadDeadline.
 func readDeadlineCalls(t *testing.T, parts ...string) string {
 	t.Helper()
-	near, far := net.Pipe()
+	serverEnd, clientEnd := net.Pipe()
 	s, _ := newServer(nil, 1, 1<<20)
-	socket := &deadlineConn{Conn: near}
+	socket := &deadlineConn{Conn: serverEnd}
 	c := newConn(s, socket)
 	done := make(chan struct{})
 	go func() {
@@ -37,33 +37,32 @@
 		c.readCommands()
 	}()
 	for _, part := range parts {
-		io.WriteString(far, part)
+		io.WriteString(clientEnd, part)
 	}
-	far.Close()
+	clientEnd.Close()
 	<-done
 	return fmt.Sprint(socket.set)
 }
 
-// A command that has begun has a deadline, so that a half-open connection does not remain; between commands a client may be
-// idle.
+// Only a command that has been read in part has a deadline, which closes half-open connections; between commands there is none.
 func TestOnlyPartialCommandsHaveADeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
 	if got := readDeadlineCalls(t, ping, ping[:5], ping[5:], ping); got != "[true false]" {
-		t.Fatalf("deadlines set: %v, want one inside the split command, cleared after it", got)
+		t.Fatalf("got deadline calls %v, want one set inside the split command and cleared after it", got)
 	}
 }
 
-// Each partial command has its own deadline: a client that goes on sending was once disconnected by that of the first one.
+// Each partial command has its own deadline, so that a client that keeps sending is not closed by that of its first command.
 func TestEachCommandHasItsOwnDeadline(t *testing.T) {
 	ping := nettest.Command(commandPing)
 	got := readDeadlineCalls(t, ping[:5], ping[5:]+ping[:5], ping[5:]+ping[:5], ping[5:])
 	if got != "[true false true false true false]" {
-		t.Fatalf("deadlines set: %s, want one for each command", got)
+		t.Fatalf("got deadline calls %s, want one set and cleared for each command", got)
 	}
 }
 
-// Repeated invalid commands are answered ever more slowly, and at last the connection is closed. Those that were read by then
-// have their answers in order: beyond the last fault, what one connection may buffer at most.
+// After maxFaults invalid commands the connection is closed. All commands that were read are answered: after the last fault these
+// are at most as many as the buffer of one connection holds.
 func TestRepeatedInvalidCommandsCloseTheConnection(t *testing.T) {
 	ln := nettest.Listen(t)
 	s, _ := newServer(ln, 16, 1<<20)
@@ -81,41 +80,41 @@
 	socket, in := nettest.Dial(t, ln.Addr().String())
 	hello, answer := nettest.Command("HELLO"), "-ERR unknown command\r\n"
 	go io.WriteString(socket, strings.Repeat(hello, 10_000))
-	rest, err := io.ReadAll(in)
-	n, limit := strings.Count(string(rest), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
-	if n < maxFaults || n > limit || len(rest) != n*len(answer) {
-		t.Fatalf("%d errors in %d bytes, %v; want %d to %d and the end", n, len(rest), err, maxFaults, limit)
+	output, err := io.ReadAll(in)
+	n, limit := strings.Count(string(output), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
+	if n < maxFaults || n > limit || len(output) != n*len(answer) {
+		t.Fatalf("got %d errors in %d bytes, error %v; want %d to %d errors and then the end", n, len(output), err, maxFaults, limit)
 	}
 }
 
-// Commands beyond the pipeline limit are rejected in their order. Far beyond it the connection is closed, after all answers:
-// each command that was read has one, also those behind the one that exceeded the limit.
+// Commands beyond MaxPipelined are rejected in order. Beyond maxUnwrittenCommands the connection is closed after every command that
+// was read is answered, including those after the one that exceeded the limit.
 func TestCommandsBeyondThePipelineLimitAreRejectedInOrder(t *testing.T) {
-	const behind = 39
+	const excess = 39
 	var b strings.Builder
-	for i := range maxUnwrittenCommands + 1 + behind {
+	for i := range maxUnwrittenCommands + 1 + excess {
 		b.WriteString(nettest.Ask(i, nettest.ReadFields))
 	}
-	near, far := nettest.ConnPair(t)
+	serverEnd, clientEnd := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
-	c := newConn(s, near)
+	c := newConn(s, serverEnd)
 	done := serve(c)
-	io.WriteString(far, b.String())
+	io.WriteString(clientEnd, b.String())
 	var admitted []*Request
 	for range MaxPipelined {
 		admitted = append(admitted, <-rec.received)
 	}
-	nettest.Eventually(t, "all commands are read", func() bool { return c.hasUnwrittenCommands(maxUnwrittenCommands + 1 + behind) })
-	for _, request := range admitted { // no command is answered before
+	nettest.Eventually(t, "all commands are read", func() bool { return c.hasUnwrittenCommands(maxUnwrittenCommands + 1 + excess) })
+	for _, request := range admitted { // no command is answered before this
 		request.Respond([]byte("+admitted\r\n"))
 	}
 	want := strings.Repeat("+admitted\r\n", MaxPipelined) + strings.Repeat("-BUSY\r\n", maxUnwrittenCommands-MaxPipelined) +
-		"-ERR too many commands at once\r\n" + strings.Repeat("-BUSY\r\n", behind)
-	if got, err := io.ReadAll(far); string(got) != want || err != nil {
-		t.Fatalf("answers %q, %v", got, err)
+		"-ERR too many commands at once\r\n" + strings.Repeat("-BUSY\r\n", excess)
+	if got, err := io.ReadAll(clientEnd); string(got) != want || err != nil {
+		t.Fatalf("got answers %q, error %v; want %q", got, err, want)
 	}
 	nettest.Await(t, "the connection's end", done)
 	if n, disconnects := len(rec.received), len(rec.disconnected); n > 0 || disconnects > 0 {
-		t.Fatalf("%d requests and %d disconnects after the admitted commands", n, disconnects)
+		t.Fatalf("got %d requests and %d disconnects after the admitted commands, want none", n, disconnects)
 	}
 }
--- a/internal/listener/state_test.go
+++ b/internal/listener/state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every event in every state leads where the table of connState says, and nowhere else.
+// Every event in every state leads to the state in the table of connState.
 func TestConnectionStateFollowsTheTable(t *testing.T) {
 	states := []connState{stateNew, stateActive, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded}
 	for event, want := range map[connEvent][]connState{
@@ -18,7 +18,7 @@
 	} {
 		for i, from := range states {
 			if got := from.next(event); got != want[i] {
-				t.Errorf("event %d in state %d leads to %d, want %d", event, from, got, want[i])
+				t.Errorf("event %d in state %d: got state %d, want %d", event, from, got, want[i])
 			}
 		}
 	}
--- a/internal/listener/transient_test.go
+++ b/internal/listener/transient_test.go
@@ -11,7 +11,7 @@
 	"lemontack/internal/nettest"
 )
 
-// lowMemoryConn is a connection of which every second read and write fails for lack of memory, the writes after half their bytes.
+// lowMemoryConn is a connection on which every second read and write fails for lack of memory, the writes after half their bytes.
 type lowMemoryConn struct {
 	*net.TCPConn
 	reads, writes atomic.Int32
@@ -32,17 +32,17 @@
 	return m.TCPConn.Write(b)
 }
 
-// Requests are read and answered completely though system calls fail for lack of memory.
-func TestAnswersGoOnOverTransientErrors(t *testing.T) {
-	near, far := nettest.ConnPair(t)
+// Requests are read and answered completely even if system calls fail for lack of memory.
+func TestAnswersContinueAfterTransientErrors(t *testing.T) {
+	serverEnd, clientEnd := nettest.ConnPair(t)
 	s, rec := newServer(nil, 1, 1<<20)
-	done := serve(newConn(s, &lowMemoryConn{TCPConn: near}))
-	in := bufio.NewReader(far)
+	done := serve(newConn(s, &lowMemoryConn{TCPConn: serverEnd}))
+	in := bufio.NewReader(clientEnd)
 	for i := range 5 {
-		io.WriteString(far, nettest.Ask(i, nettest.ReadFields))
+		io.WriteString(clientEnd, nettest.Ask(i, nettest.ReadFields))
 		(<-rec.received).Respond(valueReply)
 		nettest.WantValue(t, in)
 	}
-	far.Close()
+	clientEnd.Close()
 	nettest.Await(t, "the connection's end", done)
 }
