--- a/internal/counterclient/call.go
+++ b/internal/counterclient/call.go
@@ -6,54 +6,54 @@
 	"lemontack/policy"
 )
 
-// Call is one call of the counter.
+// Call is one call to the counter.
 type Call struct {
-	increment  policy.IncrementCounter
-	state      callStateValue
-	incomplete bool // its last byte was never written; belongs to the goroutine that writes
-	replied    bool // Result.Reply has reported a result; belongs to the caller of Client.Increment
+	increment       policy.IncrementCounter
+	state           callStateValue
+	notFullyWritten bool // its last byte was not written; used only by the goroutine that writes
+	hasReplied      bool // Result.Reply has returned a result; used only by the caller of Client.Increment
 }
 
-// callState is the state of a call, which leaves callQueued once: the connection writes the call, or the caller drops it.
+// callState is the state of a call. It changes once: to callWritten by the connection, or to callExpired by the caller.
 type callState int32
 
 const (
 	callQueued callState = iota
 	callWritten
-	callDropped
+	callExpired
 )
 
 // callStateValue holds a callState. It is safe for concurrent use.
 type callStateValue struct{ value atomic.Int32 }
 
-func (s *callStateValue) load() callState { return callState(s.value.Load()) }
+func (state *callStateValue) load() callState { return callState(state.value.Load()) }
 
-// leaveQueued changes callQueued to another state, and reports whether it did.
-func (s *callStateValue) leaveQueued(to callState) bool {
-	return s.value.CompareAndSwap(int32(callQueued), int32(to))
+// leaveQueued changes the state if it is callQueued, and reports whether it did.
+func (state *callStateValue) leaveQueued(to callState) bool {
+	return state.value.CompareAndSwap(int32(callQueued), int32(to))
 }
 
-// Result is the end of a call.
+// Result is the result of a call.
 type Result struct {
 	Call    *Call
 	Outcome policy.Outcome
-	Total   float64 // of the counter, after a success
+	Total   float64 // the counter's total after a success, else 0
 }
 
-// Expire ends a call whose timeout is over. One that is not written by now never will be, so that nothing was added.
-func (c *Call) Expire() Result {
-	if c.state.leaveQueued(callDropped) {
-		return Result{Call: c, Outcome: policy.ConnectFailed}
+// Expire ends a call whose timeout has passed. A call that has not been written never will be, so that it adds nothing.
+func (call *Call) Expire() Result {
+	if call.state.leaveQueued(callExpired) {
+		return Result{Call: call, Outcome: policy.ConnectFailed}
 	}
-	return Result{Call: c, Outcome: policy.TimedOut}
+	return Result{Call: call, Outcome: policy.TimedOut}
 }
 
-// Reply returns the result as an event of the decision module, and false if an earlier result of the call has been returned:
-// an answer that comes after the timeout is dropped.
+// Reply returns the result as an event for the decision module, or false if it has returned an earlier result of the call: an
+// answer after the timeout is dropped.
 func (r Result) Reply() (policy.CounterReply, bool) {
-	if r.Call.replied {
+	if r.Call.hasReplied {
 		return policy.CounterReply{}, false
 	}
-	r.Call.replied = true
+	r.Call.hasReplied = true
 	return policy.CounterReply{Name: r.Call.increment.Name, Outcome: r.Outcome, Total: r.Total}, true
 }
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -9,13 +9,13 @@
 	"lemontack/policy"
 )
 
-// connection serves some of the calls, over one TCP connection at a time.
+// connection serves the calls of its queue, over one TCP connection at a time.
 type connection struct {
-	address   string // belongs to the goroutine of run
-	timeout   time.Duration
-	queue     chan *Call
-	addresses mailbox.Latest[string] // address updates
-	done      func(Result)
+	address        string        // used only by the goroutine of run
+	timeout        time.Duration // of a call
+	queue          chan *Call
+	addressUpdates mailbox.Latest[string] // only the latest address is kept
+	reportResult   func(Result)
 }
 
 // run serves the calls of the queue until ctx ends.
@@ -24,31 +24,31 @@
 		select {
 		case <-ctx.Done():
 			return
-		case c.address = <-c.addresses:
+		case c.address = <-c.addressUpdates:
 		case call := <-c.queue:
 			c.updateAddress()
-			if call.state.load() == callQueued { // a call that has timed out is no reason to connect
+			if call.state.load() == callQueued { // no connection is opened for an expired call
 				c.serve(ctx, call)
 			}
 		}
 	}
 }
 
-// updateAddress takes over an address update, if there is one.
+// updateAddress applies an address update if there is one.
 func (c *connection) updateAddress() {
 	select {
-	case c.address = <-c.addresses:
+	case c.address = <-c.addressUpdates:
 	default:
 	}
 }
 
-// serve connects for the first call, and writes calls until the connection breaks, falls silent or is idle, or the address
-// changes.
+// serve connects to the counter and writes calls, beginning with the first, until the TCP connection fails, receives no answer for
+// too long or is idle, or until the address changes.
 func (c *connection) serve(ctx context.Context, first *Call) {
 	dialer := net.Dialer{Timeout: c.timeout}
 	socket, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err != nil {
-		c.done(Result{Call: first, Outcome: policy.ConnectFailed})
+		c.reportResult(Result{Call: first, Outcome: policy.ConnectFailed})
 		return
 	}
 	newSession(c, socket).writeCalls(ctx, first)
--- a/internal/counterclient/protocol.go
+++ b/internal/counterclient/protocol.go
@@ -8,10 +8,11 @@
 	"lemontack/policy"
 )
 
-// maxTotal is the maximum of a total, positive or negative; an answer beyond it is an error of the counter.
+// maxTotal is the maximum absolute value of a total; a greater one is an error of the counter.
 const maxTotal = 1e12
 
-// appendCall appends the line of a call. The time for which the counter keeps the name is in whole milliseconds, from 1.
+// appendCall appends the protocol line of a call. The time for which the counter keeps the name is in whole milliseconds, at least
+// 1.
 func appendCall(buffer []byte, increment policy.IncrementCounter) []byte {
 	buffer = append(buffer, "tally "...)
 	buffer = append(buffer, increment.Name...)
@@ -22,21 +23,21 @@
 	return append(buffer, '\r', '\n')
 }
 
-// parseAnswer parses one line of the counter. The outcome is policy.Failed if it cannot be read.
+// parseAnswer parses one line from the counter. The outcome is policy.Failed if the line is malformed.
 func parseAnswer(line string) (outcome policy.Outcome, total float64) {
 	line = strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
 	switch line {
 	case "busy":
 		return policy.Rejected, 0
-	case "error": // no such call: nothing was added
+	case "error": // the counter found the call invalid; nothing was added
 		return policy.NotSent, 0
 	}
-	number, isTotal := strings.CutPrefix(line, "ok ")
-	if !isTotal {
+	number, ok := strings.CutPrefix(line, "ok ")
+	if !ok {
 		return policy.Failed, 0
 	}
 	total, err := strconv.ParseFloat(number, 64)
-	if err != nil || !(math.Abs(total) <= maxTotal) { // neither too large nor NaN
+	if err != nil || !(math.Abs(total) <= maxTotal) { // the negated form also rejects NaN
 		return policy.Failed, 0
 	}
 	return policy.Succeeded, total
--- a/internal/counterclient/session.go
+++ b/internal/counterclient/session.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	maxBatch        = queueCapacity / 2     // calls of one write, about
-	idleTimeout     = 3 * time.Second       // without a call; the session then ends before the counter ends it
-	silenceTimeouts = 4                     // timeouts of a call: a session without an answer for so long is dead
-	lineTimeout     = 20 * time.Millisecond // for the rest of an answer, a short line
-	readBufferSize  = 1 << 10               // bytes; also the maximum length of an answer
+	maxBatchCalls     = queueCapacity / 2     // maximum number of calls in one write
+	idleTimeout       = 3 * time.Second       // maximum time without a call; shorter than the idle timeout of the counter
+	maxSilentTimeouts = 4                     // number of call timeouts without an answer after which a session is closed
+	lineTimeout       = 20 * time.Millisecond // maximum time for the rest of an answer that has been received in part
+	readBufferSize    = 1 << 10               // bytes; also the maximum length of an answer
 )
 
-// session is one TCP connection. One goroutine writes calls, another reads the answers, which come in the same order.
+// session is one TCP connection to the counter. One goroutine writes calls, another reads the answers, which arrive in the same
+// order.
 type session struct {
 	*connection
-	socket  net.Conn
-	pending chan *Call    // written, without an answer; sent to by the writer, received from by the reader
-	allDone chan struct{} // the reader signals that no call is pending any more
-	broken  chan struct{} // closed when the reader has ended
-
-	// Of the writer.
-	buffer []byte
-	ends   []int // of the calls in buffer
+	socket       net.Conn
+	pendingCalls chan *Call    // written calls without an answer, from the writer to the reader
+	allAnswered  chan struct{} // signals to the writer that no call is pending; capacity 1
+	readerDone   chan struct{} // closed when the reader has ended
+
+	// Used only by the writer.
+	buffer   []byte
+	callEnds []int // end offsets of the calls in buffer
 }
 
 func newSession(c *connection, socket net.Conn) *session {
 	return &session{
-		connection: c,
-		socket:     socket,
-		pending:    make(chan *Call, queueCapacity),
-		allDone:    make(chan struct{}, 1),
-		broken:     make(chan struct{}),
+		connection:   c,
+		socket:       socket,
+		pendingCalls: make(chan *Call, queueCapacity),
+		allAnswered:  make(chan struct{}, 1),
+		readerDone:   make(chan struct{}),
 	}
 }
 
-// writeCalls writes calls, beginning with the first, until the session ends, and closes it.
+// writeCalls writes calls, beginning with the first, until the session ends, and then closes it.
 func (s *session) writeCalls(ctx context.Context, first *Call) {
 	// Ends when the socket is closed; close awaits it.
 	go func() {
-		defer close(s.broken)
+		defer close(s.readerDone)
 		s.readAnswers()
 	}()
 	stop := context.AfterFunc(ctx, func() { s.socket.Close() })
@@ -65,9 +66,9 @@
 	s.close()
 }
 
-// fillBatch appends the calls that are queued.
+// fillBatch appends queued calls to a batch, up to maxBatchCalls.
 func (s *session) fillBatch(batch []*Call) []*Call {
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchCalls {
 		select {
 		case call := <-s.queue:
 			batch = append(batch, call)
@@ -78,52 +79,51 @@
 	return batch
 }
 
-// write writes the calls that have not timed out. A call for whose answer there is no place in pending
-// times out, unwritten.
+// write writes the calls of a batch that have not expired. A call is not written, and times out, if pendingCalls is full.
 func (s *session) write(batch []*Call) error {
-	if len(s.pending) == 0 {
+	if len(s.pendingCalls) == 0 {
 		s.setReadTimeout(true)
 	}
-	s.buffer, s.ends = s.buffer[:0], s.ends[:0]
+	s.buffer, s.callEnds = s.buffer[:0], s.callEnds[:0]
 	written := batch[:0]
 	for _, call := range batch {
-		if len(s.pending) == cap(s.pending) || !call.state.leaveQueued(callWritten) {
+		if len(s.pendingCalls) == cap(s.pendingCalls) || !call.state.leaveQueued(callWritten) {
 			continue
 		}
 		s.buffer = appendCall(s.buffer, call.increment)
-		s.ends = append(s.ends, len(s.buffer))
+		s.callEnds = append(s.callEnds, len(s.buffer))
 		written = append(written, call)
-		s.pending <- call
+		s.pendingCalls <- call
 	}
 	s.socket.SetWriteDeadline(time.Now().Add(s.timeout))
 	n, err := s.socket.Write(s.buffer)
 	for i, call := range written {
-		call.incomplete = s.ends[i] > n
+		call.notFullyWritten = s.callEnds[i] > n
 	}
 	return err
 }
 
-// nextCall returns the next call, or false if the session has to end. When the address changes it first waits for the calls
-// that are pending, before later ones go elsewhere: answers for one name have to come in the order of its calls.
+// nextCall returns the next call, or false if the session has to end. After an address change it first waits for the pending calls,
+// because the answers for a name have to arrive in the order of its calls.
 func (s *session) nextCall() (next *Call, isOpen bool) {
 	select {
 	case call := <-s.queue:
 		return call, true
-	case s.address = <-s.addresses:
+	case s.address = <-s.addressUpdates:
 		s.awaitPending()
 		return nil, false
-	case <-s.broken:
+	case <-s.readerDone:
 		return nil, false
 	}
 }
 
-// awaitPending waits for the answers of the pending calls, up to their timeout.
+// awaitPending waits for the answers of the pending calls, for one call timeout at most.
 func (s *session) awaitPending() {
 	timeout := time.After(s.timeout)
-	for len(s.pending) > 0 {
+	for len(s.pendingCalls) > 0 {
 		select {
-		case <-s.allDone:
-		case <-s.broken:
+		case <-s.allAnswered:
+		case <-s.readerDone:
 			return
 		case <-timeout:
 			return
@@ -131,73 +131,74 @@
 	}
 }
 
-// close closes the socket, waits for the reader and ends the calls that have no answer. A call whose last byte was never
-// written has added nothing.
+// close closes the socket, waits for the reader and reports the results of the calls that have no answer. A call whose last byte
+// was not written has added nothing.
 func (s *session) close() {
 	s.socket.Close()
-	<-s.broken
-	for len(s.pending) > 0 {
-		call := <-s.pending
+	<-s.readerDone
+	for len(s.pendingCalls) > 0 {
+		call := <-s.pendingCalls
 		outcome := policy.Reset
-		if call.incomplete {
+		if call.notFullyWritten {
 			outcome = policy.ConnectFailed
 		}
-		s.done(Result{Call: call, Outcome: outcome})
+		s.reportResult(Result{Call: call, Outcome: outcome})
 	}
 }
 
-// readAnswers ends the pending calls with their answers until the session breaks. It ends at an answer that cannot be read: the
-// call was added, and what follows cannot be matched with the calls behind it.
+// readAnswers reads the answers and reports the results of their calls until the session fails. It returns after a malformed
+// answer: its call was counted, but later answers cannot be matched with their calls.
 func (s *session) readAnswers() {
 	answers := bufio.NewReaderSize(s.socket, readBufferSize)
 	for {
 		line, err := s.readLine(answers)
-		if len(s.pending) == 0 || err != nil && len(line) == 0 {
+		if len(s.pendingCalls) == 0 || err != nil && len(line) == 0 {
 			return
 		}
-		result := Result{Call: <-s.pending, Outcome: policy.Failed}
+		result := Result{Call: <-s.pendingCalls, Outcome: policy.Failed}
 		if err == nil {
 			result.Outcome, result.Total = parseAnswer(string(line))
-			s.setReadTimeout(len(s.pending) > 0)
+			s.setReadTimeout(len(s.pendingCalls) > 0)
 		}
-		s.done(result)
+		s.reportResult(result)
 		if result.Outcome == policy.Failed {
 			return
 		}
-		if len(s.pending) > 0 {
+		if len(s.pendingCalls) > 0 {
 			continue
 		}
-		s.signalAllDone()
+		s.signalAllAnswered()
 		if answers.Buffered() > 0 { // an answer without a call
 			return
 		}
 	}
 }
 
-func (s *session) signalAllDone() {
+func (s *session) signalAllAnswered() {
 	select {
-	case s.allDone <- struct{}{}:
+	case s.allAnswered <- struct{}{}:
 	default:
 	}
 }
 
-// readLine waits for an answer. Once one has begun its end has to come within lineTimeout, or the calls behind it would wait
-// in vain.
+// readLine reads one answer. Once part of it has been received, the rest has to arrive within lineTimeout, so that the calls behind
+// it do not wait for an answer that never ends.
 func (s *session) readLine(answers *bufio.Reader) ([]byte, error) {
 	if _, err := answers.Peek(1); err != nil {
 		return nil, err
 	}
-	if begun, _ := answers.Peek(answers.Buffered()); bytes.IndexByte(begun, '\n') < 0 {
+	if received, _ := answers.Peek(answers.Buffered()); bytes.IndexByte(received, '\n') < 0 {
 		s.socket.SetReadDeadline(time.Now().Add(lineTimeout))
 	}
 	return answers.ReadSlice('\n')
 }
 
-// setReadTimeout limits how long the counter may be silent, while calls are pending or while none is.
+// setReadTimeout sets the maximum time without input from the counter: maxSilentTimeouts call timeouts while calls are pending,
+// else idleTimeout.
 func (s *session) setReadTimeout(hasPending bool) {
 	timeout := idleTimeout
 	if hasPending {
-		timeout = silenceTimeouts * s.timeout
+		timeout = maxSilentTimeouts * s.timeout
 	}
 	s.socket.SetReadDeadline(time.Now().Add(timeout))
 }
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -84,12 +84,12 @@
 		c.answerCommand(c.server.cfg.RejectedReply)
 		return true
 	}
-	response := c.addPendingResponse(request)
-	if response == nil {
+	pending := c.addPendingResponse(request)
+	if pending == nil {
 		observer.RequestUnanswered(request, "read on a connection that has ended")
 		return true
 	}
-	request.response = response
+	request.response = pending
 	c.server.cfg.Handler.RequestReceived(request)
 	return true
 }
--- a/internal/minheap/minheap.go
+++ b/internal/minheap/minheap.go
@@ -1,8 +1,8 @@
-// Package minheap holds a binary heap of typed values, for timers and for work that is ordered by its end.
+// Package minheap provides a binary heap of typed values, for timers and for work that is ordered by its end time.
 //
-// It orders exactly as container/heap does, equal values included, so that a simulation with a fixed seed gives the
-// same result with either. In place of the five methods of heap.Interface it takes one comparison, and needs no type
-// assertion.
+// It orders values exactly as container/heap does, including equal ones, so that a simulation with a fixed seed gives the same
+// result with either. It takes one comparison function instead of the five methods of heap.Interface, and needs no type
+// assertions.
 package minheap
 
 // Heap is a binary heap with the least value on top. It is not safe for concurrent use.
@@ -23,22 +23,22 @@
 // Push adds a value.
 func (h *Heap[T]) Push(item T) {
 	h.items = append(h.items, item)
-	h.up(len(h.items) - 1)
+	h.siftUp(len(h.items) - 1)
 }
 
 // Pop removes the least value and returns it. It panics if the heap is empty.
 func (h *Heap[T]) Pop() T {
 	last := len(h.items) - 1
 	h.swap(0, last)
-	h.down(0, last)
+	h.siftDown(0, last)
 	item := h.items[last]
 	var zero T
-	h.items[last] = zero // so that the heap keeps nothing alive that it has given away
+	h.items[last] = zero // lets the garbage collector free the removed value
 	h.items = h.items[:last]
 	return item
 }
 
-// TakeAll empties the heap and returns what was in it, in no particular order.
+// TakeAll empties the heap and returns its values in no particular order.
 func (h *Heap[T]) TakeAll() []T {
 	items := h.items
 	h.items = nil
@@ -47,8 +47,8 @@
 
 func (h *Heap[T]) swap(i, j int) { h.items[i], h.items[j] = h.items[j], h.items[i] }
 
-// up moves the value at i towards the top until its parent is not greater.
-func (h *Heap[T]) up(i int) {
+// siftUp moves the value at i towards the top until its parent is not greater.
+func (h *Heap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(h.items[i], h.items[parent]) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// down moves the value at i away from the top until neither of its children, among the first n values, is less.
-func (h *Heap[T]) down(i, n int) {
+// siftDown moves the value at i away from the top until neither of its children, among the first n values, is less.
+func (h *Heap[T]) siftDown(i, n int) {
 	for {
 		child := 2*i + 1
 		if child >= n {
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// entry has a key that is ordered by, and a number that tells entries of one key apart.
-type entry struct{ key, number int }
+// entry is ordered by its key; serial distinguishes entries with the same key.
+type entry struct{ key, serial int }
 
 func byKey(a, b entry) bool { return a.key < b.key }
 
@@ -20,44 +20,44 @@
 	var got []int
 	for h.Len() > 0 {
 		if least := h.Min(); least != h.items[0] {
-			t.Fatalf("least %d, on top %d", least, h.items[0])
+			t.Fatalf("got minimum %d, want %d", least, h.items[0])
 		}
 		got = append(got, h.Pop())
 	}
 	if want := []int{1, 1, 2, 3, 4, 5}; !slices.Equal(got, want) {
-		t.Fatalf("%v, want %v", got, want)
+		t.Fatalf("got %v, want %v", got, want)
 	}
 }
 
-// reference is the same heap by container/heap.
-type reference []entry
+// referenceHeap is the same heap, implemented with container/heap.
+type referenceHeap []entry
 
-func (r reference) Len() int           { return len(r) }
-func (r reference) Less(i, j int) bool { return byKey(r[i], r[j]) }
-func (r reference) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *reference) Push(x any)        { *r = append(*r, x.(entry)) }
-func (r *reference) Pop() any {
+func (r referenceHeap) Len() int           { return len(r) }
+func (r referenceHeap) Less(i, j int) bool { return byKey(r[i], r[j]) }
+func (r referenceHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *referenceHeap) Push(x any)        { *r = append(*r, x.(entry)) }
+func (r *referenceHeap) Pop() any {
 	last := (*r)[len(*r)-1]
 	*r = (*r)[:len(*r)-1]
 	return last
 }
 
-func TestOrderIsThatOfContainerHeapForEqualKeysToo(t *testing.T) {
+func TestOrderEqualsThatOfContainerHeap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	h, want := New(byKey), &reference{}
-	for n := range 20_000 {
+	h, reference := New(byKey), &referenceHeap{}
+	for step := range 20_000 {
 		if h.Len() > 0 && rng.IntN(5) < 2 {
-			if got, wanted := h.Pop(), heap.Pop(want).(entry); got != wanted {
-				t.Fatalf("step %d: %v, want %v", n, got, wanted)
+			if got, want := h.Pop(), heap.Pop(reference).(entry); got != want {
+				t.Fatalf("step %d: got %v, want %v", step, got, want)
 			}
 			continue
 		}
-		e := entry{rng.IntN(10), n}
-		h.Push(e)
-		heap.Push(want, e)
+		added := entry{rng.IntN(10), step}
+		h.Push(added)
+		heap.Push(reference, added)
 	}
-	if !slices.Equal(h.items, *want) {
-		t.Fatal("another order in the end")
+	if !slices.Equal(h.items, *reference) {
+		t.Fatal("got a final order that differs from that of container/heap, want the same")
 	}
 }
 
@@ -66,7 +66,7 @@
 	h.Push(new(int))
 	h.Pop()
 	if kept := h.items[:1][0]; kept != nil {
-		t.Fatal("the heap still holds the value")
+		t.Fatal("got a reference to the popped value, want nil")
 	}
 }
 
@@ -76,6 +76,6 @@
 		h.Push(entry{-n, n})
 	}
 	if got := h.TakeAll(); len(got) != 5 || h.Len() != 0 {
-		t.Fatalf("%d taken, %d left", len(got), h.Len())
+		t.Fatalf("got %d values and a length of %d, want 5 and 0", len(got), h.Len())
 	}
 }
--- a/internal/resp/buffer_test.go
+++ b/internal/resp/buffer_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// The memory of commands that are coming in is bounded over all connections.
+// The buffers of all connections together cannot reserve more memory than the budget has.
 func TestMemoryBudgetIsSharedByBuffers(t *testing.T) {
-	b := NewMemoryBudget(InitialBufferSize + 10)
-	fill := func(in *FrameBuffer) error {
-		return in.Fill(func(p []byte) (int, error) { return len(p), nil })
+	budget := NewMemoryBudget(InitialBufferSize + 10)
+	fill := func(buffer *FrameBuffer) error {
+		return buffer.Fill(func(p []byte) (int, error) { return len(p), nil })
 	}
-	one, two := FrameBuffer{Budget: b}, FrameBuffer{Budget: b}
+	first, second := FrameBuffer{Budget: budget}, FrameBuffer{Budget: budget}
 	for _, step := range []struct {
-		in   *FrameBuffer
-		want error
-	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, ErrNoMemory}} {
-		if err := fill(step.in); err != step.want {
-			t.Fatalf("%v, want %v", err, step.want)
+		buffer *FrameBuffer
+		want   error
+	}{{&first, nil}, {&second, nil}, {&first, nil}, {&second, ErrNoMemory}} {
+		if err := fill(step.buffer); err != step.want {
+			t.Fatalf("got error %v, want %v", err, step.want)
 		}
 	}
-	one.Close()
-	if err := fill(&two); err != nil {
+	first.Close()
+	if err := fill(&second); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -1,5 +1,5 @@
-// Package resp bounds and gathers the frames of the RESP protocol (REdis Serialization Protocol) that peers send. It finds
-// where a frame ends and limits the memory that incoming ones may take; the values in a frame are read by package redcon.
+// Package resp buffers the frames of RESP (REdis Serialization Protocol) that a peer sends. It finds the end of each frame and
+// limits the memory of incoming frames; package redcon parses the values in a frame.
 package resp
 
 import (
@@ -8,29 +8,29 @@
 	"strconv"
 )
 
-// Bounds on what a peer may send, in bytes unless said otherwise. A whole frame is held in memory before it is read, so they
-// also bound the buffer of a connection.
+// Limits on the input from a peer, in bytes unless stated otherwise. A whole frame is buffered before it is parsed, so they also
+// limit the buffer of a connection.
 const (
-	MaxValueLength = 64 << 10               // one bulk string
-	MaxFrameLength = MaxValueLength + 4<<10 // one command or reply
-	MaxLineLength  = 1 << 10                // one line: a type byte with a length or a simple value
-	maxElements    = 16                     // elements of an array
-	maxDepth       = 3                      // arrays within arrays
-	typeBytes      = "+-:$*"                // the first bytes of the RESP types
+	MaxValueLength = 64 << 10               // maximum length of a bulk string
+	MaxFrameLength = MaxValueLength + 4<<10 // maximum length of a command or reply
+	MaxLineLength  = 1 << 10                // maximum length of a line: a type byte with a length or a simple value
+	maxElements    = 16                     // maximum number of elements of an array
+	maxDepth       = 3                      // maximum nesting depth of arrays
+	typeBytes      = "+-:$*"                // first bytes of the RESP types
 )
 
-// Errors that a frame, or the lack of memory for it, can cause. Their texts are sent to clients.
+// Errors for a malformed or too long frame and for a lack of memory. Their texts are sent to clients.
 var (
 	ErrMalformed = errors.New("malformed RESP")
 	ErrTooLong   = errors.New("value too long")
 	ErrNoMemory  = errors.New("no memory for this now")
 )
 
-// FrameLength returns the length in bytes of the RESP value that b begins with, or 0 while its end has not come. It guards
-// redcon's parser, which trusts lengths: a huge or negative one makes it panic.
+// FrameLength returns the length in bytes of the RESP value at the start of b, or 0 if b does not contain its end. It validates
+// the lengths in the value, because redcon's parser panics on huge or negative ones.
 func FrameLength(b []byte) (int, error) { return frameLength(b, 0) }
 
-// frameLength is FrameLength for a value inside so many arrays.
+// frameLength is FrameLength for a value inside depth nested arrays.
 func frameLength(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -46,9 +46,9 @@
 	case end < 2 || b[end-1] != '\r':
 		return 0, ErrMalformed
 	}
-	header := end + 1
+	headerLength := end + 1
 	if b[0] != '$' && b[0] != '*' {
-		return header, nil
+		return headerLength, nil
 	}
 	count, err := strconv.Atoi(string(b[1 : end-1]))
 	switch {
@@ -57,36 +57,36 @@
 	case b[0] == '$' && count > MaxValueLength || b[0] == '*' && count > maxElements:
 		return 0, ErrTooLong
 	case count < 0:
-		return header, nil
+		return headerLength, nil
 	case b[0] == '$':
-		return bulkLength(b, header, count)
+		return bulkLength(b, headerLength, count)
 	}
-	return arrayLength(b, header, count, depth)
+	return arrayLength(b, headerLength, count, depth)
 }
 
-// bulkLength is the length of a bulk string whose header and value have these lengths.
-func bulkLength(b []byte, header, value int) (int, error) {
-	size := header + value + len("\r\n")
-	if len(b) < size {
+// bulkLength returns the length of a bulk string whose header and value have the given lengths, or 0 if b does not contain its end.
+func bulkLength(b []byte, headerLength, valueLength int) (int, error) {
+	length := headerLength + valueLength + len("\r\n")
+	if len(b) < length {
 		return 0, nil
 	}
-	if b[size-2] != '\r' || b[size-1] != '\n' {
+	if b[length-2] != '\r' || b[length-1] != '\n' {
 		return 0, ErrMalformed
 	}
-	return size, nil
+	return length, nil
 }
 
-// arrayLength is the length of an array with a header of this length and so many elements.
-func arrayLength(b []byte, header, elements, depth int) (int, error) {
-	size := header
+// arrayLength returns the length of an array with the given header length and number of elements, or 0 if b does not contain its end.
+func arrayLength(b []byte, headerLength, elements, depth int) (int, error) {
+	length := headerLength
 	for range elements {
-		length, err := frameLength(b[size:], depth+1)
-		if length == 0 || err != nil {
+		elementLength, err := frameLength(b[length:], depth+1)
+		if elementLength == 0 || err != nil {
 			return 0, err
 		}
-		if size += length; size > MaxFrameLength {
+		if length += elementLength; length > MaxFrameLength {
 			return 0, ErrTooLong
 		}
 	}
-	return size, nil
+	return length, nil
 }
--- a/internal/sockets/transient.go
+++ b/internal/sockets/transient.go
@@ -1,4 +1,5 @@
-// Package sockets tells errors of system calls that pass from those that end a connection, and writes over the former.
+// Package sockets distinguishes transient errors of reads and writes from those that end a connection, and retries writes after
+// transient ones.
 package sockets
 
 import (
@@ -8,16 +9,16 @@
 	"time"
 )
 
-// TransientErrorPause is the time to wait before a call is made again that the system had no memory for.
+// TransientErrorPause is the wait before a call that failed with a transient error is repeated.
 const TransientErrorPause = time.Millisecond
 
-// IsTransient reports whether a read or write failed because the system had no memory, or was interrupted. The connection is
-// in order then, and what it owes is still owed.
+// IsTransient reports whether a read or write failed because the system was out of memory or the call was interrupted. The
+// connection can still be used after such an error, and its open requests remain open.
 func IsTransient(err error) bool {
 	return errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EINTR)
 }
 
-// WriteAll writes all of b, over transient errors, until the deadline. It returns how many bytes were written.
+// WriteAll writes all of b and retries after transient errors until the deadline. It returns the number of bytes written.
 func WriteAll(conn net.Conn, b []byte, deadline time.Time) (written int, err error) {
 	conn.SetWriteDeadline(deadline)
 	for written < len(b) {
--- a/internal/sockets/transient_test.go
+++ b/internal/sockets/transient_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// A write that the system never has memory for ends at its deadline.
+// WriteAll returns at its deadline if every write fails for lack of memory.
 func TestWriteAllEndsAtTheDeadline(t *testing.T) {
-	near, _ := net.Pipe()
-	defer near.Close()
-	always := &failingConn{near}
-	began := time.Now()
-	if n, err := WriteAll(always, []byte("x"), began.Add(20*time.Millisecond)); n != 0 || !IsTransient(err) {
-		t.Fatalf("%d bytes, %v", n, err)
+	pipeEnd, _ := net.Pipe()
+	defer pipeEnd.Close()
+	socket := &failingConn{pipeEnd}
+	start := time.Now()
+	if n, err := WriteAll(socket, []byte("x"), start.Add(20*time.Millisecond)); n != 0 || !IsTransient(err) {
+		t.Fatalf("got %d bytes, error %v; want 0 bytes and a transient error", n, err)
 	}
-	if time.Since(began) < 20*time.Millisecond {
-		t.Fatal("given up before its time")
+	if time.Since(start) < 20*time.Millisecond {
+		t.Fatal("got an error before the deadline, want one at the deadline")
 	}
 }
 
+// failingConn is a connection on which every write fails for lack of memory.
 type failingConn struct{ net.Conn }
 
 func (*failingConn) Write([]byte) (int, error) { return 0, syscall.ENOBUFS }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// What is read after a stall may have come at any time since the process last ran.
+// Input that is read until SettleTime after a stall may have arrived at any time since the heartbeat before the stall.
 func TestEarliestArrivalAfterAStallIsTheLastHeartbeat(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	detector := NewDetector(start)
-	for _, c := range []struct {
-		heartbeat      int // ms; 0: none
-		stalled        int
-		read, earliest int
+	for _, step := range []struct {
+		heartbeat            int // time of a heartbeat in ms; 0 for none
+		wantStall            int
+		readAt, wantEarliest int
 	}{
-		{0, 0, 5, 5}, {10, 0, 12, 12}, {30, 0, 45, 45}, // in good order
-		{0, 0, 130, 30},                                          // read before the gateway's goroutine ran again
-		{140, 110, 141, 30},                                      // and just after
-		{150, 0, 155, 30}, {160, 0, 169, 30}, {165, 0, 171, 171}, // until what had come is read
+		{0, 0, 5, 5}, {10, 0, 12, 12}, {30, 0, 45, 45}, // no stall
+		{0, 0, 130, 30},                                          // read before the heartbeat that ends the stall
+		{140, 110, 141, 30},                                      // read just after that heartbeat
+		{150, 0, 155, 30}, {160, 0, 169, 30}, {165, 0, 171, 171}, // until SettleTime has passed
 	} {
-		if c.heartbeat > 0 {
-			if got := detector.Heartbeat(at(c.heartbeat)); got != time.Duration(c.stalled)*time.Millisecond {
-				t.Fatalf("heartbeat at %d ms: stalled for %v", c.heartbeat, got)
+		if step.heartbeat > 0 {
+			if got := detector.Heartbeat(at(step.heartbeat)); got != time.Duration(step.wantStall)*time.Millisecond {
+				t.Fatalf("heartbeat at %d ms: got stall %v, want %d ms", step.heartbeat, got, step.wantStall)
 			}
 		}
-		if got := detector.EarliestArrival(at(c.read)); !got.Equal(at(c.earliest)) {
-			t.Fatalf("read at %d ms: earliest arrival %v, want %d ms", c.read, got.Sub(start), c.earliest)
+		if got := detector.EarliestArrival(at(step.readAt)); !got.Equal(at(step.wantEarliest)) {
+			t.Fatalf("read at %d ms: got earliest arrival %v, want %d ms", step.readAt, got.Sub(start), step.wantEarliest)
 		}
 	}
 }
--- a/internal/telemetry/counters.go
+++ b/internal/telemetry/counters.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the counters of a process and limits what it logs.
+// Package telemetry provides the counters of a process and a limiter of its log records.
 package telemetry
 
 import (
@@ -6,19 +6,19 @@
 	"sync/atomic"
 )
 
-// Counters is a fixed set of named counters that only grow. K numbers them from 0 in the order of the names; a type of
-// its own for each set keeps their numbers apart. It is safe for concurrent use.
+// Counters is a fixed set of named counters that only increase. K numbers them from 0 in the order of their names; each set has
+// its own type K, so that the numbers of different sets cannot be confused. It is safe for concurrent use.
 type Counters[K ~int | ~uint8] struct {
 	names  []string
 	values []atomic.Int64
 }
 
-// NewCounters returns counters with these names, all 0.
+// NewCounters returns counters with the given names, all 0.
 func NewCounters[K ~int | ~uint8](names ...string) *Counters[K] {
 	return &Counters[K]{names: names, values: make([]atomic.Int64, len(names))}
 }
 
-// Add adds one to a counter.
+// Add increments a counter by 1.
 func (c *Counters[K]) Add(k K) { c.values[k].Add(1) }
 
 // Value returns the value of a counter.
@@ -35,7 +35,7 @@
 	return sum
 }
 
-// LogValue returns the counters that are not 0, as a group. It implements slog.LogValuer.
+// LogValue returns the nonzero counters as a group. It implements slog.LogValuer.
 func (c *Counters[K]) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for i, name := range c.names {
--- a/internal/telemetry/limiter.go
+++ b/internal/telemetry/limiter.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// LogLimiter limits the number of log records in each period, so that a fault that hits every request cannot fill the log.
-// It is safe for concurrent use.
+// LogLimiter limits the number of log records in each period, so that a fault of every request cannot fill the log. It is safe for
+// concurrent use.
 type LogLimiter struct {
 	limit  int
 	period time.Duration
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	periodStart time.Time
-	allowed     int // records in this period
-	suppressed  int // records in this period
+	allowed     int // records that were allowed in this period
+	suppressed  int // records that were suppressed in this period
 }
 
 // NewLogLimiter returns a LogLimiter that allows limit records in each period. A period starts with the first record after the
-// end of the last one.
+// end of the previous period.
 func NewLogLimiter(limit int, period time.Duration) *LogLimiter {
 	return &LogLimiter{limit: limit, period: period}
 }
 
-// Allow reports whether a record may be written now. With the first one of a period it returns how many were suppressed
-// in the period before.
+// Allow reports whether a record may be written now. For the first record of a period it also returns the number of records that
+// were suppressed in the previous period.
 func (l *LogLimiter) Allow(now time.Time) (ok bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
