--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -1,5 +1,5 @@
-// Package counterclient calls the shared counter service. A Client distributes its calls over several connections, which it opens
-// when there are calls to write, and reports the result of each call.
+// Package counterclient calls the shared counter service. A Client distributes its calls over several connections, which it
+// opens when there are calls to write, and reports the result of each call.
 package counterclient
 
 import (
@@ -22,9 +22,9 @@
 	connections [connectionsPerClient]*connection
 }
 
-// New returns a client of the counter at address, which has the form host:port. The timeout is that of a call. The client serves
-// calls while Run runs. It calls reportResult, on a goroutine of Run, with the result of each call that has one; reportResult may
-// block.
+// New returns a client of the counter at address, which has the form host:port. The timeout is that of a call. The client
+// serves calls while Run runs. It calls reportResult, on a goroutine of Run, with the result of each call that has one;
+// reportResult may block.
 func New(address string, timeout time.Duration, reportResult func(Result)) *Client {
 	client := &Client{}
 	for i := range client.connections {
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// serve connects to the counter and writes calls, beginning with the first, until the TCP connection fails, receives no answer for
-// too long or is idle, or until the address changes.
+// serve connects to the counter and writes calls, beginning with the first, until the TCP connection fails, receives no answer
+// for too long or is idle, or until the address changes.
 func (c *connection) serve(ctx context.Context, first *Call) {
 	dialer := net.Dialer{Timeout: c.timeout}
 	socket, err := dialer.DialContext(ctx, "tcp", c.address)
--- a/internal/counterclient/protocol.go
+++ b/internal/counterclient/protocol.go
@@ -11,8 +11,8 @@
 // maxTotal is the maximum absolute value of a total; a greater one is an error of the counter.
 const maxTotal = 1e12
 
-// appendCall appends the protocol line of a call. The time for which the counter keeps the name is in whole milliseconds, at least
-// 1.
+// appendCall appends the protocol line of a call. The time for which the counter keeps the name is in whole milliseconds, at
+// least 1.
 func appendCall(buffer []byte, increment policy.IncrementCounter) []byte {
 	buffer = append(buffer, "tally "...)
 	buffer = append(buffer, increment.Name...)
--- a/internal/counterclient/session.go
+++ b/internal/counterclient/session.go
@@ -103,8 +103,8 @@
 	return err
 }
 
-// nextCall returns the next call, or false if the session has to end. After an address change it first waits for the pending calls,
-// because the answers for a name have to arrive in the order of its calls.
+// nextCall returns the next call, or false if the session has to end. After an address change it first waits for the pending
+// calls, because the answers for a name have to arrive in the order of its calls.
 func (s *session) nextCall() (next *Call, isOpen bool) {
 	select {
 	case call := <-s.queue:
@@ -181,8 +181,8 @@
 	}
 }
 
-// readLine reads one answer. Once part of it has been received, the rest has to arrive within lineTimeout, so that the calls behind
-// it do not wait for an answer that never ends.
+// readLine reads one answer. Once part of it has been received, the rest has to arrive within lineTimeout, so that the calls
+// behind it do not wait for an answer that never ends.
 func (s *session) readLine(answers *bufio.Reader) ([]byte, error) {
 	if _, err := answers.Peek(1); err != nil {
 		return nil, err
--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -11,7 +11,7 @@
 const (
 	// acceptRetryDelay is the wait after an accept error that is likely to recur.
 	acceptRetryDelay = 5 * time.Millisecond
-	// slotRetryInterval is how long a connection that was asked to close may take before another one is closed.
+	// slotRetryInterval is how long the closing of a connection may take before another one is closed.
 	slotRetryInterval = 5 * time.Millisecond
 )
 
--- a/internal/listener/acceptdelay_test.go
+++ b/internal/listener/acceptdelay_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A connection may have waited since the start of the last delay or of the last series of accept errors, but not since an earlier
-// delay.
+// A connection may have waited since the start of the last delay or of the last series of accept errors, but not since an
+// earlier delay.
 func TestConnectionMayHaveWaitedSinceTheLastDelay(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -101,8 +101,8 @@
 	c.startRejecting()
 }
 
-// answerFault answers a fault, after a pause unless the connection is closing because of faults. It reports whether the client is
-// still connected.
+// answerFault answers a fault, after a pause unless the connection is closing because of faults. It reports whether the client
+// is still connected.
 func (c *conn) answerFault(kind FaultKind, text string) (connected bool) {
 	faults := c.faults.Add(1)
 	c.observeFault(kind, text, faults)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -153,7 +153,7 @@
 	return true
 }
 
-// decideEnd makes the connection take no more commands and leaves the remaining answers to the writer; c.mu is held.
+// decideEnd makes the connection accept no more commands; the writer sends the remaining answers. c.mu is held.
 func (c *conn) decideEnd() {
 	c.transition(endDecided)
 	c.socket.SetReadDeadline(time.Time{})
@@ -183,7 +183,7 @@
 	time.AfterFunc(grace, func() { c.requestClose(CloseShutdown) }) // has no effect on a connection that has ended by then
 }
 
-// requestClose asks for the end of the connection as soon as no response is pending.
+// requestClose requests the end of the connection as soon as no response is pending.
 func (c *conn) requestClose(reason CloseReason) {
 	c.mu.Lock()
 	c.transition(closeRequested)
--- a/internal/listener/disconnect_test.go
+++ b/internal/listener/disconnect_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Commands that are read only after the client has disconnected are dropped: on a connection from the accept queue, and after the
-// pause for an invalid command.
+// Commands that are read only after the client has disconnected are dropped: on a connection from the accept queue, and after
+// the pause for an invalid command.
 func TestRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	var manyCommands strings.Builder
 	for i := range 30 {
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -51,9 +51,9 @@
 	isRetry                  bool
 }
 
-// parseRequest parses and validates a request; at is the earliest time at which it may have arrived. It returns an error for a
-// request that a backend would refuse.
-func (cfg *Config) parseRequest(args [][]byte, at time.Time) (*Request, error) {
+// parseRequest parses and validates a request; arrivedAt is the earliest time at which it may have arrived. It returns an
+// error for a request that a backend would refuse.
+func (cfg *Config) parseRequest(args [][]byte, arrivedAt time.Time) (*Request, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return nil, fmt.Errorf("%s %w", args[0], errArgumentCount)
 	}
@@ -90,7 +90,7 @@
 		TimeoutStart: values.timeoutStart,
 		TimeoutEnd:   values.timeoutEnd,
 	}
-	request.setTimes(cfg.Clock(at), values.timeout, class)
+	request.setTimes(cfg.Clock(arrivedAt), values.timeout, class)
 	request.copyArgs(args)
 	return request, nil
 }
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// hasBufferedRequest reports whether the buffer holds a well-formed request that has not been processed. Duplicates do not count,
-// because a client could avoid the pauses with them.
+// hasBufferedRequest reports whether the buffer holds a well-formed request that has not been processed. Duplicates do not
+// count, because a client could avoid the pauses with them.
 func (c *conn) hasBufferedRequest() bool {
 	for buffered := c.reader.buffer.Buffered(); ; {
 		length, err := resp.FrameLength(buffered)
--- a/internal/listener/reader.go
+++ b/internal/listener/reader.go
@@ -16,8 +16,9 @@
 	commandTimeout = 2400 * time.Millisecond
 	// discardBufferSize is the maximum size in bytes of one read of discarded input.
 	discardBufferSize = 16 << 10
-	// throttlePause is the pause after each throttleBytes of input that is discarded or rejected, or after each
-	// throttleBytesPending while a response is pending: the contents of both sides' socket buffers are then read in time to detect a disconnect.
+	// throttlePause is the pause after each throttleBytes of input that is discarded or rejected. While a response is pending
+	// it follows each throttleBytesPending, so that the contents of both sides' socket buffers are read in time to detect a
+	// disconnect.
 	throttlePause        = 10 * time.Millisecond
 	throttleBytes        = 64 << 10
 	throttleBytesPending = 2 << 20
@@ -156,9 +157,9 @@
 	return nil
 }
 
-// discard reads and discards input until lingerTimeout after the last answer, so that a disconnect before that is detected. It is
-// throttled, so that a flood of input takes little CPU time. While a response is pending the throttling is weaker, because a
-// disconnect is detected only at the end of the input.
+// discard reads and discards input until lingerTimeout after the last answer, so that a disconnect before that is detected. It
+// is throttled, so that a flood of input takes little CPU time. While a response is pending the throttling is weaker, because
+// a disconnect is detected only at the end of the input.
 func (c *conn) discard() {
 	c.setReadDeadline(time.Time{})
 	buffer := make([]byte, discardBufferSize)
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// After maxFaults invalid commands the connection is closed. All commands that were read are answered: after the last fault these
-// are at most as many as the buffer of one connection holds.
+// After maxFaults invalid commands the connection is closed. All commands that were read are answered: after the last fault
+// these are at most as many as the buffer of one connection holds.
 func TestRepeatedInvalidCommandsCloseTheConnection(t *testing.T) {
 	ln := nettest.Listen(t)
 	s, _ := newServer(ln, 16, 1<<20)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Commands beyond MaxPipelined are rejected in order. Beyond maxUnwrittenCommands the connection is closed after every command that
-// was read is answered, including those after the one that exceeded the limit.
+// Commands beyond MaxPipelined are rejected in order. Beyond maxUnwrittenCommands the connection is closed after every command
+// that was read is answered, including those after the one that exceeded the limit.
 func TestCommandsBeyondThePipelineLimitAreRejectedInOrder(t *testing.T) {
 	const excess = 39
 	var b strings.Builder
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -24,8 +24,8 @@
 // such a pause keeps most of its time.
 const maxReadPauseDivisor = 4
 
-// Handler receives the requests of clients. Its methods are called concurrently by the goroutines of the connections, and for each
-// connection in the order of its commands.
+// Handler receives the requests of clients. Its methods are called concurrently by the goroutines of the connections, and for
+// each connection in the order of its commands.
 type Handler interface {
 	// RequestReceived receives a complete and well-formed request, which has to be answered exactly once.
 	RequestReceived(request *Request)
--- a/internal/listener/state.go
+++ b/internal/listener/state.go
@@ -1,7 +1,7 @@
 package listener
 
-// connState is the state of a client connection. Its reader, its writer and the server change it, always with transition and with
-// conn.mu held:
+// connState is the state of a client connection. Its reader, its writer and the server change it, always with transition and
+// with conn.mu held:
 //
 //	state         meaning                                             next states
 //	new           no complete command has been received               active, draining, faulted
@@ -11,15 +11,15 @@
 //	confirming    the writer has proposed the end to the reader,      draining, faulted, ended
 //	              whose buffer may hold unprocessed commands; reads
 //	              fail until the reader has confirmed or declined
-//	faulted       the reader takes no more commands; the writer ends  ended
-//	              the connection once no response is pending
-//	ended         no command is taken; the writer sends the           -
+//	faulted       the reader accepts no more commands; the writer     ended
+//	              ends the connection once no response is pending
+//	ended         no command is accepted; the writer sends the        -
 //	              remaining answers and closes the sending side
 //
 // Events that change it:
 //
 //	event             from                  to            by
-//	commandTaken      new, idle             active        reader
+//	commandAccepted   new, idle             active        reader
 //	allAnswered       active                idle          the goroutine that gives the last pending answer
 //	closeRequested    new, active, idle     draining      reader, server
 //	endProposed       draining              confirming    writer, when no response is pending
@@ -29,7 +29,7 @@
 //	endDecided        faulted               ended         writer, when no response is pending
 //
 // An event in any other state has no effect, except that endDecided ends a connection in every state. A connection that is
-// draining or confirming takes and answers commands without a change of state.
+// draining or confirming accepts and answers commands without a change of state.
 //
 // Three conditions are independent of the state and have their own fields in conn: commandReceived, which also matters while the
 // connection is draining; aborted, for a socket that the server closed without waiting for answers; and disconnected, which the
@@ -50,7 +50,7 @@
 type connEvent int
 
 const (
-	commandTaken connEvent = iota
+	commandAccepted connEvent = iota
 	allAnswered
 	closeRequested
 	endProposed
@@ -62,7 +62,7 @@
 // next returns the state after an event.
 func (state connState) next(event connEvent) connState {
 	switch {
-	case event == commandTaken && (state == stateNew || state == stateIdle):
+	case event == commandAccepted && (state == stateNew || state == stateIdle):
 		return stateActive
 	case event == allAnswered && state == stateActive:
 		return stateIdle
--- a/internal/listener/state_test.go
+++ b/internal/listener/state_test.go
@@ -6,8 +6,8 @@
 func TestConnectionStateFollowsTheTable(t *testing.T) {
 	states := []connState{stateNew, stateActive, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded}
 	for event, want := range map[connEvent][]connState{
-		commandTaken: {stateActive, stateActive, stateActive, stateDraining, stateConfirming, stateFaulted, stateEnded},
-		allAnswered:  {stateNew, stateIdle, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded},
+		commandAccepted: {stateActive, stateActive, stateActive, stateDraining, stateConfirming, stateFaulted, stateEnded},
+		allAnswered:     {stateNew, stateIdle, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded},
 		closeRequested: {stateDraining, stateDraining, stateDraining, stateDraining, stateConfirming, stateFaulted,
 			stateEnded},
 		endProposed: {stateNew, stateActive, stateIdle, stateConfirming, stateConfirming, stateFaulted, stateEnded},
--- a/internal/listener/sweep.go
+++ b/internal/listener/sweep.go
@@ -15,8 +15,8 @@
 	newConnGrace = 50 * time.Millisecond
 )
 
-// closeMostIdleConn closes the oldest connection that has sent no command within newConnGrace, or if there is none, the connection
-// that has been idle for longest.
+// closeMostIdleConn closes the oldest connection that has sent no command within newConnGrace, or if there is none, the
+// connection that has been idle for longest.
 func (s *Server) closeMostIdleConn(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/listener/transient_test.go
+++ b/internal/listener/transient_test.go
@@ -11,7 +11,8 @@
 	"lemontack/internal/nettest"
 )
 
-// lowMemoryConn is a connection on which every second read and write fails for lack of memory, the writes after half their bytes.
+// lowMemoryConn is a connection on which every second read and write fails for lack of memory, the writes after half their
+// bytes.
 type lowMemoryConn struct {
 	*net.TCPConn
 	reads, writes atomic.Int32
--- a/internal/listener/writer.go
+++ b/internal/listener/writer.go
@@ -33,7 +33,7 @@
 	c.pendingResponses = append(c.pendingResponses, pending)
 	c.unwrittenCommands++
 	c.lastActivity, c.commandReceived = time.Now(), true
-	c.transition(commandTaken)
+	c.transition(commandAccepted)
 	return pending
 }
 
--- a/internal/resp/buffer.go
+++ b/internal/resp/buffer.go
@@ -5,8 +5,8 @@
 // InitialBufferSize is the size in bytes of the buffer that each connection has without a reservation from the budget.
 const InitialBufferSize = 2 << 10
 
-// MemoryBudget is an amount of memory, in bytes, that the buffers of many connections share. A nil budget is unlimited. It is safe
-// for concurrent use.
+// MemoryBudget is an amount of memory, in bytes, that the buffers of many connections share. A nil budget is unlimited. It is
+// safe for concurrent use.
 type MemoryBudget struct {
 	available atomic.Int64
 }
@@ -34,8 +34,9 @@
 	}
 }
 
-// FrameBuffer buffers the input of a connection until a frame is complete. It reserves memory beyond InitialBufferSize from the
-// budget. It is used only by the goroutine that reads the connection. The zero value is ready for use and has an unlimited budget.
+// FrameBuffer buffers the input of a connection until a frame is complete. It reserves memory beyond InitialBufferSize from
+// the budget. It is used only by the goroutine that reads the connection. The zero value is ready for use and has an unlimited
+// budget.
 type FrameBuffer struct {
 	Budget *MemoryBudget
 
@@ -71,8 +72,8 @@
 // a frame.
 func (buffer *FrameBuffer) HasPartialFrame() bool { return buffer.end > buffer.start }
 
-// Fill calls read once and appends its input to the buffer, which grows to the size of one frame at most. It returns ErrTooLong or
-// ErrNoMemory if the buffer cannot grow, and the error of read if that returned no input.
+// Fill calls read once and appends its input to the buffer, which grows to the size of one frame at most. It returns
+// ErrTooLong or ErrNoMemory if the buffer cannot grow, and the error of read if that returned no input.
 func (buffer *FrameBuffer) Fill(read func([]byte) (int, error)) error {
 	buffer.compact()
 	if err := buffer.makeRoom(); err != nil {
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -64,7 +64,8 @@
 	return arrayLength(b, headerLength, count, depth)
 }
 
-// bulkLength returns the length of a bulk string whose header and value have the given lengths, or 0 if b does not contain its end.
+// bulkLength returns the length of a bulk string whose header and value have the given lengths, or 0 if b does not contain its
+// end.
 func bulkLength(b []byte, headerLength, valueLength int) (int, error) {
 	length := headerLength + valueLength + len("\r\n")
 	if len(b) < length {
@@ -76,7 +77,8 @@
 	return length, nil
 }
 
-// arrayLength returns the length of an array with the given header length and number of elements, or 0 if b does not contain its end.
+// arrayLength returns the length of an array with the given header length and number of elements, or 0 if b does not contain its
+// end.
 func arrayLength(b []byte, headerLength, elements, depth int) (int, error) {
 	length := headerLength
 	for range elements {
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -52,8 +52,8 @@
 	return time.Duration(detector.stallEnd.Load())
 }
 
-// EarliestArrival returns the earliest time at which input that is read now may have arrived. This is now, or the start of a stall
-// that ended less than SettleTime ago or that no heartbeat has ended yet.
+// EarliestArrival returns the earliest time at which input that is read now may have arrived. This is now, or the start of a
+// stall that ended less than SettleTime ago or that no heartbeat has ended yet.
 func (detector *Detector) EarliestArrival(now time.Time) time.Time {
 	if detector == nil {
 		return now
--- a/internal/telemetry/limiter.go
+++ b/internal/telemetry/limiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LogLimiter limits the number of log records in each period, so that a fault of every request cannot fill the log. It is safe for
-// concurrent use.
+// LogLimiter limits the number of log records in each period, so that a fault of every request cannot fill the log. It is safe
+// for concurrent use.
 type LogLimiter struct {
 	limit  int
 	period time.Duration
