--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -57,7 +57,7 @@
 		kong.Name("scalerun"),
 		kong.Description("Measures what an ingress, discovery and the counter cost by the size of the fleet, on this"+
 			" machine alone, in under 10 minutes."),
-		kong.Vars{"sweeps": strings.Join(scale.Sweeps(), ",")})
+		kong.Vars{"sweeps": strings.Join(scale.SweepNames(), ",")})
 	if err != nil {
 		return options, err
 	}
@@ -74,7 +74,7 @@
 	ctx, stop := interruptible(context.Background())
 	defer stop()
 	report, err := r.Measure(ctx)
-	return errors.Join(err, report.Write(tables), report.Save(options.JSON))
+	return errors.Join(err, report.Write(tables), report.Save(options.ReportPath))
 }
 
 // interruptible returns a context that the first SIGINT or SIGTERM ends with errInterrupted; a second signal ends the
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -39,14 +39,14 @@
 		ok        func(scale.Options) bool
 	}{
 		{nil, "", func(o scale.Options) bool {
-			return slices.Equal(o.Sweep, scale.Sweeps()) && o.JSON == "scale.json" && o.Minutes == 9 &&
-				slices.Max(o.Backends) == 200000 && o.Fleet == 6400
+			return slices.Equal(o.Sweeps, scale.SweepNames()) && o.ReportPath == "scale.json" && o.TimeLimitMinutes == 9 &&
+				slices.Max(o.BackendCounts) == 200000 && o.FleetSize == 6400
 		}},
 		{[]string{"--sweep", "zone,compare", "--seed", "7", "--quick"}, "", func(o scale.Options) bool {
-			return slices.Equal(o.Sweep, []string{"zone", "compare"}) && o.Seed == 7 && o.Quick
+			return slices.Equal(o.Sweeps, []string{"zone", "compare"}) && o.Seed == 7 && o.Quick
 		}},
 		{[]string{"--backends", "200,2000"}, "", func(o scale.Options) bool {
-			return slices.Equal(o.Backends, []int{200, 2000})
+			return slices.Equal(o.BackendCounts, []int{200, 2000})
 		}},
 		{[]string{"--sweep", "weather"}, "--sweep", nil},
 		{[]string{"--seed", "-1"}, "--seed", nil},
@@ -157,8 +157,8 @@
 	if err == nil {
 		err = json.Unmarshal(text, &report)
 	}
-	if err != nil || !strings.Contains(report.Ended, "interrupted") || !strings.Contains(tables.String(), "partial") {
-		t.Errorf("report %q, %v; tables %q", report.Ended, err, tables.String())
+	if err != nil || !strings.Contains(report.Status, "interrupted") || !strings.Contains(tables.String(), "partial") {
+		t.Errorf("report %q, %v; tables %q", report.Status, err, tables.String())
 	}
 }
 
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -31,7 +31,7 @@
 // compareJobs measure real ingresses and hollow ones under the same load, and then relate their figures.
 func (r *Run) compareJobs() []job {
 	var realPoint, hollowPoint *Point
-	n := formatNumber(float64(r.Real))
+	n := formatNumber(float64(r.RealIngresses))
 	return []job{
 		{
 			point:    Point{Sweep: compareSweepTitle, Label: n + " real"},
@@ -59,8 +59,8 @@
 
 // addRatios adds what part of a real ingress's figures a hollow one shows. A point is nil if it was not begun.
 func addRatios(p, realPoint, hollowPoint *Point) {
-	if realPoint == nil || hollowPoint == nil || realPoint.Skipped != "" || hollowPoint.Skipped != "" {
-		p.Skipped = "one of the two was not measured"
+	if realPoint == nil || hollowPoint == nil || realPoint.SkipReason != "" || hollowPoint.SkipReason != "" {
+		p.SkipReason = "one of the two was not measured"
 		return
 	}
 	for _, f := range realPoint.Figures {
@@ -71,7 +71,7 @@
 }
 
 func (r *Run) compareShape() fleetShape {
-	return fleetShape{Ingresses: r.Real, Tenants: liveTenants, Rate: r.Rate}
+	return fleetShape{Ingresses: r.RealIngresses, Tenants: liveTenants, Rate: r.RequestRate}
 }
 
 // comparison is what real and hollow ingresses are compared by.
@@ -105,7 +105,7 @@
 
 // measureHollow measures hollow ingresses under the load under which the real ones are measured.
 func (r *Run) measureHollow(ctx context.Context, p *Point) error {
-	backends := newBackendModel(liveBackends, r.Rate*float64(r.Real), meanServiceTime, false)
+	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
 	backends.slots = compareBackendSlots
 	backends.serviceTime = func(*rand.Rand) time.Duration { return compareServiceTime }
 	f, err := startLiveFleet(ctx, r.monitor, r.compareShape(), backends, r.Seed)
@@ -117,13 +117,13 @@
 	if err != nil {
 		return err
 	}
-	m, err := f.measureIdleAndLoad(ctx, r.Rate, r.scaled(compareIdleDuration), r.scaled(compareWarmUpDuration),
+	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaled(compareIdleDuration), r.scaled(compareWarmUpDuration),
 		r.scaled(compareDuration))
 	if err != nil {
 		return err
 	}
 	addedLatency := m.times[metricAddedLatency]
-	ingresses := float64(r.Real)
+	ingresses := float64(r.RealIngresses)
 	_, busiest := attemptSpread(m.attemptsBefore, backends.attemptCounts())
 	r.addComparison(p, comparison{
 		requests:         float64(m.load.tally.Requests),
@@ -166,8 +166,8 @@
 		return err
 	}
 	c := comparison{
-		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.Real),
-		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.Real),
+		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.RealIngresses),
+		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.RealIngresses),
 	}
 	through, direct, err := r.runRealLoad(ctx, f, p, &c)
 	if err != nil {
@@ -231,7 +231,7 @@
 	for _, g := range generators {
 		rng := rand.New(rand.NewPCG(r.Seed, uint64(g.index)<<8|round))
 		tenants := shape.tenantsOf(max(0, g.index-1))
-		running.Go(func() { g.run(ctx, rng, tenants, r.Rate, r.scaled(d), compareServiceTime) })
+		running.Go(func() { g.run(ctx, rng, tenants, r.RequestRate, r.scaled(d), compareServiceTime) })
 	}
 	running.Wait()
 }
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -16,11 +16,11 @@
 func TestRatiosAreOfFiguresThatBothPointsHave(t *testing.T) {
 	var p Point
 	addRatios(&p, new(Point), new(Point))
-	if p.Skipped != "" || len(p.Figures) > 0 {
+	if p.SkipReason != "" || len(p.Figures) > 0 {
 		t.Errorf("%+v; ratios of no figures", p)
 	}
 	realPoint, hollowPoint := comparedPoints()
-	if addRatios(&p, realPoint, hollowPoint); p.Skipped != "" || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
+	if addRatios(&p, realPoint, hollowPoint); p.SkipReason != "" || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
 		t.Errorf("%+v; want one ratio of 0.25", p)
 	}
 }
@@ -28,8 +28,8 @@
 func TestRatiosAreSkippedIfAPointWasNotMeasured(t *testing.T) {
 	var p Point
 	realPoint, hollowPoint := comparedPoints()
-	realPoint.Skipped = "failed"
-	if addRatios(&p, realPoint, hollowPoint); p.Skipped == "" || len(p.Figures) > 0 {
+	realPoint.SkipReason = "failed"
+	if addRatios(&p, realPoint, hollowPoint); p.SkipReason == "" || len(p.Figures) > 0 {
 		t.Errorf("%+v; a ratio to what was not measured", p)
 	}
 }
--- a/internal/scale/driven_sweeps.go
+++ b/internal/scale/driven_sweeps.go
@@ -100,22 +100,22 @@
 }
 
 func (r *Run) backendJobs() []job {
-	return jobsBySize("backends", "backends", r.Backends, 15*time.Second, r.measureBackends)
+	return jobsBySize("backends", "backends", r.BackendCounts, 15*time.Second, r.measureBackends)
 }
 
 // measureBackends measures some ingresses of the whole fleet, one after another, in front of n backends.
 func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
-	shape := fleetShape{Ingresses: r.Fleet, Tenants: liveTenants, Rate: r.Rate}
-	backends := newBackendModel(n, r.Rate*float64(r.Fleet), meanServiceTime, true)
+	shape := fleetShape{Ingresses: r.FleetSize, Tenants: liveTenants, Rate: r.RequestRate}
+	backends := newBackendModel(n, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
 	if err := r.addListFigures(ctx, p, shape, backends); err != nil {
 		return err
 	}
 	targets, recorder := backends.targets(), newTimeRecorder()
 	sum, changeTimes := newDrivenMeasurement(), newHistograms()
-	ingresses := min(sampledIngresses, r.Fleet)
+	ingresses := min(sampledIngresses, r.FleetSize)
 	scale := func(d time.Duration) time.Duration { return r.scaled(d) / time.Duration(ingresses) }
 	for i := range ingresses {
-		h, err := newHollowIngress(shape, i*r.Fleet/ingresses, backends, recorder, r.Seed)
+		h, err := newHollowIngress(shape, i*r.FleetSize/ingresses, backends, recorder, r.Seed)
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		if i == 0 {
 			p.addFigure(roleIngress, "state of the module's list", "MB", toMB(memoryGrowth(memoryBefore)), 1)
 		}
-		warmUpTimes := h.warmUp(ctx, r.Rate, scale)
+		warmUpTimes := h.warmUp(ctx, r.RequestRate, scale)
 		if i == 0 {
 			p.addHistogram(roleIngress, "list handled", "ms", time.Millisecond, warmUpTimes[metricSnapshot], 50)
 		}
@@ -161,7 +161,7 @@
 	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
 	p.addHistogram(roleIngress, "answer handled", "µs", time.Microsecond, times[metricAttemptEnd], 50)
 	p.addHistogram(roleIngress, "tick handled", "µs", time.Microsecond, times[metricTimer], 50)
-	p.addFigure(roleIngress, fmt.Sprintf("core at %s requests a second", formatNumber(r.Rate)), "%",
+	p.addFigure(roleIngress, fmt.Sprintf("core at %s requests a second", formatNumber(r.RequestRate)), "%",
 		100*u.coreShare(), u.tally.Requests)
 	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, times[metricAddedLatency], 99)
 	p.addFigure(roleIngress, figureCounterCalls, "", float64(u.tally.CounterCalls)/requests, u.tally.Requests)
@@ -180,7 +180,7 @@
 }
 
 func (r *Run) tenantJobs() []job {
-	jobs := jobsBySize("tenants of an ingress", "tenants", r.Tenants, 10*time.Second, r.measureTenants)
+	jobs := jobsBySize("tenants of an ingress", "tenants", r.TenantCounts, 10*time.Second, r.measureTenants)
 	for i := range jobs {
 		jobs[i].point.Size = 0 // known once the tenants of the ingress have been counted
 	}
@@ -189,16 +189,16 @@
 
 // measureTenants measures one ingress of the whole fleet with about n tenants.
 func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
-	shape := fleetShape{Ingresses: r.Fleet, Tenants: n, Rate: r.Rate}
-	backends := newBackendModel(liveBackends, r.Rate*float64(r.Fleet), meanServiceTime, true)
-	h, err := newHollowIngress(shape, r.Fleet/2, backends, newTimeRecorder(), r.Seed)
+	shape := fleetShape{Ingresses: r.FleetSize, Tenants: n, Rate: r.RequestRate}
+	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
+	h, err := newHollowIngress(shape, r.FleetSize/2, backends, newTimeRecorder(), r.Seed)
 	if err != nil {
 		return err
 	}
 	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
 	h.loadEndpoints(backends.targets())
 	memoryBefore := memoryInUse()
-	h.warmUp(ctx, r.Rate, r.scaled)
+	h.warmUp(ctx, r.RequestRate, r.scaled)
 	m := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaled)
 	h.clearCounterTable() // its memory is the counter's, not the ingress's
 	memory := memoryGrowth(memoryBefore)
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -16,18 +16,18 @@
 
 // Fit is a line through the points of a figure, by least squares.
 type Fit struct {
-	Sweep     string   `json:"sweep"`
-	Role      string   `json:"role"`
-	Figure    string   `json:"figure"`
-	Unit      string   `json:"unit"`
-	Against   string   `json:"against"`
-	Points    int      `json:"points"`
-	Slope     float64  `json:"slope"`
-	Intercept float64  `json:"intercept"`
-	R2        float64  `json:"r2"`
-	Residual  float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
-	Relative  float64  `json:"relative_residual"`      // the same for deviations as shares of the values
-	Outliers  []string `json:"does_not_fit,omitempty"` // points that lie off the line by more than maxDeviation
+	Sweep            string   `json:"sweep"`
+	Role             string   `json:"role"`
+	Figure           string   `json:"figure"`
+	Unit             string   `json:"unit"`
+	SizeUnit         string   `json:"against"`
+	Points           int      `json:"points"`
+	Slope            float64  `json:"slope"`
+	Intercept        float64  `json:"intercept"`
+	R2               float64  `json:"r2"`
+	Residual         float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
+	RelativeResidual float64  `json:"relative_residual"`      // the same for deviations as shares of the values
+	Outliers         []string `json:"does_not_fit,omitempty"` // points that lie off the line by more than maxDeviation
 }
 
 // fitLine fits y against x. It returns false where there are too few points or no line.
@@ -55,7 +55,7 @@
 		}
 	}
 	f.Residual = math.Sqrt(squares / float64(len(x)))
-	f.Relative = math.Sqrt(shareSquares / float64(len(x)))
+	f.RelativeResidual = math.Sqrt(shareSquares / float64(len(x)))
 	ok := !math.IsNaN(f.Slope) && !math.IsNaN(f.Intercept) && !math.IsInf(f.Slope, 0)
 	return f, ok
 }
@@ -70,10 +70,10 @@
 	seriesOf := map[key]*series{}
 	for _, p := range points {
 		for _, f := range p.Figures {
-			if p.Against == "" || f.NoFit {
+			if p.SizeUnit == "" || f.ExcludedFromFit {
 				continue
 			}
-			k := key{p.Sweep, f.Role, f.Name, f.Unit, p.Against}
+			k := key{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
 			s := seriesOf[k]
 			if s == nil {
 				s = &series{}
@@ -88,7 +88,7 @@
 	for _, k := range keys {
 		s := seriesOf[k]
 		if f, ok := fitLine(s.sizes, s.values); ok {
-			f.Sweep, f.Role, f.Figure, f.Unit, f.Against = k.sweep, k.role, k.name, k.unit, k.against
+			f.Sweep, f.Role, f.Figure, f.Unit, f.SizeUnit = k.sweep, k.role, k.name, k.unit, k.against
 			list = append(list, f)
 		}
 	}
--- a/internal/scale/live_sweeps.go
+++ b/internal/scale/live_sweeps.go
@@ -32,24 +32,24 @@
 )
 
 func (r *Run) ingressJobs() []job {
-	return jobsBySize("ingresses", "ingresses", r.Ingresses, 20*time.Second, r.measureIngresses)
+	return jobsBySize("ingresses", "ingresses", r.IngressCounts, 20*time.Second, r.measureIngresses)
 }
 
 // measureIngresses measures a live fleet of n hollow ingresses: idle, under load and while the list changes.
 func (r *Run) measureIngresses(ctx context.Context, p *Point, n int) error {
 	if r.saturated {
-		p.Against = ""
+		p.SizeUnit = ""
 		p.addNote("left out: the machine does not bear the fleet before it")
 		return nil
 	}
-	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
-	backends := newBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRequestRate}
+	backends := newBackendModel(liveBackends, r.LiveRequestRate*float64(n), meanServiceTime, false)
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
 	}
 	defer f.stop()
-	m, err := f.measureIdleAndLoad(ctx, r.LiveRate, r.scaled(idleDuration), r.scaled(settleDuration),
+	m, err := f.measureIdleAndLoad(ctx, r.LiveRequestRate, r.scaled(idleDuration), r.scaled(settleDuration),
 		r.scaled(loadDuration))
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 		return
 	}
 	r.saturated = true
-	p.Against = ""
+	p.SizeUnit = ""
 	p.addNote("the machine does not bear %d ingresses: half of the arrivals are handled over %v late, %.1f%% are left out,"+
 		" %.0f%% of its cores are taken; not in the slopes", n, median, 100*skippedShare, 100*cpuShare)
 }
@@ -198,13 +198,13 @@
 		if polled {
 			how = "asked"
 		}
-		for _, n := range r.Ingresses {
+		for _, n := range r.IngressCounts {
 			if n <= maxSingleChangeFleet && polled { // where lists are pushed, the sweep of ingresses measures these
 				jobs = append(jobs, r.changeJob("single changes, "+how, "ingresses", float64(n), n, polled, changeInterval))
 			}
 		}
-		for _, rate := range r.Changes {
-			n := min(changeRateFleet, r.Ingresses[len(r.Ingresses)-1])
+		for _, rate := range r.ChangeRates {
+			n := min(changeRateFleet, r.IngressCounts[len(r.IngressCounts)-1])
 			sweep := fmt.Sprintf("changes a second, %s, %d ingresses", how, n)
 			interval := time.Duration(float64(time.Second) / rate)
 			jobs = append(jobs, r.changeJob(sweep, "changes a second", rate, n, polled, interval))
@@ -216,8 +216,8 @@
 // changeJob is a point of n ingresses with changes at an interval.
 func (r *Run) changeJob(sweep, against string, size float64, n int, polled bool, interval time.Duration) job {
 	measure := func(ctx context.Context, p *Point) error {
-		shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate, Polled: polled}
-		backends := newBackendModel(liveBackends, r.LiveRate*float64(n), meanServiceTime, false)
+		shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRequestRate, Polled: polled}
+		backends := newBackendModel(liveBackends, r.LiveRequestRate*float64(n), meanServiceTime, false)
 		f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 		if err != nil {
 			return err
@@ -226,7 +226,7 @@
 		return r.addChangeFigures(ctx, p, f, interval, max(3, int(r.scaled(changeDuration)/interval)))
 	}
 	return job{
-		point:    Point{Sweep: sweep, Label: formatNumber(size), Against: against, Size: size},
+		point:    Point{Sweep: sweep, Label: formatNumber(size), SizeUnit: against, Size: size},
 		duration: 15 * time.Second,
 		measure:  measure,
 	}
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -21,12 +21,12 @@
 
 // Machine describes where a run was made.
 type Machine struct {
-	Cores       int    `json:"cores"`
-	Memory      uint64 `json:"memory_bytes"`
-	Go          string `json:"go"` // version
-	OS          string `json:"os"`
-	Descriptors uint64 `json:"descriptors"` // that a process may hold; 0: not known
-	Load        string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: what else it was doing
+	Cores          int    `json:"cores"`
+	MemoryBytes    uint64 `json:"memory_bytes"`
+	GoVersion      string `json:"go"` // version
+	OS             string `json:"os"`
+	MaxDescriptors uint64 `json:"descriptors"` // that a process may hold; 0: not known
+	LoadAverages   string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: what else it was doing
 }
 
 func describeMachine() (Machine, error) {
@@ -44,12 +44,12 @@
 	}
 	load := strings.Fields(string(loadText))
 	return Machine{
-		Cores:       runtime.NumCPU(),
-		Memory:      memory,
-		Go:          runtime.Version(),
-		OS:          runtime.GOOS + "/" + runtime.GOARCH,
-		Descriptors: descriptors.Cur,
-		Load:        strings.Join(load[:min(3, len(load))], " "),
+		Cores:          runtime.NumCPU(),
+		MemoryBytes:    memory,
+		GoVersion:      runtime.Version(),
+		OS:             runtime.GOOS + "/" + runtime.GOARCH,
+		MaxDescriptors: descriptors.Cur,
+		LoadAverages:   strings.Join(load[:min(3, len(load))], " "),
 	}, nil
 }
 
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -26,45 +26,45 @@
 	compareSweep   = "compare"
 )
 
-// Sweeps returns the names of all sweeps, in the order in which they run.
-func Sweeps() []string {
+// SweepNames returns the names of all sweeps, in the order in which they run.
+func SweepNames() []string {
 	return []string{backendsSweep, ingressesSweep, tenantsSweep, changesSweep, zoneSweep, compareSweep}
 }
 
-// Options are what a run is to measure. The tags are for the command line, where the variable sweeps stands for Sweeps.
+// Options are what a run is to measure. The tags are for the command line, where the variable sweeps stands for SweepNames.
 type Options struct {
-	Sweep     []string  `help:"Sweeps to run, of ${enum}." enum:"${sweeps}" default:"${sweeps}" json:"sweep"`
-	Seed      uint64    `help:"Seed of all that is drawn." default:"1" json:"seed"`
-	JSON      string    `help:"File for all figures." name:"json" default:"scale.json" json:"json"`
-	Minutes   float64   `help:"Bound of the run; what is left then is skipped." default:"9" json:"minutes"`
-	Backends  []int     `help:"Numbers of backends." default:"200,1000,5000,20000,60000,200000" json:"backends"`
-	Ingresses []int     `help:"Numbers of live ingresses." default:"10,30,100,200,300,500,800" json:"ingresses"`
-	Tenants   []int     `help:"Tenants of one ingress." default:"100,300,1000,3000,10000,30000" json:"tenants"`
-	Changes   []float64 `help:"Changes a second." default:"1,10,50" json:"changes"`
-	Fleet     int       `help:"Ingresses of the fleet where one is measured alone." default:"6400" json:"fleet"`
-	Rate      float64   `help:"Requests a second of one ingress." default:"328" json:"rate"`
-	LiveRate  float64   `help:"The same where many are live at once." default:"100" json:"live_rate"`
-	Real      int       `help:"Real processes to compare with hollow ones." default:"3" json:"real"`
-	Binary    string    `help:"A built ingress; else the run builds one." type:"existingfile" optional:"" json:"binary"`
-	Quick     bool      `help:"Small sizes and short points, to try the run: about a minute." json:"quick"`
+	Sweeps           []string  `help:"Sweeps to run, of ${enum}." name:"sweep" enum:"${sweeps}" default:"${sweeps}" json:"sweep"`
+	Seed             uint64    `help:"Seed of all that is drawn." default:"1" json:"seed"`
+	ReportPath       string    `help:"File for all figures." name:"json" default:"scale.json" json:"json"`
+	TimeLimitMinutes float64   `help:"Bound of the run; what is left then is skipped." name:"minutes" default:"9" json:"minutes"`
+	BackendCounts    []int     `help:"Numbers of backends." name:"backends" default:"200,1000,5000,20000,60000,200000" json:"backends"`
+	IngressCounts    []int     `help:"Numbers of live ingresses." name:"ingresses" default:"10,30,100,200,300,500,800" json:"ingresses"`
+	TenantCounts     []int     `help:"Tenants of one ingress." name:"tenants" default:"100,300,1000,3000,10000,30000" json:"tenants"`
+	ChangeRates      []float64 `help:"Changes a second." name:"changes" default:"1,10,50" json:"changes"`
+	FleetSize        int       `help:"Ingresses of the fleet where one is measured alone." name:"fleet" default:"6400" json:"fleet"`
+	RequestRate      float64   `help:"Requests a second of one ingress." name:"rate" default:"328" json:"rate"`
+	LiveRequestRate  float64   `help:"The same where many are live at once." name:"live-rate" default:"100" json:"live_rate"`
+	RealIngresses    int       `help:"Real processes to compare with hollow ones." name:"real" default:"3" json:"real"`
+	IngressBinary    string    `help:"A built ingress; else the run builds one." name:"binary" type:"existingfile" optional:"" json:"binary"`
+	Quick            bool      `help:"Small sizes and short points, to try the run: about a minute." json:"quick"`
 }
 
 // OptionError says that an option is out of its bounds.
 type OptionError struct {
-	Flag   string // without dashes
-	Wanted string // values
+	Flag    string // without dashes
+	Allowed string // values
 }
 
-func (e *OptionError) Error() string { return "--" + e.Flag + ": " + e.Wanted + " are wanted" }
+func (e *OptionError) Error() string { return "--" + e.Flag + ": " + e.Allowed + " are wanted" }
 
 // withQuickSizes returns the options of a quick run.
 func (o Options) withQuickSizes() Options {
-	o.Backends = []int{200, 1000, 5000}
-	o.Ingresses = []int{5, 10, 20}
-	o.Tenants = []int{100, 300, 1000}
-	o.Changes = []float64{1, 10, 50}
-	o.Real = min(o.Real, quickRealIngresses)
-	o.Minutes = min(o.Minutes, quickMinutes)
+	o.BackendCounts = []int{200, 1000, 5000}
+	o.IngressCounts = []int{5, 10, 20}
+	o.TenantCounts = []int{100, 300, 1000}
+	o.ChangeRates = []float64{1, 10, 50}
+	o.RealIngresses = min(o.RealIngresses, quickRealIngresses)
+	o.TimeLimitMinutes = min(o.TimeLimitMinutes, quickMinutes)
 	return o
 }
 
@@ -75,29 +75,29 @@
 		sizes []int
 		max   int
 	}{
-		{"backends", o.Backends, maxSize},
-		{"ingresses", o.Ingresses, maxIngresses},
-		{"tenants", o.Tenants, maxSize},
-		{"fleet", []int{o.Fleet}, maxIngresses},
-		{"real", []int{o.Real}, maxIngresses},
+		{"backends", o.BackendCounts, maxSize},
+		{"ingresses", o.IngressCounts, maxIngresses},
+		{"tenants", o.TenantCounts, maxSize},
+		{"fleet", []int{o.FleetSize}, maxIngresses},
+		{"real", []int{o.RealIngresses}, maxIngresses},
 	} {
 		if len(s.sizes) == 0 || slices.Min(s.sizes) < 1 || slices.Max(s.sizes) > s.max {
 			return &OptionError{s.flag, fmt.Sprintf("sizes from 1 to %d", s.max)}
 		}
 	}
 	// The conditions are written so that NaN does not meet them.
-	if len(o.Changes) == 0 || !(slices.Min(o.Changes) > 0) || !(slices.Max(o.Changes) <= maxChangeRate) {
+	if len(o.ChangeRates) == 0 || !(slices.Min(o.ChangeRates) > 0) || !(slices.Max(o.ChangeRates) <= maxChangeRate) {
 		return &OptionError{"changes", fmt.Sprintf("over 0 and up to %d a second", maxChangeRate)}
 	}
 	for _, r := range []struct {
 		flag string
 		rate float64
-	}{{"rate", o.Rate}, {"live-rate", o.LiveRate}} {
+	}{{"rate", o.RequestRate}, {"live-rate", o.LiveRequestRate}} {
 		if !(r.rate > 0 && r.rate <= maxRequestRate) {
 			return &OptionError{r.flag, fmt.Sprintf("over 0 and up to %.0f a second", maxRequestRate)}
 		}
 	}
-	if !(o.Minutes > 0 && o.Minutes < maxMinutes) {
+	if !(o.TimeLimitMinutes > 0 && o.TimeLimitMinutes < maxMinutes) {
 		return &OptionError{"minutes", fmt.Sprintf("over 0 and under %d", maxMinutes)}
 	}
 	return nil
--- a/internal/scale/options_test.go
+++ b/internal/scale/options_test.go
@@ -9,19 +9,19 @@
 
 // validOptions returns options of a small run.
 func validOptions() Options {
-	return Options{Sweep: []string{"backends"}, Seed: 1, Minutes: 9, Backends: []int{20}, Ingresses: []int{2},
-		Tenants: []int{10}, Changes: []float64{1}, Fleet: 6400, Rate: 328, LiveRate: 100, Real: 3}
+	return Options{Sweeps: []string{"backends"}, Seed: 1, TimeLimitMinutes: 9, BackendCounts: []int{20}, IngressCounts: []int{2},
+		TenantCounts: []int{10}, ChangeRates: []float64{1}, FleetSize: 6400, RequestRate: 328, LiveRequestRate: 100, RealIngresses: 3}
 }
 
 func TestValidateNamesTheOptionThatIsOutOfBounds(t *testing.T) {
 	for flag, change := range map[string]func(*Options){
-		"backends":  func(o *Options) { o.Backends = []int{0} },
-		"ingresses": func(o *Options) { o.Ingresses = nil },
-		"fleet":     func(o *Options) { o.Fleet = 0 },
-		"changes":   func(o *Options) { o.Changes = []float64{math.NaN()} },
-		"rate":      func(o *Options) { o.Rate = math.Inf(1) },
-		"live-rate": func(o *Options) { o.LiveRate = 0 },
-		"minutes":   func(o *Options) { o.Minutes = 10 },
+		"backends":  func(o *Options) { o.BackendCounts = []int{0} },
+		"ingresses": func(o *Options) { o.IngressCounts = nil },
+		"fleet":     func(o *Options) { o.FleetSize = 0 },
+		"changes":   func(o *Options) { o.ChangeRates = []float64{math.NaN()} },
+		"rate":      func(o *Options) { o.RequestRate = math.Inf(1) },
+		"live-rate": func(o *Options) { o.LiveRequestRate = 0 },
+		"minutes":   func(o *Options) { o.TimeLimitMinutes = 10 },
 	} {
 		t.Run(flag, func(t *testing.T) {
 			o := validOptions()
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -82,7 +82,7 @@
 	if f.directory, err = os.MkdirTemp("", temporaryPattern); err != nil {
 		return err
 	}
-	binary := r.Binary
+	binary := r.IngressBinary
 	if binary == "" {
 		if binary, err = buildIngress(ctx, r.monitor, f.directory); err != nil {
 			return err
@@ -97,7 +97,7 @@
 	if err := f.setList(f.targets); err != nil {
 		return err
 	}
-	for index := range r.Real {
+	for index := range r.RealIngresses {
 		ingress, err := r.startRealIngress(ctx, f, binary, index)
 		if err != nil {
 			return err
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -20,13 +20,13 @@
 	Date    time.Time     `json:"date"`
 	Seed    uint64        `json:"seed"`
 	Commit  string        `json:"commit,omitempty"`
-	Flags   Options       `json:"flags"`
+	Options Options       `json:"flags"`
 	Machine Machine       `json:"machine"`
-	Ended   string        `json:"ended"` // whole, or partial and why
+	Status  string        `json:"ended"` // whole, or partial and why
 	Notes   []string      `json:"notes"`
 	Points  []*Point      `json:"points"`
 	Fits    []Fit         `json:"fits"`
-	Used    ResourceUsage `json:"used"`
+	Usage   ResourceUsage `json:"used"`
 }
 
 // reportNotes say how the figures of any run are to be read.
@@ -42,25 +42,25 @@
 
 // Point is the measurement of one size of a sweep.
 type Point struct {
-	Sweep   string   `json:"sweep"`
-	Label   string   `json:"label"`
-	Against string   `json:"against,omitempty"` // what Size counts; empty: not for a fit
-	Size    float64  `json:"size"`
-	Seconds float64  `json:"seconds"`           // that the measurement took
-	Skipped string   `json:"skipped,omitempty"` // why it has no figures
-	Notes   []string `json:"notes,omitempty"`
-	Figures []Figure `json:"figures,omitempty"`
+	Sweep      string   `json:"sweep"`
+	Label      string   `json:"label"`
+	SizeUnit   string   `json:"against,omitempty"` // what Size counts; empty: not for a fit
+	Size       float64  `json:"size"`
+	Seconds    float64  `json:"seconds"`           // that the measurement took
+	SkipReason string   `json:"skipped,omitempty"` // why it has no figures
+	Notes      []string `json:"notes,omitempty"`
+	Figures    []Figure `json:"figures,omitempty"`
 }
 
 // Figure is one measured value.
 type Figure struct {
-	Role        string       `json:"role"`
-	Name        string       `json:"name"`
-	Unit        string       `json:"unit"`
-	Value       float64      `json:"value"`
-	Samples     uint64       `json:"samples,omitempty"`
-	Percentiles *Percentiles `json:"percentiles,omitempty"`
-	NoFit       bool         `json:"-"` // the figure describes the run and is no cost: no line is fitted
+	Role            string       `json:"role"`
+	Name            string       `json:"name"`
+	Unit            string       `json:"unit"`
+	Value           float64      `json:"value"`
+	Samples         uint64       `json:"samples,omitempty"`
+	Percentiles     *Percentiles `json:"percentiles,omitempty"`
+	ExcludedFromFit bool         `json:"-"` // the figure describes the run and is no cost: no line is fitted
 }
 
 // Percentiles are those of a histogram, in the unit of its figure.
@@ -96,13 +96,13 @@
 
 // addUnfitted adds a figure that no line is fitted to.
 func (p *Point) addUnfitted(role, name, unit string, value float64) {
-	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, NoFit: true})
+	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, ExcludedFromFit: true})
 }
 
 // excludeFromFit turns a figure that was added into one that no line is fitted to.
 func (p *Point) excludeFromFit(name string) {
 	for i := range p.Figures {
-		p.Figures[i].NoFit = p.Figures[i].NoFit || p.Figures[i].Name == name
+		p.Figures[i].ExcludedFromFit = p.Figures[i].ExcludedFromFit || p.Figures[i].Name == name
 	}
 }
 
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -13,9 +13,9 @@
 
 // sampleReport returns a report with four points of a sweep whose costs are no line, and one that was skipped.
 func sampleReport() *Report {
-	r := &Report{Format: reportFormat, Seed: 3, Ended: "whole"}
+	r := &Report{Format: reportFormat, Seed: 3, Status: "whole"}
 	for i := range 4 {
-		p := &Point{Sweep: "backends", Label: formatNumber(float64(1000 * i)), Against: "backends", Size: float64(i)}
+		p := &Point{Sweep: "backends", Label: formatNumber(float64(1000 * i)), SizeUnit: "backends", Size: float64(i)}
 		p.addFigure(roleIngress, "cost", "µs", float64(i*i), 9)
 		h := newHistogram()
 		recordTime(h, time.Millisecond)
@@ -23,7 +23,7 @@
 		r.Points = append(r.Points, p)
 	}
 	r.Points[1].addNote("list not taken")
-	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", Skipped: "no time is left for it"})
+	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time is left for it"})
 	r.Fits = fits(r.Points)
 	return r
 }
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -46,16 +46,16 @@
 
 // checkResources returns a *ResourceError if the run would need more than it may use.
 func checkResources(o Options, m Machine) error {
-	if n := 1 + standInProcesses + o.Real; n > maxProcesses {
+	if n := 1 + standInProcesses + o.RealIngresses; n > maxProcesses {
 		return &ResourceError{fmt.Sprintf("%d processes", n), fmt.Sprintf("%d at most", maxProcesses)}
 	}
-	largestFleet := max(0, slices.Max(o.Ingresses))
+	largestFleet := max(0, slices.Max(o.IngressCounts))
 	descriptors := uint64(largestFleet*hollowDescriptors + spareDescriptors)
-	if m.Descriptors > 0 && descriptors > m.Descriptors {
+	if m.MaxDescriptors > 0 && descriptors > m.MaxDescriptors {
 		return &ResourceError{fmt.Sprintf("about %d descriptors", descriptors),
-			fmt.Sprintf("a process may hold %d here", m.Descriptors)}
+			fmt.Sprintf("a process may hold %d here", m.MaxDescriptors)}
 	}
-	needed, limit := estimateMemory(o), maxMemoryShare*float64(m.Memory)
+	needed, limit := estimateMemory(o), maxMemoryShare*float64(m.MemoryBytes)
 	if needed > limit {
 		return &ResourceError{"about " + formatMegabytes(needed), "half of the machine's memory is " + formatMegabytes(limit)}
 	}
@@ -64,11 +64,11 @@
 
 // estimateMemory returns the bytes that the largest point of a run needs.
 func estimateMemory(o Options) float64 {
-	backends, ingresses, tenants := slices.Max(o.Backends), slices.Max(o.Ingresses), slices.Max(o.Tenants)
+	backends, ingresses, tenants := slices.Max(o.BackendCounts), slices.Max(o.IngressCounts), slices.Max(o.TenantCounts)
 	const ingressBytes = hollowIngressBytes + liveTenants*tenantBytes + liveBackends*backendBytes
 	return max(
 		baseBytes+float64(backends)*(listEntryBytes+2*backendBytes),
-		baseBytes+float64(ingresses)*ingressBytes+float64(o.Real)*realIngressBytes,
+		baseBytes+float64(ingresses)*ingressBytes+float64(o.RealIngresses)*realIngressBytes,
 		baseBytes+float64(tenants)*2*tenantBytes,
 	)
 }
@@ -77,10 +77,10 @@
 
 // ResourceUsage is what a run used of its machine.
 type ResourceUsage struct {
-	PeakMemory    uint64  `json:"peak_memory_bytes"` // of all its processes, by samples
-	PeakProcesses int     `json:"peak_processes"`
-	CPUSeconds    float64 `json:"processor_s"` // of this process
-	WallSeconds   float64 `json:"wall_s"`
+	PeakMemoryBytes uint64  `json:"peak_memory_bytes"` // of all its processes, by samples
+	PeakProcesses   int     `json:"peak_processes"`
+	CPUSeconds      float64 `json:"processor_s"` // of this process
+	WallSeconds     float64 `json:"wall_s"`
 }
 
 // resourceMonitor samples the memory of the run's processes, and ends the run where that exceeds a limit.
--- a/internal/scale/resources_test.go
+++ b/internal/scale/resources_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestCheckResourcesNamesTheLimitThatIsExceeded(t *testing.T) {
-	large := Machine{Cores: 8, Memory: 16 << 30}
+	large := Machine{Cores: 8, MemoryBytes: 16 << 30}
 	for _, c := range []struct {
 		name    string
 		change  func(*Options)
@@ -15,12 +15,12 @@
 		want    string // part of the error; empty: none
 	}{
 		{"within", func(*Options) {}, large, ""},
-		{"300 processes", func(o *Options) { o.Real = 297 }, Machine{Memory: 1 << 40}, ""},
-		{"301 processes", func(o *Options) { o.Real = 298 }, Machine{Memory: 1 << 40}, "301 processes"},
-		{"backends", func(o *Options) { o.Backends = []int{200, 1 << 21} }, Machine{Memory: 4 << 30}, "half of the"},
-		{"ingresses", func(o *Options) { o.Ingresses = []int{10, 16000} }, large, "half of the machine's"},
-		{"descriptors", func(o *Options) { o.Ingresses = []int{500} }, Machine{Memory: 1 << 40, Descriptors: 1024}, "1024"},
-		{"a small machine", func(*Options) {}, Machine{Memory: 256 << 20}, "half of the machine's memory is 128 MB"},
+		{"300 processes", func(o *Options) { o.RealIngresses = 297 }, Machine{MemoryBytes: 1 << 40}, ""},
+		{"301 processes", func(o *Options) { o.RealIngresses = 298 }, Machine{MemoryBytes: 1 << 40}, "301 processes"},
+		{"backends", func(o *Options) { o.BackendCounts = []int{200, 1 << 21} }, Machine{MemoryBytes: 4 << 30}, "half of the"},
+		{"ingresses", func(o *Options) { o.IngressCounts = []int{10, 16000} }, large, "half of the machine's"},
+		{"descriptors", func(o *Options) { o.IngressCounts = []int{500} }, Machine{MemoryBytes: 1 << 40, MaxDescriptors: 1024}, "1024"},
+		{"a small machine", func(*Options) {}, Machine{MemoryBytes: 256 << 20}, "half of the machine's memory is 128 MB"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := validOptions()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -49,7 +49,7 @@
 	for _, size := range sizes {
 		label := formatNumber(float64(size))
 		jobs = append(jobs, job{
-			point:    Point{Sweep: sweep, Label: label, Against: against, Size: float64(size)},
+			point:    Point{Sweep: sweep, Label: label, SizeUnit: against, Size: float64(size)},
 			duration: duration,
 			measure:  func(ctx context.Context, p *Point) error { return measure(ctx, p, size) },
 		})
@@ -81,7 +81,7 @@
 			Date:    time.Now().UTC(),
 			Seed:    o.Seed,
 			Commit:  sourceRevision(),
-			Flags:   o,
+			Options: o,
 			Machine: machine,
 			Notes:   reportNotes(),
 		},
@@ -108,7 +108,7 @@
 // early; the error then says why in one line.
 func (r *Run) Measure(ctx context.Context) (*Report, error) {
 	start := time.Now()
-	r.deadline = start.Add(time.Duration(r.Minutes * float64(time.Minute)))
+	r.deadline = start.Add(time.Duration(r.TimeLimitMinutes * float64(time.Minute)))
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errTimeUp)
@@ -117,20 +117,20 @@
 	failed := r.measurePoints(ctx)
 	r.monitor.sample()
 	stopMonitor()
-	r.report.Ended = "whole"
+	r.report.Status = "whole"
 	err := context.Cause(ctx)
 	if err == nil && failed > 0 {
 		err = fmt.Errorf("%d %w", failed, errPointsFailed)
 	}
 	if err != nil {
-		r.report.Ended = "partial: " + err.Error()
+		r.report.Status = "partial: " + err.Error()
 	}
 	r.report.Fits = fits(r.report.Points)
-	r.report.Used = ResourceUsage{
-		PeakMemory:    r.monitor.peakMemory,
-		PeakProcesses: r.monitor.peakProcesses,
-		CPUSeconds:    cpuTime(wholeProcess).Seconds(),
-		WallSeconds:   time.Since(start).Seconds(),
+	r.report.Usage = ResourceUsage{
+		PeakMemoryBytes: r.monitor.peakMemory,
+		PeakProcesses:   r.monitor.peakProcesses,
+		CPUSeconds:      cpuTime(wholeProcess).Seconds(),
+		WallSeconds:     time.Since(start).Seconds(),
 	}
 	return r.report, err
 }
@@ -141,7 +141,7 @@
 	ended := make(chan struct{})
 	go func() { // stop ends it and waits for it
 		defer close(ended)
-		r.monitor.run(ctx, uint64(maxMemoryShare*float64(r.report.Machine.Memory)), stopRun)
+		r.monitor.run(ctx, uint64(maxMemoryShare*float64(r.report.Machine.MemoryBytes)), stopRun)
 	}()
 	return func() {
 		cancel()
@@ -156,12 +156,12 @@
 		p := j.point
 		r.report.Points = append(r.report.Points, &p)
 		if ctx.Err() != nil {
-			p.Skipped = context.Cause(ctx).Error()
+			p.SkipReason = context.Cause(ctx).Error()
 			continue
 		}
 		if time.Until(r.deadline)-reportReserve < j.duration {
-			p.Skipped = "no time is left for it"
-			r.logProgress("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.Skipped)
+			p.SkipReason = "no time is left for it"
+			r.logProgress("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.SkipReason)
 			continue
 		}
 		r.logProgress("[%d/%d] %s %s", i+1, len(jobs), p.Sweep, p.Label)
@@ -180,11 +180,11 @@
 	failed := err != nil && ctx.Err() == nil
 	switch {
 	case failed:
-		p.Skipped = "failed: " + err.Error()
-		r.logProgress("  %s", p.Skipped)
+		p.SkipReason = "failed: " + err.Error()
+		r.logProgress("  %s", p.SkipReason)
 	case err != nil:
 		p.addNote("cut short: %s", context.Cause(ctx))
-		p.Against = ""
+		p.SizeUnit = ""
 	}
 	for _, note := range p.Notes {
 		r.logProgress("  %s", note)
@@ -205,7 +205,7 @@
 	return d
 }
 
-// jobs returns all points of the sweeps that are asked for, in the order of Sweeps.
+// jobs returns all points of the sweeps that are asked for, in the order of SweepNames.
 func (r *Run) jobs() []job {
 	jobsOf := map[string]func() []job{
 		backendsSweep:  r.backendJobs,
@@ -216,8 +216,8 @@
 		compareSweep:   r.compareJobs,
 	}
 	var jobs []job
-	for _, name := range Sweeps() {
-		if slices.Contains(r.Sweep, name) {
+	for _, name := range SweepNames() {
+		if slices.Contains(r.Sweeps, name) {
 			jobs = append(jobs, jobsOf[name]()...)
 		}
 	}
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -17,8 +17,8 @@
 // Write writes the report as tables for people.
 func (r *Report) Write(out io.Writer) error {
 	w := tableWriter{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
-	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.Go, r.Machine.Cores,
-		formatMegabytes(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
+	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.GoVersion, r.Machine.Cores,
+		formatMegabytes(float64(r.Machine.MemoryBytes)), r.Machine.LoadAverages, r.Status)
 	for _, note := range r.Notes {
 		w.line("- %s", note)
 	}
@@ -34,7 +34,7 @@
 		w.writeFits(r.Fits)
 	}
 	w.line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		formatMegabytes(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.CPUSeconds, r.Used.WallSeconds)
+		formatMegabytes(float64(r.Usage.PeakMemoryBytes)), r.Usage.PeakProcesses, r.Usage.CPUSeconds, r.Usage.WallSeconds)
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
@@ -46,14 +46,14 @@
 	w.line("\n%s", strings.ToUpper(points[0].Sweep))
 	var measured []*Point
 	for _, p := range points {
-		if p.Skipped == "" {
+		if p.SkipReason == "" {
 			measured = append(measured, p)
 		}
 	}
 	w.writeFigures(measured)
 	for _, p := range points {
-		if p.Skipped != "" {
-			w.line("%s: skipped, %s", p.Label, p.Skipped)
+		if p.SkipReason != "" {
+			w.line("%s: skipped, %s", p.Label, p.SkipReason)
 		}
 		for _, note := range p.Notes {
 			w.line("%s: %s", p.Label, note)
@@ -99,7 +99,7 @@
 		}
 		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit,
 			formatNumber(slopeTableFactor*f.Slope), formatNumber(f.Intercept), f.R2, formatNumber(f.Residual),
-			100*f.Relative, outliers)
+			100*f.RelativeResidual, outliers)
 	}
 }
 
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -14,7 +14,7 @@
 )
 
 func (r *Run) zoneJobs() []job {
-	n := min(zoneSweepIngresses, r.Ingresses[len(r.Ingresses)-1])
+	n := min(zoneSweepIngresses, r.IngressCounts[len(r.IngressCounts)-1])
 	sweep := fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zones, n, zones*backendsPerZone)
 	return []job{{
 		point:    Point{Sweep: sweep, Label: "before, lost, back"},
@@ -25,14 +25,14 @@
 
 // measureZoneLoss takes all backends of a zone away under load, and then brings them back cold.
 func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
-	backends := newBackendModel(zones*backendsPerZone, r.LiveRate*float64(n), meanServiceTime, false)
-	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRate}
+	backends := newBackendModel(zones*backendsPerZone, r.LiveRequestRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRequestRate}
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
 	}
 	defer f.stop()
-	if err := f.setRate(ctx, r.LiveRate); err != nil {
+	if err := f.setRate(ctx, r.LiveRequestRate); err != nil {
 		return err
 	}
 	if err := sleep(ctx, settleDuration); err != nil {
