--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -83,9 +83,9 @@
 	ctx, cancel := context.WithCancelCause(parent)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() { // ends with ctx; stop waits for it
-		defer close(ended)
+		defer close(done)
 		select {
 		case <-signals:
 			signal.Stop(signals)
@@ -96,6 +96,6 @@
 	return ctx, func() {
 		signal.Stop(signals)
 		cancel(nil)
-		<-ended
+		<-done
 	}
 }
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -19,13 +19,13 @@
 	"lemontack/internal/scale"
 )
 
-// programVariable is set for a process that is to be the program in place of the tests.
-const programVariable = "SCALERUN_TEST_MAIN"
+// runMainVariable is set for a process that is to be the program in place of the tests.
+const runMainVariable = "SCALERUN_TEST_MAIN"
 
 // TestMain lets the test binary run as the program and as the processes that it starts.
 func TestMain(m *testing.M) {
 	_, role := scale.StandInRole()
-	if _, ok := os.LookupEnv(programVariable); ok || role {
+	if _, ok := os.LookupEnv(runMainVariable); ok || role {
 		main()
 		os.Exit(0)
 	}
@@ -68,21 +68,21 @@
 	}
 }
 
-// program returns a command that runs scalerun with these flags, in an empty directory.
-func program(t *testing.T, args ...string) *exec.Cmd {
+// scalerunCommand returns a command that runs scalerun with these flags, in an empty directory.
+func scalerunCommand(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), exe, args...)
-	cmd.Env = append(os.Environ(), programVariable+"=1")
+	cmd.Env = append(os.Environ(), runMainVariable+"=1")
 	cmd.Dir = t.TempDir()
 	return cmd
 }
 
-// childrenOf returns the processes that a process has started and not yet waited for.
-func childrenOf(t *testing.T, pid int) []int {
+// childProcesses returns the processes that a process has started and not yet waited for.
+func childProcesses(t *testing.T, pid int) []int {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -116,7 +116,7 @@
 
 func testInterrupt(t *testing.T, sig syscall.Signal) {
 	t.Helper()
-	cmd := program(t, "--sweep", "ingresses", "--ingresses", "3", "--live-rate", "20", "--json", "part.json")
+	cmd := scalerunCommand(t, "--sweep", "ingresses", "--ingresses", "3", "--live-rate", "20", "--json", "part.json")
 	var tables bytes.Buffer
 	cmd.Stdout = &tables
 	progress, err := cmd.StderrPipe()
@@ -132,7 +132,7 @@
 	}
 	var children []int
 	for len(children) < 2 { // discovery and the counter
-		children = childrenOf(t, cmd.Process.Pid)
+		children = childProcesses(t, cmd.Process.Pid)
 		time.Sleep(time.Millisecond)
 	}
 	if err := cmd.Process.Signal(sig); err != nil {
@@ -143,8 +143,8 @@
 	if err := cmd.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitInterrupted {
 		t.Errorf("ended with %v, want code %d", err, exitInterrupted)
 	}
-	said := strings.Split(strings.TrimSpace(string(rest)), "\n")
-	if last := said[len(said)-1]; last != "scalerun: interrupted" {
+	outputLines := strings.Split(strings.TrimSpace(string(rest)), "\n")
+	if last := outputLines[len(outputLines)-1]; last != "scalerun: interrupted" {
 		t.Errorf("last line %q", last)
 	}
 	for _, pid := range children {
@@ -167,7 +167,7 @@
 		"scalerun: 503 processes are asked for, 300 at most":  {"--real", "500"},
 		"scalerun: --minutes: over 0 and under 10 are wanted": {"--minutes", "60"},
 	} {
-		out, err := program(t, args...).CombinedOutput()
+		out, err := scalerunCommand(t, args...).CombinedOutput()
 		if err == nil || strings.TrimSpace(string(out)) != want {
 			t.Errorf("%q: %v, %q, want %q", args, err, out, want)
 		}
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	rejectionLatency = time.Millisecond // of an attempt at a full backend
-	queuedPerSlot    = 4                // requests that a backend queues for each that it works on
-	minNormalMean    = 30               // from which a Poisson distribution is drawn as a normal one
-	cellSize         = 16               // consecutive backends that share a cell
+	rejectionLatency    = time.Millisecond // of an attempt at a full backend
+	queueLengthPerSlot  = 4                // requests that a backend queues for each that it works on
+	minNormalDrawMean   = 30               // from which a Poisson distribution is drawn as a normal one
+	backendsPerPodGroup = 16               // consecutive backends that share a cell
 
 	endpointIDPrefix = "s-"
 )
@@ -54,17 +54,17 @@
 // newBackendModel returns n backends with as many slots as keep half of them busy under a load, in requests a second,
 // of a mean service time. remote says that ingresses outside this process send the load: their requests count as in
 // flight too.
-func newBackendModel(n int, load float64, meanServiceTime time.Duration, remote bool) *backendModel {
+func newBackendModel(count int, requestRate float64, meanServiceTime time.Duration, loadIsRemote bool) *backendModel {
 	m := &backendModel{
 		serviceTime: func(rng *rand.Rand) time.Duration {
 			return time.Duration((0.5 + 0.5*rng.ExpFloat64()) * float64(meanServiceTime))
 		},
 		warmUp:   standin.WarmUp{MinSpeed: slowStartMinWeight, Window: slowStartWindow},
-		backends: make([]modelledBackend, n),
+		backends: make([]modelledBackend, count),
 	}
-	busySlots := load * meanServiceTime.Seconds() / float64(n)
+	busySlots := requestRate * meanServiceTime.Seconds() / float64(count)
 	m.slots = max(2, 2*busySlots)
-	if remote {
+	if loadIsRemote {
 		m.remoteInFlight = busySlots
 	}
 	return m
@@ -91,13 +91,13 @@
 
 // newTarget is the entry of backend i in the endpoint list, started long ago.
 func newTarget(i int, addr, state string) standin.Target {
-	return standin.Target{UID: endpointID(i), Endpoint: addr, Zone: zoneName(i), Model: "m1", Group: i / cellSize,
+	return standin.Target{UID: endpointID(i), Endpoint: addr, Zone: zoneName(i), Model: "m1", Group: i / backendsPerPodGroup,
 		State: state, Capacity: 1}
 }
 
-// toggleDraining returns the change with an index: with an even one a backend begins to drain, another one each time,
+// drainingChange returns the change with an index: with an even one a backend begins to drain, another one each time,
 // and with the next index it serves again.
-func (m *backendModel) toggleDraining(change int) standin.Target {
+func (m *backendModel) drainingChange(change int) standin.Target {
 	state := stateDraining
 	if change%2 == 1 {
 		state = stateServing
@@ -127,8 +127,8 @@
 	return changes
 }
 
-// find returns the backend of an endpoint, or nil if there is none.
-func (m *backendModel) find(id policy.EndpointID) *modelledBackend {
+// findBackend returns the backend of an endpoint, or nil if there is none.
+func (m *backendModel) findBackend(id policy.EndpointID) *modelledBackend {
 	i, err := strconv.Atoi(strings.TrimPrefix(string(id), endpointIDPrefix))
 	if err != nil || i >= len(m.backends) {
 		return nil
@@ -149,7 +149,7 @@
 // finishAttempt.
 func (m *backendModel) startAttempt(id policy.EndpointID, now time.Duration,
 	rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
-	b := m.find(id)
+	b := m.findBackend(id)
 	if b == nil || b.removed.Load() {
 		return connectTimeout, policy.AttemptEnded{Outcome: policy.ConnectFailed}
 	}
@@ -160,7 +160,7 @@
 	}
 	inFlight := float64(b.inFlight.Add(1)) + poisson(rng, m.remoteInFlight)
 	slots := max(1, m.slots*speed)
-	if inFlight > slots*(1+queuedPerSlot) {
+	if inFlight > slots*(1+queueLengthPerSlot) {
 		b.inFlight.Add(-1)
 		return rejectionLatency, policy.AttemptEnded{Outcome: policy.Rejected}
 	}
@@ -171,7 +171,7 @@
 
 // finishAttempt gives back the slot of an attempt.
 func (m *backendModel) finishAttempt(id policy.EndpointID) {
-	if b := m.find(id); b != nil {
+	if b := m.findBackend(id); b != nil {
 		b.inFlight.Add(-1)
 	}
 }
@@ -214,7 +214,7 @@
 
 // poisson draws from a Poisson distribution.
 func poisson(rng *rand.Rand, mean float64) float64 {
-	if mean > minNormalMean {
+	if mean > minNormalDrawMean {
 		return max(0, math.Round(mean+math.Sqrt(mean)*rng.NormFloat64()))
 	}
 	count, product := 0.0, rng.Float64()
--- a/internal/scale/backend_model_test.go
+++ b/internal/scale/backend_model_test.go
@@ -12,20 +12,20 @@
 	m := newBackendModel(2, 1, meanServiceTime, false)
 	m.slots, m.serviceTime = 4, func(*rand.Rand) time.Duration { return meanServiceTime }
 	rng := rand.New(rand.NewPCG(1, 1))
-	fill := func(i int) (held int, slowest time.Duration) {
-		for ; held < 1000; held++ {
+	fill := func(i int) (accepted int, slowest time.Duration) {
+		for ; accepted < 1000; accepted++ {
 			latency, end := m.startAttempt(policy.EndpointID(endpointID(i)), simulatedStart, rng)
 			if end.Outcome == policy.Rejected {
 				break
 			}
 			slowest = latency
 		}
-		return held, slowest
+		return accepted, slowest
 	}
 	warm, slowest := fill(0)
-	if want := 4 * (1 + queuedPerSlot); warm != want || slowest != meanServiceTime*(1+queuedPerSlot) {
+	if want := 4 * (1 + queueLengthPerSlot); warm != want || slowest != meanServiceTime*(1+queueLengthPerSlot) {
 		t.Errorf("a warm one holds %d, the last takes %v; want %d and %v", warm, slowest, want,
-			meanServiceTime*(1+queuedPerSlot))
+			meanServiceTime*(1+queueLengthPerSlot))
 	}
 	m.backends[1].startedAt.Store(int64(simulatedStart))
 	if cold, _ := fill(1); cold >= warm || cold == 0 {
--- a/internal/scale/child_process.go
+++ b/internal/scale/child_process.go
@@ -17,7 +17,7 @@
 	cmd     *exec.Cmd
 	monitor *resourceMonitor
 	exited  chan struct{} // closed after the end of the process
-	err     error         // of its end; read after exited
+	exitErr error         // of its end; read after exited
 }
 
 // startChild starts the command that newCommand returns. It is killed when ctx ends.
@@ -35,17 +35,17 @@
 	monitor.addProcess(c.pid())
 	go func() { // ends with the process; whoever ends that waits for exited
 		defer close(c.exited)
-		c.err = c.cmd.Wait()
+		c.exitErr = c.cmd.Wait()
 		monitor.removeProcess(c.pid())
 	}()
 	return c, nil
 }
 
-func (c *childProcess) pid() int { return c.cmd.Process.Pid }
+func (child *childProcess) pid() int { return child.cmd.Process.Pid }
 
 // kill ends the process and all others of its group.
-func (c *childProcess) kill() error {
-	err := syscall.Kill(-c.pid(), syscall.SIGKILL)
+func (child *childProcess) kill() error {
+	err := syscall.Kill(-child.pid(), syscall.SIGKILL)
 	if errors.Is(err, syscall.ESRCH) {
 		return os.ErrProcessDone
 	}
@@ -53,11 +53,11 @@
 }
 
 // waitOrKill returns once the process has ended; it is killed if that takes longer than the timeout.
-func (c *childProcess) waitOrKill(timeout time.Duration) {
+func (child *childProcess) waitOrKill(timeout time.Duration) {
 	select {
-	case <-c.exited:
+	case <-child.exited:
 	case <-time.After(timeout):
-		c.kill() // an error means that it has ended
-		<-c.exited
+		child.kill() // an error means that it has ended
+		<-child.exited
 	}
 }
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -38,14 +38,14 @@
 			duration: 35 * time.Second,
 			measure: func(ctx context.Context, p *Point) error {
 				realPoint = p
-				return r.measureReal(ctx, p)
+				return r.measureRealIngresses(ctx, p)
 			},
 		}, {
 			point:    Point{Sweep: compareSweepTitle, Label: n + " hollow"},
 			duration: 20 * time.Second,
 			measure: func(ctx context.Context, p *Point) error {
 				hollowPoint = p
-				return r.measureHollow(ctx, p)
+				return r.measureHollowIngresses(ctx, p)
 			},
 		}, {
 			point: Point{Sweep: compareSweepTitle, Label: compareRatioLabel},
@@ -64,14 +64,14 @@
 		return
 	}
 	for _, f := range realPoint.Figures {
-		if g, ok := hollowPoint.find(f.Role, f.Name); ok && g.Unit == f.Unit && f.Value != 0 {
-			p.addUnfitted(f.Role, f.Name, f.Unit, g.Value/f.Value)
+		if g, ok := hollowPoint.findFigure(f.Role, f.Name); ok && g.Unit == f.Unit && f.Value != 0 {
+			p.addFigureWithoutFit(f.Role, f.Name, f.Unit, g.Value/f.Value)
 		}
 	}
 }
 
 func (r *Run) compareShape() fleetShape {
-	return fleetShape{Ingresses: r.RealIngresses, Tenants: liveTenants, Rate: r.RequestRate}
+	return fleetShape{Ingresses: r.RealIngresses, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
 }
 
 // comparison is what real and hollow ingresses are compared by.
@@ -82,7 +82,7 @@
 	counterCalls                         float64
 	listBytes                            float64 // that discovery sent to each ingress until it was ready
 	memory                               float64 // bytes, of each ingress
-	busiestBackend                       float64 // its attempts, in the mean of all backends
+	busiestToMean                        float64 // its attempts, in the mean of all backends
 	addedLatency                         func(quantile float64) (ms float64)
 }
 
@@ -97,14 +97,14 @@
 	p.addFigure(roleIngress, "added (p50)", "ms", c.addedLatency(50), samples)
 	p.addFigure(roleIngress, "added (p99)", "ms", c.addedLatency(99), samples)
 	p.addFigure(roleIngress, figureAttempts, "", c.attempts/requests, samples)
-	p.addFigure(roleBackends, "attempts at the busiest, in means", "", c.busiestBackend, uint64(c.attempts))
-	p.addUnfitted(roleIngress, "refused", "%", 100*c.rejected/requests)
-	p.addUnfitted(roleIngress, "failed or not answered", "%", 100*c.failed/requests)
-	p.addUnfitted(roleRun, "requests", "", c.requests)
+	p.addFigure(roleBackends, "attempts at the busiest, in means", "", c.busiestToMean, uint64(c.attempts))
+	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*c.rejected/requests)
+	p.addFigureWithoutFit(roleIngress, "failed or not answered", "%", 100*c.failed/requests)
+	p.addFigureWithoutFit(roleRun, "requests", "", c.requests)
 }
 
-// measureHollow measures hollow ingresses under the load under which the real ones are measured.
-func (r *Run) measureHollow(ctx context.Context, p *Point) error {
+// measureHollowIngresses measures hollow ingresses under the load under which the real ones are measured.
+func (r *Run) measureHollowIngresses(ctx context.Context, p *Point) error {
 	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
 	backends.slots = compareBackendSlots
 	backends.serviceTime = func(*rand.Rand) time.Duration { return compareServiceTime }
@@ -117,14 +117,14 @@
 	if err != nil {
 		return err
 	}
-	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaled(compareIdleDuration), r.scaled(compareWarmUpDuration),
-		r.scaled(compareDuration))
+	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration), r.scaleForQuickRun(compareWarmUpDuration),
+		r.scaleForQuickRun(compareDuration))
 	if err != nil {
 		return err
 	}
 	addedLatency := m.times[metricAddedLatency]
 	ingresses := float64(r.RealIngresses)
-	_, busiest := attemptSpread(m.attemptsBefore, backends.attemptCounts())
+	_, busiestToMean := attemptSpread(m.attemptsBefore, backends.attemptCounts())
 	r.addComparison(p, comparison{
 		requests:         float64(m.load.tally.Requests),
 		rejected:         float64(m.load.tally.Rejected),
@@ -135,15 +135,15 @@
 		counterCalls:     m.load.counterCalls,
 		listBytes:        float64(discovery.Discovery.Bytes) / ingresses,
 		memory:           f.memoryPerIngress(),
-		busiestBackend:   busiest,
+		busiestToMean:    busiestToMean,
 		addedLatency:     func(quantile float64) float64 { return quantileMS(addedLatency, quantile) },
 	})
 	p.addNote("memory is heap and stacks; added is from the arrival to the first attempt")
 	return nil
 }
 
-// measureReal measures processes of the real ingress.
-func (r *Run) measureReal(ctx context.Context, p *Point) error {
+// measureRealIngresses measures processes of the real ingress.
+func (r *Run) measureRealIngresses(ctx context.Context, p *Point) error {
 	f := &realFleet{}
 	defer f.stop()
 	if err := r.startRealFleet(ctx, f); err != nil {
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	idle := r.scaled(compareIdleDuration)
+	idle := r.scaleForQuickRun(compareIdleDuration)
 	if err := sleep(ctx, idle); err != nil {
 		return err
 	}
@@ -169,12 +169,12 @@
 		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.RealIngresses),
 		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.RealIngresses),
 	}
-	through, direct, err := r.runRealLoad(ctx, f, p, &c)
+	viaIngresses, direct, err := r.runRealLoad(ctx, f, p, &c)
 	if err != nil {
 		return err
 	}
 	c.addedLatency = func(quantile float64) float64 {
-		return quantileMS(through, quantile) - quantileMS(direct, quantile)
+		return quantileMS(viaIngresses, quantile) - quantileMS(direct, quantile)
 	}
 	r.addComparison(p, c)
 	p.addNote("added is what clients see beyond the backend's %v, less what they see of a backend called directly at the"+
@@ -211,8 +211,8 @@
 	if directGenerator.served.Load() == 0 {
 		return nil, nil, errors.Join(ctx.Err(), errNoReplies)
 	}
-	c.setLoad(before, after)
-	p.addUnfitted(roleIngress, "connections to backends for a request", "",
+	c.setLoadResults(before, after)
+	p.addFigureWithoutFit(roleIngress, "connections to backends for a request", "",
 		(after.backendConnections-before.backendConnections)/max(1, c.requests))
 	for _, ingress := range f.ingresses {
 		c.memory += float64(residentMemory(ingress.pid())) / float64(len(f.ingresses))
@@ -231,7 +231,7 @@
 	for _, g := range generators {
 		rng := rand.New(rand.NewPCG(r.Seed, uint64(g.index)<<8|round))
 		tenants := shape.tenantsOf(max(0, g.index-1))
-		running.Go(func() { g.run(ctx, rng, tenants, r.RequestRate, r.scaled(d), compareServiceTime) })
+		running.Go(func() { g.run(ctx, rng, tenants, r.RequestRate, r.scaleForQuickRun(d), compareServiceTime) })
 	}
 	running.Wait()
 }
@@ -248,14 +248,14 @@
 	return merged
 }
 
-// setLoad sets what follows from the counters before and after the measured load.
-func (c *comparison) setLoad(before, after realCounters) {
+// setLoadResults sets what follows from the counters before and after the measured load.
+func (c *comparison) setLoadResults(before, after realCounters) {
 	c.requests = after.requests - before.requests
 	c.rejected = after.rejected - before.rejected
 	c.failed = after.failed - before.failed
 	c.cpuTime = after.cpuTime - before.cpuTime
 	c.counterCalls = float64(after.counterCalls - before.counterCalls)
-	c.attempts, c.busiestBackend = attemptSpread(before.attempts, after.attempts)
+	c.attempts, c.busiestToMean = attemptSpread(before.attempts, after.attempts)
 }
 
 // attemptSpread returns the number of attempts at all backends between two readings, and that of the busiest backend
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -34,12 +34,12 @@
 	return entries
 }
 
-func (u endpointUpdate) revision() int64  { return u.list.Revision }
-func (u endpointUpdate) isSnapshot() bool { return u.list.Snapshot }
-func (u endpointUpdate) size() int        { return len(u.list.Entries) }
+func (update endpointUpdate) revision() int64  { return update.list.Revision }
+func (update endpointUpdate) isSnapshot() bool { return update.list.Snapshot }
+func (update endpointUpdate) size() int        { return len(update.list.Entries) }
 
 // event returns the update as the decision module receives it.
-func (u endpointUpdate) event() policy.EndpointsChanged { return u.list.PolicyEvent() }
+func (update endpointUpdate) event() policy.EndpointsChanged { return update.list.PolicyEvent() }
 
 // endpointSubset is what an ingress keeps of discovery's list.
 type endpointSubset struct{ cache *discovery.Cache }
@@ -57,7 +57,7 @@
 type clientConfig struct {
 	discoveryAddr string
 	counterAddr   string
-	cached        endpointUpdate // the list that the ingress's configuration holds
+	knownList     endpointUpdate // the list that the ingress's configuration holds
 	settings      policy.Settings
 }
 
@@ -69,7 +69,7 @@
 
 // newControlClients prepares both clients; they post an endpointUpdate or a counterResult from goroutines of their own.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
-	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.cached.list, Settings: cfg.settings}
+	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.knownList.list, Settings: cfg.settings}
 	return controlClients{
 		discovery: discovery.NewClient(discoveryConfig,
 			func(list discovery.EndpointList) { post(endpointUpdate{list}) }, log),
@@ -78,32 +78,32 @@
 	}
 }
 
-// applyCached returns what the decision module learns of the cached list; it comes before run.
-func (c controlClients) applyCached(cached endpointUpdate) endpointUpdate {
-	return endpointUpdate{c.discovery.ApplyKnownList(cached.list)}
+// applyKnownList returns what the decision module learns of the cached list; it comes before run.
+func (clients controlClients) applyKnownList(knownList endpointUpdate) endpointUpdate {
+	return endpointUpdate{clients.discovery.ApplyKnownList(knownList.list)}
 }
 
 // run keeps both clients connected until ctx ends, and returns once their goroutines have ended.
-func (c controlClients) run(ctx context.Context) {
+func (clients controlClients) run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { c.discovery.Run(ctx) }) // ends with ctx
-	running.Go(func() { c.counter.Run(ctx) })   // ends with ctx
+	running.Go(func() { clients.discovery.Run(ctx) }) // ends with ctx
+	running.Go(func() { clients.counter.Run(ctx) })   // ends with ctx
 	running.Wait()
 }
 
 // increment starts a call of the counter.
-func (c controlClients) increment(a policy.IncrementCounter) counterCall {
-	return counterCall{c.counter.Increment(a)}
+func (clients controlClients) increment(a policy.IncrementCounter) counterCall {
+	return counterCall{clients.counter.Increment(a)}
 }
 
 // counterCall is a call of the counter that is in flight.
 type counterCall struct{ call *counterclient.Call }
 
 // expire ends the call at its timeout; it returns false where the call has had its reply.
-func (c counterCall) expire() (policy.CounterReply, bool) { return c.call.Expire().Reply() }
+func (cc counterCall) expire() (policy.CounterReply, bool) { return cc.call.Expire().Reply() }
 
 // counterResult is the end of a call of the counter.
 type counterResult struct{ result counterclient.Result }
 
 // reply is the decision module's event; it returns false where the call has ended at its timeout.
-func (r counterResult) reply() (policy.CounterReply, bool) { return r.result.Reply() }
+func (res counterResult) reply() (policy.CounterReply, bool) { return res.result.Reply() }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	minFitPoints     = 3    // there is a line through any two
-	maxDeviation     = 0.2  // of a point from its line, as a share of its value
-	maxSquaredShare  = 1e12 // of a deviation, so that values of almost 0 do not make the mean infinite
-	slopeTableFactor = 1000 // the tables show slopes per so many
+	minFitPoints                = 3    // there is a line through any two
+	maxRelativeDeviation        = 0.2  // of a point from its line, as a share of its value
+	maxSquaredRelativeDeviation = 1e12 // of a deviation, so that values of almost 0 do not make the mean infinite
+	slopeTableFactor            = 1000 // the tables show slopes per so many
 )
 
 // Fit is a line through the points of a figure, by least squares.
@@ -41,21 +41,21 @@
 	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are the same
 		f.R2 = 1
 	}
-	squares, shareSquares := 0.0, 0.0
+	squares, relativeSquares := 0.0, 0.0
 	for i := range x {
 		predicted := f.Intercept + f.Slope*x[i]
-		deviation, share := y[i]-predicted, 0.0
+		deviation, relativeDeviation := y[i]-predicted, 0.0
 		if deviation != 0 {
-			share = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
+			relativeDeviation = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
 		}
 		squares += deviation * deviation
-		shareSquares += min(share*share, maxSquaredShare)
-		if math.Abs(share) > maxDeviation {
+		relativeSquares += min(relativeDeviation*relativeDeviation, maxSquaredRelativeDeviation)
+		if math.Abs(relativeDeviation) > maxRelativeDeviation {
 			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], predicted))
 		}
 	}
 	f.Residual = math.Sqrt(squares / float64(len(x)))
-	f.RelativeResidual = math.Sqrt(shareSquares / float64(len(x)))
+	f.RelativeResidual = math.Sqrt(relativeSquares / float64(len(x)))
 	ok := !math.IsNaN(f.Slope) && !math.IsNaN(f.Intercept) && !math.IsInf(f.Slope, 0)
 	return f, ok
 }
@@ -63,17 +63,17 @@
 // series is the values of a figure by the size of the points.
 type series struct{ sizes, values []float64 }
 
-// fits returns a line for each figure that a sweep has at enough points, in the order in which the figures come first.
-func fits(points []*Point) []Fit {
-	type key struct{ sweep, role, name, unit, against string }
-	var keys []key
-	seriesOf := map[key]*series{}
+// fitFigures returns a line for each figure that a sweep has at enough points, in the order in which the figures come first.
+func fitFigures(points []*Point) []Fit {
+	type figureKey struct{ sweep, role, name, unit, sizeUnit string }
+	var keys []figureKey
+	seriesOf := map[figureKey]*series{}
 	for _, p := range points {
 		for _, f := range p.Figures {
 			if p.SizeUnit == "" || f.ExcludedFromFit {
 				continue
 			}
-			k := key{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
+			k := figureKey{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
 			s := seriesOf[k]
 			if s == nil {
 				s = &series{}
@@ -88,7 +88,7 @@
 	for _, k := range keys {
 		s := seriesOf[k]
 		if f, ok := fitLine(s.sizes, s.values); ok {
-			f.Sweep, f.Role, f.Figure, f.Unit, f.SizeUnit = k.sweep, k.role, k.name, k.unit, k.against
+			f.Sweep, f.Role, f.Figure, f.Unit, f.SizeUnit = k.sweep, k.role, k.name, k.unit, k.sizeUnit
 			list = append(list, f)
 		}
 	}
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -44,14 +44,14 @@
 
 func TestFitsTakeOnlyCostsOfPointsWithASize(t *testing.T) {
 	var points []*Point
-	for i, against := range []string{"backends", "backends", "backends", ""} {
-		p := &Point{Sweep: "s", SizeUnit: against, Size: float64(i)}
+	for i, sizeUnit := range []string{"backends", "backends", "backends", ""} {
+		p := &Point{Sweep: "s", SizeUnit: sizeUnit, Size: float64(i)}
 		p.addFigure(roleIngress, "cost", "µs", 10+2*float64(i), 1)
-		p.addUnfitted(roleRun, "played", "", float64(i))
+		p.addFigureWithoutFit(roleRun, "played", "", float64(i))
 		points = append(points, p)
 	}
 	points[3].Figures[0].Value = 1e6 // as of a point that was cut short
-	list := fits(points)
+	list := fitFigures(points)
 	if len(list) != 1 || list[0].Points != 3 || math.Abs(list[0].Slope-2) > 1e-9 || list[0].SizeUnit != "backends" {
 		t.Errorf("fits %+v, want one of slope 2 through 3 points", list)
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -60,7 +60,7 @@
 	arrivedAt time.Duration
 	attempts  []attempt
 	inFlight  int  // of the attempts
-	answered  bool // or given up by the client
+	finished  bool // or given up by the client
 }
 
 // attempt is one attempt of a request at a backend.
@@ -166,10 +166,10 @@
 		return metricTimer
 	case policy.EndpointsChanged:
 		if event.IsSnapshot {
-			h.tally.Snapshots++
+			h.tally.ListSnapshots++
 			return metricSnapshot
 		}
-		h.tally.Changes++
+		h.tally.EndpointChanges++
 		return metricChange
 	}
 	return metricAttemptEnd
@@ -205,15 +205,15 @@
 	h.enqueue(event)
 }
 
-// arrive draws a request that was due at a time and gives it to the decision module.
-func (h *hollowIngress) arrive(due time.Duration) {
-	drawn := drawRequest(h.rng, h.tenants, due)
+// generateRequest draws a request that was due at a time and gives it to the decision module.
+func (h *hollowIngress) generateRequest(due time.Duration) {
+	newRequest := drawRequest(h.rng, h.tenants, due)
 	h.lastRequestID++
-	drawn.ID = h.lastRequestID
-	h.requests[drawn.ID] = &request{arrivedAt: due}
+	newRequest.ID = h.lastRequestID
+	h.requests[newRequest.ID] = &request{arrivedAt: due}
 	h.tally.Requests++
-	h.enqueue(policy.Arrival{Request: drawn})
-	h.timers.Push(&timer{at: drawn.Deadline + replyGracePeriod, kind: clientTimer, requestID: drawn.ID})
+	h.enqueue(policy.Arrival{Request: newRequest})
+	h.timers.Push(&timer{at: newRequest.Deadline + replyGracePeriod, kind: clientTimeoutTimer, requestID: newRequest.ID})
 }
 
 // startAttempt sends an attempt to its modelled backend and schedules its end.
@@ -236,7 +236,7 @@
 	if send.AttemptDeadline > 0 && h.now+latency > send.AttemptDeadline {
 		latency, outcome = max(0, send.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
-	h.schedule(latency, timer{kind: attemptTimer, requestID: send.ID, attempt: len(r.attempts) - 1, outcome: outcome})
+	h.schedule(latency, timer{kind: attemptEndTimer, requestID: send.ID, attempt: len(r.attempts) - 1, outcome: outcome})
 }
 
 // endAttempt tells the decision module how an attempt ended; an attempt that has ended already is left alone.
@@ -251,37 +251,37 @@
 	if a.holdsSlot {
 		h.backends.finishAttempt(a.endpoint)
 	}
-	if outcome.Outcome == policy.Succeeded && !r.answered {
-		r.answered = true
+	if outcome.Outcome == policy.Succeeded && !r.finished {
+		r.finished = true
 		h.tally.Served++
 	}
 	outcome.ID, outcome.Attempt, outcome.Endpoint = id, index, a.endpoint
-	outcome.Latency, outcome.RequestFinished = h.now-a.sentAt, r.answered
+	outcome.Latency, outcome.RequestFinished = h.now-a.sentAt, r.finished
 	h.enqueue(outcome)
 	h.removeIfDone(id, r)
 }
 
 // finishRequest ends a request without a backend's answer and counts it.
-func (h *hollowIngress) finishRequest(id policy.RequestID, counter *uint64) {
-	if r := h.requests[id]; r != nil && !r.answered {
-		*counter++
-		r.answered = true
+func (h *hollowIngress) finishRequest(id policy.RequestID, outcomeCount *uint64) {
+	if r := h.requests[id]; r != nil && !r.finished {
+		*outcomeCount++
+		r.finished = true
 		h.removeIfDone(id, r)
 	}
 }
 
 // disconnectClient ends a request whose client has waited in vain; one that has been answered is left alone.
 func (h *hollowIngress) disconnectClient(id policy.RequestID) {
-	if r := h.requests[id]; r != nil && !r.answered {
+	if r := h.requests[id]; r != nil && !r.finished {
 		h.tally.Unanswered++
-		r.answered = true
+		r.finished = true
 		h.enqueue(policy.ClientDisconnected{ID: id})
 		h.removeIfDone(id, r)
 	}
 }
 
 func (h *hollowIngress) removeIfDone(id policy.RequestID, r *request) {
-	if r.answered && r.inFlight == 0 {
+	if r.finished && r.inFlight == 0 {
 		delete(h.requests, id)
 	}
 }
--- a/internal/scale/hollow_live.go
+++ b/internal/scale/hollow_live.go
@@ -13,8 +13,8 @@
 	maxIdleWait      = time.Hour // of the event loop where no timer is set
 )
 
-// errIngressEnded says that a hollow ingress no longer runs.
-var errIngressEnded = errors.New("hollow ingress has ended")
+// errIngressStopped says that a hollow ingress no longer runs.
+var errIngressStopped = errors.New("hollow ingress has ended")
 
 // liveConnection is what a hollow ingress has beyond the simulated one: real time and real clients.
 type liveConnection struct {
@@ -27,10 +27,10 @@
 // clientEvent is what the goroutine of a hollow ingress receives: an endpointUpdate, a counterResult or a task.
 type clientEvent interface{ deliver(*hollowIngress) }
 
-func (u endpointUpdate) deliver(h *hollowIngress) { h.deliverUpdate(u) }
+func (update endpointUpdate) deliver(h *hollowIngress) { h.deliverUpdate(update) }
 
-func (r counterResult) deliver(h *hollowIngress) {
-	if reply, ok := r.reply(); ok {
+func (res counterResult) deliver(h *hollowIngress) {
+	if reply, ok := res.reply(); ok {
 		h.enqueue(reply)
 		h.handleQueued()
 	}
@@ -39,10 +39,10 @@
 // task is a function that runs on the goroutine of a hollow ingress.
 type task func()
 
-func (t task) deliver(*hollowIngress) { t() }
+func (run task) deliver(*hollowIngress) { run() }
 
 // connect prepares an ingress for real time, with clients of discovery and of the counter. run then runs it.
-func (h *hollowIngress) connect(discoveryAddr, counterAddr string, cached endpointUpdate, log *slog.Logger) {
+func (h *hollowIngress) connect(discoveryAddr, counterAddr string, knownList endpointUpdate, log *slog.Logger) {
 	h.live = &liveConnection{
 		events:    make(chan clientEvent, eventQueueLength),
 		done:      make(chan struct{}),
@@ -50,35 +50,35 @@
 	}
 	h.now = time.Duration(h.live.startedAt.UnixNano())
 	h.counterTable = nil
-	config := clientConfig{discoveryAddr: discoveryAddr, counterAddr: counterAddr, cached: cached, settings: h.settings}
+	config := clientConfig{discoveryAddr: discoveryAddr, counterAddr: counterAddr, knownList: knownList, settings: h.settings}
 	h.live.clients = newControlClients(config, h.live.post, log)
 }
 
 // post passes an event to the goroutine of the ingress; once that has ended the event is dropped.
-func (l *liveConnection) post(event clientEvent) {
+func (live *liveConnection) post(event clientEvent) {
 	select {
-	case l.events <- event:
-	case <-l.done:
+	case live.events <- event:
+	case <-live.done:
 	}
 }
 
-// do runs f on the goroutine of a connected ingress and waits for its end.
-func (h *hollowIngress) do(ctx context.Context, f func()) error {
+// runInEventLoop runs f on the goroutine of a connected ingress and waits for its end.
+func (h *hollowIngress) runInEventLoop(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
 	h.live.post(task(func() { f(); close(finished) }))
 	select {
 	case <-finished:
 		return nil
 	case <-h.live.done:
-		return fmt.Errorf("ingress %d: %w", h.index, errIngressEnded)
+		return fmt.Errorf("ingress %d: %w", h.index, errIngressStopped)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // clock returns Unix time that does not jump with the system's clock.
-func (l *liveConnection) clock() time.Duration {
-	return time.Duration(l.startedAt.UnixNano()) + time.Since(l.startedAt)
+func (live *liveConnection) clock() time.Duration {
+	return time.Duration(live.startedAt.UnixNano()) + time.Since(live.startedAt)
 }
 
 // run runs a connected ingress in real time until ctx ends, and returns once its connections are closed.
@@ -111,17 +111,17 @@
 		case <-wakeUp.C:
 		}
 		h.now = h.live.clock()
-		h.fireDue()
+		h.fireDueTimers()
 	}
 }
 
-// fireDue fires the timers that were due when the loop looked at the clock, and records how late arrivals are.
-func (h *hollowIngress) fireDue() {
+// fireDueTimers fires the timers that were due when the loop looked at the clock, and records how late arrivals are.
+func (h *hollowIngress) fireDueTimers() {
 	for h.timerDueBy(h.now) {
 		t := h.timers.Pop()
 		if t.kind == arrivalTimer {
 			h.recorder.record(h.index, metricLateness, h.now-t.at)
 		}
-		h.fire(t)
+		h.fireTimer(t)
 	}
 }
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// drivenRun lets a number of requests arrive at each of two ingresses in front of 20 backends, and all of them end.
-func drivenRun(t *testing.T, requests uint64) ([]tally, *backendModel, *timeRecorder) {
+// runOnSimulatedClock lets a number of requests arrive at each of two ingresses in front of 20 backends, and all of them end.
+func runOnSimulatedClock(t *testing.T, requests uint64) ([]tally, *backendModel, *timeRecorder) {
 	t.Helper()
-	shape := fleetShape{Ingresses: 2, Tenants: 30, Rate: 200}
+	shape := fleetShape{Ingresses: 2, TenantsPerIngress: 30, RequestRate: 200}
 	backends, recorder := newBackendModel(20, 400, meanServiceTime, false), newTimeRecorder()
 	var tallies []tally
 	for index := range shape.Ingresses {
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		h.loadEndpoints(backends.targets())
-		h.setRate(shape.Rate)
+		h.setRate(shape.RequestRate)
 		h.advance(time.Hour, func() bool { return h.tally.Requests < requests })
 		h.setRate(0)
 		h.advance(5*time.Second, func() bool { return true })
@@ -29,18 +29,18 @@
 	return tallies, backends, recorder
 }
 
-func TestDrivenRunEndsEachRequestOnce(t *testing.T) {
+func TestSimulatedRunFinishesEachRequestOnce(t *testing.T) {
 	const requests = 600
-	tallies, backends, recorder := drivenRun(t, requests)
+	tallies, backends, recorder := runOnSimulatedClock(t, requests)
 	sent := uint64(0)
-	for index, c := range tallies {
-		if c.Requests != requests || c.Served+c.Rejected+c.Failed+c.Unanswered != requests {
-			t.Errorf("ingress %d: %+v: the ends are not those of %d requests", index, c, requests)
+	for index, counts := range tallies {
+		if counts.Requests != requests || counts.Served+counts.Rejected+counts.Failed+counts.Unanswered != requests {
+			t.Errorf("ingress %d: %+v: the ends are not those of %d requests", index, counts, requests)
 		}
-		if c.Served < requests*9/10 || c.CounterCalls == 0 || c.Snapshots != 1 {
-			t.Errorf("ingress %d: %+v: want nearly all served, some calls, one list", index, c)
+		if counts.Served < requests*9/10 || counts.CounterCalls == 0 || counts.ListSnapshots != 1 {
+			t.Errorf("ingress %d: %+v: want nearly all served, some calls, one list", index, counts)
 		}
-		sent += c.Attempts
+		sent += counts.Attempts
 	}
 	received := uint64(0)
 	for i := range backends.backends {
@@ -58,10 +58,10 @@
 	}
 }
 
-func TestDrivenRunIsTheSameForTheSameSeed(t *testing.T) {
+func TestSimulatedRunRepeatsForTheSameSeed(t *testing.T) {
 	const requests = 600
-	first, _, _ := drivenRun(t, requests)
-	second, _, _ := drivenRun(t, requests)
+	first, _, _ := runOnSimulatedClock(t, requests)
+	second, _, _ := runOnSimulatedClock(t, requests)
 	for index := range first {
 		if second[index] != first[index] {
 			t.Errorf("ingress %d: %+v, then %+v of the same seed", index, first[index], second[index])
@@ -81,7 +81,7 @@
 	} {
 		t.Run(c.lateness.String(), func(t *testing.T) {
 			backends := newBackendModel(5, 10, meanServiceTime, false)
-			shape := fleetShape{Ingresses: 1, Tenants: 5, Rate: 10}
+			shape := fleetShape{Ingresses: 1, TenantsPerIngress: 5, RequestRate: 10}
 			h, err := newHollowIngress(shape, 0, backends, newTimeRecorder(), 1)
 			if err != nil {
 				t.Fatal(err)
@@ -90,8 +90,8 @@
 			h.requestRate = 10
 			due := h.now
 			h.now += c.lateness
-			h.fire(&timer{at: due, kind: arrivalTimer})
-			if h.tally.Requests != c.requests || h.tally.Skipped != 1-c.requests || !h.arrivalScheduled {
+			h.fireTimer(&timer{at: due, kind: arrivalTimer})
+			if h.tally.Requests != c.requests || h.tally.SkippedArrivals != 1-c.requests || !h.arrivalScheduled {
 				t.Errorf("%+v, want %d requests, the others skipped", h.tally, c.requests)
 			}
 		})
--- a/internal/scale/hollow_timers.go
+++ b/internal/scale/hollow_timers.go
@@ -15,8 +15,8 @@
 
 const (
 	arrivalTimer        timerKind = iota // the next request arrives
-	attemptTimer                         // an attempt ends at its backend
-	clientTimer                          // a client gives up
+	attemptEndTimer                      // an attempt ends at its backend
+	clientTimeoutTimer                   // a client gives up
 	policyTimer                          // the decision module asked for it
 	counterTimeoutTimer                  // a call of the counter has had its time; live only
 	counterReplyTimer                    // the simulated counter replies
@@ -46,7 +46,7 @@
 	for h.timerDueBy(end) && proceed() {
 		t := h.timers.Pop()
 		h.now = t.at
-		h.fire(t)
+		h.fireTimer(t)
 	}
 	if !h.timerDueBy(end) {
 		h.now = end
@@ -57,14 +57,14 @@
 	return h.timers.Len() > 0 && h.timers.Min().at <= end
 }
 
-// fire handles a timer that is due, and all events that follow from it.
-func (h *hollowIngress) fire(t *timer) {
+// fireTimer handles a timer that is due, and all events that follow from it.
+func (h *hollowIngress) fireTimer(t *timer) {
 	switch t.kind {
 	case arrivalTimer:
 		h.fireArrival(t.at)
-	case attemptTimer:
+	case attemptEndTimer:
 		h.endAttempt(t.requestID, t.attempt, t.outcome)
-	case clientTimer:
+	case clientTimeoutTimer:
 		h.disconnectClient(t.requestID)
 	case policyTimer:
 		h.enqueue(policy.TimerFired{})
@@ -84,10 +84,10 @@
 	switch {
 	case !h.arrivalScheduled:
 	case h.now-due > maxLateness:
-		h.tally.Skipped++
+		h.tally.SkippedArrivals++
 		h.schedule(h.interarrivalTime(), timer{kind: arrivalTimer})
 	default:
-		h.arrive(due)
+		h.generateRequest(due)
 		h.timers.Push(&timer{at: due + h.interarrivalTime(), kind: arrivalTimer})
 	}
 }
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -18,10 +18,10 @@
 
 // listFetch is what a complete endpoint list cost an ingress.
 type listFetch struct {
-	endpoints int // that the ingress kept; 0: the list did not arrive
-	duration  time.Duration
-	cpuTime   time.Duration // of this process
-	allocated uint64        // bytes
+	keptEndpoints int // that the ingress kept; 0: the list did not arrive
+	duration      time.Duration
+	cpuTime       time.Duration // of this process
+	allocated     uint64        // bytes
 }
 
 // addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
@@ -52,7 +52,7 @@
 		return err
 	}
 	p.addFigure(roleDiscovery, "state", "MB", toMB(float64(after.Memory)), 1)
-	p.addUnfitted(roleIngress, "list taken", "of 1", float64(min(1, len(fetches))))
+	p.addFigureWithoutFit(roleIngress, "list taken", "of 1", float64(min(1, len(fetches))))
 	if len(fetches) == 0 {
 		return nil
 	}
@@ -73,7 +73,7 @@
 		fetchCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		fetch, warning := fetchList(fetchCtx, config)
 		cancel()
-		if fetch.endpoints == 0 {
+		if fetch.keptEndpoints == 0 {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
@@ -98,7 +98,7 @@
 	addMedian("processor", "ms", func(f listFetch) float64 { return f.cpuTime.Seconds() * 1000 })
 	addMedian("time", "ms", func(f listFetch) float64 { return f.duration.Seconds() * 1000 })
 	addMedian("allocated", "MB", func(f listFetch) float64 { return toMB(float64(f.allocated)) })
-	p.addUnfitted(roleIngress, "list taken: held", "backends", float64(fetches[0].endpoints))
+	p.addFigureWithoutFit(roleIngress, "list taken: held", "backends", float64(fetches[0].keptEndpoints))
 }
 
 // fetchList starts the real client and waits for its first complete list. Where ctx ends before that, it returns what
@@ -121,7 +121,7 @@
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	start, cpuBefore := time.Now(), cpuTime(wholeProcess)
+	start, cpuBefore := time.Now(), cpuTime(currentProcess)
 	clientsEnded := make(chan struct{})
 	go func() { // ends with ctx; fetchList waits for it
 		defer close(clientsEnded)
@@ -131,9 +131,9 @@
 	select {
 	case list := <-lists:
 		fetch = listFetch{
-			endpoints: list.size(),
-			duration:  time.Since(start),
-			cpuTime:   cpuTime(wholeProcess) - cpuBefore,
+			keptEndpoints: list.size(),
+			duration:      time.Since(start),
+			cpuTime:       cpuTime(currentProcess) - cpuBefore,
 		}
 		runtime.ReadMemStats(&after)
 		fetch.allocated = after.TotalAlloc - before.TotalAlloc
@@ -150,17 +150,17 @@
 	text string
 }
 
-func (l *lastLogLine) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.text = strings.TrimSpace(string(p))
+func (writer *lastLogLine) Write(p []byte) (int, error) {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	writer.text = strings.TrimSpace(string(p))
 	return len(p), nil
 }
 
-func (l *lastLogLine) line() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text
+func (writer *lastLogLine) line() string {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	return writer.text
 }
 
 // dropTimeAndLevel is for slog.HandlerOptions: a log line in a note of a point needs neither.
--- a/internal/scale/list_fetch_test.go
+++ b/internal/scale/list_fetch_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	settings, err := fleetShape{Ingresses: 1, Tenants: 1, Rate: 1}.policySettings(0)
+	settings, err := fleetShape{Ingresses: 1, TenantsPerIngress: 1, RequestRate: 1}.policySettings(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,8 +32,8 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	if fetch, logged := fetchList(ctx, config); fetch.endpoints != 0 || !strings.Contains(logged, "503") {
-		t.Errorf("no list: %d entries, %q", fetch.endpoints, logged)
+	if fetch, logged := fetchList(ctx, config); fetch.keptEndpoints != 0 || !strings.Contains(logged, "503") {
+		t.Errorf("no list: %d entries, %q", fetch.keptEndpoints, logged)
 	}
 }
 
@@ -41,7 +41,7 @@
 	config := fetchConfig(t, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
 	})
-	if fetch, logged := fetchList(t.Context(), config); fetch.endpoints != 1 {
-		t.Errorf("a list of one: %d entries, %q", fetch.endpoints, logged)
+	if fetch, logged := fetchList(t.Context(), config); fetch.keptEndpoints != 1 {
+		t.Errorf("a list of one: %d entries, %q", fetch.keptEndpoints, logged)
 	}
 }
--- a/internal/scale/live_fleet.go
+++ b/internal/scale/live_fleet.go
@@ -23,13 +23,13 @@
 // liveFleet is many hollow ingresses in real time, with discovery and the counter in processes of their own.
 type liveFleet struct {
 	*standIns
-	shape          fleetShape
-	backends       *backendModel
-	recorder       *timeRecorder
-	ingresses      []*hollowIngress
-	cancel         context.CancelFunc // ends the ingresses
-	running        sync.WaitGroup     // a goroutine for each ingress
-	baselineMemory uint64             // bytes in use before the ingresses
+	shape             fleetShape
+	backends          *backendModel
+	recorder          *timeRecorder
+	ingresses         []*hollowIngress
+	cancel            context.CancelFunc // ends the ingresses
+	ingressGoroutines sync.WaitGroup     // a goroutine for each ingress
+	baselineMemory    uint64             // bytes in use before the ingresses
 }
 
 // startLiveFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
@@ -54,9 +54,9 @@
 	if err := f.setList(targets); err != nil {
 		return err
 	}
-	var cached endpointUpdate
-	if f.shape.Polled {
-		cached = newSnapshot(1, targets)
+	var knownList endpointUpdate
+	if f.shape.PollsEndpoints {
+		knownList = newSnapshot(1, targets)
 	}
 	f.baselineMemory = memoryInUse()
 	log := slog.New(slog.DiscardHandler)
@@ -65,12 +65,12 @@
 		if err != nil {
 			return err
 		}
-		h.connect(f.discovery.addr, f.counter.addr, cached, log)
-		if f.shape.Polled {
-			h.deliverUpdate(h.live.clients.applyCached(cached))
+		h.connect(f.discovery.addr, f.counter.addr, knownList, log)
+		if f.shape.PollsEndpoints {
+			h.deliverUpdate(h.live.clients.applyKnownList(knownList))
 		}
 		f.ingresses = append(f.ingresses, h)
-		f.running.Go(func() { h.run(ctx) }) // ends with ctx; stop waits for it
+		f.ingressGoroutines.Go(func() { h.run(ctx) }) // ends with ctx; stop waits for it
 	}
 	return f.waitReady(ctx)
 }
@@ -83,7 +83,7 @@
 			return err
 		}
 		lists, watches := 0, reply.Discovery.OpenWatches
-		if err := f.forEach(ctx, func(h *hollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
+		if err := f.forEachIngress(ctx, func(h *hollowIngress) { lists += min(1, len(h.appliedRevisions)) }); err != nil {
 			return err
 		}
 		if watches >= len(f.ingresses) && lists == len(f.ingresses) {
@@ -101,14 +101,14 @@
 
 func (f *liveFleet) stop() {
 	f.cancel()
-	f.running.Wait()
+	f.ingressGoroutines.Wait()
 	f.standIns.stop()
 }
 
-// forEach runs a function on the goroutine of each ingress, one after another.
-func (f *liveFleet) forEach(ctx context.Context, do func(*hollowIngress)) error {
+// forEachIngress runs a function on the goroutine of each ingress, one after another.
+func (f *liveFleet) forEachIngress(ctx context.Context, do func(*hollowIngress)) error {
 	for _, h := range f.ingresses {
-		if err := h.do(ctx, func() { do(h) }); err != nil {
+		if err := h.runInEventLoop(ctx, func() { do(h) }); err != nil {
 			return err
 		}
 	}
@@ -117,7 +117,7 @@
 
 // setRate sets the rate of arrivals at each ingress, in requests a second.
 func (f *liveFleet) setRate(ctx context.Context, rate float64) error {
-	return f.forEach(ctx, func(h *hollowIngress) { h.setRate(rate) })
+	return f.forEachIngress(ctx, func(h *hollowIngress) { h.setRate(rate) })
 }
 
 // memoryPerIngress returns the bytes of heap and stacks of one ingress with its two clients.
@@ -137,29 +137,29 @@
 	}
 }
 
-// snapshot is what a fleet and its stand-ins have used and done so far.
-type snapshot struct {
+// fleetReading is what a fleet and its stand-ins have used and done so far.
+type fleetReading struct {
 	at                 time.Time
 	cpuTime            time.Duration // of this process: the ingresses
 	tally              tally         // of all ingresses
 	discovery, counter standInReply
 }
 
-func (f *liveFleet) takeSnapshot(ctx context.Context) (snapshot, error) {
-	s := snapshot{at: time.Now(), cpuTime: cpuTime(wholeProcess)}
-	err := f.forEach(ctx, func(h *hollowIngress) { s.tally = s.tally.plus(h.tally) })
+func (f *liveFleet) takeReading(ctx context.Context) (fleetReading, error) {
+	reading := fleetReading{at: time.Now(), cpuTime: cpuTime(currentProcess)}
+	err := f.forEachIngress(ctx, func(h *hollowIngress) { reading.tally = reading.tally.plus(h.tally) })
 	if err != nil {
-		return s, err
+		return reading, err
 	}
-	if s.discovery, err = f.discovery.call(standInCommand{Action: actionReport}); err != nil {
-		return s, err
+	if reading.discovery, err = f.discovery.call(standInCommand{Action: actionReport}); err != nil {
+		return reading, err
 	}
-	s.counter, err = f.counter.call(standInCommand{Action: actionReport})
-	return s, err
+	reading.counter, err = f.counter.call(standInCommand{Action: actionReport})
+	return reading, err
 }
 
-// usage is what a fleet and its stand-ins used and did between two snapshots.
-type usage struct {
+// fleetUsage is what a fleet and its stand-ins used and did between two snapshots.
+type fleetUsage struct {
 	seconds           float64
 	cpuTime           time.Duration // of this process: the ingresses
 	tally             tally         // of all ingresses
@@ -171,42 +171,42 @@
 	counterBytes      float64 // in both directions
 }
 
-func (s snapshot) usageSince(earlier snapshot) usage {
-	return usage{
-		seconds:           s.at.Sub(earlier.at).Seconds(),
-		cpuTime:           s.cpuTime - earlier.cpuTime,
-		tally:             s.tally.minus(earlier.tally),
-		discoveryCPUTime:  s.discovery.CPUTime - earlier.discovery.CPUTime,
-		discoveryMessages: float64(s.discovery.Discovery.Objects - earlier.discovery.Discovery.Objects),
-		discoveryBytes:    float64(s.discovery.Discovery.Bytes - earlier.discovery.Discovery.Bytes),
-		counterCPUTime:    s.counter.CPUTime - earlier.counter.CPUTime,
-		counterCalls:      float64(s.counter.Counter.Calls - earlier.counter.Counter.Calls),
-		counterBytes: float64(s.counter.Counter.BytesIn - earlier.counter.Counter.BytesIn +
-			s.counter.Counter.BytesOut - earlier.counter.Counter.BytesOut),
+func (reading fleetReading) usageSince(earlier fleetReading) fleetUsage {
+	return fleetUsage{
+		seconds:           reading.at.Sub(earlier.at).Seconds(),
+		cpuTime:           reading.cpuTime - earlier.cpuTime,
+		tally:             reading.tally.minus(earlier.tally),
+		discoveryCPUTime:  reading.discovery.CPUTime - earlier.discovery.CPUTime,
+		discoveryMessages: float64(reading.discovery.Discovery.Objects - earlier.discovery.Discovery.Objects),
+		discoveryBytes:    float64(reading.discovery.Discovery.Bytes - earlier.discovery.Discovery.Bytes),
+		counterCPUTime:    reading.counter.CPUTime - earlier.counter.CPUTime,
+		counterCalls:      float64(reading.counter.Counter.Calls - earlier.counter.Counter.Calls),
+		counterBytes: float64(reading.counter.Counter.BytesIn - earlier.counter.Counter.BytesIn +
+			reading.counter.Counter.BytesOut - earlier.counter.Counter.BytesOut),
 	}
 }
 
 // measure returns what was used while do ran.
-func (f *liveFleet) measure(ctx context.Context, do func() error) (usage, error) {
-	before, err := f.takeSnapshot(ctx)
+func (f *liveFleet) measure(ctx context.Context, do func() error) (fleetUsage, error) {
+	before, err := f.takeReading(ctx)
 	if err != nil {
-		return usage{}, err
+		return fleetUsage{}, err
 	}
 	if err := do(); err != nil {
-		return usage{}, err
+		return fleetUsage{}, err
 	}
-	after, err := f.takeSnapshot(ctx)
+	after, err := f.takeReading(ctx)
 	return after.usageSince(before), err
 }
 
 // measureFor returns what was used in a time.
-func (f *liveFleet) measureFor(ctx context.Context, d time.Duration) (usage, error) {
+func (f *liveFleet) measureFor(ctx context.Context, d time.Duration) (fleetUsage, error) {
 	return f.measure(ctx, func() error { return sleep(ctx, d) })
 }
 
 // idleAndLoad is what a fleet used without requests and then under load.
 type idleAndLoad struct {
-	idle, load     usage
+	idle, load     fleetUsage
 	times          histograms // of the load
 	attemptsBefore []uint64   // at each backend, when the measurement of the load began
 }
@@ -237,27 +237,27 @@
 
 // propagation says how long changes of endpoints took to reach the ingresses.
 type propagation struct {
-	perIngress *hdrhistogram.Histogram // each change at each ingress
-	fleetWide  *hdrhistogram.Histogram // each change until the last ingress had it
-	missing    int                     // pairs of a change and an ingress that it has not reached
+	perIngress   *hdrhistogram.Histogram // each change at each ingress
+	fleetWide    *hdrhistogram.Histogram // each change until the last ingress had it
+	missingPairs int                     // pairs of a change and an ingress that it has not reached
 }
 
-// propagationOf returns how long the changes took.
-func (f *liveFleet) propagationOf(ctx context.Context, changes []appliedRevision) (propagation, error) {
+// measurePropagation returns how long the changes took.
+func (f *liveFleet) measurePropagation(ctx context.Context, changes []appliedRevision) (propagation, error) {
 	result := propagation{perIngress: newHistogram(), fleetWide: newHistogram()}
-	logs := make([][]appliedRevision, 0, len(f.ingresses))
-	err := f.forEach(ctx, func(h *hollowIngress) {
-		logs = append(logs, append([]appliedRevision{}, h.appliedRevisions...))
+	revisionLogs := make([][]appliedRevision, 0, len(f.ingresses))
+	err := f.forEachIngress(ctx, func(h *hollowIngress) {
+		revisionLogs = append(revisionLogs, append([]appliedRevision{}, h.appliedRevisions...))
 	})
 	if err != nil {
 		return result, err
 	}
 	for _, change := range changes {
 		slowest, complete := time.Duration(0), true
-		for _, applied := range logs {
+		for _, applied := range revisionLogs {
 			delay, ok := delayUntilApplied(applied, change)
 			if !ok {
-				result.missing++
+				result.missingPairs++
 				complete = false
 				continue
 			}
--- a/internal/scale/live_fleet_test.go
+++ b/internal/scale/live_fleet_test.go
@@ -11,7 +11,7 @@
 func testLiveFleet(t *testing.T, polled bool) {
 	t.Helper()
 	monitor := newResourceMonitor()
-	shape := fleetShape{Ingresses: 3, Tenants: 30, Rate: 50, Polled: polled}
+	shape := fleetShape{Ingresses: 3, TenantsPerIngress: 30, RequestRate: 50, PollsEndpoints: polled}
 	f, err := startLiveFleet(t.Context(), monitor, shape, newBackendModel(20, 150, meanServiceTime, false), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -29,21 +29,21 @@
 	}
 	var changes []appliedRevision
 	for i := range 3 {
-		change, err := f.applyChange(f.backends.toggleDraining(i))
+		change, err := f.applyChange(f.backends.drainingChange(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		changes = append(changes, change)
 	}
 	for missing := 1; missing > 0; {
-		reached, err := f.propagationOf(t.Context(), changes)
+		delays, err := f.measurePropagation(t.Context(), changes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		missing = reached.missing
+		missing = delays.missingPairs
 	}
 	for served, calls := uint64(0), 0; served < 20 || calls == 0; {
-		now, err := f.takeSnapshot(t.Context())
+		now, err := f.takeReading(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/load_generator.go
+++ b/internal/scale/load_generator.go
@@ -36,8 +36,8 @@
 	mismatched atomic.Uint64 // served with a value that was made for another request
 
 	mu           sync.Mutex // guards what follows
-	idle         []*generatorConn
-	open         map[*generatorConn]struct{}
+	idleConns    []*generatorConn
+	openConns    map[*generatorConn]struct{}
 	addedLatency *hdrhistogram.Histogram // of the served requests: what they took beyond the service time
 	lastError    string
 }
@@ -52,7 +52,7 @@
 	return &loadGenerator{
 		addr:         addr,
 		index:        index,
-		open:         map[*generatorConn]struct{}{},
+		openConns:    map[*generatorConn]struct{}{},
 		addedLatency: newHistogram(),
 	}
 }
@@ -84,12 +84,12 @@
 	id = fmt.Sprintf("%08x%08x", g.index, g.sent)
 	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,units=%v,spread=%d,first=%d", request.Class, request.Plan,
 		request.Deadline.Milliseconds(), request.Units, request.GatewaySpan, request.FirstGateway)
-	words := []string{"Q.ASK", request.Customer, id, attributes}
+	arguments := []string{"Q.ASK", request.Customer, id, attributes}
 	if request.Class == orderClass {
-		words = []string{"Q.DO", request.Customer, id, attributes, "body"}
+		arguments = []string{"Q.DO", request.Customer, id, attributes, "body"}
 	}
-	command = redcon.AppendArray(nil, len(words))
-	for _, word := range words {
+	command = redcon.AppendArray(nil, len(arguments))
+	for _, word := range arguments {
 		command = redcon.AppendBulkString(command, word)
 	}
 	return command, id
@@ -125,7 +125,7 @@
 
 // call sends one command and returns the reply.
 func (g *loadGenerator) call(ctx context.Context, command []byte) (reply, error) {
-	if conn := g.takeIdle(); conn != nil {
+	if conn := g.takeIdleConn(); conn != nil {
 		answer, err := g.exchange(conn, command)
 		var netErr net.Error
 		if err == nil || errors.As(err, &netErr) && netErr.Timeout() {
@@ -147,33 +147,33 @@
 	defer g.mu.Unlock()
 	if err != nil {
 		conn.Close()
-		delete(g.open, conn)
+		delete(g.openConns, conn)
 		return reply{}, err
 	}
-	g.idle = append(g.idle, conn)
+	g.idleConns = append(g.idleConns, conn)
 	return answer, nil
 }
 
-func (c *generatorConn) exchange(command []byte) (reply, error) {
-	if err := c.SetDeadline(time.Now().Add(replyTimeout)); err != nil {
+func (conn *generatorConn) exchange(command []byte) (reply, error) {
+	if err := conn.SetDeadline(time.Now().Add(replyTimeout)); err != nil {
 		return reply{}, err
 	}
-	if _, err := c.Write(command); err != nil {
+	if _, err := conn.Write(command); err != nil {
 		return reply{}, err
 	}
-	return readReply(&c.in, c.Read)
+	return readReply(&conn.in, conn.Read)
 }
 
-// takeIdle returns the connection that was used last, or nil if all are in use.
-func (g *loadGenerator) takeIdle() *generatorConn {
+// takeIdleConn returns the connection that was used last, or nil if all are in use.
+func (g *loadGenerator) takeIdleConn() *generatorConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	last := len(g.idle) - 1
+	last := len(g.idleConns) - 1
 	if last < 0 {
 		return nil
 	}
-	conn := g.idle[last]
-	g.idle = g.idle[:last]
+	conn := g.idleConns[last]
+	g.idleConns = g.idleConns[:last]
 	return conn
 }
 
@@ -186,7 +186,7 @@
 	c := &generatorConn{Conn: conn}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.open[c] = struct{}{}
+	g.openConns[c] = struct{}{}
 	return c, nil
 }
 
@@ -194,7 +194,7 @@
 func (g *loadGenerator) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for conn := range g.open {
+	for conn := range g.openConns {
 		conn.Close()
 	}
 }
--- a/internal/scale/load_generator_test.go
+++ b/internal/scale/load_generator_test.go
@@ -53,7 +53,7 @@
 			t.Cleanup(func() { backend.Close(); serving.Wait() })
 			g := newLoadGenerator(listener.Addr().String(), 1)
 			t.Cleanup(g.close)
-			tenants := fleetShape{Ingresses: 1, Tenants: 5, Rate: 100}.tenantsOf(0)
+			tenants := fleetShape{Ingresses: 1, TenantsPerIngress: 5, RequestRate: 100}.tenantsOf(0)
 			g.run(t.Context(), rand.New(rand.NewPCG(1, 1)), tenants, 1000, 50*time.Millisecond, 0)
 			served, mismatched := g.served.Load(), g.mismatched.Load()
 			if g.sent == 0 || served+mismatched != g.sent {
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -112,8 +112,8 @@
 type cpuScope int
 
 const (
-	wholeProcess  cpuScope = syscall.RUSAGE_SELF
-	currentThread cpuScope = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
+	currentProcess cpuScope = syscall.RUSAGE_SELF
+	currentThread  cpuScope = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
 )
 
 // cpuTime returns the user and system time that this process or thread has used so far.
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -7,7 +7,7 @@
 
 // Bounds of the options.
 const (
-	maxSize            = 1 << 21 // of backends and tenants
+	maxCount           = 1 << 21 // of backends and tenants
 	maxIngresses       = 1 << 14
 	maxChangeRate      = 1000 // changes a second
 	maxRequestRate     = 1e5  // requests a second of one ingress
@@ -55,7 +55,9 @@
 	Allowed string // values
 }
 
-func (e *OptionError) Error() string { return "--" + e.Flag + ": " + e.Allowed + " are wanted" }
+func (optionErr *OptionError) Error() string {
+	return "--" + optionErr.Flag + ": " + optionErr.Allowed + " are wanted"
+}
 
 // withQuickSizes returns the options of a quick run.
 func (o Options) withQuickSizes() Options {
@@ -70,31 +72,31 @@
 
 // validate returns an *OptionError for the first option that is out of its bounds.
 func (o Options) validate() error {
-	for _, s := range []struct {
+	for _, option := range []struct {
 		flag  string
 		sizes []int
 		max   int
 	}{
-		{"backends", o.BackendCounts, maxSize},
+		{"backends", o.BackendCounts, maxCount},
 		{"ingresses", o.IngressCounts, maxIngresses},
-		{"tenants", o.TenantCounts, maxSize},
+		{"tenants", o.TenantCounts, maxCount},
 		{"fleet", []int{o.FleetSize}, maxIngresses},
 		{"real", []int{o.RealIngresses}, maxIngresses},
 	} {
-		if len(s.sizes) == 0 || slices.Min(s.sizes) < 1 || slices.Max(s.sizes) > s.max {
-			return &OptionError{s.flag, fmt.Sprintf("sizes from 1 to %d", s.max)}
+		if len(option.sizes) == 0 || slices.Min(option.sizes) < 1 || slices.Max(option.sizes) > option.max {
+			return &OptionError{option.flag, fmt.Sprintf("sizes from 1 to %d", option.max)}
 		}
 	}
 	// The conditions are written so that NaN does not meet them.
 	if len(o.ChangeRates) == 0 || !(slices.Min(o.ChangeRates) > 0) || !(slices.Max(o.ChangeRates) <= maxChangeRate) {
 		return &OptionError{"changes", fmt.Sprintf("over 0 and up to %d a second", maxChangeRate)}
 	}
-	for _, r := range []struct {
+	for _, option := range []struct {
 		flag string
 		rate float64
 	}{{"rate", o.RequestRate}, {"live-rate", o.LiveRequestRate}} {
-		if !(r.rate > 0 && r.rate <= maxRequestRate) {
-			return &OptionError{r.flag, fmt.Sprintf("over 0 and up to %.0f a second", maxRequestRate)}
+		if !(option.rate > 0 && option.rate <= maxRequestRate) {
+			return &OptionError{option.flag, fmt.Sprintf("over 0 and up to %.0f a second", maxRequestRate)}
 		}
 	}
 	if !(o.TimeLimitMinutes > 0 && o.TimeLimitMinutes < maxMinutes) {
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -23,9 +23,9 @@
 	readyTimeout    = 15 * time.Second // for a real ingress to answer
 	shutdownTimeout = 5 * time.Second  // from SIGTERM on: longer than any deadline of a request
 
-	ingressPackage   = "lemontack/cmd/ingress"
-	configVariable   = "ROUTER_CONFIG" // names the configuration file of an ingress
-	temporaryPattern = "scalerun-"     // of the run's temporary directory
+	ingressPackage = "lemontack/cmd/ingress"
+	configVariable = "ROUTER_CONFIG" // names the configuration file of an ingress
+	tempDirPattern = "scalerun-"     // of the run's temporary directory
 )
 
 // Limits in the configuration of a real ingress.
@@ -43,14 +43,14 @@
 // realFleet is a few processes of the real ingress between stand-ins of all that they talk to. Its zero value can be
 // stopped.
 type realFleet struct {
-	*standIns     // nil before they are started
-	directory     string
-	ingresses     []*realIngress
-	backends      []*standin.Backend
-	targets       []standin.Target // the same as endpoints
-	directBackend *standin.Backend // a further one, in no list
-	directAddr    string
-	serving       sync.WaitGroup // a goroutine for each backend
+	*standIns         // nil before they are started
+	directory         string
+	ingresses         []*realIngress
+	backends          []*standin.Backend
+	targets           []standin.Target // the same as endpoints
+	directBackend     *standin.Backend // a further one, in no list
+	directAddr        string
+	backendGoroutines sync.WaitGroup // a goroutine for each backend
 }
 
 type realIngress struct {
@@ -79,7 +79,7 @@
 // returns, the owner of f stops that.
 func (r *Run) startRealFleet(ctx context.Context, f *realFleet) error {
 	var err error
-	if f.directory, err = os.MkdirTemp("", temporaryPattern); err != nil {
+	if f.directory, err = os.MkdirTemp("", tempDirPattern); err != nil {
 		return err
 	}
 	binary := r.IngressBinary
@@ -123,7 +123,7 @@
 	})
 	if err == nil {
 		<-build.exited
-		err = build.err
+		err = build.exitErr
 	}
 	if err != nil {
 		firstLine, _, _ := strings.Cut(strings.TrimSpace(output.String()), "\n")
@@ -133,28 +133,28 @@
 }
 
 // startBackends starts the backends of the list and one that is called directly. stop ends their goroutines.
-func (f *realFleet) startBackends() error {
+func (fleet *realFleet) startBackends() error {
 	for i := range liveBackends {
-		backend, addr, err := f.startBackend(i)
+		backend, addr, err := fleet.startBackend(i)
 		if err != nil {
 			return err
 		}
-		f.backends = append(f.backends, backend)
-		f.targets = append(f.targets, newTarget(i, addr, stateServing))
+		fleet.backends = append(fleet.backends, backend)
+		fleet.targets = append(fleet.targets, newTarget(i, addr, stateServing))
 	}
 	var err error
-	f.directBackend, f.directAddr, err = f.startBackend(liveBackends)
+	fleet.directBackend, fleet.directAddr, err = fleet.startBackend(liveBackends)
 	return err
 }
 
-func (f *realFleet) startBackend(index int) (*standin.Backend, string, error) {
+func (fleet *realFleet) startBackend(index int) (*standin.Backend, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("backends: %w", err)
 	}
 	backend := standin.NewBackend(standin.BackendConfig{Slots: compareBackendSlots, LoadReports: true, Seed: uint64(index),
 		ServiceTime: func(*rand.Rand) time.Duration { return compareServiceTime }})
-	f.serving.Go(func() { backend.Serve(listener) }) // an error shows in the requests
+	fleet.backendGoroutines.Go(func() { backend.Serve(listener) }) // an error shows in the requests
 	return backend, listener.Addr().String(), nil
 }
 
@@ -206,14 +206,14 @@
 }
 
 // waitReady waits until the ingress answers PING, as a client does.
-func (i *realIngress) waitReady(ctx context.Context) error {
+func (ingress *realIngress) waitReady(ctx context.Context) error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
-		case <-i.exited: // err is nil after exit code 0
-			return fmt.Errorf("%w: %v: %s", errIngressExited, i.err, lastLineOf(i.stderr.String()))
+		case <-ingress.exited: // err is nil after exit code 0
+			return fmt.Errorf("%w: %v: %s", errIngressExited, ingress.exitErr, lastLine(ingress.stderr.String()))
 		default:
 		}
-		if i.answersPing(ctx) {
+		if ingress.respondsToPing(ctx) {
 			return nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -223,38 +223,38 @@
 	return fmt.Errorf("the ingress is %w after %v", errNotReady, readyTimeout)
 }
 
-func (i *realIngress) answersPing(ctx context.Context) bool {
-	client := newLoadGenerator(i.addr, 0)
+func (ingress *realIngress) respondsToPing(ctx context.Context) bool {
+	client := newLoadGenerator(ingress.addr, 0)
 	defer client.close()
 	answer, err := client.call(ctx, []byte("*1\r\n$4\r\nPING\r\n"))
 	return err == nil && answer == reply{replySimple, "PONG"}
 }
 
-func lastLineOf(text string) string {
+func lastLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	return lines[len(lines)-1]
 }
 
 // stop ends the ingresses as an operator does, and then all that they talk to.
-func (f *realFleet) stop() {
-	for _, ingress := range f.ingresses {
+func (fleet *realFleet) stop() {
+	for _, ingress := range fleet.ingresses {
 		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has ended
 	}
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		ingress.waitOrKill(shutdownTimeout)
 	}
-	if f.standIns != nil {
-		f.standIns.stop()
+	if fleet.standIns != nil {
+		fleet.standIns.stop()
 	}
-	for _, backend := range f.backends {
+	for _, backend := range fleet.backends {
 		backend.Close()
 	}
-	if f.directBackend != nil {
-		f.directBackend.Close()
+	if fleet.directBackend != nil {
+		fleet.directBackend.Close()
 	}
-	f.serving.Wait()
-	if f.directory != "" {
-		os.RemoveAll(f.directory) // what remains lies among the system's temporary files
+	fleet.backendGoroutines.Wait()
+	if fleet.directory != "" {
+		os.RemoveAll(fleet.directory) // what remains lies among the system's temporary files
 	}
 }
 
@@ -267,7 +267,7 @@
 	backendConnections                     float64
 }
 
-func (f *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
+func (fleet *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
 	var c realCounters
 	for _, g := range generators {
 		c.requests += float64(g.sent)
@@ -275,24 +275,24 @@
 		c.failed += float64(g.failed.Load())
 		c.mismatched += float64(g.mismatched.Load())
 	}
-	for _, backend := range f.backends {
+	for _, backend := range fleet.backends {
 		stats := backend.Stats()
 		c.attempts = append(c.attempts, uint64(stats.Attempts))
 		c.backendConnections += float64(stats.Connections)
 	}
 	var err error
-	if c.cpuTime, err = f.cpuTime(); err != nil {
+	if c.cpuTime, err = fleet.cpuTime(); err != nil {
 		return c, err
 	}
-	counter, err := f.counter.call(standInCommand{Action: actionReport})
+	counter, err := fleet.counter.call(standInCommand{Action: actionReport})
 	c.counterCalls = counter.Counter.Calls
 	return c, err
 }
 
 // cpuTime returns the processor time of all ingresses so far.
-func (f *realFleet) cpuTime() (time.Duration, error) {
+func (fleet *realFleet) cpuTime() (time.Duration, error) {
 	var sum time.Duration
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		d, err := processCPUTime(ingress.pid())
 		if err != nil {
 			return 0, err
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -43,9 +43,9 @@
 }
 
 // merge adds what other has recorded; other stays as it is.
-func (h *histograms) merge(other histograms) {
-	for m := range h {
-		h[m].Merge(other[m])
+func (hs *histograms) merge(other histograms) {
+	for m := range hs {
+		hs[m].Merge(other[m])
 	}
 }
 
@@ -76,18 +76,18 @@
 }
 
 // record adds a time of one ingress.
-func (r *timeRecorder) record(ingress int, m metric, d time.Duration) {
-	shard := &r.shards[ingress%recorderShards]
+func (recorder *timeRecorder) record(ingress int, m metric, d time.Duration) {
+	shard := &recorder.shards[ingress%recorderShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	recordTime(shard.histograms[m], d)
 }
 
 // drain returns what was recorded since the last call.
-func (r *timeRecorder) drain() histograms {
+func (recorder *timeRecorder) drain() histograms {
 	sum := newHistograms()
-	for i := range r.shards {
-		shard := &r.shards[i]
+	for i := range recorder.shards {
+		shard := &recorder.shards[i]
 		shard.mu.Lock()
 		sum.merge(shard.histograms)
 		for _, h := range shard.histograms {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -94,8 +94,8 @@
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, Samples: samples})
 }
 
-// addUnfitted adds a figure that no line is fitted to.
-func (p *Point) addUnfitted(role, name, unit string, value float64) {
+// addFigureWithoutFit adds a figure that no line is fitted to.
+func (p *Point) addFigureWithoutFit(role, name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, ExcludedFromFit: true})
 }
 
@@ -112,30 +112,30 @@
 
 // addHistogram adds a histogram of times in ns, with one of its quantiles (0 to 100) as the value of the figure. The
 // name of the unit is given with its length.
-func (p *Point) addHistogram(role, name, unit string, unitLength time.Duration, h *hdrhistogram.Histogram,
+func (p *Point) addHistogram(role, name, unit string, unitDuration time.Duration, h *hdrhistogram.Histogram,
 	quantile float64) {
 	if h.TotalCount() == 0 {
 		return
 	}
-	at := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / float64(unitLength) }
+	valueAt := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / float64(unitDuration) }
 	p.Figures = append(p.Figures, Figure{
 		Role:    role,
 		Name:    name,
 		Unit:    unit,
-		Value:   at(quantile),
+		Value:   valueAt(quantile),
 		Samples: uint64(h.TotalCount()),
 		Percentiles: &Percentiles{
-			P50:  at(50),
-			P90:  at(90),
-			P99:  at(99),
-			P999: at(99.9),
-			Max:  float64(h.Max()) / float64(unitLength),
-			Mean: h.Mean() / float64(unitLength),
+			P50:  valueAt(50),
+			P90:  valueAt(90),
+			P99:  valueAt(99),
+			P999: valueAt(99.9),
+			Max:  float64(h.Max()) / float64(unitDuration),
+			Mean: h.Mean() / float64(unitDuration),
 		},
 	})
 }
 
-func (p *Point) find(role, name string) (Figure, bool) {
+func (p *Point) findFigure(role, name string) (Figure, bool) {
 	i := slices.IndexFunc(p.Figures, func(f Figure) bool { return f.Role == role && f.Name == name })
 	if i < 0 {
 		return Figure{}, false
@@ -152,8 +152,8 @@
 func toMB(bytes float64) float64 { return bytes / (1 << 20) }
 
 // Save writes the report to a file. The file is complete or is not written at all.
-func (r *Report) Save(path string) error {
-	text, err := json.MarshalIndent(r, "", " ")
+func (report *Report) Save(path string) error {
+	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -24,7 +24,7 @@
 	}
 	r.Points[1].addNote("list not taken")
 	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time is left for it"})
-	r.Fits = fits(r.Points)
+	r.Fits = fitFigures(r.Points)
 	return r
 }
 
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -42,7 +42,9 @@
 	Limit  string
 }
 
-func (e *ResourceError) Error() string { return e.Needed + " are asked for, " + e.Limit }
+func (resourceErr *ResourceError) Error() string {
+	return resourceErr.Needed + " are asked for, " + resourceErr.Limit
+}
 
 // checkResources returns a *ResourceError if the run would need more than it may use.
 func checkResources(o Options, m Machine) error {
@@ -95,38 +97,38 @@
 	return &resourceMonitor{pids: map[int]struct{}{os.Getpid(): {}}}
 }
 
-func (m *resourceMonitor) addProcess(pid int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.pids[pid] = struct{}{}
-	m.peakProcesses = max(m.peakProcesses, len(m.pids))
+func (monitor *resourceMonitor) addProcess(pid int) {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	monitor.pids[pid] = struct{}{}
+	monitor.peakProcesses = max(monitor.peakProcesses, len(monitor.pids))
 }
 
-func (m *resourceMonitor) removeProcess(pid int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	delete(m.pids, pid)
+func (monitor *resourceMonitor) removeProcess(pid int) {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	delete(monitor.pids, pid)
 }
 
 // sample returns the bytes that all processes have in memory now.
-func (m *resourceMonitor) sample() uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (monitor *resourceMonitor) sample() uint64 {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
 	sum := uint64(0)
-	for pid := range m.pids {
+	for pid := range monitor.pids {
 		sum += residentMemory(pid)
 	}
-	m.peakMemory = max(m.peakMemory, sum)
-	m.peakProcesses = max(m.peakProcesses, len(m.pids))
+	monitor.peakMemory = max(monitor.peakMemory, sum)
+	monitor.peakProcesses = max(monitor.peakProcesses, len(monitor.pids))
 	return sum
 }
 
 // run samples until ctx ends, or until a sample is over the limit, which it passes to stop as an error.
-func (m *resourceMonitor) run(ctx context.Context, limit uint64, stop func(error)) {
+func (monitor *resourceMonitor) run(ctx context.Context, limit uint64, stop func(error)) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
-		if sum := m.sample(); sum > limit {
+		if sum := monitor.sample(); sum > limit {
 			stop(fmt.Errorf("stopped at %s: %w", formatMegabytes(float64(sum)), errMemoryLimit))
 			return
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -28,11 +28,11 @@
 // Run is one run of the sweeps. It belongs to the goroutine that calls Measure.
 type Run struct {
 	Options
-	progress  io.Writer
-	monitor   *resourceMonitor
-	report    *Report
-	deadline  time.Time
-	saturated bool // the machine is too small for a larger live fleet
+	progress         io.Writer
+	monitor          *resourceMonitor
+	report           *Report
+	deadline         time.Time
+	machineSaturated bool // the machine is too small for a larger live fleet
 }
 
 // job is one point of a sweep that is still to be measured.
@@ -43,13 +43,13 @@
 }
 
 // jobsBySize returns a job for each size of a sweep.
-func jobsBySize(sweep, against string, sizes []int, duration time.Duration,
+func jobsBySize(sweep, sizeUnit string, sizes []int, duration time.Duration,
 	measure func(context.Context, *Point, int) error) []job {
 	var jobs []job
 	for _, size := range sizes {
 		label := formatNumber(float64(size))
 		jobs = append(jobs, job{
-			point:    Point{Sweep: sweep, Label: label, SizeUnit: against, Size: float64(size)},
+			point:    Point{Sweep: sweep, Label: label, SizeUnit: sizeUnit, Size: float64(size)},
 			duration: duration,
 			measure:  func(ctx context.Context, p *Point) error { return measure(ctx, p, size) },
 		})
@@ -125,11 +125,11 @@
 	if err != nil {
 		r.report.Status = "partial: " + err.Error()
 	}
-	r.report.Fits = fits(r.report.Points)
+	r.report.Fits = fitFigures(r.report.Points)
 	r.report.Usage = ResourceUsage{
 		PeakMemoryBytes: r.monitor.peakMemory,
 		PeakProcesses:   r.monitor.peakProcesses,
-		CPUSeconds:      cpuTime(wholeProcess).Seconds(),
+		CPUSeconds:      cpuTime(currentProcess).Seconds(),
 		WallSeconds:     time.Since(start).Seconds(),
 	}
 	return r.report, err
@@ -197,8 +197,8 @@
 	fmt.Fprintf(r.progress, format+"\n", args...)
 }
 
-// scaled returns how long a part of a point takes in this run, of its time in a complete one.
-func (r *Run) scaled(d time.Duration) time.Duration {
+// scaleForQuickRun returns how long a part of a point takes in this run, of its time in a complete one.
+func (r *Run) scaleForQuickRun(d time.Duration) time.Duration {
 	if r.Quick {
 		return d / quickDivisor
 	}
@@ -207,7 +207,7 @@
 
 // jobs returns all points of the sweeps that are asked for, in the order of SweepNames.
 func (r *Run) jobs() []job {
-	jobsOf := map[string]func() []job{
+	jobsBySweep := map[string]func() []job{
 		backendsSweep:  r.backendJobs,
 		ingressesSweep: r.ingressJobs,
 		tenantsSweep:   r.tenantJobs,
@@ -218,7 +218,7 @@
 	var jobs []job
 	for _, name := range SweepNames() {
 		if slices.Contains(r.Sweeps, name) {
-			jobs = append(jobs, jobsOf[name]()...)
+			jobs = append(jobs, jobsBySweep[name]()...)
 		}
 	}
 	return jobs
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -72,14 +72,14 @@
 }
 
 // settingsJSON returns the settings object of one ingress.
-func (s fleetShape) settingsJSON(index int) ([]byte, error) {
+func (shape fleetShape) settingsJSON(index int) ([]byte, error) {
 	registryMode := "automatic"
-	if s.Polled {
+	if shape.PollsEndpoints {
 		registryMode = "subscribe"
 	}
 	text, err := json.Marshal(ingressSettings{
 		Index:        index,
-		GatewayCount: s.Ingresses,
+		GatewayCount: shape.Ingresses,
 		Zone:         zoneName(index),
 		RegistryMode: registryMode,
 		Classes: []classSettings{
@@ -99,7 +99,7 @@
 				Idempotency:      "non_idempotent",
 			},
 		},
-		Plans: s.planSettings(),
+		Plans: shape.planSettings(),
 		Family: familySettings{
 			CounterTimeout: toMicroseconds(100 * time.Millisecond),
 			MaxUnits:       maxRequestUnits,
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -41,31 +41,31 @@
 
 // tenantPlan is a plan that tenants have.
 type tenantPlan struct {
-	name        string
-	share       float64 // of the tenants
-	gatewaySpan int     // ingresses that one tenant comes through; fewer where the fleet is smaller
-	smallBurst  bool    // the burst holds one large request for each ingress, which needs a central token bucket
+	name          string
+	share         float64 // of the tenants
+	gatewaySpan   int     // ingresses that one tenant comes through; fewer where the fleet is smaller
+	hasSmallBurst bool    // the burst holds one large request for each ingress, which needs a central token bucket
 }
 
 var plans = [...]tenantPlan{
 	{name: "solo", share: 0.3, gatewaySpan: 1},
 	{name: "team", share: 0.5, gatewaySpan: 4},
-	{name: "wide", share: 0.2, gatewaySpan: 32, smallBurst: true},
+	{name: "wide", share: 0.2, gatewaySpan: 32, hasSmallBurst: true},
 }
 
 // fleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
 type fleetShape struct {
-	Ingresses int
-	Tenants   int     // of one ingress, about
-	Rate      float64 // requests a second of one ingress, which the quotas are made for
-	Polled    bool    // ingresses fetch the endpoint list; else it is pushed
+	Ingresses         int
+	TenantsPerIngress int     // of one ingress, about
+	RequestRate       float64 // requests a second of one ingress, which the quotas are made for
+	PollsEndpoints    bool    // ingresses fetch the endpoint list; else it is pushed
 }
 
 func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
 
 // policySettings returns the settings of one ingress as its decision module takes them.
-func (s fleetShape) policySettings(index int) (policy.Settings, error) {
-	text, err := s.settingsJSON(index)
+func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
+	text, err := shape.settingsJSON(index)
 	if err != nil {
 		return policy.Settings{}, err
 	}
@@ -77,15 +77,15 @@
 }
 
 // planSettings returns the plans, with quotas that hold what their tenants ask for.
-func (s fleetShape) planSettings() []planSettings {
+func (shape fleetShape) planSettings() []planSettings {
 	var list []planSettings
 	for i, plan := range plans {
-		span := s.gatewaySpan(plan)
-		tenants := s.tenantsPerFirstGateway(plan) * span // of the plan, at one ingress
-		demand := s.Rate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
+		span := shape.gatewaySpan(plan)
+		tenants := shape.tenantsPerFirstGateway(plan) * span // of the plan, at one ingress
+		demand := shape.RequestRate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
 		rate := max(minPlanRate, quotaMargin*demand)
 		burst := max(burstSeconds*rate, 3*float64(span)*maxRequestUnits)
-		if plan.smallBurst {
+		if plan.hasSmallBurst {
 			burst = float64(span) * maxRequestUnits
 		}
 		list = append(list, planSettings{Name: plan.name, Price: float64(i + 1), Refill: rate, Burst: burst})
@@ -93,11 +93,13 @@
 	return list
 }
 
-func (s fleetShape) gatewaySpan(plan tenantPlan) int { return min(plan.gatewaySpan, s.Ingresses) }
+func (shape fleetShape) gatewaySpan(plan tenantPlan) int {
+	return min(plan.gatewaySpan, shape.Ingresses)
+}
 
 // tenantsPerFirstGateway returns how many tenants of a plan have the same first gateway.
-func (s fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
-	return max(1, int(float64(s.Tenants)*plan.share/float64(s.gatewaySpan(plan))+0.5))
+func (shape fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
+	return max(1, int(float64(shape.TenantsPerIngress)*plan.share/float64(shape.gatewaySpan(plan))+0.5))
 }
 
 // tenant is a customer, with the ingresses that it comes through: gatewaySpan of them from firstGateway on.
@@ -107,13 +109,13 @@
 }
 
 // tenantsOf returns the tenants that come through one ingress. All ingresses agree on which tenants they share.
-func (s fleetShape) tenantsOf(index int) []tenant {
+func (shape fleetShape) tenantsOf(index int) []tenant {
 	var list []tenant
 	for planIndex, plan := range plans {
-		span := s.gatewaySpan(plan)
+		span := shape.gatewaySpan(plan)
 		for offset := range span {
-			first := (index - offset + s.Ingresses) % s.Ingresses
-			for number := range s.tenantsPerFirstGateway(plan) {
+			first := (index - offset + shape.Ingresses) % shape.Ingresses
+			for number := range shape.tenantsPerFirstGateway(plan) {
 				id := fmt.Sprintf("%016x", planIndex<<30|first<<16|number)
 				list = append(list, tenant{id, plan.name, span, first})
 			}
--- a/internal/scale/shape_test.go
+++ b/internal/scale/shape_test.go
@@ -3,19 +3,19 @@
 import "testing"
 
 func TestIngressesAgreeOnTheTenantsThatTheyShare(t *testing.T) {
-	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
+	shape := fleetShape{Ingresses: 7, TenantsPerIngress: 50, RequestRate: 100}
 	ingressesOf := map[string]int{} // by tenant
 	tenants := map[string]tenant{}
 	for index := range shape.Ingresses {
-		for _, tn := range shape.tenantsOf(index) {
-			if offset := (index - tn.firstGateway + shape.Ingresses) % shape.Ingresses; offset >= tn.gatewaySpan {
-				t.Fatalf("tenant %+v at ingress %d, which is not one of its own", tn, index)
+		for _, shared := range shape.tenantsOf(index) {
+			if offset := (index - shared.firstGateway + shape.Ingresses) % shape.Ingresses; offset >= shared.gatewaySpan {
+				t.Fatalf("tenant %+v at ingress %d, which is not one of its own", shared, index)
 			}
-			if other, ok := tenants[tn.id]; ok && other != tn {
-				t.Fatalf("tenant %+v is %+v elsewhere", tn, other)
+			if other, ok := tenants[shared.id]; ok && other != shared {
+				t.Fatalf("tenant %+v is %+v elsewhere", shared, other)
 			}
-			tenants[tn.id] = tn
-			ingressesOf[tn.id]++
+			tenants[shared.id] = shared
+			ingressesOf[shared.id]++
 		}
 	}
 	for id, n := range ingressesOf {
@@ -26,13 +26,13 @@
 }
 
 func TestPolicySettingsFollowTheShape(t *testing.T) {
-	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
+	shape := fleetShape{Ingresses: 7, TenantsPerIngress: 50, RequestRate: 100}
 	settings, err := shape.policySettings(3)
 	if err != nil || settings.Index != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
 		!settings.HasSharedCounter || settings.PollEndpoints {
 		t.Errorf("settings %+v, %v", settings, err)
 	}
-	shape.Polled = true
+	shape.PollsEndpoints = true
 	if settings, err = shape.policySettings(0); err != nil || !settings.PollEndpoints {
 		t.Errorf("polled: settings %+v, %v", settings, err)
 	}
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -33,7 +33,7 @@
 // standInError is what a stand-in's process replied that went wrong there.
 type standInError struct{ message string }
 
-func (e *standInError) Error() string { return e.message }
+func (standInErr *standInError) Error() string { return standInErr.message }
 
 // standInCommand is one of the JSON objects that the run writes to the standard input of a stand-in's process.
 type standInCommand struct {
@@ -83,64 +83,64 @@
 
 // standInServer is the stand-in of a process. After the first command one of its two services is set.
 type standInServer struct {
-	role      string
-	discovery *standin.Discovery
-	counter   *standin.Counter
-	serving   sync.WaitGroup // the goroutine that accepts connections
+	role           string
+	discovery      *standin.Discovery
+	counter        *standin.Counter
+	serveGoroutine sync.WaitGroup // the goroutine that accepts connections
 }
 
-func (s *standInServer) execute(command standInCommand) (standInReply, error) {
+func (server *standInServer) execute(command standInCommand) (standInReply, error) {
 	switch {
 	case command.Action == actionServe:
-		return s.serve(command)
-	case command.Action == actionSetList && s.discovery != nil:
-		s.discovery.SetList(command.Targets)
+		return server.serve(command)
+	case command.Action == actionSetList && server.discovery != nil:
+		server.discovery.SetList(command.Targets)
 		return standInReply{}, nil
-	case command.Action == actionChange && s.discovery != nil:
+	case command.Action == actionChange && server.discovery != nil:
 		appliedAt := time.Now()
-		return standInReply{AppliedAt: appliedAt, Revision: s.discovery.Change(command.Targets...)}, nil
+		return standInReply{AppliedAt: appliedAt, Revision: server.discovery.Change(command.Targets...)}, nil
 	case command.Action == actionReport || command.Action == actionReportMemory:
-		return s.report(command.Action == actionReportMemory), nil
+		return server.report(command.Action == actionReportMemory), nil
 	}
 	return standInReply{}, fmt.Errorf("%w: %q", errUnknownAction, command.Action)
 }
 
 // serve starts the stand-in; close ends the goroutine that serves and waits for it.
-func (s *standInServer) serve(command standInCommand) (standInReply, error) {
+func (server *standInServer) serve(command standInCommand) (standInReply, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return standInReply{}, err
 	}
-	if s.role == roleDiscovery {
-		s.discovery = standin.NewDiscovery(command.Discovery)
-		s.serving.Go(func() { s.discovery.Serve(listener) }) // an error shows in the calls of the ingresses
+	if server.role == roleDiscovery {
+		server.discovery = standin.NewDiscovery(command.Discovery)
+		server.serveGoroutine.Go(func() { server.discovery.Serve(listener) }) // an error shows in the calls of the ingresses
 	} else {
-		s.counter = standin.NewCounter(command.Counter)
-		s.serving.Go(func() { s.counter.Serve(listener) }) // as above
+		server.counter = standin.NewCounter(command.Counter)
+		server.serveGoroutine.Go(func() { server.counter.Serve(listener) }) // as above
 	}
 	return standInReply{Addr: listener.Addr().String()}, nil
 }
 
-func (s *standInServer) report(withMemory bool) standInReply {
-	reply := standInReply{CPUTime: cpuTime(wholeProcess)}
+func (server *standInServer) report(withMemory bool) standInReply {
+	reply := standInReply{CPUTime: cpuTime(currentProcess)}
 	if withMemory {
 		reply.Memory = memoryInUse()
 	}
-	if s.discovery != nil {
-		reply.Discovery = s.discovery.Stats()
+	if server.discovery != nil {
+		reply.Discovery = server.discovery.Stats()
 	}
-	if s.counter != nil {
-		reply.Counter = s.counter.Stats()
+	if server.counter != nil {
+		reply.Counter = server.counter.Stats()
 	}
 	return reply
 }
 
-func (s *standInServer) close() {
-	if s.discovery != nil {
-		s.discovery.Close() // the process ends next, whatever it returns
+func (server *standInServer) close() {
+	if server.discovery != nil {
+		server.discovery.Close() // the process ends next, whatever it returns
 	}
-	if s.counter != nil {
-		s.counter.Close()
+	if server.counter != nil {
+		server.counter.Close()
 	}
-	s.serving.Wait()
+	server.serveGoroutine.Wait()
 }
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -25,9 +25,9 @@
 	*childProcess
 	addr string // that the stand-in listens on
 
-	mu  sync.Mutex // held during a call: guards in and out
-	in  io.WriteCloser
-	out *json.Decoder
+	mu      sync.Mutex // held during a call: guards in and out
+	stdin   io.WriteCloser
+	replies *json.Decoder
 }
 
 // startStandIn starts this program again as the stand-in of a role and lets it listen as config says.
@@ -44,7 +44,7 @@
 		cmd := exec.CommandContext(ctx, executable)
 		cmd.Env = append(os.Environ(), roleEnvVariable+"="+role)
 		var inErr, outErr error
-		s.in, inErr = cmd.StdinPipe()
+		s.stdin, inErr = cmd.StdinPipe()
 		stdout, outErr = cmd.StdoutPipe()
 		pipeErr = errors.Join(inErr, outErr)
 		return cmd
@@ -52,7 +52,7 @@
 	if err = errors.Join(err, pipeErr); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	s.out = json.NewDecoder(stdout)
+	s.replies = json.NewDecoder(stdout)
 	config.Action = actionServe
 	reply, err := s.call(config)
 	if err != nil {
@@ -64,14 +64,14 @@
 }
 
 // call sends a command and returns the reply. The error is a *standInError where the stand-in says what went wrong.
-func (s *standInProcess) call(command standInCommand) (standInReply, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (process *standInProcess) call(command standInCommand) (standInReply, error) {
+	process.mu.Lock()
+	defer process.mu.Unlock()
 	var reply standInReply
-	if err := json.NewEncoder(s.in).Encode(command); err != nil {
+	if err := json.NewEncoder(process.stdin).Encode(command); err != nil {
 		return reply, fmt.Errorf("stand-in: %w", err)
 	}
-	if err := s.out.Decode(&reply); err != nil {
+	if err := process.replies.Decode(&reply); err != nil {
 		return reply, fmt.Errorf("stand-in: %w", err)
 	}
 	if reply.Error != "" {
@@ -81,9 +81,9 @@
 }
 
 // stop ends the process by the end of its input, and waits for it.
-func (s *standInProcess) stop() {
-	s.in.Close() // an error means that the process has ended
-	s.waitOrKill(exitTimeout)
+func (process *standInProcess) stop() {
+	process.stdin.Close() // an error means that the process has ended
+	process.waitOrKill(exitTimeout)
 }
 
 // standIns are discovery and the counter.
@@ -91,7 +91,7 @@
 
 func startStandIns(ctx context.Context, monitor *resourceMonitor, shape fleetShape) (*standIns, error) {
 	var config standin.DiscoveryConfig
-	if shape.Polled {
+	if shape.PollsEndpoints {
 		config.CallsPerSecond, config.QueueTimeout = polledCallsPerSecond, polledQueueTimeout
 	}
 	discovery, err := startStandIn(ctx, monitor, roleDiscovery, standInCommand{Discovery: config})
@@ -106,19 +106,19 @@
 	return &standIns{discovery, counter}, nil
 }
 
-func (s *standIns) stop() {
-	s.discovery.stop()
-	s.counter.stop()
+func (services *standIns) stop() {
+	services.discovery.stop()
+	services.counter.stop()
 }
 
 // setList replaces discovery's list.
-func (s *standIns) setList(targets []standin.Target) error {
-	_, err := s.discovery.call(standInCommand{Action: actionSetList, Targets: targets})
+func (services *standIns) setList(targets []standin.Target) error {
+	_, err := services.discovery.call(standInCommand{Action: actionSetList, Targets: targets})
 	return err
 }
 
 // applyChange changes entries of discovery's list, and returns the revision and time of that.
-func (s *standIns) applyChange(targets ...standin.Target) (appliedRevision, error) {
-	reply, err := s.discovery.call(standInCommand{Action: actionChange, Targets: targets})
+func (services *standIns) applyChange(targets ...standin.Target) (appliedRevision, error) {
+	reply, err := services.discovery.call(standInCommand{Action: actionChange, Targets: targets})
 	return appliedRevision{reply.Revision, reply.AppliedAt}, err
 }
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -15,26 +15,26 @@
 func (w tableWriter) line(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 
 // Write writes the report as tables for people.
-func (r *Report) Write(out io.Writer) error {
+func (report *Report) Write(out io.Writer) error {
 	w := tableWriter{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
-	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.GoVersion, r.Machine.Cores,
-		formatMegabytes(float64(r.Machine.MemoryBytes)), r.Machine.LoadAverages, r.Status)
-	for _, note := range r.Notes {
+	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", report.Seed, report.Machine.GoVersion, report.Machine.Cores,
+		formatMegabytes(float64(report.Machine.MemoryBytes)), report.Machine.LoadAverages, report.Status)
+	for _, note := range report.Notes {
 		w.line("- %s", note)
 	}
-	for start := 0; start < len(r.Points); {
+	for start := 0; start < len(report.Points); {
 		end := start
-		for end < len(r.Points) && r.Points[end].Sweep == r.Points[start].Sweep {
+		for end < len(report.Points) && report.Points[end].Sweep == report.Points[start].Sweep {
 			end++
 		}
-		w.writeSweep(r.Points[start:end])
+		w.writeSweep(report.Points[start:end])
 		start = end
 	}
-	if len(r.Fits) > 0 {
-		w.writeFits(r.Fits)
+	if len(report.Fits) > 0 {
+		w.writeFits(report.Fits)
 	}
 	w.line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		formatMegabytes(float64(r.Usage.PeakMemoryBytes)), r.Usage.PeakProcesses, r.Usage.CPUSeconds, r.Usage.WallSeconds)
+		formatMegabytes(float64(report.Usage.PeakMemoryBytes)), report.Usage.PeakProcesses, report.Usage.CPUSeconds, report.Usage.WallSeconds)
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
@@ -80,7 +80,7 @@
 		cells := []string{r.role, r.name, r.unit}
 		for _, p := range points {
 			cell := "-"
-			if f, ok := p.find(r.role, r.name); ok {
+			if f, ok := p.findFigure(r.role, r.name); ok {
 				cell = formatNumber(f.Value)
 			}
 			cells = append(cells, cell)
@@ -90,7 +90,7 @@
 }
 
 func (w tableWriter) writeFits(fits []Fit) {
-	w.line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxDeviation)
+	w.line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxRelativeDeviation)
 	w.line("sweep\trole\tfigure\tunit\tslope per %s\tat 0\tR2\tresidual\trelative\toff", formatNumber(slopeTableFactor))
 	for _, f := range fits {
 		outliers := "-"
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -26,7 +26,7 @@
 // measureZoneLoss takes all backends of a zone away under load, and then brings them back cold.
 func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
 	backends := newBackendModel(zones*backendsPerZone, r.LiveRequestRate*float64(n), meanServiceTime, false)
-	shape := fleetShape{Ingresses: n, Tenants: liveTenants, Rate: r.LiveRequestRate}
+	shape := fleetShape{Ingresses: n, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate}
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
@@ -41,35 +41,35 @@
 	if _, err := f.measureZonePhase(ctx, p, "before", loadDuration, nil); err != nil {
 		return err
 	}
-	removed, err := f.measureZonePhase(ctx, p, "lost", loadDuration, backends.removeLastZone)
+	removal, err := f.measureZonePhase(ctx, p, "lost", loadDuration, backends.removeLastZone)
 	if err != nil {
 		return err
 	}
-	restored, err := f.measureZonePhase(ctx, p, "back", slowStartWindow, backends.restoreLastZone)
+	restoration, err := f.measureZonePhase(ctx, p, "back", slowStartWindow, backends.restoreLastZone)
 	if err != nil {
 		return err
 	}
-	if err := f.addPropagationFigures(ctx, p, "lost", removed); err != nil {
+	if err := f.addPropagationFigures(ctx, p, "lost", removal); err != nil {
 		return err
 	}
-	if err := f.addPropagationFigures(ctx, p, "back", restored); err != nil {
+	if err := f.addPropagationFigures(ctx, p, "back", restoration); err != nil {
 		return err
 	}
 	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartSpan)
-	p.addUnfitted(roleIngress, name, "", float64(backends.maxColdAttempts()))
-	p.addUnfitted(roleIngress, "back: what such a one bears when it starts", "", backends.coldAttemptLimit(meanServiceTime))
+	p.addFigureWithoutFit(roleIngress, name, "", float64(backends.maxColdAttempts()))
+	p.addFigureWithoutFit(roleIngress, "back: what such a one bears when it starts", "", backends.coldAttemptLimit(meanServiceTime))
 	return nil
 }
 
 // addPropagationFigures adds how long a change took to reach the ingresses.
 func (f *liveFleet) addPropagationFigures(ctx context.Context, p *Point, phase string, change appliedRevision) error {
-	reached, err := f.propagationOf(ctx, []appliedRevision{change})
+	delays, err := f.measurePropagation(ctx, []appliedRevision{change})
 	if err != nil {
 		return err
 	}
-	p.addHistogram(roleIngress, phase+": in force, each (p50)", "ms", time.Millisecond, reached.perIngress, 50)
-	p.addHistogram(roleIngress, phase+": in force everywhere", "ms", time.Millisecond, reached.fleetWide, 100)
-	p.addUnfitted(roleIngress, phase+": missed", "", float64(reached.missing))
+	p.addHistogram(roleIngress, phase+": in force, each (p50)", "ms", time.Millisecond, delays.perIngress, 50)
+	p.addHistogram(roleIngress, phase+": in force everywhere", "ms", time.Millisecond, delays.fleetWide, 100)
+	p.addFigureWithoutFit(roleIngress, phase+": missed", "", float64(delays.missingPairs))
 	return nil
 }
 
@@ -92,27 +92,27 @@
 	if err != nil {
 		return applied, err
 	}
-	busiest, sum, up := 0.0, 0.0, 0.0
+	busiest, sum, servingCount := 0.0, 0.0, 0.0
 	for i, attempts := range f.backends.attemptCounts() {
 		if f.backends.backends[i].removed.Load() {
 			continue
 		}
 		rate := float64(attempts-attemptsBefore[i]) / u.seconds
-		busiest, sum, up = max(busiest, rate), sum+rate, up+1
+		busiest, sum, servingCount = max(busiest, rate), sum+rate, servingCount+1
 	}
 	requests := max(1, float64(u.tally.Requests))
-	p.addUnfitted(roleBackends, phase+": attempts a second, mean", "", sum/max(1, up))
-	p.addUnfitted(roleBackends, phase+": attempts a second, busiest", "", busiest)
-	p.addUnfitted(roleIngress, phase+": served", "%", 100*float64(u.tally.Served)/requests)
-	p.addUnfitted(roleIngress, phase+": refused", "%", 100*float64(u.tally.Rejected)/requests)
-	lost := float64(u.tally.Failed + u.tally.Unanswered)
-	p.addUnfitted(roleIngress, phase+": failed or not answered", "%", 100*lost/requests)
+	p.addFigureWithoutFit(roleBackends, phase+": attempts a second, mean", "", sum/max(1, servingCount))
+	p.addFigureWithoutFit(roleBackends, phase+": attempts a second, busiest", "", busiest)
+	p.addFigureWithoutFit(roleIngress, phase+": served", "%", 100*float64(u.tally.Served)/requests)
+	p.addFigureWithoutFit(roleIngress, phase+": refused", "%", 100*float64(u.tally.Rejected)/requests)
+	failures := float64(u.tally.Failed + u.tally.Unanswered)
+	p.addFigureWithoutFit(roleIngress, phase+": failed or not answered", "%", 100*failures/requests)
 	addedLatency := f.recorder.drain()[metricAddedLatency]
 	p.addHistogram(roleIngress, phase+": "+figureAddedLatency, "ms", time.Millisecond, addedLatency, 99)
-	p.addUnfitted(roleDiscovery, phase+": messages", "", u.discoveryMessages)
-	p.addUnfitted(roleDiscovery, phase+": bytes", "KB", toKB(u.discoveryBytes))
+	p.addFigureWithoutFit(roleDiscovery, phase+": messages", "", u.discoveryMessages)
+	p.addFigureWithoutFit(roleDiscovery, phase+": bytes", "KB", toKB(u.discoveryBytes))
 	ingressMS := u.cpuTime.Seconds() * 1000 / u.seconds / float64(len(f.ingresses))
-	p.addUnfitted(roleIngress, phase+": processor a second, each", "ms", ingressMS)
-	p.addUnfitted(roleCounter, phase+": calls a second", "", u.counterCalls/u.seconds)
+	p.addFigureWithoutFit(roleIngress, phase+": processor a second, each", "ms", ingressMS)
+	p.addFigureWithoutFit(roleCounter, phase+": calls a second", "", u.counterCalls/u.seconds)
 	return applied, nil
 }
