--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,6 @@
-// Command scalerun measures what an ingress, discovery and the counter cost by the size of the fleet. It starts all
-// that it needs on loopback addresses, ends by itself in under 10 minutes, and leaves tables and a JSON file.
+// Command scalerun measures the cost of an ingress, of discovery and of the counter by the size of the fleet. It starts
+// the processes that it needs on loopback addresses, ends by itself in under 10 minutes, prints tables and writes a
+// JSON report.
 package main
 
 import (
@@ -20,13 +21,13 @@
 // Exit codes other than 0.
 const (
 	exitFailed      = 1
-	exitInterrupted = 130 // as of shells: 128 and the number of SIGINT
+	exitInterrupted = 130 // 128 plus the number of SIGINT, as shells report it
 )
 
 var errInterrupted = errors.New("interrupted")
 
 func main() {
-	if role, ok := scale.StandInRole(); ok { // the run has started this process
+	if role, ok := scale.StandInRole(); ok { // a run started this process as a stand-in
 		if err := scale.RunStandIn(role, os.Stdin, os.Stdout); err != nil {
 			exitWith(err)
 		}
@@ -41,7 +42,7 @@
 	}
 }
 
-// exitWith ends the program with the error in one line.
+// exitWith prints the error in one line and exits.
 func exitWith(err error) {
 	fmt.Fprintln(os.Stderr, "scalerun:", strings.ReplaceAll(err.Error(), "\n", "; "))
 	if errors.Is(err, errInterrupted) {
@@ -50,13 +51,12 @@
 	os.Exit(exitFailed)
 }
 
-// parseOptions reads the command line.
 func parseOptions(args []string) (scale.Options, error) {
 	var options scale.Options
 	parser, err := kong.New(&options,
 		kong.Name("scalerun"),
-		kong.Description("Measures what an ingress, discovery and the counter cost by the size of the fleet, on this"+
-			" machine alone, in under 10 minutes."),
+		kong.Description("Measures the cost of an ingress, of discovery and of the counter by the size of the fleet,"+
+			" on this machine only, in under 10 minutes."),
 		kong.Vars{"sweeps": strings.Join(scale.SweepNames(), ",")})
 	if err != nil {
 		return options, err
@@ -65,7 +65,7 @@
 	return options, err
 }
 
-// run measures, and writes the tables and the file also where it is interrupted.
+// run measures all points and then writes the tables and the report file, also after an interruption.
 func run(options scale.Options, tables, progress io.Writer) error {
 	r, err := scale.NewRun(options, progress)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return errors.Join(err, report.Write(tables), report.Save(options.ReportPath))
 }
 
-// interruptible returns a context that the first SIGINT or SIGTERM ends with errInterrupted; a second signal ends the
-// program at once. stop releases what it takes.
+// interruptible returns a context that the first SIGINT or SIGTERM cancels with the cause errInterrupted; a second
+// signal terminates the program at once. stop releases the signal handler and waits for the goroutine to end.
 func interruptible(parent context.Context) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	signals := make(chan os.Signal, 1)
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -19,10 +19,10 @@
 	"lemontack/internal/scale"
 )
 
-// runMainVariable is set for a process that is to be the program in place of the tests.
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
 const runMainVariable = "SCALERUN_TEST_MAIN"
 
-// TestMain lets the test binary run as the program and as the processes that it starts.
+// TestMain lets the test binary also run as scalerun and as the stand-ins that scalerun starts.
 func TestMain(m *testing.M) {
 	_, role := scale.StandInRole()
 	if _, ok := os.LookupEnv(runMainVariable); ok || role {
@@ -32,11 +32,11 @@
 	os.Exit(m.Run())
 }
 
-func TestParseOptionsTakesFlagsAndNamesInvalidOnes(t *testing.T) {
+func TestParseOptionsAcceptsFlagsAndNamesInvalidOnes(t *testing.T) {
 	for _, c := range []struct {
 		args      []string
-		wantError string // a part of it; empty: none
-		ok        func(scale.Options) bool
+		wantError string // expected substring; empty means no error
+		matches   func(scale.Options) bool
 	}{
 		{nil, "", func(o scale.Options) bool {
 			return slices.Equal(o.Sweeps, scale.SweepNames()) && o.ReportPath == "scale.json" && o.TimeLimitMinutes == 9 &&
@@ -56,19 +56,19 @@
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
 			o, err := parseOptions(c.args)
 			if c.wantError == "" {
-				if err != nil || !c.ok(o) {
-					t.Errorf("%+v, %v", o, err)
+				if err != nil || !c.matches(o) {
+					t.Errorf("got options %+v, error %v; want no error and the options of the flags", o, err)
 				}
 				return
 			}
 			if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line with %q", err, c.wantError)
+				t.Errorf("got error %v, want one line with %q", err, c.wantError)
 			}
 		})
 	}
 }
 
-// scalerunCommand returns a command that runs scalerun with these flags, in an empty directory.
+// scalerunCommand returns a command that runs scalerun with the given flags in an empty directory.
 func scalerunCommand(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	exe, err := os.Executable()
@@ -81,7 +81,7 @@
 	return cmd
 }
 
-// childProcesses returns the processes that a process has started and not yet waited for.
+// childProcesses returns the ids of the processes that a process has started and not yet waited for.
 func childProcesses(t *testing.T, pid int) []int {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -91,7 +91,7 @@
 	var list []int
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
-		if err != nil { // it has ended since
+		if err != nil { // the process has exited since
 			continue
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
@@ -108,7 +108,7 @@
 	return list
 }
 
-func TestInterruptedRunEndsItsProcessesAndLeavesAReport(t *testing.T) {
+func TestInterruptedRunStopsItsProcessesAndWritesAReport(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
 		t.Run(sig.String(), func(t *testing.T) { testInterrupt(t, sig) })
 	}
@@ -128,7 +128,7 @@
 	}
 	lines := bufio.NewReader(progress)
 	if line, err := lines.ReadString('\n'); err != nil || !strings.HasPrefix(line, "[1/1] ingresses 3") {
-		t.Fatalf("progress %q, %v", line, err)
+		t.Fatalf("got progress %q, error %v; want the line of the first point", line, err)
 	}
 	var children []int
 	for len(children) < 2 { // discovery and the counter
@@ -141,15 +141,15 @@
 	rest, _ := io.ReadAll(lines)
 	var exit *exec.ExitError
 	if err := cmd.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitInterrupted {
-		t.Errorf("ended with %v, want code %d", err, exitInterrupted)
+		t.Errorf("got exit error %v, want exit code %d", err, exitInterrupted)
 	}
 	outputLines := strings.Split(strings.TrimSpace(string(rest)), "\n")
 	if last := outputLines[len(outputLines)-1]; last != "scalerun: interrupted" {
-		t.Errorf("last line %q", last)
+		t.Errorf("got last line %q, want \"scalerun: interrupted\"", last)
 	}
 	for _, pid := range children {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is left: %v", pid, err)
+			t.Errorf("process %d after the run: got %v, want ESRCH", pid, err)
 		}
 	}
 	text, err := os.ReadFile(filepath.Join(cmd.Dir, "part.json"))
@@ -158,18 +158,19 @@
 		err = json.Unmarshal(text, &report)
 	}
 	if err != nil || !strings.Contains(report.Status, "interrupted") || !strings.Contains(tables.String(), "partial") {
-		t.Errorf("report %q, %v; tables %q", report.Status, err, tables.String())
+		t.Errorf("got report status %q, error %v, tables %q; want an interrupted, partial run", report.Status, err,
+			tables.String())
 	}
 }
 
-func TestRunOutOfBoundsEndsWithOneLine(t *testing.T) {
+func TestRunWithOptionsOutOfRangePrintsOneErrorLine(t *testing.T) {
 	for want, args := range map[string][]string{
-		"scalerun: 503 processes are asked for, 300 at most":  {"--real", "500"},
-		"scalerun: --minutes: over 0 and under 10 are wanted": {"--minutes", "60"},
+		"scalerun: 503 processes are required, but at most 300 are allowed":           {"--real", "500"},
+		"scalerun: --minutes: out of range: values above 0 and below 10 are expected": {"--minutes", "60"},
 	} {
 		out, err := scalerunCommand(t, args...).CombinedOutput()
 		if err == nil || strings.TrimSpace(string(out)) != want {
-			t.Errorf("%q: %v, %q, want %q", args, err, out, want)
+			t.Errorf("%q: got error %v, output %q; want an error and output %q", args, err, out, want)
 		}
 	}
 }
@@ -182,13 +183,13 @@
 	}
 	deps := strings.Fields(string(out))
 	if !slices.Contains(deps, "lemontack/policy") {
-		t.Fatalf("no list of packages: %s", out)
+		t.Fatalf("got no list of packages: %s", out)
 	}
 	for _, d := range deps {
 		for _, module := range []string{"github.com/alecthomas/kong", "github.com/HdrHistogram/hdrhistogram-go",
 			"gonum.org/v1/gonum", "lemontack/internal/scale", "lemontack/internal/standin"} {
 			if d == module || strings.HasPrefix(d, module+"/") {
-				t.Errorf("the ingress imports %s", d)
+				t.Errorf("got import of %s in the ingress or its adapter, want none", d)
 			}
 		}
 	}
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	rejectionLatency    = time.Millisecond // of an attempt at a full backend
-	queueLengthPerSlot  = 4                // requests that a backend queues for each that it works on
-	minNormalDrawMean   = 30               // from which a Poisson distribution is drawn as a normal one
-	backendsPerPodGroup = 16               // consecutive backends that share a cell
+	rejectionLatency    = time.Millisecond // latency of an attempt at a full backend
+	queueLengthPerSlot  = 4                // requests that a backend queues for each slot
+	minNormalDrawMean   = 30               // Poisson distributions with a larger mean are drawn as normal ones
+	backendsPerPodGroup = 16               // consecutive backends that share a pod group
+
+	drainingStride = 7 // distance in the list between backends that drain one after another
 
 	endpointIDPrefix = "s-"
 )
 
-// States of an endpoint as they stand on discovery's wire.
+// States of an endpoint in discovery's protocol.
 const (
 	stateServing  = "SERVING"
 	stateDraining = "DRAINING"
 	stateDeleted  = "DELETED"
 )
 
-// backendModel is the backends of a fleet without sockets. What one answers follows from how many requests it has in
-// flight and how warm it is, so that the choice among them matters as it does for real ones. All hollow ingresses of
-// the process share the model; it is safe for concurrent use.
+// backendModel models the backends of a fleet without sockets. The outcome of an attempt depends on the requests that
+// its backend has in flight and on the backend's warm-up, so that the choice of a backend matters as it does with real
+// ones. All hollow ingresses of the process share the model; it is safe for concurrent use.
 type backendModel struct {
-	slots          float64                        // requests that a warm backend works on at once
-	remoteInFlight float64                        // mean number, at each, of requests of ingresses outside this process
-	serviceTime    func(*rand.Rand) time.Duration // of one request where none is queued
+	slots          float64                        // requests that a warm backend processes concurrently
+	remoteInFlight float64                        // mean number of requests at each backend from ingresses outside this process
+	serviceTime    func(*rand.Rand) time.Duration // draws the time that a request takes if none is queued
 	warmUp         standin.WarmUp
 	backends       []modelledBackend
 }
@@ -45,15 +47,15 @@
 	inFlight  atomic.Int32
 	attempts  atomic.Uint64
 	removed   atomic.Bool
-	startedAt atomic.Int64 // in ns, on the clock of the ingresses; 0: long ago
+	startedAt atomic.Int64 // start time in ns on the clock of the ingresses; zero means long ago
 
 	mu           sync.Mutex      // guards coldAttempts
-	coldAttempts []time.Duration // times of the attempts that came during warm-up
+	coldAttempts []time.Duration // times of the attempts during warm-up, in order of arrival
 }
 
-// newBackendModel returns n backends with as many slots as keep half of them busy under a load, in requests a second,
-// of a mean service time. remote says that ingresses outside this process send the load: their requests count as in
-// flight too.
+// newBackendModel returns a model of count backends. Each has as many slots, at least two, as keep half of them busy
+// under requestRate requests a second with the mean service time. loadIsRemote means that ingresses outside this process
+// send these requests, which then count as in flight too.
 func newBackendModel(count int, requestRate float64, meanServiceTime time.Duration, loadIsRemote bool) *backendModel {
 	m := &backendModel{
 		serviceTime: func(rng *rand.Rand) time.Duration {
@@ -70,10 +72,10 @@
 	return m
 }
 
-// endpointID is the identity of backend i in the endpoint list.
+// endpointID returns the id of backend i in the endpoint list.
 func endpointID(i int) string { return fmt.Sprintf("%s%06d", endpointIDPrefix, i) }
 
-// targets returns the endpoint list as discovery has it. The addresses are loopback ones, which nothing dials.
+// targets returns the endpoint list in discovery's form. Its loopback addresses are never dialled.
 func (m *backendModel) targets() []standin.Target {
 	list := make([]standin.Target, len(m.backends))
 	for i := range list {
@@ -89,28 +91,28 @@
 	return target
 }
 
-// newTarget is the entry of backend i in the endpoint list, started long ago.
+// newTarget returns the endpoint-list entry of backend i, which has been running for long.
 func newTarget(i int, addr, state string) standin.Target {
 	return standin.Target{UID: endpointID(i), Endpoint: addr, Zone: zoneName(i), Model: "m1", Group: i / backendsPerPodGroup,
 		State: state, Capacity: 1}
 }
 
-// drainingChange returns the change with an index: with an even one a backend begins to drain, another one each time,
-// and with the next index it serves again.
+// drainingChange returns the change with an index. At an even index a backend begins to drain, another one each time,
+// and at the next index the same backend serves again.
 func (m *backendModel) drainingChange(change int) standin.Target {
 	state := stateDraining
 	if change%2 == 1 {
 		state = stateServing
 	}
-	return m.target(change/2*7%len(m.backends), state)
+	return m.target(change/2*drainingStride%len(m.backends), state)
 }
 
-// removeLastZone takes the backends of the last zone away, and returns the change.
+// removeLastZone removes the backends of the last zone, and returns the change of the endpoint list.
 func (m *backendModel) removeLastZone() []standin.Target {
 	return m.changeLastZone(stateDeleted, func(b *modelledBackend) { b.removed.Store(true) })
 }
 
-// restoreLastZone brings the backends of the last zone back, cold, and returns the change.
+// restoreLastZone starts the backends of the last zone again, cold, and returns the change of the endpoint list.
 func (m *backendModel) restoreLastZone() []standin.Target {
 	return m.changeLastZone(stateServing, func(b *modelledBackend) {
 		b.startedAt.Store(time.Now().Truncate(time.Millisecond).UnixNano())
@@ -136,7 +138,7 @@
 	return &m.backends[i]
 }
 
-// speed returns the share of its full speed that a backend has.
+// speed returns the speed of a backend as a share of its full speed.
 func (m *backendModel) speed(b *modelledBackend, now time.Duration) float64 {
 	startedAt := time.Duration(b.startedAt.Load())
 	if startedAt == 0 {
@@ -145,8 +147,8 @@
 	return m.warmUp.Speed(now - startedAt)
 }
 
-// startAttempt returns how long an attempt will take and how it will end. One that will succeed holds a slot until
-// finishAttempt.
+// startAttempt returns the latency and the outcome that an attempt will have. An attempt that will succeed holds a slot
+// until finishAttempt.
 func (m *backendModel) startAttempt(id policy.EndpointID, now time.Duration,
 	rng *rand.Rand) (time.Duration, policy.AttemptEnded) {
 	b := m.findBackend(id)
@@ -169,7 +171,7 @@
 	return latency, policy.AttemptEnded{Outcome: policy.Succeeded, LoadReport: report}
 }
 
-// finishAttempt gives back the slot of an attempt.
+// finishAttempt releases the slot of an attempt.
 func (m *backendModel) finishAttempt(id policy.EndpointID) {
 	if b := m.findBackend(id); b != nil {
 		b.inFlight.Add(-1)
@@ -185,7 +187,7 @@
 	return counts
 }
 
-// maxColdAttempts returns the largest number of attempts that a backend got within slowStartSpan while it was cold.
+// maxColdAttempts returns the largest number of attempts that a cold backend received within slowStartSpan.
 func (m *backendModel) maxColdAttempts() int {
 	result := 0
 	for i := range m.backends {
@@ -225,7 +227,7 @@
 }
 
 // maxWithinWindow returns the largest number of times that lie within one window. The times are in the order in which
-// the attempts came.
+// the attempts arrived.
 func maxWithinWindow(times []time.Duration, window time.Duration) int {
 	result, oldest := 0, 0
 	for i, t := range times {
--- a/internal/scale/backend_model_test.go
+++ b/internal/scale/backend_model_test.go
@@ -8,7 +8,7 @@
 	"lemontack/policy"
 )
 
-func TestModelledBackendRejectsWhatItCannotQueue(t *testing.T) {
+func TestModelledBackendRejectsAttemptsBeyondItsQueue(t *testing.T) {
 	m := newBackendModel(2, 1, meanServiceTime, false)
 	m.slots, m.serviceTime = 4, func(*rand.Rand) time.Duration { return meanServiceTime }
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -24,12 +24,12 @@
 	}
 	warm, slowest := fill(0)
 	if want := 4 * (1 + queueLengthPerSlot); warm != want || slowest != meanServiceTime*(1+queueLengthPerSlot) {
-		t.Errorf("a warm one holds %d, the last takes %v; want %d and %v", warm, slowest, want,
+		t.Errorf("warm backend: got %d accepted, the last with latency %v; want %d and %v", warm, slowest, want,
 			meanServiceTime*(1+queueLengthPerSlot))
 	}
 	m.backends[1].startedAt.Store(int64(simulatedStart))
 	if cold, _ := fill(1); cold >= warm || cold == 0 {
-		t.Errorf("a cold one holds %d, a warm one %d", cold, warm)
+		t.Errorf("cold backend: got %d accepted, want fewer than the %d of a warm one, but some", cold, warm)
 	}
 }
 
@@ -38,7 +38,7 @@
 	m.backends[0].removed.Store(true)
 	rng := rand.New(rand.NewPCG(1, 1))
 	if _, end := m.startAttempt("s-000000", simulatedStart, rng); end.Outcome != policy.ConnectFailed {
-		t.Errorf("outcome %v", end.Outcome)
+		t.Errorf("got outcome %v, want ConnectFailed", end.Outcome)
 	}
 }
 
@@ -54,7 +54,7 @@
 		{[]time.Duration{0, 1, 2, 9 * second}, 3},
 	} {
 		if got := maxWithinWindow(c.times, second); got != c.want {
-			t.Errorf("%v: %d within a second, want %d", c.times, got, c.want)
+			t.Errorf("%v: got %d within a second, want %d", c.times, got, c.want)
 		}
 	}
 }
--- a/internal/scale/child_process.go
+++ b/internal/scale/child_process.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// exitTimeout is how long a child may take to end before it is killed.
+// exitTimeout is the time that a child has to exit before it is killed.
 const exitTimeout = 2 * time.Second
 
-// childProcess is a process that the run started. It and all that it starts in its turn end with the run.
+// childProcess is a process that the run started. It and the processes that it starts itself end with the run.
 type childProcess struct {
 	cmd     *exec.Cmd
 	monitor *resourceMonitor
-	exited  chan struct{} // closed after the end of the process
-	exitErr error         // of its end; read after exited
+	exited  chan struct{} // closed after the process has exited
+	exitErr error         // result of cmd.Wait; read only after exited is closed
 }
 
-// startChild starts the command that newCommand returns. It is killed when ctx ends.
+// startChild starts the command that newCommand returns. The process is killed when ctx ends.
 func startChild(ctx context.Context, monitor *resourceMonitor,
 	newCommand func(context.Context) *exec.Cmd) (*childProcess, error) {
-	c := &childProcess{cmd: newCommand(ctx), monitor: monitor, exited: make(chan struct{})}
-	// A process group of its own keeps Ctrl-C from the child: that is for the run, which then ends its children.
-	// Pdeathsig ends the child where the run itself is killed.
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	c.cmd.Cancel = c.kill
-	c.cmd.WaitDelay = exitTimeout
-	if err := c.cmd.Start(); err != nil {
+	child := &childProcess{cmd: newCommand(ctx), monitor: monitor, exited: make(chan struct{})}
+	// In a process group of its own the child does not receive the SIGINT of Ctrl-C: the run handles that signal and
+	// stops its children. Pdeathsig kills the child if the run itself is killed.
+	child.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	child.cmd.Cancel = child.kill
+	child.cmd.WaitDelay = exitTimeout
+	if err := child.cmd.Start(); err != nil {
 		return nil, err
 	}
-	monitor.addProcess(c.pid())
-	go func() { // ends with the process; whoever ends that waits for exited
-		defer close(c.exited)
-		c.exitErr = c.cmd.Wait()
-		monitor.removeProcess(c.pid())
+	monitor.addProcess(child.pid())
+	go func() { // ends with the process; the code that stops the process waits for exited
+		defer close(child.exited)
+		child.exitErr = child.cmd.Wait()
+		monitor.removeProcess(child.pid())
 	}()
-	return c, nil
+	return child, nil
 }
 
 func (child *childProcess) pid() int { return child.cmd.Process.Pid }
 
-// kill ends the process and all others of its group.
+// kill kills the process and all others in its group.
 func (child *childProcess) kill() error {
 	err := syscall.Kill(-child.pid(), syscall.SIGKILL)
 	if errors.Is(err, syscall.ESRCH) {
@@ -52,12 +52,12 @@
 	return err
 }
 
-// waitOrKill returns once the process has ended; it is killed if that takes longer than the timeout.
+// waitOrKill waits until the process has exited, and kills it after the timeout.
 func (child *childProcess) waitOrKill(timeout time.Duration) {
 	select {
 	case <-child.exited:
 	case <-time.After(timeout):
-		child.kill() // an error means that it has ended
+		child.kill() // an error means that it has already exited
 		<-child.exited
 	}
 }
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	compareServiceTime    = 5 * time.Millisecond // of every request, so that the rest of its latency is what was added
+	compareServiceTime    = 5 * time.Millisecond // time of every request at a backend; the rest of its latency is added latency
 	compareDuration       = 8 * time.Second
 	compareIdleDuration   = 4 * time.Second
 	compareWarmUpDuration = 3 * time.Second
-	compareBackendSlots   = 1000 // of each backend: no request is queued
+	compareBackendSlots   = 1000 // slots of each backend, so many that no request is queued
 	compareSweepTitle     = "real and hollow, the same point"
 	compareRatioLabel     = "hollow / real"
 )
 
-// Figures of the comparison alone.
+// Names of figures that only the comparison has.
 const (
 	figureRequestCost = "request: processor"
 	figureIdleCost    = "idle second"
@@ -28,7 +28,7 @@
 	figureMemory      = "memory, each"
 )
 
-// compareJobs measure real ingresses and hollow ones under the same load, and then relate their figures.
+// compareJobs returns points of real and of hollow ingresses under the same load, and a point of their ratios.
 func (r *Run) compareJobs() []job {
 	var realPoint, hollowPoint *Point
 	n := formatNumber(float64(r.RealIngresses))
@@ -57,15 +57,16 @@
 	}
 }
 
-// addRatios adds what part of a real ingress's figures a hollow one shows. A point is nil if it was not begun.
+// addRatios adds the ratios of the hollow figures to the real ones. A point is nil if its measurement was not started.
 func addRatios(p, realPoint, hollowPoint *Point) {
 	if realPoint == nil || hollowPoint == nil || realPoint.SkipReason != "" || hollowPoint.SkipReason != "" {
-		p.SkipReason = "one of the two was not measured"
+		p.SkipReason = "the real or the hollow point was not measured"
 		return
 	}
-	for _, f := range realPoint.Figures {
-		if g, ok := hollowPoint.findFigure(f.Role, f.Name); ok && g.Unit == f.Unit && f.Value != 0 {
-			p.addFigureWithoutFit(f.Role, f.Name, f.Unit, g.Value/f.Value)
+	for _, realFigure := range realPoint.Figures {
+		if hollowFigure, ok := hollowPoint.findFigure(realFigure.Role, realFigure.Name); ok &&
+			hollowFigure.Unit == realFigure.Unit && realFigure.Value != 0 {
+			p.addFigureWithoutFit(realFigure.Role, realFigure.Name, realFigure.Unit, hollowFigure.Value/realFigure.Value)
 		}
 	}
 }
@@ -74,15 +75,15 @@
 	return fleetShape{Ingresses: r.RealIngresses, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
 }
 
-// comparison is what real and hollow ingresses are compared by.
+// comparison holds the results by which real and hollow ingresses are compared.
 type comparison struct {
 	requests, rejected, failed, attempts float64
-	cpuTime                              time.Duration // for the requests
-	idleCPUPerSecond                     float64       // seconds, of each ingress
+	cpuTime                              time.Duration // CPU time of all ingresses under load
+	idleCPUPerSecond                     float64       // seconds of CPU time of each ingress
 	counterCalls                         float64
-	listBytes                            float64 // that discovery sent to each ingress until it was ready
-	memory                               float64 // bytes, of each ingress
-	busiestToMean                        float64 // its attempts, in the mean of all backends
+	listBytes                            float64 // bytes that discovery sent to each ingress until it was ready
+	memory                               float64 // bytes of each ingress
+	busiestToMean                        float64 // attempts at the busiest backend, in multiples of the mean of all backends
 	addedLatency                         func(quantile float64) (ms float64)
 }
 
@@ -103,7 +104,7 @@
 	p.addFigureWithoutFit(roleRun, "requests", "", c.requests)
 }
 
-// measureHollowIngresses measures hollow ingresses under the load under which the real ones are measured.
+// measureHollowIngresses measures hollow ingresses under the same load as the real ones.
 func (r *Run) measureHollowIngresses(ctx context.Context, p *Point) error {
 	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
 	backends.slots = compareBackendSlots
@@ -117,8 +118,8 @@
 	if err != nil {
 		return err
 	}
-	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration), r.scaleForQuickRun(compareWarmUpDuration),
-		r.scaleForQuickRun(compareDuration))
+	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration),
+		r.scaleForQuickRun(compareWarmUpDuration), r.scaleForQuickRun(compareDuration))
 	if err != nil {
 		return err
 	}
@@ -138,7 +139,7 @@
 		busiestToMean:    busiestToMean,
 		addedLatency:     func(quantile float64) float64 { return quantileMS(addedLatency, quantile) },
 	})
-	p.addNote("memory is heap and stacks; added is from the arrival to the first attempt")
+	p.addNote("memory: heap and stacks; added latency: from the arrival to the first attempt")
 	return nil
 }
 
@@ -177,15 +178,15 @@
 		return quantileMS(viaIngresses, quantile) - quantileMS(direct, quantile)
 	}
 	r.addComparison(p, c)
-	p.addNote("added is what clients see beyond the backend's %v, less what they see of a backend called directly at the"+
-		" same time (p50 %.2f ms, p99 %.2f ms); memory is resident", compareServiceTime,
+	p.addNote("added latency: seen by clients beyond the backend's %v, less that of a backend called directly at the"+
+		" same time (p50 %.2f ms, p99 %.2f ms); memory: resident", compareServiceTime,
 		quantileMS(direct, 50), quantileMS(direct, 99))
 	return nil
 }
 
-// runRealLoad sends requests through all real ingresses, first unmeasured and then measured. Beside the measured ones
-// a further generator calls a backend directly, so that whatever else the machine does meets both. The results are the
-// latencies of both beyond the service time.
+// runRealLoad sends requests through all real ingresses, first without and then with measurement. During the measurement
+// another generator calls a backend directly, so that other load on the machine affects both. The results are the
+// latencies beyond the service time of the requests through ingresses and of the direct ones.
 func (r *Run) runRealLoad(ctx context.Context, f *realFleet, p *Point, c *comparison) (through,
 	direct *hdrhistogram.Histogram, err error) {
 	directGenerator := newLoadGenerator(f.directAddr, 0)
@@ -218,16 +219,15 @@
 		c.memory += float64(residentMemory(ingress.pid())) / float64(len(f.ingresses))
 	}
 	if after.mismatched > 0 {
-		p.addNote("%v requests were served with what no backend made for them", after.mismatched)
+		p.addNote("%v requests were served with a value that no backend made for them", after.mismatched)
 	}
 	return mergeAddedLatency(p, generators), directGenerator.addedLatency, nil
 }
 
-// runGenerators lets all generators send requests, and returns once all requests have ended. The round makes their
-// random numbers differ from those of other rounds.
+// runGenerators runs all generators, and returns once all requests have ended. Each round draws other random numbers.
 func (r *Run) runGenerators(ctx context.Context, generators []*loadGenerator, d time.Duration, round uint64) {
 	shape := r.compareShape()
-	var running sync.WaitGroup // a goroutine for each generator, which ends with its duration or ctx
+	var running sync.WaitGroup // one goroutine for each generator; it ends after its duration or with ctx
 	for _, g := range generators {
 		rng := rand.New(rand.NewPCG(r.Seed, uint64(g.index)<<8|round))
 		tenants := shape.tenantsOf(max(0, g.index-1))
@@ -236,7 +236,7 @@
 	running.Wait()
 }
 
-// mergeAddedLatency returns the times of all generators, and adds a note for each that had failures.
+// mergeAddedLatency merges the latencies of all generators, and adds a note for each generator with failures.
 func mergeAddedLatency(p *Point, generators []*loadGenerator) *hdrhistogram.Histogram {
 	merged := newHistogram()
 	for _, g := range generators {
@@ -248,7 +248,7 @@
 	return merged
 }
 
-// setLoadResults sets what follows from the counters before and after the measured load.
+// setLoadResults sets the results that follow from the counters before and after the measured load.
 func (c *comparison) setLoadResults(before, after realCounters) {
 	c.requests = after.requests - before.requests
 	c.rejected = after.rejected - before.rejected
@@ -258,8 +258,8 @@
 	c.attempts, c.busiestToMean = attemptSpread(before.attempts, after.attempts)
 }
 
-// attemptSpread returns the number of attempts at all backends between two readings, and that of the busiest backend
-// in multiples of the mean.
+// attemptSpread returns the number of attempts at all backends between two readings, and the number at the busiest
+// backend in multiples of the mean.
 func attemptSpread(before, after []uint64) (sum, busiest float64) {
 	for i := range after {
 		n := float64(after[i] - before[i])
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// comparedPoints returns a real and a hollow point with one figure that can be related, and others that cannot.
+// comparedPoints returns a real and a hollow point with one figure that has a ratio, and others without a ratio.
 func comparedPoints() (realPoint, hollowPoint *Point) {
 	realPoint, hollowPoint = &Point{}, &Point{}
 	realPoint.addFigure(roleIngress, figureRequestCost, "µs", 200, 1)
@@ -17,11 +17,11 @@
 	var p Point
 	addRatios(&p, new(Point), new(Point))
 	if p.SkipReason != "" || len(p.Figures) > 0 {
-		t.Errorf("%+v; ratios of no figures", p)
+		t.Errorf("got %+v, want no ratios of points without figures", p)
 	}
 	realPoint, hollowPoint := comparedPoints()
 	if addRatios(&p, realPoint, hollowPoint); p.SkipReason != "" || len(p.Figures) != 1 || p.Figures[0].Value != 0.25 {
-		t.Errorf("%+v; want one ratio of 0.25", p)
+		t.Errorf("got %+v, want one ratio of 0.25", p)
 	}
 }
 
@@ -30,6 +30,6 @@
 	realPoint, hollowPoint := comparedPoints()
 	realPoint.SkipReason = "failed"
 	if addRatios(&p, realPoint, hollowPoint); p.SkipReason == "" || len(p.Figures) > 0 {
-		t.Errorf("%+v; a ratio to what was not measured", p)
+		t.Errorf("got %+v, want a reason to skip and no ratio to a point that was not measured", p)
 	}
 }
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -11,9 +11,9 @@
 	"lemontack/policy"
 )
 
-// What the hollow ingresses share with a real one, its clients of discovery and of the counter, passes through the types below.
+// The types below wrap the clients of discovery and of the counter, which hollow ingresses share with real ones.
 
-// endpointUpdate is a list of endpoints, or a change of some, on its way to a decision module.
+// endpointUpdate is a complete list of endpoints, or a change of some, on its way to a decision module.
 type endpointUpdate struct{ list discovery.EndpointList }
 
 // newSnapshot returns a complete list of endpoints.
@@ -21,7 +21,7 @@
 	return endpointUpdate{discovery.EndpointList{Revision: revision, Snapshot: true, Entries: listEntries(targets)}}
 }
 
-// newChange returns a change of the listed endpoints alone.
+// newChange returns a change of the given endpoints only.
 func newChange(revision int64, targets ...standin.Target) endpointUpdate {
 	return endpointUpdate{discovery.EndpointList{Revision: revision, Entries: listEntries(targets)}}
 }
@@ -38,26 +38,26 @@
 func (update endpointUpdate) isSnapshot() bool { return update.list.Snapshot }
 func (update endpointUpdate) size() int        { return len(update.list.Entries) }
 
-// event returns the update as the decision module receives it.
+// event returns the update as an event of the decision module.
 func (update endpointUpdate) event() policy.EndpointsChanged { return update.list.PolicyEvent() }
 
-// endpointSubset is what an ingress keeps of discovery's list.
+// endpointSubset is the part of discovery's list that an ingress keeps.
 type endpointSubset struct{ cache *discovery.Cache }
 
 func newEndpointSubset(settings policy.Settings) endpointSubset {
 	return endpointSubset{discovery.NewCache(settings, slog.New(slog.DiscardHandler))}
 }
 
-// apply returns the part of an update that the decision module learns of, which may be empty.
+// apply returns the part of an update that the decision module receives, which may be empty.
 func (s endpointSubset) apply(u endpointUpdate) endpointUpdate {
 	return endpointUpdate{s.cache.Apply(u.list)}
 }
 
-// clientConfig says what the clients of discovery and of the counter of one ingress connect to.
+// clientConfig configures the clients of discovery and of the counter of one ingress.
 type clientConfig struct {
 	discoveryAddr string
 	counterAddr   string
-	knownList     endpointUpdate // the list that the ingress's configuration holds
+	knownList     endpointUpdate // endpoint list in the ingress's configuration
 	settings      policy.Settings
 }
 
@@ -67,7 +67,7 @@
 	counter   *counterclient.Client
 }
 
-// newControlClients prepares both clients; they post an endpointUpdate or a counterResult from goroutines of their own.
+// newControlClients returns both clients, not connected yet. They call post from goroutines of their own.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
 	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.knownList.list, Settings: cfg.settings}
 	return controlClients{
@@ -78,7 +78,7 @@
 	}
 }
 
-// applyKnownList returns what the decision module learns of the cached list; it comes before run.
+// applyKnownList returns the part of the known list that the decision module receives. It is called before run.
 func (clients controlClients) applyKnownList(knownList endpointUpdate) endpointUpdate {
 	return endpointUpdate{clients.discovery.ApplyKnownList(knownList.list)}
 }
@@ -96,14 +96,14 @@
 	return counterCall{clients.counter.Increment(a)}
 }
 
-// counterCall is a call of the counter that is in flight.
+// counterCall is a pending call of the counter.
 type counterCall struct{ call *counterclient.Call }
 
-// expire ends the call at its timeout; it returns false where the call has had its reply.
+// expire ends the call at its timeout; it returns false if the call already has its reply.
 func (cc counterCall) expire() (policy.CounterReply, bool) { return cc.call.Expire().Reply() }
 
-// counterResult is the end of a call of the counter.
+// counterResult is the result of a call of the counter.
 type counterResult struct{ result counterclient.Result }
 
-// reply is the decision module's event; it returns false where the call has ended at its timeout.
+// reply returns the event for the decision module, or false if the call already ended at its timeout.
 func (res counterResult) reply() (policy.CounterReply, bool) { return res.result.Reply() }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	minFitPoints                = 3    // there is a line through any two
-	maxRelativeDeviation        = 0.2  // of a point from its line, as a share of its value
-	maxSquaredRelativeDeviation = 1e12 // of a deviation, so that values of almost 0 do not make the mean infinite
-	slopeTableFactor            = 1000 // the tables show slopes per so many
+	minFitPoints                = 3    // any two points lie on a line
+	maxRelativeDeviation        = 0.2  // deviation of a point from its line, as a share of the point's value
+	maxSquaredRelativeDeviation = 1e12 // limit that keeps the mean finite for values near 0
+	slopeTableFactor            = 1000 // size units for which the tables show a slope
 )
 
-// Fit is a line through the points of a figure, by least squares.
+// Fit is a line fitted to the points of a figure by least squares.
 type Fit struct {
 	Sweep            string   `json:"sweep"`
 	Role             string   `json:"role"`
@@ -26,11 +26,11 @@
 	Intercept        float64  `json:"intercept"`
 	R2               float64  `json:"r2"`
 	Residual         float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
-	RelativeResidual float64  `json:"relative_residual"`      // the same for deviations as shares of the values
-	Outliers         []string `json:"does_not_fit,omitempty"` // points that lie off the line by more than maxDeviation
+	RelativeResidual float64  `json:"relative_residual"`      // root mean square of the deviations as shares of the values
+	Outliers         []string `json:"does_not_fit,omitempty"` // points beyond maxRelativeDeviation of the line
 }
 
-// fitLine fits y against x. It returns false where there are too few points or no line.
+// fitLine fits y against x. It returns false if there are too few points or no line exists.
 func fitLine(x, y []float64) (Fit, bool) {
 	if len(x) < minFitPoints {
 		return Fit{}, false
@@ -38,7 +38,7 @@
 	f := Fit{Points: len(x)}
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
 	f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope)
-	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are the same
+	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are equal
 		f.R2 = 1
 	}
 	squares, relativeSquares := 0.0, 0.0
@@ -51,7 +51,7 @@
 		squares += deviation * deviation
 		relativeSquares += min(relativeDeviation*relativeDeviation, maxSquaredRelativeDeviation)
 		if math.Abs(relativeDeviation) > maxRelativeDeviation {
-			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], predicted))
+			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line predicts %.4g", formatNumber(x[i]), y[i], predicted))
 		}
 	}
 	f.Residual = math.Sqrt(squares / float64(len(x)))
@@ -60,10 +60,10 @@
 	return f, ok
 }
 
-// series is the values of a figure by the size of the points.
+// series holds the values of a figure with the sizes of their points.
 type series struct{ sizes, values []float64 }
 
-// fitFigures returns a line for each figure that a sweep has at enough points, in the order in which the figures come first.
+// fitFigures returns a line for each figure that a sweep has at enough points, in the order of their first points.
 func fitFigures(points []*Point) []Fit {
 	type figureKey struct{ sweep, role, name, unit, sizeUnit string }
 	var keys []figureKey
@@ -73,12 +73,12 @@
 			if p.SizeUnit == "" || f.ExcludedFromFit {
 				continue
 			}
-			k := figureKey{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
-			s := seriesOf[k]
+			key := figureKey{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
+			s := seriesOf[key]
 			if s == nil {
 				s = &series{}
-				seriesOf[k] = s
-				keys = append(keys, k)
+				seriesOf[key] = s
+				keys = append(keys, key)
 			}
 			s.sizes = append(s.sizes, p.Size)
 			s.values = append(s.values, f.Value)
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -16,7 +16,7 @@
 	}{
 		{"a line", []float64{1, 2, 3, 4}, []float64{5, 7, 9, 11}, 2, 3, true, 0, false},
 		{"a constant", []float64{1, 2, 3}, []float64{4, 4, 4}, 0, 4, true, 0, false},
-		{"nothing", []float64{1, 2, 3}, []float64{0, 0, 0}, 0, 0, true, 0, false},
+		{"all zero", []float64{1, 2, 3}, []float64{0, 0, 0}, 0, 0, true, 0, false},
 		{"a square", []float64{0, 1, 2, 3}, []float64{0, 1, 4, 9}, 3, -1, false, 3, false},
 		{"two points", []float64{1, 2}, []float64{1, 2}, 0, 0, false, 0, true},
 		{"one size only", []float64{2, 2, 2}, []float64{1, 2, 3}, 0, 0, false, 0, true},
@@ -24,25 +24,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			f, ok := fitLine(c.x, c.y)
 			if ok == c.noFit {
-				t.Fatalf("a fit %v, want %v", ok, !c.noFit)
+				t.Fatalf("got a fit: %v, want %v", ok, !c.noFit)
 			}
 			if !ok {
 				return
 			}
 			if math.Abs(f.Slope-c.slope) > 1e-9 || math.Abs(f.Intercept-c.intercept) > 1e-9 {
-				t.Errorf("%v x + %v, want %v x + %v", f.Slope, f.Intercept, c.slope, c.intercept)
+				t.Errorf("got %v x + %v, want %v x + %v", f.Slope, f.Intercept, c.slope, c.intercept)
 			}
 			if exact := f.Residual < 1e-9 && f.R2 > 1-1e-9; exact != c.exact {
-				t.Errorf("residual %v, R2 %v, want exact %v", f.Residual, f.R2, c.exact)
+				t.Errorf("got residual %v, R2 %v; want an exact fit: %v", f.Residual, f.R2, c.exact)
 			}
 			if len(f.Outliers) != c.outliers {
-				t.Errorf("outliers %q, want %d", f.Outliers, c.outliers)
+				t.Errorf("got outliers %q, want %d", f.Outliers, c.outliers)
 			}
 		})
 	}
 }
 
-func TestFitsTakeOnlyCostsOfPointsWithASize(t *testing.T) {
+func TestFitFiguresUsesOnlyCostsOfPointsWithASizeUnit(t *testing.T) {
 	var points []*Point
 	for i, sizeUnit := range []string{"backends", "backends", "backends", ""} {
 		p := &Point{Sweep: "s", SizeUnit: sizeUnit, Size: float64(i)}
@@ -50,9 +50,9 @@
 		p.addFigureWithoutFit(roleRun, "played", "", float64(i))
 		points = append(points, p)
 	}
-	points[3].Figures[0].Value = 1e6 // as of a point that was cut short
+	points[3].Figures[0].Value = 1e6 // as for a point that was cut short
 	list := fitFigures(points)
 	if len(list) != 1 || list[0].Points != 3 || math.Abs(list[0].Slope-2) > 1e-9 || list[0].SizeUnit != "backends" {
-		t.Errorf("fits %+v, want one of slope 2 through 3 points", list)
+		t.Errorf("got fits %+v, want one of slope 2 through 3 points", list)
 	}
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	counterLatency   = 500 * time.Microsecond // of the simulated counter, from a call to its reply
-	simulatedStart   = 500_000 * time.Hour    // of the simulated clock, so that a backend started at 0 has long been warm
-	replyGracePeriod = 8 * time.Millisecond   // a client's patience beyond the deadline of its request
+	counterLatency   = 500 * time.Microsecond // time from a call of the simulated counter to its reply
+	simulatedStart   = 500_000 * time.Hour    // start of the simulated clock; late enough that a backend started at 0 is warm
+	replyGracePeriod = 8 * time.Millisecond   // time that a client waits beyond the deadline of its request
 )
 
 // hollowIngress is an ingress without sockets to clients and backends: the real decision module with drawn requests and
-// modelled backends. On a simulated clock, which advance moves, its counter is a table; once connected it runs in real
-// time and has real clients of discovery and of the counter. It belongs to one goroutine, except for post and do.
+// modelled backends. On a simulated clock, which advance moves, its counter is a table in memory; once connected it runs
+// in real time and has real clients of discovery and of the counter. One goroutine owns it; other goroutines may call
+// only post and runInEventLoop.
 type hollowIngress struct {
-	index    int // of the ingress in its fleet
+	index    int // index in the fleet
 	settings policy.Settings
 	gateway  *policy.Gateway
 	rng      *rand.Rand
@@ -27,51 +28,51 @@
 	recorder *timeRecorder
 	tally    tally
 
-	now    time.Duration // on its clock: Unix time, or the simulated one
+	now    time.Duration // Unix time, or the time of the simulated clock
 	timers *minheap.Heap[*timer]
 
 	tenants          []tenant
-	requestRate      float64 // requests a second; 0: none arrive
+	requestRate      float64 // requests per second; zero means that none arrive
 	arrivalScheduled bool
-	requests         map[policy.RequestID]*request // that have not ended or have attempts in flight
+	requests         map[policy.RequestID]*request // requests that are not finished or have attempts in flight
 	lastRequestID    policy.RequestID
 
-	queuedEvents []policy.Event  // for the decision module
-	actions      []policy.Action // its answer to the last event; reused for its memory
-	eventStart   time.Time       // when the module received its last event
+	queuedEvents []policy.Event  // events for the decision module
+	actions      []policy.Action // result of the last event; the slice is reused
+	eventStart   time.Time       // time at which the module received its last event
 
-	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // the current list; only where the module fetches lists
-	subset              endpointSubset                        // on a simulated clock; live it is the client's
-	gatewaysPerEndpoint float64                               // of the last update
+	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // current list; empty unless the module polls endpoints
+	subset              endpointSubset                        // used on a simulated clock; in real time the client has its own
+	gatewaysPerEndpoint float64                               // value of the last update
 	appliedRevisions    []appliedRevision
 
-	counterTable *standin.CounterTable // on a simulated clock; nil once connected
+	counterTable *standin.CounterTable // nil once connected
 	live         *liveConnection       // nil on a simulated clock
 }
 
-// appliedRevision is a revision of the endpoint list and when it was made or came to an ingress.
+// appliedRevision is a revision of the endpoint list with the time at which it was made or reached an ingress.
 type appliedRevision struct {
 	revision int64
 	at       time.Time
 }
 
-// request is a request that the decision module knows.
+// request is a request that the decision module handles.
 type request struct {
 	arrivedAt time.Duration
 	attempts  []attempt
-	inFlight  int  // of the attempts
-	finished  bool // or given up by the client
+	inFlight  int  // attempts that have not ended
+	finished  bool // answered, rejected, failed or abandoned by the client
 }
 
 // attempt is one attempt of a request at a backend.
 type attempt struct {
 	endpoint  policy.EndpointID
 	sentAt    time.Duration
-	holdsSlot bool // at the backend
+	holdsSlot bool // the attempt occupies a slot of the backend
 	ended     bool
 }
 
-// newHollowIngress returns the ingress with an index of the fleet, on a simulated clock.
+// newHollowIngress returns the ingress at an index of the fleet, on a simulated clock.
 func newHollowIngress(shape fleetShape, index int, backends *backendModel, recorder *timeRecorder,
 	seed uint64) (*hollowIngress, error) {
 	settings, err := shape.policySettings(index)
@@ -99,19 +100,19 @@
 	}, nil
 }
 
-// loadEndpoints gives the decision module the list of endpoints that a configuration holds.
+// loadEndpoints passes the endpoint list of a configuration to the decision module.
 func (h *hollowIngress) loadEndpoints(targets []standin.Target) {
 	h.applyUpdate(newSnapshot(0, targets))
 }
 
-// applyUpdate gives the decision module its subset of a list or a change.
+// applyUpdate passes the ingress's subset of a list or a change to the decision module.
 func (h *hollowIngress) applyUpdate(update endpointUpdate) {
 	if update = h.subset.apply(update); update.isSnapshot() || update.size() > 0 {
 		h.deliverUpdate(update)
 	}
 }
 
-// deliverUpdate gives a list or a change to the decision module as it is.
+// deliverUpdate passes a list or a change to the decision module unfiltered, and records its revision.
 func (h *hollowIngress) deliverUpdate(update endpointUpdate) {
 	event := update.event()
 	h.gatewaysPerEndpoint = event.GatewaysPerEndpoint
@@ -136,10 +137,10 @@
 	}
 }
 
-// enqueue adds an event for the decision module; handleQueued passes it on.
+// enqueue adds an event for the decision module, which handleQueued delivers.
 func (h *hollowIngress) enqueue(event policy.Event) { h.queuedEvents = append(h.queuedEvents, event) }
 
-// handleQueued passes the queued events to the decision module and performs its actions, which may queue further ones.
+// handleQueued passes the queued events to the decision module and performs its actions, which may queue more events.
 func (h *hollowIngress) handleQueued() {
 	for i := 0; i < len(h.queuedEvents); i++ {
 		event := h.queuedEvents[i]
@@ -150,11 +151,11 @@
 			h.perform(action)
 		}
 	}
-	clear(h.queuedEvents) // so that the slice keeps no event alive
+	clear(h.queuedEvents) // releases the events for garbage collection
 	h.queuedEvents = h.queuedEvents[:0]
 }
 
-// countEvent adds an event to the tally and returns the metric that its handling counts to.
+// countEvent adds an event to the tally and returns the metric of its handling time.
 func (h *hollowIngress) countEvent(event policy.Event) metric {
 	switch event := event.(type) {
 	case policy.Arrival:
@@ -175,7 +176,6 @@
 	return metricAttemptEnd
 }
 
-// perform carries out an action of the decision module.
 func (h *hollowIngress) perform(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
@@ -195,8 +195,8 @@
 	}
 }
 
-// enqueueCachedEndpoints answers the module's wish for the list: the watch is always open, so that the cached list is
-// the current one.
+// enqueueCachedEndpoints queues the endpoint list that the module requested. The watch is always open, so that the
+// cached list is the current one.
 func (h *hollowIngress) enqueueCachedEndpoints() {
 	event := policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
 	for _, e := range h.cachedEndpoints {
@@ -205,7 +205,7 @@
 	h.enqueue(event)
 }
 
-// generateRequest draws a request that was due at a time and gives it to the decision module.
+// generateRequest draws a request that arrived when due and queues it for the decision module.
 func (h *hollowIngress) generateRequest(due time.Duration) {
 	newRequest := drawRequest(h.rng, h.tenants, due)
 	h.lastRequestID++
@@ -216,7 +216,7 @@
 	h.timers.Push(&timer{at: newRequest.Deadline + replyGracePeriod, kind: clientTimeoutTimer, requestID: newRequest.ID})
 }
 
-// startAttempt sends an attempt to its modelled backend and schedules its end.
+// startAttempt starts an attempt at its modelled backend and schedules its end.
 func (h *hollowIngress) startAttempt(send policy.Send) {
 	r := h.requests[send.ID]
 	if r == nil {
@@ -239,7 +239,7 @@
 	h.schedule(latency, timer{kind: attemptEndTimer, requestID: send.ID, attempt: len(r.attempts) - 1, outcome: outcome})
 }
 
-// endAttempt tells the decision module how an attempt ended; an attempt that has ended already is left alone.
+// endAttempt reports the end of an attempt to the decision module. It does nothing if the attempt has already ended.
 func (h *hollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
 	r := h.requests[id]
 	if r == nil || index >= len(r.attempts) || r.attempts[index].ended {
@@ -261,7 +261,7 @@
 	h.removeIfDone(id, r)
 }
 
-// finishRequest ends a request without a backend's answer and counts it.
+// finishRequest ends a request without a backend's answer and increments the count of that outcome.
 func (h *hollowIngress) finishRequest(id policy.RequestID, outcomeCount *uint64) {
 	if r := h.requests[id]; r != nil && !r.finished {
 		*outcomeCount++
@@ -270,7 +270,7 @@
 	}
 }
 
-// disconnectClient ends a request whose client has waited in vain; one that has been answered is left alone.
+// disconnectClient ends a request whose client no longer waits. It does nothing if the request is already finished.
 func (h *hollowIngress) disconnectClient(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && !r.finished {
 		h.tally.Unanswered++
@@ -286,10 +286,10 @@
 	}
 }
 
-// clearCounterTable forgets all totals of the simulated counter.
+// clearCounterTable discards all totals of the simulated counter.
 func (h *hollowIngress) clearCounterTable() { h.counterTable = standin.NewCounterTable() }
 
-// incrementCounter calls the real counter, or the table in its place.
+// incrementCounter calls the real counter, or updates the table that replaces it on a simulated clock.
 func (h *hollowIngress) incrementCounter(a policy.IncrementCounter) {
 	h.tally.CounterCalls++
 	if h.live != nil {
--- a/internal/scale/hollow_live.go
+++ b/internal/scale/hollow_live.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	eventQueueLength = 256       // events posted to a hollow ingress that its goroutine has not taken yet
-	maxIdleWait      = time.Hour // of the event loop where no timer is set
+	eventQueueLength = 256       // limit of posted events that wait for the goroutine of a hollow ingress
+	maxIdleWait      = time.Hour // longest wait of the event loop, used if no timer is set
 )
 
-// errIngressStopped says that a hollow ingress no longer runs.
-var errIngressStopped = errors.New("hollow ingress has ended")
+// errIngressStopped reports that a hollow ingress no longer runs.
+var errIngressStopped = errors.New("hollow ingress has stopped")
 
-// liveConnection is what a hollow ingress has beyond the simulated one: real time and real clients.
+// liveConnection is the state that a hollow ingress has only in real time: its clients and its event loop.
 type liveConnection struct {
 	clients   controlClients
 	events    chan clientEvent
@@ -24,7 +24,7 @@
 	startedAt time.Time
 }
 
-// clientEvent is what the goroutine of a hollow ingress receives: an endpointUpdate, a counterResult or a task.
+// clientEvent is an event for the goroutine of a hollow ingress: an endpointUpdate, a counterResult or a task.
 type clientEvent interface{ deliver(*hollowIngress) }
 
 func (update endpointUpdate) deliver(h *hollowIngress) { h.deliverUpdate(update) }
@@ -41,7 +41,7 @@
 
 func (run task) deliver(*hollowIngress) { run() }
 
-// connect prepares an ingress for real time, with clients of discovery and of the counter. run then runs it.
+// connect switches an ingress to real time, with clients of discovery and of the counter. It is called before run.
 func (h *hollowIngress) connect(discoveryAddr, counterAddr string, knownList endpointUpdate, log *slog.Logger) {
 	h.live = &liveConnection{
 		events:    make(chan clientEvent, eventQueueLength),
@@ -54,7 +54,7 @@
 	h.live.clients = newControlClients(config, h.live.post, log)
 }
 
-// post passes an event to the goroutine of the ingress; once that has ended the event is dropped.
+// post sends an event to the goroutine of the ingress. After the event loop has ended, the event is dropped.
 func (live *liveConnection) post(event clientEvent) {
 	select {
 	case live.events <- event:
@@ -62,7 +62,7 @@
 	}
 }
 
-// runInEventLoop runs f on the goroutine of a connected ingress and waits for its end.
+// runInEventLoop runs f on the goroutine of a connected ingress and waits until f has returned.
 func (h *hollowIngress) runInEventLoop(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
 	h.live.post(task(func() { f(); close(finished) }))
@@ -76,7 +76,7 @@
 	}
 }
 
-// clock returns Unix time that does not jump with the system's clock.
+// clock returns the Unix time, unaffected by later adjustments of the system clock.
 func (live *liveConnection) clock() time.Duration {
 	return time.Duration(live.startedAt.UnixNano()) + time.Since(live.startedAt)
 }
@@ -89,7 +89,7 @@
 		h.live.clients.run(ctx)
 	}()
 	h.eventLoop(ctx)
-	close(h.live.done) // so that clients that are posting can end
+	close(h.live.done) // unblocks clients that are posting
 	<-clientsEnded
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// fireDueTimers fires the timers that were due when the loop looked at the clock, and records how late arrivals are.
+// fireDueTimers fires the timers that are due at h.now, and records the lateness of arrivals.
 func (h *hollowIngress) fireDueTimers() {
 	for h.timerDueBy(h.now) {
 		t := h.timers.Pop()
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runOnSimulatedClock lets a number of requests arrive at each of two ingresses in front of 20 backends, and all of them end.
+// runOnSimulatedClock runs a number of requests to their end at each of two ingresses in front of 20 backends.
 func runOnSimulatedClock(t *testing.T, requests uint64) ([]tally, *backendModel, *timeRecorder) {
 	t.Helper()
 	shape := fleetShape{Ingresses: 2, TenantsPerIngress: 30, RequestRate: 200}
@@ -22,7 +22,7 @@
 		h.setRate(0)
 		h.advance(5*time.Second, func() bool { return true })
 		if len(h.requests) > 0 {
-			t.Errorf("ingress %d: %d requests are still open", index, len(h.requests))
+			t.Errorf("ingress %d: got %d open requests, want none", index, len(h.requests))
 		}
 		tallies = append(tallies, h.tally)
 	}
@@ -35,10 +35,10 @@
 	sent := uint64(0)
 	for index, counts := range tallies {
 		if counts.Requests != requests || counts.Served+counts.Rejected+counts.Failed+counts.Unanswered != requests {
-			t.Errorf("ingress %d: %+v: the ends are not those of %d requests", index, counts, requests)
+			t.Errorf("ingress %d: got %+v, want one outcome for each of %d requests", index, counts, requests)
 		}
 		if counts.Served < requests*9/10 || counts.CounterCalls == 0 || counts.ListSnapshots != 1 {
-			t.Errorf("ingress %d: %+v: want nearly all served, some calls, one list", index, counts)
+			t.Errorf("ingress %d: got %+v, want nearly all requests served, some counter calls, one list", index, counts)
 		}
 		sent += counts.Attempts
 	}
@@ -46,15 +46,15 @@
 	for i := range backends.backends {
 		received += backends.backends[i].attempts.Load()
 		if n := backends.backends[i].inFlight.Load(); n != 0 {
-			t.Errorf("backend %d: %d in flight after the end", i, n)
+			t.Errorf("backend %d: got %d attempts in flight after the run, want none", i, n)
 		}
 	}
 	if received != sent {
-		t.Errorf("%d attempts at the backends, %d were sent", received, sent)
+		t.Errorf("got %d attempts at the backends, want the %d that were sent", received, sent)
 	}
 	times := recorder.drain()
 	if n := times[metricArrival].TotalCount(); n != 2*requests {
-		t.Errorf("%d times of arrivals, want %d", n, 2*requests)
+		t.Errorf("got %d times of arrivals, want %d", n, 2*requests)
 	}
 }
 
@@ -64,7 +64,7 @@
 	second, _, _ := runOnSimulatedClock(t, requests)
 	for index := range first {
 		if second[index] != first[index] {
-			t.Errorf("ingress %d: %+v, then %+v of the same seed", index, first[index], second[index])
+			t.Errorf("ingress %d: got %+v, then %+v with the same seed", index, first[index], second[index])
 		}
 	}
 }
@@ -92,7 +92,7 @@
 			h.now += c.lateness
 			h.fireTimer(&timer{at: due, kind: arrivalTimer})
 			if h.tally.Requests != c.requests || h.tally.SkippedArrivals != 1-c.requests || !h.arrivalScheduled {
-				t.Errorf("%+v, want %d requests, the others skipped", h.tally, c.requests)
+				t.Errorf("got %+v, want %d requests and the others skipped", h.tally, c.requests)
 			}
 		})
 	}
--- a/internal/scale/hollow_timers.go
+++ b/internal/scale/hollow_timers.go
@@ -6,31 +6,31 @@
 	"lemontack/policy"
 )
 
-// maxLateness is how far an arrival may be behind the clock of its ingress. One that is later is skipped, so that a
-// machine that cannot keep up does not work on an ever longer backlog.
+// maxLateness is the longest time that an arrival may be behind the clock of its ingress. Later arrivals are skipped, so
+// that a machine that cannot keep up does not accumulate a backlog.
 const maxLateness = 250 * time.Millisecond
 
-// timerKind says what a timer of a hollow ingress stands for.
+// timerKind is the kind of event that a timer of a hollow ingress triggers.
 type timerKind uint8
 
 const (
 	arrivalTimer        timerKind = iota // the next request arrives
 	attemptEndTimer                      // an attempt ends at its backend
-	clientTimeoutTimer                   // a client gives up
-	policyTimer                          // the decision module asked for it
-	counterTimeoutTimer                  // a call of the counter has had its time; live only
+	clientTimeoutTimer                   // a client stops waiting
+	policyTimer                          // the decision module set the timer
+	counterTimeoutTimer                  // a call of the counter times out; in real time only
 	counterReplyTimer                    // the simulated counter replies
 )
 
-// timer is something due on the clock of a hollow ingress. Which of the fields after kind are set follows from kind.
+// timer is an event due on the clock of a hollow ingress. kind determines which of the fields after it are set.
 type timer struct {
 	at        time.Duration
 	kind      timerKind
-	requestID policy.RequestID    // of attemptTimer and clientTimer
-	attempt   int                 // of attemptTimer
-	outcome   policy.AttemptEnded // of attemptTimer
-	reply     policy.CounterReply // of counterReplyTimer
-	call      counterCall         // of counterTimeoutTimer
+	requestID policy.RequestID    // set for attemptEndTimer and clientTimeoutTimer
+	attempt   int                 // set for attemptEndTimer
+	outcome   policy.AttemptEnded // set for attemptEndTimer
+	reply     policy.CounterReply // set for counterReplyTimer
+	call      counterCall         // set for counterTimeoutTimer
 }
 
 func earlierTimer(a, b *timer) bool { return a.at < b.at }
@@ -40,7 +40,7 @@
 	h.timers.Push(&t)
 }
 
-// advance runs what is due, without waiting, until the clock has advanced by span or proceed returns false.
+// advance fires timers in order, without waiting, until the clock has advanced by span or proceed returns false.
 func (h *hollowIngress) advance(span time.Duration, proceed func() bool) {
 	end := h.now + span
 	for h.timerDueBy(end) && proceed() {
@@ -57,7 +57,7 @@
 	return h.timers.Len() > 0 && h.timers.Min().at <= end
 }
 
-// fireTimer handles a timer that is due, and all events that follow from it.
+// fireTimer handles a timer that is due, and all events that result from it.
 func (h *hollowIngress) fireTimer(t *timer) {
 	switch t.kind {
 	case arrivalTimer:
@@ -78,7 +78,7 @@
 	h.handleQueued()
 }
 
-// fireArrival lets the request arrive that was due at a time, and schedules the next one.
+// fireArrival handles an arrival that was due at a time, and schedules the next one.
 func (h *hollowIngress) fireArrival(due time.Duration) {
 	h.arrivalScheduled = h.requestRate > 0
 	switch {
@@ -92,7 +92,7 @@
 	}
 }
 
-// setRate sets the rate of arrivals, in requests a second; 0 ends them.
+// setRate sets the rate of arrivals, in requests per second; zero stops them.
 func (h *hollowIngress) setRate(rate float64) {
 	h.requestRate = rate
 	if rate > 0 && !h.arrivalScheduled {
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	listTimeout         = 8 * time.Second // for a list to arrive
-	maxListSamples      = 5               // fetches of one list
-	maxListSamplingTime = 2 * time.Second // after which no further fetch begins
+	listTimeout         = 8 * time.Second // time limit for a list to arrive
+	maxListSamples      = 5               // fetches of one list at most
+	maxListSamplingTime = 2 * time.Second // after this time no further fetch of the list starts
 )
 
-// listFetch is what a complete endpoint list cost an ingress.
+// listFetch is the cost of a complete endpoint list at an ingress.
 type listFetch struct {
-	keptEndpoints int // that the ingress kept; 0: the list did not arrive
+	keptEndpoints int // endpoints that the ingress kept; zero means that the list did not arrive
 	duration      time.Duration
-	cpuTime       time.Duration // of this process
+	cpuTime       time.Duration // CPU time of this process
 	allocated     uint64        // bytes
 }
 
 // addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
-// arrive is a finding and no error; the decision module then gets it as a configuration would bring it.
+// arrive is a result and no error; loadEndpoints passes it to the decision module in either case.
 func (r *Run) addListFigures(ctx context.Context, p *Point, shape fleetShape, backends *backendModel) error {
 	settings, err := shape.policySettings(0)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// fetchLists fetches a list several times. Where it does not arrive in time, a note of the point says why.
+// fetchLists fetches a list several times. If it does not arrive in time, a note of the point gives the reason.
 func fetchLists(ctx context.Context, p *Point, config clientConfig) ([]listFetch, error) {
 	var fetches []listFetch
 	end := time.Now().Add(maxListSamplingTime)
@@ -77,7 +77,7 @@
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			p.addNote("list not taken within %v: %s", listTimeout, warning)
+			p.addNote("list not received within %v: %s", listTimeout, warning)
 			break
 		}
 		fetches = append(fetches, fetch)
@@ -85,7 +85,7 @@
 	return fetches, nil
 }
 
-// addFetchFigures adds the medians of the fetches, of which there is at least one.
+// addFetchFigures adds the medians of the fetches, which must not be empty.
 func addFetchFigures(p *Point, fetches []listFetch) {
 	addMedian := func(name, unit string, value func(listFetch) float64) {
 		var values []float64
@@ -101,8 +101,8 @@
 	p.addFigureWithoutFit(roleIngress, "list taken: held", "backends", float64(fetches[0].keptEndpoints))
 }
 
-// fetchList starts the real client and waits for its first complete list. Where ctx ends before that, it returns what
-// the client logged last.
+// fetchList starts the real client and waits for its first complete list. If ctx ends first, the string is the reason:
+// the last line that the client logged.
 func fetchList(ctx context.Context, config clientConfig) (listFetch, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -144,7 +144,7 @@
 	return fetch, logged.line()
 }
 
-// lastLogLine is a writer that keeps the last line written.
+// lastLogLine is a writer that keeps the last line written. It is safe for concurrent use.
 type lastLogLine struct {
 	mu   sync.Mutex // guards text
 	text string
@@ -163,7 +163,7 @@
 	return writer.text
 }
 
-// dropTimeAndLevel is for slog.HandlerOptions: a log line in a note of a point needs neither.
+// dropTimeAndLevel is a ReplaceAttr of slog.HandlerOptions: a log line in a note of a point needs no time or level.
 func dropTimeAndLevel(_ []string, attr slog.Attr) slog.Attr {
 	if attr.Key == slog.TimeKey || attr.Key == slog.LevelKey {
 		return slog.Attr{}
--- a/internal/scale/list_fetch_test.go
+++ b/internal/scale/list_fetch_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// fetchConfig returns the configuration of an ingress whose discovery is the given handler.
+// fetchConfig returns the configuration of clients whose discovery is the given handler.
 func fetchConfig(t *testing.T, handler http.HandlerFunc) clientConfig {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -22,7 +22,7 @@
 	return clientConfig{discoveryAddr: strings.TrimPrefix(server.URL, "http://"), settings: settings}
 }
 
-func TestFetchListReturnsTheLogOfAClientWithoutAList(t *testing.T) {
+func TestFetchListReturnsTheLastLogLineWithoutAList(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var calls atomic.Int32
@@ -33,7 +33,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	if fetch, logged := fetchList(ctx, config); fetch.keptEndpoints != 0 || !strings.Contains(logged, "503") {
-		t.Errorf("no list: %d entries, %q", fetch.keptEndpoints, logged)
+		t.Errorf("got %d endpoints and log line %q, want none and status 503", fetch.keptEndpoints, logged)
 	}
 }
 
@@ -42,6 +42,6 @@
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
 	})
 	if fetch, logged := fetchList(t.Context(), config); fetch.keptEndpoints != 1 {
-		t.Errorf("a list of one: %d entries, %q", fetch.keptEndpoints, logged)
+		t.Errorf("got %d endpoints and log line %q, want 1 endpoint", fetch.keptEndpoints, logged)
 	}
 }
--- a/internal/scale/live_fleet.go
+++ b/internal/scale/live_fleet.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	startTimeout = 15 * time.Second // for the lists and watches of a fleet that starts
+	startTimeout = 15 * time.Second // time limit for the ingresses of a fleet to have a list and a watch
 	pollInterval = 50 * time.Millisecond
 )
 
-// errNotReady says that what was started did not become ready in its time.
+// errNotReady reports that a fleet or an ingress was not ready within its time limit.
 var errNotReady = errors.New("not ready")
 
-// liveFleet is many hollow ingresses in real time, with discovery and the counter in processes of their own.
+// liveFleet is a fleet of hollow ingresses in real time, with discovery and the counter in processes of their own.
 type liveFleet struct {
 	*standIns
 	shape             fleetShape
 	backends          *backendModel
 	recorder          *timeRecorder
 	ingresses         []*hollowIngress
-	cancel            context.CancelFunc // ends the ingresses
-	ingressGoroutines sync.WaitGroup     // a goroutine for each ingress
-	baselineMemory    uint64             // bytes in use before the ingresses
+	cancel            context.CancelFunc // stops the ingresses
+	ingressGoroutines sync.WaitGroup     // one goroutine for each ingress
+	baselineMemory    uint64             // bytes in use before the ingresses were created
 }
 
 // startLiveFleet starts the stand-ins and all ingresses of the shape, and returns once each has its list and its watch.
-// The owner calls stop, which waits for all that was started.
+// The caller must call stop, which waits for all goroutines and processes to end.
 func startLiveFleet(ctx context.Context, monitor *resourceMonitor, shape fleetShape, backends *backendModel,
 	seed uint64) (*liveFleet, error) {
 	services, err := startStandIns(ctx, monitor, shape)
@@ -90,7 +90,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d ingresses have a list, %d a watch: %w after %v", lists, len(f.ingresses), watches,
+			return fmt.Errorf("%d of %d ingresses have a list, %d have a watch: %w after %v", lists, len(f.ingresses), watches,
 				errNotReady, startTimeout)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -115,19 +115,19 @@
 	return nil
 }
 
-// setRate sets the rate of arrivals at each ingress, in requests a second.
+// setRate sets the rate of arrivals at each ingress, in requests per second.
 func (f *liveFleet) setRate(ctx context.Context, rate float64) error {
 	return f.forEachIngress(ctx, func(h *hollowIngress) { h.setRate(rate) })
 }
 
-// memoryPerIngress returns the bytes of heap and stacks of one ingress with its two clients.
+// memoryPerIngress returns the mean heap and stack memory of an ingress with its two clients, in bytes.
 func (f *liveFleet) memoryPerIngress() float64 {
 	growth := memoryGrowth(f.baselineMemory)
 	runtime.KeepAlive(f)
 	return growth / float64(len(f.ingresses))
 }
 
-// sleep waits for a time, and returns the error of ctx if that ends before.
+// sleep waits for d, and returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -137,11 +137,11 @@
 	}
 }
 
-// fleetReading is what a fleet and its stand-ins have used and done so far.
+// fleetReading holds the totals of a fleet and its stand-ins so far.
 type fleetReading struct {
 	at                 time.Time
-	cpuTime            time.Duration // of this process: the ingresses
-	tally              tally         // of all ingresses
+	cpuTime            time.Duration // CPU time of this process, which runs the ingresses
+	tally              tally         // sum of all ingresses
 	discovery, counter standInReply
 }
 
@@ -158,17 +158,17 @@
 	return reading, err
 }
 
-// fleetUsage is what a fleet and its stand-ins used and did between two snapshots.
+// fleetUsage is the usage and work of a fleet and its stand-ins between two readings.
 type fleetUsage struct {
 	seconds           float64
-	cpuTime           time.Duration // of this process: the ingresses
-	tally             tally         // of all ingresses
+	cpuTime           time.Duration // CPU time of this process, which runs the ingresses
+	tally             tally         // sum of all ingresses
 	discoveryCPUTime  time.Duration
 	discoveryMessages float64 // lists and changes written
 	discoveryBytes    float64
 	counterCPUTime    time.Duration
 	counterCalls      float64
-	counterBytes      float64 // in both directions
+	counterBytes      float64 // bytes in both directions
 }
 
 func (reading fleetReading) usageSince(earlier fleetReading) fleetUsage {
@@ -186,7 +186,7 @@
 	}
 }
 
-// measure returns what was used while do ran.
+// measure returns the usage during a call of do.
 func (f *liveFleet) measure(ctx context.Context, do func() error) (fleetUsage, error) {
 	before, err := f.takeReading(ctx)
 	if err != nil {
@@ -199,20 +199,20 @@
 	return after.usageSince(before), err
 }
 
-// measureFor returns what was used in a time.
+// measureFor returns the usage during d.
 func (f *liveFleet) measureFor(ctx context.Context, d time.Duration) (fleetUsage, error) {
 	return f.measure(ctx, func() error { return sleep(ctx, d) })
 }
 
-// idleAndLoad is what a fleet used without requests and then under load.
+// idleAndLoad is the usage of a fleet without requests and then under load.
 type idleAndLoad struct {
 	idle, load     fleetUsage
-	times          histograms // of the load
-	attemptsBefore []uint64   // at each backend, when the measurement of the load began
+	times          histograms // times recorded under load
+	attemptsBefore []uint64   // attempts at each backend when the measurement under load started
 }
 
-// measureIdleAndLoad measures the fleet without requests, and then at a rate of requests a second of each ingress after
-// a time to settle.
+// measureIdleAndLoad measures the fleet without requests, and then, after a time to settle, at a rate in requests per
+// second of each ingress.
 func (f *liveFleet) measureIdleAndLoad(ctx context.Context, rate float64, idle, settle,
 	load time.Duration) (idleAndLoad, error) {
 	var m idleAndLoad
@@ -235,14 +235,14 @@
 	return m, nil
 }
 
-// propagation says how long changes of endpoints took to reach the ingresses.
+// propagation holds the times that changes of endpoints took to reach the ingresses.
 type propagation struct {
-	perIngress   *hdrhistogram.Histogram // each change at each ingress
-	fleetWide    *hdrhistogram.Histogram // each change until the last ingress had it
-	missingPairs int                     // pairs of a change and an ingress that it has not reached
+	perIngress   *hdrhistogram.Histogram // one time for each change and ingress
+	fleetWide    *hdrhistogram.Histogram // time until the last ingress applied a change, for changes that reached all
+	missingPairs int                     // pairs of a change and an ingress that it did not reach
 }
 
-// measurePropagation returns how long the changes took.
+// measurePropagation returns the propagation of the changes so far.
 func (f *liveFleet) measurePropagation(ctx context.Context, changes []appliedRevision) (propagation, error) {
 	result := propagation{perIngress: newHistogram(), fleetWide: newHistogram()}
 	revisionLogs := make([][]appliedRevision, 0, len(f.ingresses))
@@ -271,8 +271,8 @@
 	return result, nil
 }
 
-// delayUntilApplied returns the time from a change to the first revision in the log that contains it, and false where
-// there is none.
+// delayUntilApplied returns the time from a change to the first applied revision that contains it, or false if there is
+// none.
 func delayUntilApplied(applied []appliedRevision, change appliedRevision) (time.Duration, bool) {
 	for _, a := range applied {
 		if a.revision >= change.revision {
--- a/internal/scale/live_fleet_test.go
+++ b/internal/scale/live_fleet_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestLiveFleetAppliesChangesAndLeavesNoProcess(t *testing.T) {
+func TestLiveFleetAppliesChangesAndStopsItsProcesses(t *testing.T) {
 	for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) { testLiveFleet(t, polled) })
 	}
@@ -51,6 +51,7 @@
 	}
 	stop()
 	if len(monitor.pids) != 1 || monitor.peakProcesses != 1+standInProcesses {
-		t.Errorf("processes left %v, at most %d", monitor.pids, monitor.peakProcesses)
+		t.Errorf("got remaining processes %v, peak %d; want only this process, and a peak with both stand-ins",
+			monitor.pids, monitor.peakProcesses)
 	}
 }
--- a/internal/scale/live_sweeps.go
+++ b/internal/scale/live_sweeps.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	settleDuration = 2 * time.Second // until windows, leases and connections have found their size
+	settleDuration = 2 * time.Second // time for windows, leases and connections to reach a steady state
 	loadDuration   = 5 * time.Second
 	idleDuration   = 2500 * time.Millisecond
 
-	singleChangeCount        = 10                     // of endpoints, one by one
-	changeInterval           = 200 * time.Millisecond // between them
-	changeRateDuration       = 4 * time.Second        // of a point of many changes a second
-	lastChangeWait           = time.Second            // for the last changes to reach all ingresses
-	changeRateIngresses      = 100                    // ingresses, while the rate of changes rises
-	maxSingleChangeIngresses = 300                    // ingresses that poll their lists, while changes are made one by one
+	singleChangeCount        = 10                     // endpoint changes made one by one
+	changeInterval           = 200 * time.Millisecond // interval of single changes
+	changeRateDuration       = 4 * time.Second        // duration of a point with a rate of changes
+	lastChangeWait           = time.Second            // time for the last changes to reach all ingresses
+	changeRateIngresses      = 100                    // ingresses in points with a rate of changes
+	maxSingleChangeIngresses = 300                    // ingresses at most in points with single changes of polled lists
 )
 
-// Beyond these limits the machine is too small for a fleet: its figures would say more about the machine.
+// Beyond these limits a fleet is too large for the machine, and its figures would show the machine's overload instead.
 const (
-	maxMedianLateness = 5 * time.Millisecond // of arrivals
-	maxSkippedShare   = 0.01                 // of arrivals
-	maxCPUShare       = 0.6                  // of the machine's processor time, for the ingresses
+	maxMedianLateness = 5 * time.Millisecond // lateness of arrivals
+	maxSkippedShare   = 0.01                 // share of arrivals
+	maxCPUShare       = 0.6                  // share of the machine's CPU time that the ingresses use
 
-	// maxP99Lateness leads to a note only: single late arrivals come from other programs on the machine.
+	// maxP99Lateness only adds a note: single late arrivals are caused by other programs on the machine.
 	maxP99Lateness = 20 * time.Millisecond
 )
 
@@ -35,11 +35,11 @@
 	return jobsBySize("ingresses", "ingresses", r.IngressCounts, 20*time.Second, r.measureIngresses)
 }
 
-// measureIngresses measures a live fleet of n hollow ingresses: idle, under load and while the list changes.
+// measureIngresses measures a live fleet of n hollow ingresses: idle, under load and while endpoints change.
 func (r *Run) measureIngresses(ctx context.Context, p *Point, n int) error {
 	if r.machineSaturated {
 		p.SizeUnit = ""
-		p.addNote("left out: the machine does not bear the fleet before it")
+		p.addNote("not measured: the machine is too small for the fleet before it")
 		return nil
 	}
 	shape := fleetShape{Ingresses: n, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate}
@@ -69,7 +69,7 @@
 	return r.addChangeFigures(ctx, p, f, changeInterval, singleChangeCount)
 }
 
-// checkSaturation ends the sweep at a fleet of n ingresses that is too large for the machine.
+// checkSaturation ends the sweep if a fleet of n ingresses is too large for the machine.
 func (r *Run) checkSaturation(p *Point, load fleetUsage, lateness *hdrhistogram.Histogram, n int) {
 	cpuShare := load.cpuTime.Seconds() / load.seconds / float64(r.report.Machine.Cores)
 	p.addFigureWithoutFit(roleRun, "ingresses, of the machine's cores", "%", 100*cpuShare)
@@ -78,8 +78,8 @@
 	skippedShare := float64(load.tally.SkippedArrivals) / max(1, float64(load.tally.SkippedArrivals+load.tally.Requests))
 	p.addFigureWithoutFit(roleRun, "arrivals left out", "%", 100*skippedShare)
 	if p99 := time.Duration(lateness.ValueAtQuantile(99)).Round(time.Millisecond); p99 > maxP99Lateness {
-		p.addNote("the machine was busy: 1 in 100 arrivals was handled over %v late, which shows in the time added and, since"+
-			" the counter's answers come late as well, in the calls", p99)
+		p.addNote("the machine was busy: 1 in 100 arrivals was handled more than %v late, which affects the added latency and,"+
+			" because counter replies are late as well, the counter calls", p99)
 	}
 	median := time.Duration(lateness.ValueAtQuantile(50)).Round(time.Millisecond / 10)
 	if median <= maxMedianLateness && cpuShare <= maxCPUShare && skippedShare <= maxSkippedShare {
@@ -87,36 +87,36 @@
 	}
 	r.machineSaturated = true
 	p.SizeUnit = ""
-	p.addNote("the machine does not bear %d ingresses: half of the arrivals are handled over %v late, %.1f%% are left out,"+
-		" %.0f%% of its cores are taken; not in the slopes", n, median, 100*skippedShare, 100*cpuShare)
+	p.addNote("the machine is too small for %d ingresses: half of the arrivals are handled more than %v late, %.1f%% are"+
+		" skipped, %.0f%% of its cores are in use; not in the fits", n, median, 100*skippedShare, 100*cpuShare)
 }
 
 // addIdleFigures adds the figures of n ingresses without requests.
-func addIdleFigures(p *Point, u fleetUsage, n int) {
-	ingressSeconds := u.seconds * float64(n)
-	p.addFigure(roleIngress, "idle second", "ms", u.cpuTime.Seconds()*1000/ingressSeconds, u.tally.TimerEvents)
-	p.addFigure(roleDiscovery, "idle second", "ms", u.discoveryCPUTime.Seconds()*1000/u.seconds, 1)
-	p.addFigure(roleDiscovery, "idle: bytes a second", "bytes", u.discoveryBytes/u.seconds, 1)
-	p.addFigure(roleCounter, "idle second", "ms", u.counterCPUTime.Seconds()*1000/u.seconds, 1)
+func addIdleFigures(p *Point, usage fleetUsage, n int) {
+	ingressSeconds := usage.seconds * float64(n)
+	p.addFigure(roleIngress, "idle second", "ms", usage.cpuTime.Seconds()*1000/ingressSeconds, usage.tally.TimerEvents)
+	p.addFigure(roleDiscovery, "idle second", "ms", usage.discoveryCPUTime.Seconds()*1000/usage.seconds, 1)
+	p.addFigure(roleDiscovery, "idle: bytes a second", "bytes", usage.discoveryBytes/usage.seconds, 1)
+	p.addFigure(roleCounter, "idle second", "ms", usage.counterCPUTime.Seconds()*1000/usage.seconds, 1)
 }
 
 // addLoadFigures adds the figures of the requests at n ingresses.
-func addLoadFigures(p *Point, u fleetUsage, n int) {
-	requests := max(1, float64(u.tally.Requests))
-	ingressSeconds := u.seconds * float64(n)
-	calls := uint64(u.counterCalls)
-	cpuMicroseconds := u.cpuTime.Seconds() * 1e6
-	p.addFigure(roleIngress, "request, all of the hollow ingress", "µs", cpuMicroseconds/requests, u.tally.Requests)
+func addLoadFigures(p *Point, usage fleetUsage, n int) {
+	requests := max(1, float64(usage.tally.Requests))
+	ingressSeconds := usage.seconds * float64(n)
+	calls := uint64(usage.counterCalls)
+	cpuMicroseconds := usage.cpuTime.Seconds() * 1e6
+	p.addFigure(roleIngress, "request, all of the hollow ingress", "µs", cpuMicroseconds/requests, usage.tally.Requests)
 	p.addFigureWithoutFit(roleIngress, "requests a second, each", "", requests/ingressSeconds)
-	p.addFigure(roleIngress, figureCounterCalls, "", float64(u.tally.CounterCalls)/requests, u.tally.Requests)
-	p.addFigure(roleIngress, "counter bytes a second, each", "bytes", u.counterBytes/ingressSeconds, calls)
-	p.addFigureWithoutFit(roleIngress, figureAttempts, "", float64(u.tally.Attempts)/requests)
-	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*float64(u.tally.Rejected)/requests)
-	p.addFigureWithoutFit(roleIngress, "not answered", "", float64(u.tally.Unanswered))
-	p.addFigure(roleCounter, "calls a second", "", u.counterCalls/u.seconds, calls)
-	p.addFigure(roleCounter, "bytes a second", "KB", toKB(u.counterBytes/u.seconds), calls)
-	p.addFigure(roleCounter, "busy, of a core", "%", 100*u.counterCPUTime.Seconds()/u.seconds, calls)
-	p.addFigureWithoutFit(roleCounter, "a call", "µs", u.counterCPUTime.Seconds()*1e6/max(1, u.counterCalls))
+	p.addFigure(roleIngress, figureCounterCalls, "", float64(usage.tally.CounterCalls)/requests, usage.tally.Requests)
+	p.addFigure(roleIngress, "counter bytes a second, each", "bytes", usage.counterBytes/ingressSeconds, calls)
+	p.addFigureWithoutFit(roleIngress, figureAttempts, "", float64(usage.tally.Attempts)/requests)
+	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*float64(usage.tally.Rejected)/requests)
+	p.addFigureWithoutFit(roleIngress, "not answered", "", float64(usage.tally.Unanswered))
+	p.addFigure(roleCounter, "calls a second", "", usage.counterCalls/usage.seconds, calls)
+	p.addFigure(roleCounter, "bytes a second", "KB", toKB(usage.counterBytes/usage.seconds), calls)
+	p.addFigure(roleCounter, "busy, of a core", "%", 100*usage.counterCPUTime.Seconds()/usage.seconds, calls)
+	p.addFigureWithoutFit(roleCounter, "a call", "µs", usage.counterCPUTime.Seconds()*1e6/max(1, usage.counterCalls))
 }
 
 // addStateFigures adds the memory of the stand-ins.
@@ -135,11 +135,11 @@
 	return nil
 }
 
-// addChangeFigures makes n changes at an interval and measures how they reach the ingresses.
+// addChangeFigures makes n changes at an interval, and adds the figures of their propagation and cost.
 func (r *Run) addChangeFigures(ctx context.Context, p *Point, f *liveFleet, interval time.Duration, n int) error {
 	var changes []appliedRevision
 	lateChanges := 0
-	u, err := f.measure(ctx, func() (err error) {
+	usage, err := f.measure(ctx, func() (err error) {
 		changes, lateChanges, err = f.applyChanges(ctx, interval, n)
 		return err
 	})
@@ -155,20 +155,20 @@
 	p.addHistogram(roleIngress, "change in force everywhere (p50)", "ms", time.Millisecond, delays.fleetWide, 50)
 	p.addFigureWithoutFit(roleIngress, "change in force everywhere (worst)", "ms", float64(delays.fleetWide.Max())/1e6)
 	p.addFigureWithoutFit(roleIngress, "changes missed", "", float64(delays.missingPairs))
-	p.addFigure(roleDiscovery, "a change: bytes", "bytes", u.discoveryBytes/count, uint64(n))
-	p.addFigure(roleDiscovery, "a change: messages", "", u.discoveryMessages/count, uint64(n))
-	p.addFigure(roleDiscovery, "while changing: bytes a second", "KB", toKB(u.discoveryBytes/u.seconds), uint64(n))
-	p.addFigure(roleDiscovery, "while changing: of a core", "%", 100*u.discoveryCPUTime.Seconds()/u.seconds, uint64(n))
-	ingressMS := u.cpuTime.Seconds() * 1000 / u.seconds / ingresses
+	p.addFigure(roleDiscovery, "a change: bytes", "bytes", usage.discoveryBytes/count, uint64(n))
+	p.addFigure(roleDiscovery, "a change: messages", "", usage.discoveryMessages/count, uint64(n))
+	p.addFigure(roleDiscovery, "while changing: bytes a second", "KB", toKB(usage.discoveryBytes/usage.seconds), uint64(n))
+	p.addFigure(roleDiscovery, "while changing: of a core", "%", 100*usage.discoveryCPUTime.Seconds()/usage.seconds, uint64(n))
+	ingressMS := usage.cpuTime.Seconds() * 1000 / usage.seconds / ingresses
 	p.addFigure(roleIngress, "while changing: processor a second, each", "ms", ingressMS, uint64(n))
 	if lateChanges > 0 {
-		p.addNote("%d of %d changes were made later than meant", lateChanges, n)
+		p.addNote("%d of %d changes were made later than scheduled", lateChanges, n)
 	}
 	return nil
 }
 
-// applyChanges makes n changes at an interval and waits until the last should have reached all ingresses. delayed is the
-// number of changes that were made over an interval late.
+// applyChanges makes n changes at an interval, and then waits for the last ones to reach all ingresses. lateChanges is
+// the number of changes that were made more than an interval late.
 func (f *liveFleet) applyChanges(ctx context.Context, interval time.Duration, n int) (changes []appliedRevision,
 	lateChanges int, err error) {
 	start := time.Now()
@@ -189,8 +189,8 @@
 	return changes, lateChanges, sleep(ctx, lastChangeWait)
 }
 
-// changeJobs are, for lists that are pushed and for lists that are polled, single changes by the size of the fleet and
-// then rising rates of changes.
+// changeJobs returns, for pushed and for polled lists, points of single changes by the size of the fleet and then points
+// of rising rates of changes.
 func (r *Run) changeJobs() []job {
 	var jobs []job
 	for _, polled := range []bool{false, true} {
@@ -199,8 +199,9 @@
 			deliveryMode = "asked"
 		}
 		for _, n := range r.IngressCounts {
-			if n <= maxSingleChangeIngresses && polled { // where lists are pushed, the sweep of ingresses measures these
-				jobs = append(jobs, r.changeJob("single changes, "+deliveryMode, "ingresses", float64(n), n, polled, changeInterval))
+			if n <= maxSingleChangeIngresses && polled { // the sweep of ingresses measures those of pushed lists
+				jobs = append(jobs, r.changeJob("single changes, "+deliveryMode, "ingresses", float64(n), n, polled,
+					changeInterval))
 			}
 		}
 		for _, rate := range r.ChangeRates {
@@ -213,10 +214,11 @@
 	return jobs
 }
 
-// changeJob is a point of n ingresses with changes at an interval.
+// changeJob returns a point of a number of ingresses with changes at an interval.
 func (r *Run) changeJob(sweep, sizeUnit string, size float64, ingresses int, polled bool, interval time.Duration) job {
 	measure := func(ctx context.Context, p *Point) error {
-		shape := fleetShape{Ingresses: ingresses, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate, PollsEndpoints: polled}
+		shape := fleetShape{Ingresses: ingresses, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate,
+			PollsEndpoints: polled}
 		backends := newBackendModel(liveBackends, r.LiveRequestRate*float64(ingresses), meanServiceTime, false)
 		f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 		if err != nil {
--- a/internal/scale/load_generator.go
+++ b/internal/scale/load_generator.go
@@ -21,28 +21,28 @@
 const (
 	dialTimeout    = time.Second
 	replyTimeout   = 4 * time.Second // longer than any deadline of a request
-	rejectedPrefix = "BUSY"          // of the error reply to a request that was rejected
+	rejectedPrefix = "BUSY"          // start of the error reply to a rejected request
 )
 
-// loadGenerator sends drawn requests to one address, each at its time whether or not earlier ones have been answered
-// (open loop), over connections that it keeps.
+// loadGenerator sends randomly drawn requests to one address at their scheduled times, whether or not earlier ones have
+// been answered (open loop). It reuses its connections.
 type loadGenerator struct {
 	addr       string
-	index      int // of the generator; a part of the ids of its requests
+	index      int // index of the generator; part of the ids of its requests
 	sent       uint64
 	served     atomic.Uint64
 	rejected   atomic.Uint64
 	failed     atomic.Uint64
-	mismatched atomic.Uint64 // served with a value that was made for another request
+	mismatched atomic.Uint64 // replies with the value of another request
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	idleConns    []*generatorConn
 	openConns    map[*generatorConn]struct{}
-	addedLatency *hdrhistogram.Histogram // of the served requests: what they took beyond the service time
+	addedLatency *hdrhistogram.Histogram // latency of the served requests beyond the service time
 	lastError    string
 }
 
-// generatorConn is one connection; a single request uses it at a time.
+// generatorConn is a connection, which one request at a time uses.
 type generatorConn struct {
 	net.Conn
 	in resp.FrameBuffer
@@ -57,11 +57,11 @@
 	}
 }
 
-// run sends requests at a rate, in requests a second, until ctx ends or the duration is over. It returns once all have
-// ended.
+// run sends requests at a rate, in requests per second, until ctx ends or the duration is over. It returns once all
+// requests have ended.
 func (g *loadGenerator) run(ctx context.Context, rng *rand.Rand, tenants []tenant, rate float64,
 	duration, serviceTime time.Duration) {
-	var inFlight sync.WaitGroup // a goroutine for each request, which its timeouts end
+	var inFlight sync.WaitGroup // one goroutine for each request; the timeouts of the request end it
 	defer inFlight.Wait()
 	start := time.Now()
 	for offset := time.Duration(0); ; {
@@ -79,7 +79,7 @@
 	}
 }
 
-// nextCommand returns a request as a client writes it, and its id.
+// nextCommand returns a request in the client protocol, and its id.
 func (g *loadGenerator) nextCommand(request policy.Request) (command []byte, id string) {
 	id = fmt.Sprintf("%08x%08x", g.index, g.sent)
 	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,units=%v,spread=%d,first=%d", request.Class, request.Plan,
@@ -95,7 +95,7 @@
 	return command, id
 }
 
-// recordReply counts the end of the request with an id. The backends answer a request with its id.
+// recordReply counts the outcome of the request with an id. Backends answer a request with its id.
 func (g *loadGenerator) recordReply(answer reply, err error, id string, addedLatency time.Duration) {
 	switch {
 	case err != nil:
@@ -131,7 +131,7 @@
 		if err == nil || errors.As(err, &netErr) && netErr.Timeout() {
 			return answer, err
 		}
-		// The peer closed the connection while it was idle: the request is sent once more, on a new one.
+		// The peer may have closed the connection while it was idle: the request is sent again on a new one.
 	}
 	conn, err := g.dial(ctx)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return g.exchange(conn, command)
 }
 
-// exchange writes a command and reads its reply. The connection becomes idle after that, or is closed after an error.
+// exchange writes a command and reads its reply. The connection then becomes idle, or is closed after an error.
 func (g *loadGenerator) exchange(conn *generatorConn, command []byte) (reply, error) {
 	answer, err := conn.exchange(command)
 	g.mu.Lock()
@@ -164,7 +164,7 @@
 	return readReply(&conn.in, conn.Read)
 }
 
-// takeIdleConn returns the connection that was used last, or nil if all are in use.
+// takeIdleConn returns the idle connection that was used last, or nil if all are in use.
 func (g *loadGenerator) takeIdleConn() *generatorConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,7 +190,7 @@
 	return c, nil
 }
 
-// close closes all connections. It comes after run.
+// close closes all connections. It is called after run has returned.
 func (g *loadGenerator) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/scale/load_generator_test.go
+++ b/internal/scale/load_generator_test.go
@@ -12,7 +12,7 @@
 	"lemontack/internal/standin"
 )
 
-func TestReadReplyTakesAReplyToItsEnd(t *testing.T) {
+func TestReadReplyConsumesAWholeReply(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want reply
@@ -26,24 +26,24 @@
 		var in resp.FrameBuffer
 		got, err := readReply(&in, strings.NewReader(c.text).Read)
 		if left := len(in.Buffered()); err != nil || got != c.want || left > 0 {
-			t.Errorf("%q: %+v, %v, %d bytes left; want %+v", c.text, got, err, left, c.want)
+			t.Errorf("%q: got %+v, error %v, %d bytes left; want %+v, no error, none left", c.text, got, err, left, c.want)
 		}
 	}
 }
 
-func TestReadReplyFailsOnWhatIsNoReply(t *testing.T) {
+func TestReadReplyFailsForMalformedReplies(t *testing.T) {
 	for _, text := range []string{"$2\r\na", "\r\n", "*0\r\n", "$99999\r\n", "hello\r\n"} {
 		var in resp.FrameBuffer
 		if got, err := readReply(&in, strings.NewReader(text).Read); err == nil {
-			t.Errorf("%q: %+v, want an error", text, got)
+			t.Errorf("%q: got %+v, want an error", text, got)
 		}
 	}
 }
 
 func TestLoadGeneratorCountsServedAndMismatchedReplies(t *testing.T) {
 	for name, value := range map[string]func([]string) string{
-		"own values":     nil,
-		"another's ones": func([]string) string { return "another's" },
+		"own values":   nil,
+		"other values": func([]string) string { return "another's" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := nettest.Listen(t)
@@ -57,13 +57,14 @@
 			g.run(t.Context(), rand.New(rand.NewPCG(1, 1)), tenants, 1000, 50*time.Millisecond, 0)
 			served, mismatched := g.served.Load(), g.mismatched.Load()
 			if g.sent == 0 || served+mismatched != g.sent {
-				t.Errorf("%d requests, %d served, %d mismatched", g.sent, served, mismatched)
+				t.Errorf("got %d requests, %d served, %d mismatched; want requests, each counted once",
+					g.sent, served, mismatched)
 			}
 			if value == nil && mismatched > 0 || value != nil && served > 0 {
-				t.Errorf("%d served, %d mismatched", served, mismatched)
+				t.Errorf("got %d served, %d mismatched; want own values served and others mismatched", served, mismatched)
 			}
 			if n := backend.Stats().Malformed; n > 0 {
-				t.Errorf("%d commands in a form that no client sends", n)
+				t.Errorf("got %d malformed commands, want none", n)
 			}
 		})
 	}
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// clockTicksPerSecond is the unit of processor times in /proc; Linux has the same one on all machines.
+// clockTicksPerSecond is the unit of CPU times under /proc, which is the same on all Linux machines.
 const clockTicksPerSecond = 100
 
-// errProcFormat says that a file under /proc does not hold what was looked for.
+// errProcFormat reports that a file under /proc does not have the expected content.
 var errProcFormat = errors.New("unexpected content")
 
-// Machine describes where a run was made.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores          int    `json:"cores"`
 	MemoryBytes    uint64 `json:"memory_bytes"`
-	GoVersion      string `json:"go"` // version
+	GoVersion      string `json:"go"`
 	OS             string `json:"os"`
-	MaxDescriptors uint64 `json:"descriptors"` // that a process may hold; 0: not known
-	LoadAverages   string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: what else it was doing
+	MaxDescriptors uint64 `json:"descriptors"` // limit of each process; zero means not known
+	LoadAverages   string `json:"load"`        // averages over 1, 5 and 15 minutes before the run: load of other programs
 }
 
 func describeMachine() (Machine, error) {
@@ -36,11 +36,11 @@
 	}
 	var descriptors syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
-		return Machine{}, fmt.Errorf("descriptors: %w", err)
+		return Machine{}, fmt.Errorf("reading the limit of descriptors: %w", err)
 	}
 	loadText, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
-		return Machine{}, fmt.Errorf("load: %w", err)
+		return Machine{}, fmt.Errorf("reading the load averages: %w", err)
 	}
 	load := strings.Fields(string(loadText))
 	return Machine{
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// readProcField reads a field that a file under /proc gives in kB, and returns it in bytes.
+// readProcField reads a field of a file under /proc that is in kB, and returns it in bytes.
 func readProcField(path, name string) (uint64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -72,10 +72,10 @@
 		}
 		return kilobytes << 10, nil
 	}
-	return 0, fmt.Errorf("%s: %w: no %s", path, errProcFormat, name)
+	return 0, fmt.Errorf("%s: %w: field %s is missing", path, errProcFormat, name)
 }
 
-// residentMemory returns the bytes that a process has in memory; 0 if it has ended.
+// residentMemory returns the resident memory of a process in bytes, or 0 if it has exited.
 func residentMemory(pid int) uint64 {
 	bytes, err := readProcField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 	if err != nil {
@@ -84,18 +84,18 @@
 	return bytes
 }
 
-// processCPUTime returns the user and system time of another process, in steps of 10 ms.
+// processCPUTime returns the user and system time of another process, with a resolution of 10 ms.
 func processCPUTime(pid int) (time.Duration, error) {
-	const firstField, fields = 11, 2 // utime and stime, counted from behind the name
+	const firstField, fields = 11, 2 // utime and stime, counted from the field after the process name
 	path := fmt.Sprintf("/proc/%d/stat", pid)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
-	_, rest, ok := strings.Cut(string(text), ") ") // the name before it may have spaces
+	_, rest, ok := strings.Cut(string(text), ") ") // the process name before it may contain spaces
 	values := strings.Fields(rest)
 	if !ok || len(values) < firstField+fields {
-		return 0, fmt.Errorf("%s: %w: no times", path, errProcFormat)
+		return 0, fmt.Errorf("%s: %w: CPU times are missing", path, errProcFormat)
 	}
 	ticks := 0
 	for _, value := range values[firstField : firstField+fields] {
@@ -108,18 +108,18 @@
 	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
 
-// cpuScope says whose processor time cpuTime returns.
+// cpuScope selects the process or the thread whose CPU time cpuTime returns.
 type cpuScope int
 
 const (
 	currentProcess cpuScope = syscall.RUSAGE_SELF
-	currentThread  cpuScope = syscall.RUSAGE_THREAD // the caller has locked its goroutine to it
+	currentThread  cpuScope = syscall.RUSAGE_THREAD // the caller must lock its goroutine to the thread
 )
 
-// cpuTime returns the user and system time that this process or thread has used so far.
+// cpuTime returns the user and system time that the process or thread has used so far.
 func cpuTime(scope cpuScope) time.Duration {
 	var used syscall.Rusage
-	if err := syscall.Getrusage(int(scope), &used); err != nil { // not for these scopes
+	if err := syscall.Getrusage(int(scope), &used); err != nil { // cannot happen for these scopes
 		return 0
 	}
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
@@ -133,5 +133,5 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// memoryGrowth returns by how many bytes memoryInUse is larger than it was; 0 if it is not.
+// memoryGrowth returns the growth of memoryInUse since an earlier value, in bytes, or 0 if it has not grown.
 func memoryGrowth(before uint64) float64 { return max(0, float64(memoryInUse())-float64(before)) }
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain lets the test binary run as the processes of the stand-ins that a live fleet starts.
+// TestMain lets the test binary also run as the stand-ins that a live fleet starts.
 func TestMain(m *testing.M) {
 	if role, ok := StandInRole(); ok {
 		if err := RunStandIn(role, os.Stdin, os.Stdout); err != nil {
--- a/internal/scale/options_test.go
+++ b/internal/scale/options_test.go
@@ -9,11 +9,12 @@
 
 // validOptions returns options of a small run.
 func validOptions() Options {
-	return Options{Sweeps: []string{"backends"}, Seed: 1, TimeLimitMinutes: 9, BackendCounts: []int{20}, IngressCounts: []int{2},
-		TenantCounts: []int{10}, ChangeRates: []float64{1}, FleetSize: 6400, RequestRate: 328, LiveRequestRate: 100, RealIngresses: 3}
+	return Options{Sweeps: []string{"backends"}, Seed: 1, TimeLimitMinutes: 9, BackendCounts: []int{20},
+		IngressCounts: []int{2}, TenantCounts: []int{10}, ChangeRates: []float64{1}, FleetSize: 6400, RequestRate: 328,
+		LiveRequestRate: 100, RealIngresses: 3}
 }
 
-func TestValidateNamesTheOptionThatIsOutOfBounds(t *testing.T) {
+func TestValidateNamesTheOptionThatIsOutOfRange(t *testing.T) {
 	for flag, change := range map[string]func(*Options){
 		"backends":  func(o *Options) { o.BackendCounts = []int{0} },
 		"ingresses": func(o *Options) { o.IngressCounts = nil },
@@ -29,16 +30,16 @@
 			err := o.validate()
 			var optionErr *OptionError
 			if !errors.As(err, &optionErr) || optionErr.Flag != flag {
-				t.Fatalf("error %v, want one of option %s", err, flag)
+				t.Fatalf("got error %v, want an OptionError of option %s", err, flag)
 			}
 			if !strings.Contains(err.Error(), "--"+flag) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %q, want one line with --%s", err, flag)
+				t.Errorf("got error %q, want one line with --%s", err, flag)
 			}
 		})
 	}
 }
 
-func TestValidateAcceptsOptionsWithinBounds(t *testing.T) {
+func TestValidateAcceptsOptionsInRange(t *testing.T) {
 	if err := validOptions().validate(); err != nil {
 		t.Error(err)
 	}
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	readyTimeout    = 15 * time.Second // for a real ingress to answer
-	shutdownTimeout = 5 * time.Second  // from SIGTERM on: longer than any deadline of a request
+	readyTimeout    = 15 * time.Second // time limit for a real ingress to answer PING
+	shutdownTimeout = 5 * time.Second  // time to exit after SIGTERM; longer than any deadline of a request
 
 	ingressPackage = "lemontack/cmd/ingress"
-	configVariable = "ROUTER_CONFIG" // names the configuration file of an ingress
-	tempDirPattern = "scalerun-"     // of the run's temporary directory
+	configVariable = "ROUTER_CONFIG" // environment variable with the path of an ingress's configuration file
+	tempDirPattern = "scalerun-"     // name pattern of the run's temporary directory
 )
 
 // Limits in the configuration of a real ingress.
@@ -36,30 +36,30 @@
 )
 
 var (
-	errIngressExited = errors.New("the ingress ended")
-	errNoReplies     = errors.New("the backend answers nothing")
+	errIngressExited = errors.New("the ingress exited")
+	errNoReplies     = errors.New("the directly called backend answered no request")
 )
 
-// realFleet is a few processes of the real ingress between stand-ins of all that they talk to. Its zero value can be
-// stopped.
+// realFleet is a few processes of the real ingress, with stand-ins for the services and backends that they connect to.
+// Its zero value can be stopped.
 type realFleet struct {
 	*standIns         // nil before they are started
 	directory         string
 	ingresses         []*realIngress
 	backends          []*standin.Backend
-	targets           []standin.Target // the same as endpoints
-	directBackend     *standin.Backend // a further one, in no list
+	targets           []standin.Target // backends as entries of the endpoint list
+	directBackend     *standin.Backend // called directly; not in the endpoint list
 	directAddr        string
-	backendGoroutines sync.WaitGroup // a goroutine for each backend
+	backendGoroutines sync.WaitGroup // one goroutine for each backend
 }
 
 type realIngress struct {
 	*childProcess
 	addr   string
-	stderr bytes.Buffer // read after its end
+	stderr bytes.Buffer // read only after the process has exited
 }
 
-// ingressConfig is the configuration file of an ingress.
+// ingressConfig is the content of an ingress's configuration file.
 type ingressConfig struct {
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -75,8 +75,8 @@
 	Sockets  int `json:"sockets"`
 }
 
-// startRealFleet starts backends, discovery, the counter and the ingresses, and waits until these answer. Whatever it
-// returns, the owner of f stops that.
+// startRealFleet starts backends, discovery, the counter and the ingresses, and waits until the ingresses answer. The
+// caller must call f.stop, also after an error.
 func (r *Run) startRealFleet(ctx context.Context, f *realFleet) error {
 	var err error
 	if f.directory, err = os.MkdirTemp("", tempDirPattern); err != nil {
@@ -127,12 +127,12 @@
 	}
 	if err != nil {
 		firstLine, _, _ := strings.Cut(strings.TrimSpace(output.String()), "\n")
-		return "", fmt.Errorf("building the ingress (--binary names one that is built): %w: %s", err, firstLine)
+		return "", fmt.Errorf("building the ingress (--binary takes a built one): %w: %s", err, firstLine)
 	}
 	return path, nil
 }
 
-// startBackends starts the backends of the list and one that is called directly. stop ends their goroutines.
+// startBackends starts the backends of the endpoint list and one that is called directly. stop ends their goroutines.
 func (fleet *realFleet) startBackends() error {
 	for i := range liveBackends {
 		backend, addr, err := fleet.startBackend(i)
@@ -150,15 +150,15 @@
 func (fleet *realFleet) startBackend(index int) (*standin.Backend, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, "", fmt.Errorf("backends: %w", err)
+		return nil, "", fmt.Errorf("starting a backend: %w", err)
 	}
 	backend := standin.NewBackend(standin.BackendConfig{Slots: compareBackendSlots, LoadReports: true, Seed: uint64(index),
 		ServiceTime: func(*rand.Rand) time.Duration { return compareServiceTime }})
-	fleet.backendGoroutines.Go(func() { backend.Serve(listener) }) // an error shows in the requests
+	fleet.backendGoroutines.Go(func() { backend.Serve(listener) }) // an error makes requests fail
 	return backend, listener.Addr().String(), nil
 }
 
-// startRealIngress writes a configuration and starts a process with it.
+// startRealIngress writes a configuration file and starts an ingress with it.
 func (r *Run) startRealIngress(ctx context.Context, f *realFleet, binary string, index int) (*realIngress, error) {
 	settings, err := r.compareShape().settingsJSON(index)
 	if err != nil {
@@ -177,7 +177,7 @@
 		Limits:    ingressLimits{Cores: realIngressCores, MemoryMB: realIngressMemoryMB, Sockets: realIngressSockets},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("configuration of the ingress: %w", err)
+		return nil, fmt.Errorf("encoding the configuration of the ingress: %w", err)
 	}
 	path := filepath.Join(f.directory, fmt.Sprintf("ingress-%d.json", index))
 	if err := os.WriteFile(path, config, 0o600); err != nil {
@@ -195,7 +195,7 @@
 	return ingress, nil
 }
 
-// unusedAddr returns a loopback address that nobody listens at just now.
+// unusedAddr returns a loopback address with a port that is unused at present.
 func unusedAddr() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,11 +205,11 @@
 	return listener.Addr().String(), nil
 }
 
-// waitReady waits until the ingress answers PING, as a client does.
+// waitReady sends PING like a client until the ingress answers.
 func (ingress *realIngress) waitReady(ctx context.Context) error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
-		case <-ingress.exited: // err is nil after exit code 0
+		case <-ingress.exited: // exitErr is nil after exit code 0
 			return fmt.Errorf("%w: %v: %s", errIngressExited, ingress.exitErr, lastLine(ingress.stderr.String()))
 		default:
 		}
@@ -235,10 +235,10 @@
 	return lines[len(lines)-1]
 }
 
-// stop ends the ingresses as an operator does, and then all that they talk to.
+// stop sends the ingresses SIGTERM, as an operator does, and then stops the stand-ins and backends.
 func (fleet *realFleet) stop() {
 	for _, ingress := range fleet.ingresses {
-		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has ended
+		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has already exited
 	}
 	for _, ingress := range fleet.ingresses {
 		ingress.waitOrKill(shutdownTimeout)
@@ -254,16 +254,16 @@
 	}
 	fleet.backendGoroutines.Wait()
 	if fleet.directory != "" {
-		os.RemoveAll(fleet.directory) // what remains lies among the system's temporary files
+		os.RemoveAll(fleet.directory) // after an error, files remain in the system's temporary directory
 	}
 }
 
-// realCounters is what real ingresses, the clients and the stand-ins have done so far.
+// realCounters holds the totals of real ingresses, load generators and stand-ins so far.
 type realCounters struct {
 	requests, rejected, failed, mismatched float64
-	cpuTime                                time.Duration // of the ingresses
+	cpuTime                                time.Duration // CPU time of all ingresses
 	counterCalls                           int
-	attempts                               []uint64 // at each backend
+	attempts                               []uint64 // attempts at each backend
 	backendConnections                     float64
 }
 
@@ -289,7 +289,7 @@
 	return c, err
 }
 
-// cpuTime returns the processor time of all ingresses so far.
+// cpuTime returns the CPU time of all ingresses so far.
 func (fleet *realFleet) cpuTime() (time.Duration, error) {
 	var sum time.Duration
 	for _, ingress := range fleet.ingresses {
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -7,11 +7,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metric says what a histogram of times is about.
+// metric is the kind of time that a histogram holds.
 type metric int
 
 const (
-	// Processor time of the decision module for an event.
+	// Time of the decision module to handle an event.
 	metricArrival metric = iota
 	metricAttemptEnd
 	metricCounterReply
@@ -19,16 +19,16 @@
 	metricSnapshot
 	metricTimer
 
-	metricAddedLatency // of a request, from its arrival to its first attempt
-	metricLateness     // of an arrival, behind the clock of its ingress
+	metricAddedLatency // time from the arrival of a request to its first attempt
+	metricLateness     // delay of an arrival behind the clock of its ingress
 
 	metricCount
 )
 
 const (
-	recorderShards    = 8 // so that hundreds of ingresses seldom wait for one another
+	recorderShards    = 8 // locks of a recorder, which reduce contention among hundreds of ingresses
 	maxRecordedTime   = 60 * time.Second
-	significantDigits = 2 // of a histogram: errors of at most 1%
+	significantDigits = 2 // precision of a histogram, for errors of at most 1%
 )
 
 // histograms holds a histogram of times in ns for each metric.
@@ -42,7 +42,7 @@
 	return h
 }
 
-// merge adds what other has recorded; other stays as it is.
+// merge adds the recorded times of other, which does not change.
 func (hs *histograms) merge(other histograms) {
 	for m := range hs {
 		hs[m].Merge(other[m])
@@ -53,12 +53,12 @@
 	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
-// recordTime adds a time to a histogram of newHistogram; one outside its bounds counts as the nearest bound.
+// recordTime adds a time to a histogram of newHistogram; a time outside its bounds counts as the nearest bound.
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
 }
 
-// timeRecorder gathers times of many hollow ingresses. It is safe for concurrent use.
+// timeRecorder collects times of many hollow ingresses. It is safe for concurrent use.
 type timeRecorder struct {
 	shards [recorderShards]struct {
 		mu         sync.Mutex // guards histograms
@@ -66,7 +66,6 @@
 	}
 }
 
-// newTimeRecorder returns a recorder without times.
 func newTimeRecorder() *timeRecorder {
 	r := &timeRecorder{}
 	for i := range r.shards {
@@ -75,7 +74,7 @@
 	return r
 }
 
-// record adds a time of one ingress.
+// record adds a time of the ingress at an index.
 func (recorder *timeRecorder) record(ingress int, m metric, d time.Duration) {
 	shard := &recorder.shards[ingress%recorderShards]
 	shard.mu.Lock()
@@ -83,7 +82,7 @@
 	recordTime(shard.histograms[m], d)
 }
 
-// drain returns what was recorded since the last call.
+// drain returns the times recorded since the last call.
 func (recorder *timeRecorder) drain() histograms {
 	sum := newHistograms()
 	for i := range recorder.shards {
--- a/internal/scale/reply.go
+++ b/internal/scale/reply.go
@@ -9,17 +9,17 @@
 	"lemontack/internal/resp"
 )
 
-// maxReplyElements bounds the array that answers a request: a value and what is known of its cost.
+// maxReplyElements limits the array that answers a request: a value and the data on its cost.
 const maxReplyElements = 7
 
-// errUnexpectedReply says that an ingress has sent what answers no command.
+// errUnexpectedReply reports a reply that no command has.
 var errUnexpectedReply = errors.New("unexpected reply")
 
-// replyKind is the form of a reply.
+// replyKind is the type of a reply.
 type replyKind int
 
 const (
-	replyValue  replyKind = iota // a bulk string, or the first of an array
+	replyValue  replyKind = iota // a bulk string, or the first element of an array
 	replyNull                    // a null bulk string
 	replySimple                  // a simple string
 	replyError
@@ -28,10 +28,10 @@
 // reply is the answer of an ingress, or of a backend, to one command.
 type reply struct {
 	kind replyKind
-	text string // without the marks of the protocol
+	text string // without the type byte and line ends of the protocol
 }
 
-// readReply reads one reply, with as many calls of read as it takes.
+// readReply reads one reply, with as many calls of read as necessary.
 func readReply(in *resp.FrameBuffer, read func([]byte) (int, error)) (reply, error) {
 	for {
 		frame, err := in.Next()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -10,11 +10,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// reportFormat names the form of the report file. Reports that were written before have another name in its place;
-// nothing reads those.
+// reportFormat identifies the format of the report file. Reports in older formats have another name; no code reads them.
 const reportFormat = "lemontack-scale/1"
 
-// Report is what a run has measured. Its keys in the file stay as they are, for scripts that read them.
+// Report holds the results of a run. Its JSON keys must not change: scripts read them.
 type Report struct {
 	Format  string        `json:"format"`
 	Date    time.Time     `json:"date"`
@@ -22,32 +21,32 @@
 	Commit  string        `json:"commit,omitempty"`
 	Options Options       `json:"flags"`
 	Machine Machine       `json:"machine"`
-	Status  string        `json:"ended"` // whole, or partial and why
+	Status  string        `json:"ended"` // "whole", or "partial: " and the reason
 	Notes   []string      `json:"notes"`
 	Points  []*Point      `json:"points"`
 	Fits    []Fit         `json:"fits"`
 	Usage   ResourceUsage `json:"used"`
 }
 
-// reportNotes say how the figures of any run are to be read.
+// reportNotes explain the figures of every run.
 func reportNotes() []string {
 	return []string{
-		"sweeps of backends and tenants: one ingress at a time on a driven clock, with no socket but for the list",
-		"other sweeps: hollow ingresses in real time, with the real clients of discovery and the counter",
-		"discovery and the counter are stand-ins in processes of their own: their processor time is the stand-ins'",
-		"where lists are pushed, discovery's stand-in is also the agent of every ingress",
-		"attempts go to modelled backends, but for the real ingresses: those have sockets on both sides",
+		"sweeps of backends and tenants: one ingress at a time on a simulated clock, with a socket only for the list",
+		"other sweeps: hollow ingresses in real time, with the real clients of discovery and of the counter",
+		"discovery and the counter are stand-ins in processes of their own: their CPU time is that of the stand-ins",
+		"where lists are pushed, the stand-in of discovery is also the agent of every ingress",
+		"attempts go to modelled backends, except from the real ingresses, which have sockets on both sides",
 	}
 }
 
-// Point is the measurement of one size of a sweep.
+// Point is the measurement at one size of a sweep.
 type Point struct {
 	Sweep      string   `json:"sweep"`
 	Label      string   `json:"label"`
-	SizeUnit   string   `json:"against,omitempty"` // what Size counts; empty: not for a fit
+	SizeUnit   string   `json:"against,omitempty"` // unit of Size; empty excludes the point from fits
 	Size       float64  `json:"size"`
-	Seconds    float64  `json:"seconds"`           // that the measurement took
-	SkipReason string   `json:"skipped,omitempty"` // why it has no figures
+	Seconds    float64  `json:"seconds"`           // duration of the measurement
+	SkipReason string   `json:"skipped,omitempty"` // reason for which the point has no figures
 	Notes      []string `json:"notes,omitempty"`
 	Figures    []Figure `json:"figures,omitempty"`
 }
@@ -60,10 +59,10 @@
 	Value           float64      `json:"value"`
 	Samples         uint64       `json:"samples,omitempty"`
 	Percentiles     *Percentiles `json:"percentiles,omitempty"`
-	ExcludedFromFit bool         `json:"-"` // the figure describes the run and is no cost: no line is fitted
+	ExcludedFromFit bool         `json:"-"` // true for a figure that describes the run and is not a cost
 }
 
-// Percentiles are those of a histogram, in the unit of its figure.
+// Percentiles are the percentiles of a histogram, in the unit of its figure.
 type Percentiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -73,7 +72,7 @@
 	Mean float64 `json:"mean"`
 }
 
-// Roles are what a figure is about: programs, or the run itself. Those of the stand-ins also name their processes.
+// Roles are the subjects of figures: programs, or the run itself. Those of the stand-ins are also values of SCALE_ROLE.
 const (
 	roleIngress   = "ingress"
 	roleDiscovery = "discovery"
@@ -82,24 +81,24 @@
 	roleRun       = "run"
 )
 
-// Names of figures that more than one sweep has.
+// Names of figures that several sweeps have.
 const (
 	figureCounterCalls = "counter calls for a request"
 	figureAttempts     = "attempts for a request"
 	figureAddedLatency = "added, no socket (p99)"
 )
 
-// addFigure adds a cost, which a line may be fitted to.
+// addFigure adds a cost, to which a line may be fitted.
 func (p *Point) addFigure(role, name, unit string, value float64, samples uint64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, Samples: samples})
 }
 
-// addFigureWithoutFit adds a figure that no line is fitted to.
+// addFigureWithoutFit adds a figure to which no line is fitted.
 func (p *Point) addFigureWithoutFit(role, name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, ExcludedFromFit: true})
 }
 
-// excludeFromFit turns a figure that was added into one that no line is fitted to.
+// excludeFromFit excludes the figures with a name that were added before from fits.
 func (p *Point) excludeFromFit(name string) {
 	for i := range p.Figures {
 		p.Figures[i].ExcludedFromFit = p.Figures[i].ExcludedFromFit || p.Figures[i].Name == name
@@ -110,8 +109,8 @@
 	p.Notes = append(p.Notes, fmt.Sprintf(format, args...))
 }
 
-// addHistogram adds a histogram of times in ns, with one of its quantiles (0 to 100) as the value of the figure. The
-// name of the unit is given with its length.
+// addHistogram adds a histogram of times in ns, with one of its quantiles (0 to 100) as the value of the figure.
+// unitDuration is the length of the named unit. An empty histogram adds no figure.
 func (p *Point) addHistogram(role, name, unit string, unitDuration time.Duration, h *hdrhistogram.Histogram,
 	quantile float64) {
 	if h.TotalCount() == 0 {
@@ -151,17 +150,17 @@
 func toKB(bytes float64) float64 { return bytes / (1 << 10) }
 func toMB(bytes float64) float64 { return bytes / (1 << 20) }
 
-// Save writes the report to a file. The file is complete or is not written at all.
+// Save writes the report to a file, which is complete or is not written at all.
 func (report *Report) Save(path string) error {
 	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("encoding the report: %w", err)
 	}
 	if err := os.WriteFile(path+".part", append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("writing the report: %w", err)
 	}
 	if err := os.Rename(path+".part", path); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("writing the report: %w", err)
 	}
 	return nil
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// sampleReport returns a report with four points of a sweep whose costs are no line, and one that was skipped.
+// sampleReport returns a report with four points of a sweep whose costs do not fit a line, and a skipped point.
 func sampleReport() *Report {
 	r := &Report{Format: reportFormat, Seed: 3, Status: "whole"}
 	for i := range 4 {
@@ -23,7 +23,7 @@
 		r.Points = append(r.Points, p)
 	}
 	r.Points[1].addNote("list not taken")
-	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time is left for it"})
+	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time left for this point"})
 	r.Fits = fitFigures(r.Points)
 	return r
 }
@@ -36,7 +36,7 @@
 	for _, want := range []string{"seed 3", "3,000", "1,000: list not taken", "lost: skipped, no time",
 		"3 of 4 do not fit a line"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("the tables do not say %q:\n%s", want, text.String())
+			t.Errorf("got tables without %q:\n%s", want, text.String())
 		}
 	}
 }
@@ -52,18 +52,18 @@
 	}
 	var got Report
 	if err := json.Unmarshal(file, &got); err != nil || got.Format != reportFormat || len(got.Points) != 5 {
-		t.Errorf("read back: %v, %+v", err, got)
+		t.Errorf("got error %v, report %+v; want the saved report with 5 points", err, got)
 	}
 	if p := got.Points[0].Figures[1].Percentiles; p == nil || math.Abs(p.P99-1) > 0.02 {
-		t.Errorf("percentiles %+v, want 1 ms", p)
+		t.Errorf("got percentiles %+v, want 1 ms", p)
 	}
 }
 
-func TestFormatNumber(t *testing.T) {
+func TestFormatNumberRoundsAndGroupsDigits(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 7: "7", 0.1234: "0.123", 999.6: "1,000", 999.4: "999", 1000: "1,000",
 		200000: "200,000", -1234567: "-1,234,567"} {
 		if got := formatNumber(v); got != want {
-			t.Errorf("%v is written %q, want %q", v, got, want)
+			t.Errorf("%v: got %q, want %q", v, got, want)
 		}
 	}
 }
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -12,59 +12,59 @@
 
 // Limits of a run.
 const (
-	maxMemoryShare = 0.5 // of the machine's memory
+	maxMemoryShare = 0.5 // share of the machine's memory
 	maxProcesses   = 300
-	sampleInterval = 250 * time.Millisecond // of the memory that a run uses
+	sampleInterval = 250 * time.Millisecond // time between two samples of the run's memory
 )
 
-// Estimates that a run is checked by before it starts, in bytes. While it runs, its memory is sampled.
+// Estimates in bytes for the check before a run. During the run its memory is sampled.
 const (
 	baseBytes          = 200 << 20
 	hollowIngressBytes = 400 << 10
 	realIngressBytes   = 60 << 20
 	tenantBytes        = 700
-	backendBytes       = 700  // in each decision module
-	listEntryBytes     = 2500 // for each backend once: in the model, in discovery and as text between them
+	backendBytes       = 700  // bytes in each decision module
+	listEntryBytes     = 2500 // bytes once for each backend: in the model, in discovery and as text between the two
 )
 
-// Estimates of descriptors of this process.
+// Estimates of the descriptors of this process.
 const (
-	hollowDescriptors = 6 // four for the counter, one or two for discovery
+	hollowDescriptors = 6 // descriptors of a hollow ingress: four for the counter, one or two for discovery
 	spareDescriptors  = 500
 )
 
-// errMemoryLimit ends a run that uses more than maxMemoryShare.
-var errMemoryLimit = errors.New("over half of the machine's memory")
+// errMemoryLimit stops a run that uses more than maxMemoryShare.
+var errMemoryLimit = errors.New("the run uses more than half of the machine's memory")
 
-// ResourceError says that a run would need more than it may use.
+// ResourceError reports that a run would need more of a resource than it may use.
 type ResourceError struct {
-	Needed string // with a unit
+	Needed string // amount and unit
 	Limit  string
 }
 
 func (resourceErr *ResourceError) Error() string {
-	return resourceErr.Needed + " are asked for, " + resourceErr.Limit
+	return resourceErr.Needed + " are required, but " + resourceErr.Limit
 }
 
-// checkResources returns a *ResourceError if the run would need more than it may use.
-func checkResources(o Options, m Machine) error {
+// checkResources returns a *ResourceError if the run would exceed a limit.
+func checkResources(o Options, machine Machine) error {
 	if n := 1 + standInProcesses + o.RealIngresses; n > maxProcesses {
-		return &ResourceError{fmt.Sprintf("%d processes", n), fmt.Sprintf("%d at most", maxProcesses)}
+		return &ResourceError{fmt.Sprintf("%d processes", n), fmt.Sprintf("at most %d are allowed", maxProcesses)}
 	}
 	largestFleet := max(0, slices.Max(o.IngressCounts))
 	descriptors := uint64(largestFleet*hollowDescriptors + spareDescriptors)
-	if m.MaxDescriptors > 0 && descriptors > m.MaxDescriptors {
+	if machine.MaxDescriptors > 0 && descriptors > machine.MaxDescriptors {
 		return &ResourceError{fmt.Sprintf("about %d descriptors", descriptors),
-			fmt.Sprintf("a process may hold %d here", m.MaxDescriptors)}
+			fmt.Sprintf("the limit of a process is %d", machine.MaxDescriptors)}
 	}
-	needed, limit := estimateMemory(o), maxMemoryShare*float64(m.MemoryBytes)
+	needed, limit := estimateMemory(o), maxMemoryShare*float64(machine.MemoryBytes)
 	if needed > limit {
 		return &ResourceError{"about " + formatMegabytes(needed), "half of the machine's memory is " + formatMegabytes(limit)}
 	}
 	return nil
 }
 
-// estimateMemory returns the bytes that the largest point of a run needs.
+// estimateMemory returns the estimated memory of the largest point of a run, in bytes.
 func estimateMemory(o Options) float64 {
 	backends, ingresses, tenants := slices.Max(o.BackendCounts), slices.Max(o.IngressCounts), slices.Max(o.TenantCounts)
 	const ingressBytes = hollowIngressBytes + liveTenants*tenantBytes + liveBackends*backendBytes
@@ -77,18 +77,18 @@
 
 func formatMegabytes(bytes float64) string { return fmt.Sprintf("%.0f MB", toMB(bytes)) }
 
-// ResourceUsage is what a run used of its machine.
+// ResourceUsage holds the resources that a run used.
 type ResourceUsage struct {
-	PeakMemoryBytes uint64  `json:"peak_memory_bytes"` // of all its processes, by samples
+	PeakMemoryBytes uint64  `json:"peak_memory_bytes"` // sum of all processes of the run, from samples
 	PeakProcesses   int     `json:"peak_processes"`
-	CPUSeconds      float64 `json:"processor_s"` // of this process
+	CPUSeconds      float64 `json:"processor_s"` // CPU time of this process
 	WallSeconds     float64 `json:"wall_s"`
 }
 
-// resourceMonitor samples the memory of the run's processes, and ends the run where that exceeds a limit.
+// resourceMonitor samples the memory of the run's processes, and stops the run if it exceeds a limit.
 type resourceMonitor struct {
-	mu            sync.Mutex       // guards what follows
-	pids          map[int]struct{} // of the processes that run now, with this one
+	mu            sync.Mutex       // guards the fields below
+	pids          map[int]struct{} // running processes, including this one
 	peakMemory    uint64           // bytes
 	peakProcesses int
 }
@@ -110,7 +110,7 @@
 	delete(monitor.pids, pid)
 }
 
-// sample returns the bytes that all processes have in memory now.
+// sample returns the resident memory of all processes together, in bytes.
 func (monitor *resourceMonitor) sample() uint64 {
 	monitor.mu.Lock()
 	defer monitor.mu.Unlock()
@@ -123,7 +123,7 @@
 	return sum
 }
 
-// run samples until ctx ends, or until a sample is over the limit, which it passes to stop as an error.
+// run samples until ctx ends or a sample exceeds the limit, in bytes. It then calls stop with an error.
 func (monitor *resourceMonitor) run(ctx context.Context, limit uint64, stop func(error)) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	liveTenants     = 300                   // of each hollow ingress that is live
-	liveBackends    = 200                   // except in their own sweep: a request costs more the more there are
-	meanServiceTime = 20 * time.Millisecond // of a request at a backend
-	reportReserve   = 5 * time.Second       // of the run's time, for the report
-	quickDivisor    = 4                     // of the time of each point in a quick run
+	liveTenants     = 300                   // tenants of each live hollow ingress
+	liveBackends    = 200                   // backends outside their own sweep; fixed, since they add to the cost of a request
+	meanServiceTime = 20 * time.Millisecond // mean time that a backend takes for a request
+	reportReserve   = 5 * time.Second       // part of the time limit that is kept for the report
+	quickDivisor    = 4                     // a quick run divides the time of each point by this
 )
 
 var (
-	errTimeUp       = errors.New("the time is up")
-	errPointsFailed = errors.New("points failed")
+	errTimeLimitReached = errors.New("time limit reached")
+	errPointsFailed     = errors.New("points failed")
 )
 
-// Run is one run of the sweeps. It belongs to the goroutine that calls Measure.
+// Run is one run of the sweeps. The goroutine that calls Measure owns it.
 type Run struct {
 	Options
 	progress         io.Writer
 	monitor          *resourceMonitor
 	report           *Report
 	deadline         time.Time
-	machineSaturated bool // the machine is too small for a larger live fleet
+	machineSaturated bool // a live fleet was too large for the machine; the ones after it are not measured
 }
 
-// job is one point of a sweep that is still to be measured.
+// job is a point of a sweep that has not been measured yet.
 type job struct {
-	point    Point         // without figures
-	duration time.Duration // about
+	point    Point         // point without figures
+	duration time.Duration // estimated time of the measurement
 	measure  func(context.Context, *Point) error
 }
 
-// jobsBySize returns a job for each size of a sweep.
+// jobsBySize returns one job for each size of a sweep.
 func jobsBySize(sweep, sizeUnit string, sizes []int, duration time.Duration,
 	measure func(context.Context, *Point, int) error) []job {
 	var jobs []job
@@ -57,7 +57,7 @@
 	return jobs
 }
 
-// NewRun checks the options and returns a run that has not started anything. Its progress is written line by line.
+// NewRun checks the options and returns a run, which Measure starts. The run writes its progress line by line.
 func NewRun(o Options, progress io.Writer) (*Run, error) {
 	if o.Quick {
 		o = o.withQuickSizes()
@@ -88,7 +88,8 @@
 	}, nil
 }
 
-// sourceRevision returns the commit of the code, from the build or from the working directory; empty if neither has it.
+// sourceRevision returns the commit of the code, from the build information or from the working directory; empty if
+// neither has it.
 func sourceRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
@@ -98,20 +99,20 @@
 		}
 	}
 	out, err := exec.Command("git", "rev-parse", "HEAD").Output()
-	if err != nil { // not a clone
+	if err != nil { // no repository, or no git
 		return ""
 	}
 	return strings.TrimSpace(string(out))
 }
 
-// Measure measures all points, one after another. The report holds what has been measured, also where the run ends
-// early; the error then says why in one line.
+// Measure measures all points, one after another. The report holds all points measured so far even if the run ends
+// early; the error then gives the reason in one line.
 func (r *Run) Measure(ctx context.Context) (*Report, error) {
 	start := time.Now()
 	r.deadline = start.Add(time.Duration(r.TimeLimitMinutes * float64(time.Minute)))
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errTimeUp)
+	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline.Add(-reportReserve), errTimeLimitReached)
 	defer cancel()
 	stopMonitor := r.startMonitor(stop)
 	failed := r.measurePoints(ctx)
@@ -135,9 +136,9 @@
 	return r.report, err
 }
 
-// startMonitor starts the goroutine of the resource monitor, and returns a function that ends it and waits for it.
+// startMonitor starts the goroutine of the resource monitor, and returns a function that stops it and waits for it.
 func (r *Run) startMonitor(stopRun func(error)) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background()) // beyond the run's: its children end after that
+	ctx, cancel := context.WithCancel(context.Background()) // not that of the run: child processes exit after the run's ends
 	ended := make(chan struct{})
 	go func() { // stop ends it and waits for it
 		defer close(ended)
@@ -149,7 +150,7 @@
 	}
 }
 
-// measurePoints measures all points and returns how many failed for another reason than the end of the run.
+// measurePoints measures all points and returns how many failed for a reason other than the end of the run.
 func (r *Run) measurePoints(ctx context.Context) (failed int) {
 	jobs := r.jobs()
 	for i, j := range jobs {
@@ -160,7 +161,7 @@
 			continue
 		}
 		if time.Until(r.deadline)-reportReserve < j.duration {
-			p.SkipReason = "no time is left for it"
+			p.SkipReason = "no time left for this point"
 			r.logProgress("[%d/%d] %s %s: %s", i+1, len(jobs), p.Sweep, p.Label, p.SkipReason)
 			continue
 		}
@@ -172,7 +173,7 @@
 	return failed
 }
 
-// measurePoint measures one point. It returns false if that failed while the run went on.
+// measurePoint measures one point. It returns false if the measurement failed before the run's context ended.
 func (r *Run) measurePoint(ctx context.Context, j job, p *Point) bool {
 	start := time.Now()
 	err := j.measure(ctx, p)
@@ -192,12 +193,12 @@
 	return !failed
 }
 
-// logProgress writes a line of progress. One that cannot be written stops nothing.
+// logProgress writes a line of progress. Write errors are ignored, so that they do not stop the run.
 func (r *Run) logProgress(format string, args ...any) {
 	fmt.Fprintf(r.progress, format+"\n", args...)
 }
 
-// scaleForQuickRun returns how long a part of a point takes in this run, of its time in a complete one.
+// scaleForQuickRun returns the duration of a part of a point in this run, given its duration in a full run.
 func (r *Run) scaleForQuickRun(d time.Duration) time.Duration {
 	if r.Quick {
 		return d / quickDivisor
@@ -205,7 +206,7 @@
 	return d
 }
 
-// jobs returns all points of the sweeps that are asked for, in the order of SweepNames.
+// jobs returns all points of the requested sweeps, in the order of SweepNames.
 func (r *Run) jobs() []job {
 	jobsBySweep := map[string]func() []job{
 		backendsSweep:  r.backendJobs,
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// microseconds is a time as the settings object holds it.
+// microseconds is a duration in the unit of the settings object.
 type microseconds int64
 
 func toMicroseconds(d time.Duration) microseconds { return microseconds(d.Microseconds()) }
@@ -37,7 +37,7 @@
 type planSettings struct {
 	Name   string  `json:"name"`
 	Price  float64 `json:"price"`
-	Refill float64 `json:"refill"` // units a second
+	Refill float64 `json:"refill"` // units per second
 	Burst  float64 `json:"burst"`  // units
 }
 
@@ -50,7 +50,7 @@
 type permissionSettings struct {
 	ConnectionIdleTimeout microseconds `json:"connIdleUs"`
 	ConnectTimeout        microseconds `json:"connectTimeoutUs"`
-	MaxOpen               int          `json:"maxOpen"` // requests at once
+	MaxOpen               int          `json:"maxOpen"` // concurrent requests
 	MaxAttempts           int          `json:"maxAttempts"`
 	MaxRetryAfter         microseconds `json:"maxRetryAfterUs"`
 	MayCancel             bool         `json:"mayCancel"`
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	zones = 9 // of backends and of ingresses
+	zones = 9 // zones of the backends and of the ingresses
 
-	maxRequestUnits = 2   // units that a request asks for: from 1 on, all equally likely
-	meanUnits       = 1.5 // of a request
-	lookupShare     = 0.7 // of the requests; the others are orders
+	maxRequestUnits = 2   // units of a request: from 1 to this number, equally likely
+	meanUnits       = 1.5 // units of a request on average
+	lookupShare     = 0.7 // lookups as a share of the requests; the rest are orders
 
 	quotaMargin  = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
-	minPlanRate  = 0.1 // units a second
+	minPlanRate  = 0.1 // units per second
 	burstSeconds = 20  // burst of a plan, in seconds of its rate
 )
 
@@ -29,22 +29,22 @@
 	orderDeadline  = 2 * time.Second
 )
 
-// Backends that have just started.
+// Slow start of backends.
 const (
 	slowStartMinWeight = 0.2 // share of the full speed at the start
 	slowStartWindow    = 10 * time.Second
-	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of what it serves
+	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of its throughput
 	slowStartSpan      = time.Second
 )
 
-const connectTimeout = 250 * time.Millisecond // for a connection to a backend
+const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
 
-// tenantPlan is a plan that tenants have.
+// tenantPlan is a plan of tenants.
 type tenantPlan struct {
 	name          string
-	share         float64 // of the tenants
-	gatewaySpan   int     // ingresses that one tenant comes through; fewer where the fleet is smaller
-	hasSmallBurst bool    // the burst holds one large request for each ingress, which needs a central token bucket
+	share         float64 // share of the tenants
+	gatewaySpan   int     // ingresses that receive the requests of one tenant; limited by the size of the fleet
+	hasSmallBurst bool    // the burst covers only one large request for each ingress, which requires a central token bucket
 }
 
 var plans = [...]tenantPlan{
@@ -53,17 +53,17 @@
 	{name: "wide", share: 0.2, gatewaySpan: 32, hasSmallBurst: true},
 }
 
-// fleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
+// fleetShape describes a fleet. The settings of hollow and of real ingresses follow from it alone.
 type fleetShape struct {
 	Ingresses         int
-	TenantsPerIngress int     // of one ingress, about
-	RequestRate       float64 // requests a second of one ingress, which the quotas are made for
-	PollsEndpoints    bool    // ingresses fetch the endpoint list; else it is pushed
+	TenantsPerIngress int     // approximate number
+	RequestRate       float64 // requests per second of one ingress, for which the quotas are sized
+	PollsEndpoints    bool    // ingresses poll the endpoint list; otherwise it is pushed
 }
 
 func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
 
-// policySettings returns the settings of one ingress as its decision module takes them.
+// policySettings returns the settings of one ingress in the form of its decision module.
 func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
 	text, err := shape.settingsJSON(index)
 	if err != nil {
@@ -76,12 +76,12 @@
 	return *settings, nil
 }
 
-// planSettings returns the plans, with quotas that hold what their tenants ask for.
+// planSettings returns the plans, with quotas that cover the demand of their tenants.
 func (shape fleetShape) planSettings() []planSettings {
 	var list []planSettings
 	for i, plan := range plans {
 		span := shape.gatewaySpan(plan)
-		tenants := shape.tenantsPerFirstGateway(plan) * span // of the plan, at one ingress
+		tenants := shape.tenantsPerFirstGateway(plan) * span // tenants of the plan at one ingress
 		demand := shape.RequestRate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
 		rate := max(minPlanRate, quotaMargin*demand)
 		burst := max(burstSeconds*rate, 3*float64(span)*maxRequestUnits)
@@ -97,18 +97,18 @@
 	return min(plan.gatewaySpan, shape.Ingresses)
 }
 
-// tenantsPerFirstGateway returns how many tenants of a plan have the same first gateway.
+// tenantsPerFirstGateway returns the number of tenants of a plan that have the same first gateway.
 func (shape fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
 	return max(1, int(float64(shape.TenantsPerIngress)*plan.share/float64(shape.gatewaySpan(plan))+0.5))
 }
 
-// tenant is a customer, with the ingresses that it comes through: gatewaySpan of them from firstGateway on.
+// tenant is a customer with the ingresses that receive its requests: gatewaySpan of them, starting at firstGateway.
 type tenant struct {
 	id, plan                  string
 	gatewaySpan, firstGateway int
 }
 
-// tenantsOf returns the tenants that come through one ingress. All ingresses agree on which tenants they share.
+// tenantsOf returns the tenants of one ingress. Ingresses that share a tenant return the same entry for it.
 func (shape fleetShape) tenantsOf(index int) []tenant {
 	var list []tenant
 	for planIndex, plan := range plans {
@@ -124,7 +124,7 @@
 	return list
 }
 
-// drawRequest draws a request of one of the tenants. All tenants send equally much.
+// drawRequest draws a request of one of the tenants. All tenants send requests at the same rate.
 func drawRequest(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
 	t := tenants[rng.IntN(len(tenants))]
 	request := policy.Request{
--- a/internal/scale/shape_test.go
+++ b/internal/scale/shape_test.go
@@ -9,10 +9,10 @@
 	for index := range shape.Ingresses {
 		for _, shared := range shape.tenantsOf(index) {
 			if offset := (index - shared.firstGateway + shape.Ingresses) % shape.Ingresses; offset >= shared.gatewaySpan {
-				t.Fatalf("tenant %+v at ingress %d, which is not one of its own", shared, index)
+				t.Fatalf("got tenant %+v at ingress %d, want it at its own ingresses only", shared, index)
 			}
 			if other, ok := tenants[shared.id]; ok && other != shared {
-				t.Fatalf("tenant %+v is %+v elsewhere", shared, other)
+				t.Fatalf("got tenant %+v at one ingress and %+v at another, want the same", shared, other)
 			}
 			tenants[shared.id] = shared
 			ingressesOf[shared.id]++
@@ -20,7 +20,7 @@
 	}
 	for id, n := range ingressesOf {
 		if n != tenants[id].gatewaySpan {
-			t.Errorf("tenant %s comes through %d ingresses, want %d", id, n, tenants[id].gatewaySpan)
+			t.Errorf("tenant %s: got %d ingresses, want %d", id, n, tenants[id].gatewaySpan)
 		}
 	}
 }
@@ -30,10 +30,10 @@
 	settings, err := shape.policySettings(3)
 	if err != nil || settings.Index != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
 		!settings.HasSharedCounter || settings.PollEndpoints {
-		t.Errorf("settings %+v, %v", settings, err)
+		t.Errorf("got settings %+v, error %v; want those of ingress 3 of the shape", settings, err)
 	}
 	shape.PollsEndpoints = true
 	if settings, err = shape.policySettings(0); err != nil || !settings.PollEndpoints {
-		t.Errorf("polled: settings %+v, %v", settings, err)
+		t.Errorf("got settings %+v, error %v; want polled endpoints", settings, err)
 	}
 }
--- a/internal/scale/simulated_sweeps.go
+++ b/internal/scale/simulated_sweeps.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Limits of the sweeps on a simulated clock. A part of a point ends at its span of simulated time or at its limit of
+// Limits of the sweeps on a simulated clock. Each part of a point ends at its span of simulated time or at its limit of
 // real time, whichever comes first.
 const (
-	warmUpSpan       = 20 * time.Second // simulated, before requests are measured
+	warmUpSpan       = 20 * time.Second // simulated time before requests are measured
 	warmUpTimeLimit  = 3 * time.Second
-	measureSpan      = 60 * time.Second // simulated, of the requests measured
+	measureSpan      = 60 * time.Second // simulated time of the measured requests
 	measureTimeLimit = 8 * time.Second
-	idleSpan         = 10 * time.Second // simulated, without requests
-	drainSpan        = 5 * time.Second  // simulated, for the requests in flight to end
+	idleSpan         = 10 * time.Second // simulated time without requests
+	drainSpan        = 5 * time.Second  // simulated time for the requests in flight to end
 
-	sampledIngresses    = 3  // of the fleet, evenly over its indices
-	changesPerIngress   = 50 // of endpoints, for each of them
-	eventsPerClockCheck = 8  // so that reading the real clock costs little
+	sampledIngresses    = 3  // measured ingresses, spread evenly over the indices of the fleet
+	changesPerIngress   = 50 // endpoint changes at each measured ingress
+	eventsPerClockCheck = 8  // fired timers for each reading of the real clock, which is slow in comparison
 )
 
-// whileTimeLeft returns a function that is true until a time limit is over or ctx ends.
+// whileTimeLeft returns a function that returns true until a limit of real time is reached or ctx ends.
 func whileTimeLeft(ctx context.Context, limit time.Duration) func() bool {
 	end, calls := time.Now().Add(limit), 0
 	return func() bool {
@@ -31,14 +31,14 @@
 	}
 }
 
-// simulatedUsage is what ingresses used and did on a simulated clock.
+// simulatedUsage is the CPU time and the work of ingresses on a simulated clock.
 type simulatedUsage struct {
-	span      time.Duration // simulated
-	threadCPU time.Duration // of the thread that the ingress ran on, which leaves out most of the garbage collector's
+	span      time.Duration // simulated time
+	threadCPU time.Duration // CPU time of the thread that ran the ingress; excludes most of the garbage collection
 	tally     tally
 }
 
-// measure lets a hollow ingress run like advance and measures it.
+// measure advances a hollow ingress like advance and measures it.
 func (h *hollowIngress) measure(ctx context.Context, span, limit time.Duration) simulatedUsage {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -51,7 +51,7 @@
 	}
 }
 
-// coreShare returns the share of a core that the ingress takes.
+// coreShare returns the share of a core that the ingress uses.
 func (u simulatedUsage) coreShare() float64 {
 	return u.threadCPU.Seconds() / max(1e-9, u.span.Seconds())
 }
@@ -60,7 +60,7 @@
 	return simulatedUsage{u.span + v.span, u.threadCPU + v.threadCPU, u.tally.plus(v.tally)}
 }
 
-// simulatedMeasurement is what ingresses used and did under load and then without requests.
+// simulatedMeasurement is the usage of ingresses under load and then without requests.
 type simulatedMeasurement struct {
 	load, idle           simulatedUsage
 	loadTimes, idleTimes histograms
@@ -76,18 +76,18 @@
 	total.idleTimes.merge(other.idleTimes)
 }
 
-// timeLimitScale returns how much of a limit of real time an ingress may use.
+// timeLimitScale returns the part of a limit of real time that one ingress may use.
 type timeLimitScale func(time.Duration) time.Duration
 
-// warmUp starts requests at a rate a second and lets the ingress run until it has its leases. It returns all times
-// that have been recorded since the last drain.
+// warmUp starts requests at a rate, in requests per second, and runs the ingress for long enough to acquire its quota
+// leases. It returns all times recorded since the last drain.
 func (h *hollowIngress) warmUp(ctx context.Context, rate float64, scale timeLimitScale) histograms {
 	h.setRate(rate)
 	h.advance(warmUpSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
 	return h.recorder.drain()
 }
 
-// measureLoadAndIdle measures an ingress that has been warmed up, for a simulated span and then without requests.
+// measureLoadAndIdle measures a warmed-up ingress under load for a simulated span, and then without requests.
 func (h *hollowIngress) measureLoadAndIdle(ctx context.Context, loadSpan time.Duration,
 	scale timeLimitScale) simulatedMeasurement {
 	var m simulatedMeasurement
@@ -105,7 +105,7 @@
 	return jobsBySize("backends", "backends", r.BackendCounts, 15*time.Second, r.measureBackends)
 }
 
-// measureBackends measures some ingresses of the whole fleet, one after another, in front of n backends.
+// measureBackends measures a sample of the ingresses of the fleet, one after another, in front of n backends.
 func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
 	shape := fleetShape{Ingresses: r.FleetSize, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
 	backends := newBackendModel(n, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
@@ -140,8 +140,8 @@
 		return err
 	}
 	r.addRequestFigures(p, total.load, total.loadTimes)
-	// The more backends there are, the fewer requests fit the time limit, and the larger is the part of the calls that
-	// take the first lease of a tenant.
+	// With more backends fewer requests fit into the time limit, so that a larger share of the calls acquires the first
+	// lease of a tenant.
 	p.excludeFromFit(figureCounterCalls)
 	p.addHistogram(roleIngress, "change handled", "µs", time.Microsecond, changeTimes[metricChange], 50)
 	addModuleIdleFigure(p, total.idle, total.idleTimes)
@@ -149,47 +149,47 @@
 }
 
 // addRequestFigures adds the figures of requests on a simulated clock.
-func (r *Run) addRequestFigures(p *Point, u simulatedUsage, times histograms) {
-	requests := float64(u.tally.Requests)
+func (r *Run) addRequestFigures(p *Point, usage simulatedUsage, times histograms) {
+	requests := float64(usage.tally.Requests)
 	if requests == 0 {
-		p.addNote("no request was played in its time")
+		p.addNote("no request was handled within the time limit")
 		return
 	}
 	handled := 0.0
 	for _, m := range []metric{metricArrival, metricAttemptEnd, metricCounterReply} {
 		handled += times[m].Mean() * float64(times[m].TotalCount())
 	}
-	p.addFigure(roleIngress, "request, in the module", "µs", handled/1000/requests, u.tally.Requests)
+	p.addFigure(roleIngress, "request, in the module", "µs", handled/1000/requests, usage.tally.Requests)
 	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, times[metricArrival], 50)
 	p.addHistogram(roleIngress, "answer handled", "µs", time.Microsecond, times[metricAttemptEnd], 50)
 	p.addHistogram(roleIngress, "tick handled", "µs", time.Microsecond, times[metricTimer], 50)
 	p.addFigure(roleIngress, fmt.Sprintf("core at %s requests a second", formatNumber(r.RequestRate)), "%",
-		100*u.coreShare(), u.tally.Requests)
+		100*usage.coreShare(), usage.tally.Requests)
 	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, times[metricAddedLatency], 99)
-	p.addFigure(roleIngress, figureCounterCalls, "", float64(u.tally.CounterCalls)/requests, u.tally.Requests)
-	p.addFigureWithoutFit(roleIngress, figureAttempts, "", float64(u.tally.Attempts)/requests)
-	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*float64(u.tally.Rejected)/requests)
-	p.addFigureWithoutFit(roleIngress, "not answered", "", float64(u.tally.Unanswered))
+	p.addFigure(roleIngress, figureCounterCalls, "", float64(usage.tally.CounterCalls)/requests, usage.tally.Requests)
+	p.addFigureWithoutFit(roleIngress, figureAttempts, "", float64(usage.tally.Attempts)/requests)
+	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*float64(usage.tally.Rejected)/requests)
+	p.addFigureWithoutFit(roleIngress, "not answered", "", float64(usage.tally.Unanswered))
 	p.addFigureWithoutFit(roleRun, "requests played", "", requests)
 }
 
-// addModuleIdleFigure adds the processor time of an idle second, from the times of the timer events: the thread's own
-// clock moves in steps that are too coarse for so little.
-func addModuleIdleFigure(p *Point, u simulatedUsage, times histograms) {
+// addModuleIdleFigure adds the cost of an idle second, from the handling times of timer events: the resolution of the
+// thread's CPU clock is too coarse for such short times.
+func addModuleIdleFigure(p *Point, usage simulatedUsage, times histograms) {
 	eventMS := float64(times[metricTimer].ValueAtQuantile(50)) / 1e6
-	eventsPerSecond := float64(u.tally.TimerEvents) / max(1e-9, u.span.Seconds())
-	p.addFigure(roleIngress, "idle second, in the module", "ms", eventMS*eventsPerSecond, u.tally.TimerEvents)
+	eventsPerSecond := float64(usage.tally.TimerEvents) / max(1e-9, usage.span.Seconds())
+	p.addFigure(roleIngress, "idle second, in the module", "ms", eventMS*eventsPerSecond, usage.tally.TimerEvents)
 }
 
 func (r *Run) tenantJobs() []job {
 	jobs := jobsBySize("tenants of an ingress", "tenants", r.TenantCounts, 10*time.Second, r.measureTenants)
 	for i := range jobs {
-		jobs[i].point.Size = 0 // known once the tenants of the ingress have been counted
+		jobs[i].point.Size = 0 // set once the tenants of the ingress have been counted
 	}
 	return jobs
 }
 
-// measureTenants measures one ingress of the whole fleet with about n tenants.
+// measureTenants measures one ingress of the fleet with about n tenants.
 func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
 	shape := fleetShape{Ingresses: r.FleetSize, TenantsPerIngress: n, RequestRate: r.RequestRate}
 	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
@@ -197,12 +197,12 @@
 	if err != nil {
 		return err
 	}
-	p.Size = float64(len(h.tenants)) // not n: the sets of gateways that share a tenant are complete
+	p.Size = float64(len(h.tenants)) // not exactly n: tenants are rounded to equal numbers for each first gateway
 	h.loadEndpoints(backends.targets())
 	memoryBefore := memoryInUse()
 	h.warmUp(ctx, r.RequestRate, r.scaleForQuickRun)
 	m := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaleForQuickRun)
-	h.clearCounterTable() // its memory is the counter's, not the ingress's
+	h.clearCounterTable() // the table stands for the counter's memory, not the ingress's
 	memory := memoryGrowth(memoryBefore)
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -13,10 +13,10 @@
 	"lemontack/internal/standin"
 )
 
-// roleEnvVariable is set for a process that is to run a stand-in; its value is the stand-in's role.
+// roleEnvVariable is the environment variable that makes a process run a stand-in. Its value is the stand-in's role.
 const roleEnvVariable = "SCALE_ROLE"
 
-// standInAction is what a stand-in's process is asked to do.
+// standInAction is the action of a command to a stand-in's process.
 type standInAction string
 
 const (
@@ -27,10 +27,10 @@
 	actionReportMemory standInAction = "heap" // report, after a garbage collection
 )
 
-// errUnknownAction says that a stand-in cannot do what it is asked to.
-var errUnknownAction = errors.New("no such order")
+// errUnknownAction reports an action that a stand-in does not support.
+var errUnknownAction = errors.New("unknown action")
 
-// standInError is what a stand-in's process replied that went wrong there.
+// standInError is an error that a stand-in's process returned in its reply.
 type standInError struct{ message string }
 
 func (standInErr *standInError) Error() string { return standInErr.message }
@@ -43,23 +43,23 @@
 	Targets   []standin.Target        `json:"targets,omitempty"`
 }
 
-// standInReply is what a stand-in's process writes to its standard output for each command.
+// standInReply is the JSON object that a stand-in's process writes to its standard output for each command.
 type standInReply struct {
 	Addr      string                 `json:"addr,omitempty"`
 	Error     string                 `json:"error,omitempty"`
 	Revision  int64                  `json:"rev,omitempty"`
-	AppliedAt time.Time              `json:"at"` // of a change
+	AppliedAt time.Time              `json:"at"` // time of a change
 	Discovery standin.DiscoveryStats `json:"discovery,omitzero"`
 	Counter   standin.CounterStats   `json:"counter,omitzero"`
-	CPUTime   time.Duration          `json:"processor"`      // of the process so far
+	CPUTime   time.Duration          `json:"processor"`      // CPU time of the process so far
 	Memory    uint64                 `json:"heap,omitempty"` // bytes of heap and stacks in use
 }
 
-// StandInRole returns the role of the stand-in that this process is to run, if any.
+// StandInRole returns the role of the stand-in that this process has to run, or false if it has none.
 func StandInRole() (string, bool) { return os.LookupEnv(roleEnvVariable) }
 
-// RunStandIn runs the stand-in of a role until the input ends, which it does when the run that started this process
-// ends, in whatever way.
+// RunStandIn runs the stand-in of a role until the input ends. That happens whenever the run that started this process
+// exits, even if it is killed.
 func RunStandIn(role string, in io.Reader, out io.Writer) error {
 	server := &standInServer{role: role}
 	defer server.close()
@@ -69,24 +69,24 @@
 		if err := commands.Decode(&command); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("order: %w", err)
+			return fmt.Errorf("reading a command: %w", err)
 		}
 		reply, err := server.execute(command)
 		if err != nil {
 			reply.Error = err.Error()
 		}
 		if err := replies.Encode(reply); err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// standInServer is the stand-in of a process. After the first command one of its two services is set.
+// standInServer runs the stand-in of a process. The first command sets one of its two services.
 type standInServer struct {
 	role           string
 	discovery      *standin.Discovery
 	counter        *standin.Counter
-	serveGoroutine sync.WaitGroup // the goroutine that accepts connections
+	serveGoroutine sync.WaitGroup // one goroutine, which accepts connections
 }
 
 func (server *standInServer) execute(command standInCommand) (standInReply, error) {
@@ -105,7 +105,7 @@
 	return standInReply{}, fmt.Errorf("%w: %q", errUnknownAction, command.Action)
 }
 
-// serve starts the stand-in; close ends the goroutine that serves and waits for it.
+// serve starts the stand-in. close stops the goroutine that accepts connections, and waits for it.
 func (server *standInServer) serve(command standInCommand) (standInReply, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	if server.role == roleDiscovery {
 		server.discovery = standin.NewDiscovery(command.Discovery)
-		server.serveGoroutine.Go(func() { server.discovery.Serve(listener) }) // an error shows in the calls of the ingresses
+		server.serveGoroutine.Go(func() { server.discovery.Serve(listener) }) // an error makes the calls of the ingresses fail
 	} else {
 		server.counter = standin.NewCounter(command.Counter)
 		server.serveGoroutine.Go(func() { server.counter.Serve(listener) }) // as above
@@ -137,7 +137,7 @@
 
 func (server *standInServer) close() {
 	if server.discovery != nil {
-		server.discovery.Close() // the process ends next, whatever it returns
+		server.discovery.Close() // the error does not matter: the process exits next
 	}
 	if server.counter != nil {
 		server.counter.Close()
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	standInProcesses     = 2               // discovery and the counter, apart so that each can be measured
-	polledCallsPerSecond = 100             // that discovery serves where lists are polled
-	polledQueueTimeout   = 2 * time.Second // of a call that waits for its turn there
+	standInProcesses     = 2               // processes for discovery and the counter, separate so that each can be measured
+	polledCallsPerSecond = 100             // rate at which discovery serves polled lists
+	polledQueueTimeout   = 2 * time.Second // longest wait of a call in discovery's queue
 )
 
-// standInProcess is the process of a stand-in, as the run sees it.
+// standInProcess is the run's handle of a stand-in's process.
 type standInProcess struct {
 	*childProcess
-	addr string // that the stand-in listens on
+	addr string // address that the stand-in listens on
 
-	mu      sync.Mutex // held during a call: guards in and out
+	mu      sync.Mutex // held during a call; guards stdin and replies
 	stdin   io.WriteCloser
 	replies *json.Decoder
 }
 
-// startStandIn starts this program again as the stand-in of a role and lets it listen as config says.
+// startStandIn starts this program again as the stand-in of a role, which then serves with the given configuration.
 func startStandIn(ctx context.Context, monitor *resourceMonitor, role string,
-	config standInCommand) (*standInProcess, error) {
+	command standInCommand) (*standInProcess, error) {
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	s := &standInProcess{}
+	process := &standInProcess{}
 	var stdout io.Reader
 	var pipeErr error
-	s.childProcess, err = startChild(ctx, monitor, func(ctx context.Context) *exec.Cmd {
+	process.childProcess, err = startChild(ctx, monitor, func(ctx context.Context) *exec.Cmd {
 		cmd := exec.CommandContext(ctx, executable)
 		cmd.Env = append(os.Environ(), roleEnvVariable+"="+role)
 		var inErr, outErr error
-		s.stdin, inErr = cmd.StdinPipe()
+		process.stdin, inErr = cmd.StdinPipe()
 		stdout, outErr = cmd.StdoutPipe()
 		pipeErr = errors.Join(inErr, outErr)
 		return cmd
@@ -52,27 +52,27 @@
 	if err = errors.Join(err, pipeErr); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	s.replies = json.NewDecoder(stdout)
-	config.Action = actionServe
-	reply, err := s.call(config)
+	process.replies = json.NewDecoder(stdout)
+	command.Action = actionServe
+	reply, err := process.call(command)
 	if err != nil {
-		s.stop()
+		process.stop()
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	s.addr = reply.Addr
-	return s, nil
+	process.addr = reply.Addr
+	return process, nil
 }
 
-// call sends a command and returns the reply. The error is a *standInError where the stand-in says what went wrong.
+// call sends a command and returns the reply. An error that the stand-in returned is a *standInError.
 func (process *standInProcess) call(command standInCommand) (standInReply, error) {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	var reply standInReply
 	if err := json.NewEncoder(process.stdin).Encode(command); err != nil {
-		return reply, fmt.Errorf("stand-in: %w", err)
+		return reply, fmt.Errorf("sending a command to the stand-in: %w", err)
 	}
 	if err := process.replies.Decode(&reply); err != nil {
-		return reply, fmt.Errorf("stand-in: %w", err)
+		return reply, fmt.Errorf("reading the reply of the stand-in: %w", err)
 	}
 	if reply.Error != "" {
 		return reply, &standInError{reply.Error}
@@ -80,13 +80,13 @@
 	return reply, nil
 }
 
-// stop ends the process by the end of its input, and waits for it.
+// stop closes the input of the process, which makes it exit, and waits for that.
 func (process *standInProcess) stop() {
-	process.stdin.Close() // an error means that the process has ended
+	process.stdin.Close() // an error means that the process has already exited
 	process.waitOrKill(exitTimeout)
 }
 
-// standIns are discovery and the counter.
+// standIns are the processes of discovery and of the counter.
 type standIns struct{ discovery, counter *standInProcess }
 
 func startStandIns(ctx context.Context, monitor *resourceMonitor, shape fleetShape) (*standIns, error) {
@@ -111,13 +111,13 @@
 	services.counter.stop()
 }
 
-// setList replaces discovery's list.
+// setList replaces discovery's endpoint list.
 func (services *standIns) setList(targets []standin.Target) error {
 	_, err := services.discovery.call(standInCommand{Action: actionSetList, Targets: targets})
 	return err
 }
 
-// applyChange changes entries of discovery's list, and returns the revision and time of that.
+// applyChange changes entries of discovery's endpoint list, and returns the revision and the time of the change.
 func (services *standIns) applyChange(targets ...standin.Target) (appliedRevision, error) {
 	reply, err := services.discovery.call(standInCommand{Action: actionChange, Targets: targets})
 	return appliedRevision{reply.Revision, reply.AppliedAt}, err
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -9,16 +9,16 @@
 	"text/tabwriter"
 )
 
-// tableWriter writes lines whose cells, which tabs separate, it aligns. Flush returns the first error.
+// tableWriter writes lines of cells separated by tabs, and aligns the cells. Flush returns the first error.
 type tableWriter struct{ *tabwriter.Writer }
 
 func (w tableWriter) line(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 
-// Write writes the report as tables for people.
+// Write writes the report as text tables.
 func (report *Report) Write(out io.Writer) error {
 	w := tableWriter{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
-	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", report.Seed, report.Machine.GoVersion, report.Machine.Cores,
-		formatMegabytes(float64(report.Machine.MemoryBytes)), report.Machine.LoadAverages, report.Status)
+	w.line("scale run: seed %d, %s, %d cores, %s, load before the run %s, %s", report.Seed, report.Machine.GoVersion,
+		report.Machine.Cores, formatMegabytes(float64(report.Machine.MemoryBytes)), report.Machine.LoadAverages, report.Status)
 	for _, note := range report.Notes {
 		w.line("- %s", note)
 	}
@@ -33,10 +33,11 @@
 	if len(report.Fits) > 0 {
 		w.writeFits(report.Fits)
 	}
-	w.line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		formatMegabytes(float64(report.Usage.PeakMemoryBytes)), report.Usage.PeakProcesses, report.Usage.CPUSeconds, report.Usage.WallSeconds)
+	w.line("\nUSED: at most %s and %d processes, %.0f s of CPU time in this process, %.0f s in all",
+		formatMegabytes(float64(report.Usage.PeakMemoryBytes)), report.Usage.PeakProcesses, report.Usage.CPUSeconds,
+		report.Usage.WallSeconds)
 	if err := w.Flush(); err != nil {
-		return fmt.Errorf("table: %w", err)
+		return fmt.Errorf("writing the tables: %w", err)
 	}
 	return nil
 }
@@ -90,8 +91,8 @@
 }
 
 func (w tableWriter) writeFits(fits []Fit) {
-	w.line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxRelativeDeviation)
-	w.line("sweep\trole\tfigure\tunit\tslope per %s\tat 0\tR2\tresidual\trelative\toff", formatNumber(slopeTableFactor))
+	w.line("\nFITS of lines by least squares; outliers are more than %.0f%% off the line", 100*maxRelativeDeviation)
+	w.line("sweep\trole\tfigure\tunit\tslope per %s\tintercept\tR2\tresidual\trelative\toutliers", formatNumber(slopeTableFactor))
 	for _, f := range fits {
 		outliers := "-"
 		if len(f.Outliers) > 0 {
@@ -103,7 +104,8 @@
 	}
 }
 
-// formatNumber formats a figure for people: commas between thousands where it is large, three digits where it is not.
+// formatNumber formats a number with commas between thousands if it is large, and otherwise as an integer or with three
+// significant digits.
 func formatNumber(v float64) string {
 	if v < 0 {
 		return "-" + formatNumber(-v)
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -1,20 +1,20 @@
 package scale
 
-// tally counts what a hollow ingress has done. Each request has one end: it is served, rejected, failed or unanswered.
+// tally counts the work of a hollow ingress. Each request has one outcome: served, rejected, failed or unanswered.
 type tally struct {
 	Requests   uint64
 	Served     uint64
 	Rejected   uint64
 	Failed     uint64
-	Unanswered uint64 // the client gave up
+	Unanswered uint64 // the client stopped waiting
 
-	Attempts        uint64 // sent to backends
+	Attempts        uint64 // attempts sent to backends
 	CounterCalls    uint64
-	TimerEvents     uint64 // of the decision module
-	EndpointChanges uint64 // of endpoints
-	ListSnapshots   uint64 // of the endpoint list
+	TimerEvents     uint64 // timer events of the decision module
+	EndpointChanges uint64 // events with a change of endpoints
+	ListSnapshots   uint64 // events with a complete endpoint list
 
-	SkippedArrivals uint64 // arrivals left out since a busy machine was too late for them
+	SkippedArrivals uint64 // arrivals for which a busy machine was too late
 }
 
 func (t tally) minus(u tally) tally {
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -23,7 +23,7 @@
 	}}
 }
 
-// measureZoneLoss takes all backends of a zone away under load, and then brings them back cold.
+// measureZoneLoss removes all backends of a zone under load, and then starts them again cold.
 func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
 	backends := newBackendModel(zones*backendsPerZone, r.LiveRequestRate*float64(n), meanServiceTime, false)
 	shape := fleetShape{Ingresses: n, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate}
@@ -57,11 +57,12 @@
 	}
 	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartSpan)
 	p.addFigureWithoutFit(roleIngress, name, "", float64(backends.maxColdAttempts()))
-	p.addFigureWithoutFit(roleIngress, "back: what such a one bears when it starts", "", backends.coldAttemptLimit(meanServiceTime))
+	p.addFigureWithoutFit(roleIngress, "back: what such a one bears when it starts", "",
+		backends.coldAttemptLimit(meanServiceTime))
 	return nil
 }
 
-// addPropagationFigures adds how long a change took to reach the ingresses.
+// addPropagationFigures adds the times that a change took to reach the ingresses.
 func (f *liveFleet) addPropagationFigures(ctx context.Context, p *Point, phase string, change appliedRevision) error {
 	delays, err := f.measurePropagation(ctx, []appliedRevision{change})
 	if err != nil {
@@ -73,14 +74,14 @@
 	return nil
 }
 
-// measureZonePhase makes a change, if there is one, measures the time after it, and adds how the load was spread over
-// the backends that are up.
+// measureZonePhase makes a change, if there is one, measures for d, and adds the figures of the phase, with the spread
+// of the load over the backends that were not removed.
 func (f *liveFleet) measureZonePhase(ctx context.Context, p *Point, phase string, d time.Duration,
 	change func() []standin.Target) (appliedRevision, error) {
 	attemptsBefore := f.backends.attemptCounts()
 	f.recorder.drain()
 	var applied appliedRevision
-	u, err := f.measure(ctx, func() error {
+	usage, err := f.measure(ctx, func() error {
 		if change != nil {
 			var err error
 			if applied, err = f.applyChange(change()...); err != nil {
@@ -97,22 +98,22 @@
 		if f.backends.backends[i].removed.Load() {
 			continue
 		}
-		rate := float64(attempts-attemptsBefore[i]) / u.seconds
+		rate := float64(attempts-attemptsBefore[i]) / usage.seconds
 		busiest, sum, servingCount = max(busiest, rate), sum+rate, servingCount+1
 	}
-	requests := max(1, float64(u.tally.Requests))
+	requests := max(1, float64(usage.tally.Requests))
 	p.addFigureWithoutFit(roleBackends, phase+": attempts a second, mean", "", sum/max(1, servingCount))
 	p.addFigureWithoutFit(roleBackends, phase+": attempts a second, busiest", "", busiest)
-	p.addFigureWithoutFit(roleIngress, phase+": served", "%", 100*float64(u.tally.Served)/requests)
-	p.addFigureWithoutFit(roleIngress, phase+": refused", "%", 100*float64(u.tally.Rejected)/requests)
-	failures := float64(u.tally.Failed + u.tally.Unanswered)
+	p.addFigureWithoutFit(roleIngress, phase+": served", "%", 100*float64(usage.tally.Served)/requests)
+	p.addFigureWithoutFit(roleIngress, phase+": refused", "%", 100*float64(usage.tally.Rejected)/requests)
+	failures := float64(usage.tally.Failed + usage.tally.Unanswered)
 	p.addFigureWithoutFit(roleIngress, phase+": failed or not answered", "%", 100*failures/requests)
 	addedLatency := f.recorder.drain()[metricAddedLatency]
 	p.addHistogram(roleIngress, phase+": "+figureAddedLatency, "ms", time.Millisecond, addedLatency, 99)
-	p.addFigureWithoutFit(roleDiscovery, phase+": messages", "", u.discoveryMessages)
-	p.addFigureWithoutFit(roleDiscovery, phase+": bytes", "KB", toKB(u.discoveryBytes))
-	ingressMS := u.cpuTime.Seconds() * 1000 / u.seconds / float64(len(f.ingresses))
+	p.addFigureWithoutFit(roleDiscovery, phase+": messages", "", usage.discoveryMessages)
+	p.addFigureWithoutFit(roleDiscovery, phase+": bytes", "KB", toKB(usage.discoveryBytes))
+	ingressMS := usage.cpuTime.Seconds() * 1000 / usage.seconds / float64(len(f.ingresses))
 	p.addFigureWithoutFit(roleIngress, phase+": processor a second, each", "ms", ingressMS)
-	p.addFigureWithoutFit(roleCounter, phase+": calls a second", "", u.counterCalls/u.seconds)
+	p.addFigureWithoutFit(roleCounter, phase+": calls a second", "", usage.counterCalls/usage.seconds)
 	return applied, nil
 }
