--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -118,22 +118,22 @@
 	if err != nil {
 		return err
 	}
-	m, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration),
+	measured, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration),
 		r.scaleForQuickRun(compareWarmUpDuration), r.scaleForQuickRun(compareDuration))
 	if err != nil {
 		return err
 	}
-	addedLatency := m.times[metricAddedLatency]
+	addedLatency := measured.times[metricAddedLatency]
 	ingresses := float64(r.RealIngresses)
-	_, busiestToMean := attemptSpread(m.attemptsBefore, backends.attemptCounts())
+	_, busiestToMean := attemptSpread(measured.attemptsBefore, backends.attemptCounts())
 	r.addComparison(p, comparison{
-		requests:         float64(m.load.tally.Requests),
-		rejected:         float64(m.load.tally.Rejected),
-		failed:           float64(m.load.tally.Failed + m.load.tally.Unanswered),
-		attempts:         float64(m.load.tally.Attempts),
-		cpuTime:          m.load.cpuTime,
-		idleCPUPerSecond: m.idle.cpuTime.Seconds() / m.idle.seconds / ingresses,
-		counterCalls:     m.load.counterCalls,
+		requests:         float64(measured.load.tally.Requests),
+		rejected:         float64(measured.load.tally.Rejected),
+		failed:           float64(measured.load.tally.Failed + measured.load.tally.Unanswered),
+		attempts:         float64(measured.load.tally.Attempts),
+		cpuTime:          measured.load.cpuTime,
+		idleCPUPerSecond: measured.idle.cpuTime.Seconds() / measured.idle.seconds / ingresses,
+		counterCalls:     measured.load.counterCalls,
 		listBytes:        float64(discovery.Discovery.Bytes) / ingresses,
 		memory:           f.memoryPerIngress(),
 		busiestToMean:    busiestToMean,
@@ -145,16 +145,16 @@
 
 // measureRealIngresses measures processes of the real ingress.
 func (r *Run) measureRealIngresses(ctx context.Context, p *Point) error {
-	f := &realFleet{}
-	defer f.stop()
-	if err := r.startRealFleet(ctx, f); err != nil {
+	fleet := &realFleet{}
+	defer fleet.stop()
+	if err := r.startRealFleet(ctx, fleet); err != nil {
 		return err
 	}
-	discovery, err := f.discovery.call(standInCommand{Action: actionReport})
+	discovery, err := fleet.discovery.call(standInCommand{Action: actionReport})
 	if err != nil {
 		return err
 	}
-	cpuBefore, err := f.cpuTime()
+	cpuBefore, err := fleet.cpuTime()
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	if err := sleep(ctx, idle); err != nil {
 		return err
 	}
-	cpuAfter, err := f.cpuTime()
+	cpuAfter, err := fleet.cpuTime()
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.RealIngresses),
 		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.RealIngresses),
 	}
-	viaIngresses, direct, err := r.runRealLoad(ctx, f, p, &c)
+	viaIngresses, direct, err := r.runRealLoad(ctx, fleet, p, &c)
 	if err != nil {
 		return err
 	}
@@ -187,12 +187,12 @@
 // runRealLoad sends requests through all real ingresses, first without and then with measurement. During the measurement
 // another generator calls a backend directly, so that other load on the machine affects both. The results are the
 // latencies beyond the service time of the requests through ingresses and of the direct ones.
-func (r *Run) runRealLoad(ctx context.Context, f *realFleet, p *Point, c *comparison) (through,
+func (r *Run) runRealLoad(ctx context.Context, fleet *realFleet, p *Point, c *comparison) (viaIngresses,
 	direct *hdrhistogram.Histogram, err error) {
-	directGenerator := newLoadGenerator(f.directAddr, 0)
+	directGenerator := newLoadGenerator(fleet.directAddr, 0)
 	defer directGenerator.close()
 	var generators []*loadGenerator
-	for i, ingress := range f.ingresses {
+	for i, ingress := range fleet.ingresses {
 		generators = append(generators, newLoadGenerator(ingress.addr, i+1))
 		defer generators[i].close()
 	}
@@ -200,12 +200,12 @@
 	for _, g := range generators {
 		g.addedLatency.Reset()
 	}
-	before, err := f.readCounters(generators)
+	before, err := fleet.readCounters(generators)
 	if err != nil {
 		return nil, nil, err
 	}
 	r.runGenerators(ctx, append(generators, directGenerator), compareDuration, 1)
-	after, err := f.readCounters(generators)
+	after, err := fleet.readCounters(generators)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -215,8 +215,8 @@
 	c.setLoadResults(before, after)
 	p.addFigureWithoutFit(roleIngress, "connections to backends for a request", "",
 		(after.backendConnections-before.backendConnections)/max(1, c.requests))
-	for _, ingress := range f.ingresses {
-		c.memory += float64(residentMemory(ingress.pid())) / float64(len(f.ingresses))
+	for _, ingress := range fleet.ingresses {
+		c.memory += float64(residentMemory(ingress.pid())) / float64(len(fleet.ingresses))
 	}
 	if after.mismatched > 0 {
 		p.addNote("%v requests were served with a value that no backend made for them", after.mismatched)
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -49,8 +49,8 @@
 }
 
 // apply returns the part of an update that the decision module receives, which may be empty.
-func (s endpointSubset) apply(u endpointUpdate) endpointUpdate {
-	return endpointUpdate{s.cache.Apply(u.list)}
+func (s endpointSubset) apply(update endpointUpdate) endpointUpdate {
+	return endpointUpdate{s.cache.Apply(update.list)}
 }
 
 // clientConfig configures the clients of discovery and of the counter of one ingress.
@@ -67,7 +67,7 @@
 	counter   *counterclient.Client
 }
 
-// newControlClients returns both clients, not connected yet. They call post from goroutines of their own.
+// newControlClients returns both clients. Once run, they post an endpointUpdate or a counterResult from own goroutines.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
 	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.knownList.list, Settings: cfg.settings}
 	return controlClients{
@@ -78,7 +78,7 @@
 	}
 }
 
-// applyKnownList returns the part of the known list that the decision module receives. It is called before run.
+// applyKnownList returns the part of the known list that the decision module receives. It must be called before run.
 func (clients controlClients) applyKnownList(knownList endpointUpdate) endpointUpdate {
 	return endpointUpdate{clients.discovery.ApplyKnownList(knownList.list)}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -35,15 +35,15 @@
 	if len(x) < minFitPoints {
 		return Fit{}, false
 	}
-	f := Fit{Points: len(x)}
-	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
-	f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope)
-	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are equal
-		f.R2 = 1
+	fit := Fit{Points: len(x)}
+	fit.Intercept, fit.Slope = stat.LinearRegression(x, y, nil, false)
+	fit.R2 = stat.RSquared(x, y, nil, fit.Intercept, fit.Slope)
+	if math.IsNaN(fit.R2) || math.IsInf(fit.R2, 0) { // all values are equal
+		fit.R2 = 1
 	}
 	squares, relativeSquares := 0.0, 0.0
 	for i := range x {
-		predicted := f.Intercept + f.Slope*x[i]
+		predicted := fit.Intercept + fit.Slope*x[i]
 		deviation, relativeDeviation := y[i]-predicted, 0.0
 		if deviation != 0 {
 			relativeDeviation = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
@@ -51,13 +51,14 @@
 		squares += deviation * deviation
 		relativeSquares += min(relativeDeviation*relativeDeviation, maxSquaredRelativeDeviation)
 		if math.Abs(relativeDeviation) > maxRelativeDeviation {
-			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line predicts %.4g", formatNumber(x[i]), y[i], predicted))
+			fit.Outliers = append(fit.Outliers,
+				fmt.Sprintf("%s: %.4g, the line predicts %.4g", formatNumber(x[i]), y[i], predicted))
 		}
 	}
-	f.Residual = math.Sqrt(squares / float64(len(x)))
-	f.RelativeResidual = math.Sqrt(relativeSquares / float64(len(x)))
-	ok := !math.IsNaN(f.Slope) && !math.IsNaN(f.Intercept) && !math.IsInf(f.Slope, 0)
-	return f, ok
+	fit.Residual = math.Sqrt(squares / float64(len(x)))
+	fit.RelativeResidual = math.Sqrt(relativeSquares / float64(len(x)))
+	ok := !math.IsNaN(fit.Slope) && !math.IsNaN(fit.Intercept) && !math.IsInf(fit.Slope, 0)
+	return fit, ok
 }
 
 // series holds the values of a figure with the sizes of their points.
@@ -69,11 +70,11 @@
 	var keys []figureKey
 	seriesOf := map[figureKey]*series{}
 	for _, p := range points {
-		for _, f := range p.Figures {
-			if p.SizeUnit == "" || f.ExcludedFromFit {
+		for _, figure := range p.Figures {
+			if p.SizeUnit == "" || figure.ExcludedFromFit {
 				continue
 			}
-			key := figureKey{p.Sweep, f.Role, f.Name, f.Unit, p.SizeUnit}
+			key := figureKey{p.Sweep, figure.Role, figure.Name, figure.Unit, p.SizeUnit}
 			s := seriesOf[key]
 			if s == nil {
 				s = &series{}
@@ -81,15 +82,15 @@
 				keys = append(keys, key)
 			}
 			s.sizes = append(s.sizes, p.Size)
-			s.values = append(s.values, f.Value)
+			s.values = append(s.values, figure.Value)
 		}
 	}
 	var list []Fit
-	for _, k := range keys {
-		s := seriesOf[k]
-		if f, ok := fitLine(s.sizes, s.values); ok {
-			f.Sweep, f.Role, f.Figure, f.Unit, f.SizeUnit = k.sweep, k.role, k.name, k.unit, k.sizeUnit
-			list = append(list, f)
+	for _, key := range keys {
+		s := seriesOf[key]
+		if fit, ok := fitLine(s.sizes, s.values); ok {
+			fit.Sweep, fit.Role, fit.Figure, fit.Unit, fit.SizeUnit = key.sweep, key.role, key.name, key.unit, key.sizeUnit
+			list = append(list, fit)
 		}
 	}
 	return list
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -22,21 +22,21 @@
 		{"one size only", []float64{2, 2, 2}, []float64{1, 2, 3}, 0, 0, false, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, ok := fitLine(c.x, c.y)
+			fit, ok := fitLine(c.x, c.y)
 			if ok == c.noFit {
 				t.Fatalf("got a fit: %v, want %v", ok, !c.noFit)
 			}
 			if !ok {
 				return
 			}
-			if math.Abs(f.Slope-c.slope) > 1e-9 || math.Abs(f.Intercept-c.intercept) > 1e-9 {
-				t.Errorf("got %v x + %v, want %v x + %v", f.Slope, f.Intercept, c.slope, c.intercept)
+			if math.Abs(fit.Slope-c.slope) > 1e-9 || math.Abs(fit.Intercept-c.intercept) > 1e-9 {
+				t.Errorf("got %v x + %v, want %v x + %v", fit.Slope, fit.Intercept, c.slope, c.intercept)
 			}
-			if exact := f.Residual < 1e-9 && f.R2 > 1-1e-9; exact != c.exact {
-				t.Errorf("got residual %v, R2 %v; want an exact fit: %v", f.Residual, f.R2, c.exact)
+			if exact := fit.Residual < 1e-9 && fit.R2 > 1-1e-9; exact != c.exact {
+				t.Errorf("got residual %v, R2 %v; want an exact fit: %v", fit.Residual, fit.R2, c.exact)
 			}
-			if len(f.Outliers) != c.outliers {
-				t.Errorf("got outliers %q, want %d", f.Outliers, c.outliers)
+			if len(fit.Outliers) != c.outliers {
+				t.Errorf("got outliers %q, want %d", fit.Outliers, c.outliers)
 			}
 		})
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -205,7 +205,7 @@
 	h.enqueue(event)
 }
 
-// generateRequest draws a request that arrived when due and queues it for the decision module.
+// generateRequest draws a request with the arrival time due, and queues it for the decision module.
 func (h *hollowIngress) generateRequest(due time.Duration) {
 	newRequest := drawRequest(h.rng, h.tenants, due)
 	h.lastRequestID++
@@ -218,70 +218,70 @@
 
 // startAttempt starts an attempt at its modelled backend and schedules its end.
 func (h *hollowIngress) startAttempt(send policy.Send) {
-	r := h.requests[send.ID]
-	if r == nil {
+	req := h.requests[send.ID]
+	if req == nil {
 		return
 	}
-	if len(r.attempts) == 0 {
-		h.recorder.record(h.index, metricAddedLatency, h.now-r.arrivedAt+time.Since(h.eventStart))
+	if len(req.attempts) == 0 {
+		h.recorder.record(h.index, metricAddedLatency, h.now-req.arrivedAt+time.Since(h.eventStart))
 	}
 	h.tally.Attempts++
 	latency, outcome := h.backends.startAttempt(send.Endpoint, h.now, h.rng)
-	r.attempts = append(r.attempts, attempt{
+	req.attempts = append(req.attempts, attempt{
 		endpoint:  send.Endpoint,
 		sentAt:    h.now,
 		holdsSlot: outcome.Outcome == policy.Succeeded,
 	})
-	r.inFlight++
+	req.inFlight++
 	if send.AttemptDeadline > 0 && h.now+latency > send.AttemptDeadline {
 		latency, outcome = max(0, send.AttemptDeadline-h.now), policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
-	h.schedule(latency, timer{kind: attemptEndTimer, requestID: send.ID, attempt: len(r.attempts) - 1, outcome: outcome})
+	h.schedule(latency, timer{kind: attemptEndTimer, requestID: send.ID, attempt: len(req.attempts) - 1, outcome: outcome})
 }
 
 // endAttempt reports the end of an attempt to the decision module. It does nothing if the attempt has already ended.
 func (h *hollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
-	r := h.requests[id]
-	if r == nil || index >= len(r.attempts) || r.attempts[index].ended {
+	req := h.requests[id]
+	if req == nil || index >= len(req.attempts) || req.attempts[index].ended {
 		return
 	}
-	a := &r.attempts[index]
-	a.ended = true
-	r.inFlight--
-	if a.holdsSlot {
-		h.backends.finishAttempt(a.endpoint)
+	att := &req.attempts[index]
+	att.ended = true
+	req.inFlight--
+	if att.holdsSlot {
+		h.backends.finishAttempt(att.endpoint)
 	}
-	if outcome.Outcome == policy.Succeeded && !r.finished {
-		r.finished = true
+	if outcome.Outcome == policy.Succeeded && !req.finished {
+		req.finished = true
 		h.tally.Served++
 	}
-	outcome.ID, outcome.Attempt, outcome.Endpoint = id, index, a.endpoint
-	outcome.Latency, outcome.RequestFinished = h.now-a.sentAt, r.finished
+	outcome.ID, outcome.Attempt, outcome.Endpoint = id, index, att.endpoint
+	outcome.Latency, outcome.RequestFinished = h.now-att.sentAt, req.finished
 	h.enqueue(outcome)
-	h.removeIfDone(id, r)
+	h.removeIfDone(id, req)
 }
 
 // finishRequest ends a request without a backend's answer and increments the count of that outcome.
 func (h *hollowIngress) finishRequest(id policy.RequestID, outcomeCount *uint64) {
-	if r := h.requests[id]; r != nil && !r.finished {
+	if req := h.requests[id]; req != nil && !req.finished {
 		*outcomeCount++
-		r.finished = true
-		h.removeIfDone(id, r)
+		req.finished = true
+		h.removeIfDone(id, req)
 	}
 }
 
 // disconnectClient ends a request whose client no longer waits. It does nothing if the request is already finished.
 func (h *hollowIngress) disconnectClient(id policy.RequestID) {
-	if r := h.requests[id]; r != nil && !r.finished {
+	if req := h.requests[id]; req != nil && !req.finished {
 		h.tally.Unanswered++
-		r.finished = true
+		req.finished = true
 		h.enqueue(policy.ClientDisconnected{ID: id})
-		h.removeIfDone(id, r)
+		h.removeIfDone(id, req)
 	}
 }
 
-func (h *hollowIngress) removeIfDone(id policy.RequestID, r *request) {
-	if r.finished && r.inFlight == 0 {
+func (h *hollowIngress) removeIfDone(id policy.RequestID, req *request) {
+	if req.finished && req.inFlight == 0 {
 		delete(h.requests, id)
 	}
 }
--- a/internal/scale/hollow_live.go
+++ b/internal/scale/hollow_live.go
@@ -41,7 +41,7 @@
 
 func (run task) deliver(*hollowIngress) { run() }
 
-// connect switches an ingress to real time, with clients of discovery and of the counter. It is called before run.
+// connect switches an ingress to real time, with clients of discovery and of the counter. It must be called before run.
 func (h *hollowIngress) connect(discoveryAddr, counterAddr string, knownList endpointUpdate, log *slog.Logger) {
 	h.live = &liveConnection{
 		events:    make(chan clientEvent, eventQueueLength),
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -89,15 +89,15 @@
 func addFetchFigures(p *Point, fetches []listFetch) {
 	addMedian := func(name, unit string, value func(listFetch) float64) {
 		var values []float64
-		for _, f := range fetches {
-			values = append(values, value(f))
+		for _, fetch := range fetches {
+			values = append(values, value(fetch))
 		}
 		slices.Sort(values)
 		p.addFigure(roleIngress, "list taken: "+name, unit, values[len(values)/2], uint64(len(fetches)))
 	}
-	addMedian("processor", "ms", func(f listFetch) float64 { return f.cpuTime.Seconds() * 1000 })
-	addMedian("time", "ms", func(f listFetch) float64 { return f.duration.Seconds() * 1000 })
-	addMedian("allocated", "MB", func(f listFetch) float64 { return toMB(float64(f.allocated)) })
+	addMedian("processor", "ms", func(fetch listFetch) float64 { return fetch.cpuTime.Seconds() * 1000 })
+	addMedian("time", "ms", func(fetch listFetch) float64 { return fetch.duration.Seconds() * 1000 })
+	addMedian("allocated", "MB", func(fetch listFetch) float64 { return toMB(float64(fetch.allocated)) })
 	p.addFigureWithoutFit(roleIngress, "list taken: held", "backends", float64(fetches[0].keptEndpoints))
 }
 
--- a/internal/scale/live_fleet.go
+++ b/internal/scale/live_fleet.go
@@ -215,24 +215,24 @@
 // second of each ingress.
 func (f *liveFleet) measureIdleAndLoad(ctx context.Context, rate float64, idle, settle,
 	load time.Duration) (idleAndLoad, error) {
-	var m idleAndLoad
+	var measured idleAndLoad
 	var err error
-	if m.idle, err = f.measureFor(ctx, idle); err != nil {
-		return m, err
+	if measured.idle, err = f.measureFor(ctx, idle); err != nil {
+		return measured, err
 	}
 	if err := f.setRate(ctx, rate); err != nil {
-		return m, err
+		return measured, err
 	}
 	if err := sleep(ctx, settle); err != nil {
-		return m, err
+		return measured, err
 	}
 	f.recorder.drain()
-	m.attemptsBefore = f.backends.attemptCounts()
-	if m.load, err = f.measureFor(ctx, load); err != nil {
-		return m, err
+	measured.attemptsBefore = f.backends.attemptCounts()
+	if measured.load, err = f.measureFor(ctx, load); err != nil {
+		return measured, err
 	}
-	m.times = f.recorder.drain()
-	return m, nil
+	measured.times = f.recorder.drain()
+	return measured, nil
 }
 
 // propagation holds the times that changes of endpoints took to reach the ingresses.
@@ -274,9 +274,9 @@
 // delayUntilApplied returns the time from a change to the first applied revision that contains it, or false if there is
 // none.
 func delayUntilApplied(applied []appliedRevision, change appliedRevision) (time.Duration, bool) {
-	for _, a := range applied {
-		if a.revision >= change.revision {
-			return a.at.Sub(change.at), true
+	for _, revision := range applied {
+		if revision.revision >= change.revision {
+			return revision.at.Sub(change.at), true
 		}
 	}
 	return 0, false
--- a/internal/scale/live_sweeps.go
+++ b/internal/scale/live_sweeps.go
@@ -49,8 +49,8 @@
 		return err
 	}
 	defer f.stop()
-	m, err := f.measureIdleAndLoad(ctx, r.LiveRequestRate, r.scaleForQuickRun(idleDuration), r.scaleForQuickRun(settleDuration),
-		r.scaleForQuickRun(loadDuration))
+	measured, err := f.measureIdleAndLoad(ctx, r.LiveRequestRate, r.scaleForQuickRun(idleDuration),
+		r.scaleForQuickRun(settleDuration), r.scaleForQuickRun(loadDuration))
 	if err != nil {
 		return err
 	}
@@ -58,18 +58,18 @@
 	if err := f.setRate(ctx, 0); err != nil {
 		return err
 	}
-	addIdleFigures(p, m.idle, n)
-	addLoadFigures(p, m.load, n)
-	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, m.times[metricArrival], 50)
-	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, m.times[metricAddedLatency], 99)
+	addIdleFigures(p, measured.idle, n)
+	addLoadFigures(p, measured.load, n)
+	p.addHistogram(roleIngress, "arrival handled", "µs", time.Microsecond, measured.times[metricArrival], 50)
+	p.addHistogram(roleIngress, figureAddedLatency, "ms", time.Millisecond, measured.times[metricAddedLatency], 99)
 	if err := f.addStateFigures(p); err != nil {
 		return err
 	}
-	r.checkSaturation(p, m.load, m.times[metricLateness], n)
+	r.checkSaturation(p, measured.load, measured.times[metricLateness], n)
 	return r.addChangeFigures(ctx, p, f, changeInterval, singleChangeCount)
 }
 
-// checkSaturation ends the sweep if a fleet of n ingresses is too large for the machine.
+// checkSaturation adds the load of the machine, and ends the sweep if a fleet of n ingresses is too large for it.
 func (r *Run) checkSaturation(p *Point, load fleetUsage, lateness *hdrhistogram.Histogram, n int) {
 	cpuShare := load.cpuTime.Seconds() / load.seconds / float64(r.report.Machine.Cores)
 	p.addFigureWithoutFit(roleRun, "ingresses, of the machine's cores", "%", 100*cpuShare)
--- a/internal/scale/load_generator.go
+++ b/internal/scale/load_generator.go
@@ -89,8 +89,8 @@
 		arguments = []string{"Q.DO", request.Customer, id, attributes, "body"}
 	}
 	command = redcon.AppendArray(nil, len(arguments))
-	for _, word := range arguments {
-		command = redcon.AppendBulkString(command, word)
+	for _, argument := range arguments {
+		command = redcon.AppendBulkString(command, argument)
 	}
 	return command, id
 }
@@ -183,14 +183,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &generatorConn{Conn: conn}
+	newConn := &generatorConn{Conn: conn}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.openConns[c] = struct{}{}
-	return c, nil
+	g.openConns[newConn] = struct{}{}
+	return newConn, nil
 }
 
-// close closes all connections. It is called after run has returned.
+// close closes all connections. It must be called after run has returned.
 func (g *loadGenerator) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -76,35 +76,35 @@
 }
 
 // startRealFleet starts backends, discovery, the counter and the ingresses, and waits until the ingresses answer. The
-// caller must call f.stop, also after an error.
-func (r *Run) startRealFleet(ctx context.Context, f *realFleet) error {
+// caller must call fleet.stop, also after an error.
+func (r *Run) startRealFleet(ctx context.Context, fleet *realFleet) error {
 	var err error
-	if f.directory, err = os.MkdirTemp("", tempDirPattern); err != nil {
+	if fleet.directory, err = os.MkdirTemp("", tempDirPattern); err != nil {
 		return err
 	}
 	binary := r.IngressBinary
 	if binary == "" {
-		if binary, err = buildIngress(ctx, r.monitor, f.directory); err != nil {
+		if binary, err = buildIngress(ctx, r.monitor, fleet.directory); err != nil {
 			return err
 		}
 	}
-	if err := f.startBackends(); err != nil {
+	if err := fleet.startBackends(); err != nil {
 		return err
 	}
-	if f.standIns, err = startStandIns(ctx, r.monitor, r.compareShape()); err != nil {
+	if fleet.standIns, err = startStandIns(ctx, r.monitor, r.compareShape()); err != nil {
 		return err
 	}
-	if err := f.setList(f.targets); err != nil {
+	if err := fleet.setList(fleet.targets); err != nil {
 		return err
 	}
 	for index := range r.RealIngresses {
-		ingress, err := r.startRealIngress(ctx, f, binary, index)
+		ingress, err := r.startRealIngress(ctx, fleet, binary, index)
 		if err != nil {
 			return err
 		}
-		f.ingresses = append(f.ingresses, ingress)
+		fleet.ingresses = append(fleet.ingresses, ingress)
 	}
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		if err := ingress.waitReady(ctx); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 }
 
 // startRealIngress writes a configuration file and starts an ingress with it.
-func (r *Run) startRealIngress(ctx context.Context, f *realFleet, binary string, index int) (*realIngress, error) {
+func (r *Run) startRealIngress(ctx context.Context, fleet *realFleet, binary string, index int) (*realIngress, error) {
 	settings, err := r.compareShape().settingsJSON(index)
 	if err != nil {
 		return nil, err
@@ -170,8 +170,8 @@
 	}
 	config, err := json.Marshal(ingressConfig{
 		Listen:    ingress.addr,
-		Discovery: f.discovery.addr,
-		Counter:   f.counter.addr,
+		Discovery: fleet.discovery.addr,
+		Counter:   fleet.counter.addr,
 		Seed:      fmt.Sprintf("%x", r.Seed+uint64(index)),
 		Settings:  settings,
 		Limits:    ingressLimits{Cores: realIngressCores, MemoryMB: realIngressMemoryMB, Sockets: realIngressSockets},
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encoding the configuration of the ingress: %w", err)
 	}
-	path := filepath.Join(f.directory, fmt.Sprintf("ingress-%d.json", index))
+	path := filepath.Join(fleet.directory, fmt.Sprintf("ingress-%d.json", index))
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 	return listener.Addr().String(), nil
 }
 
-// waitReady sends PING like a client until the ingress answers.
+// waitReady sends PING, like a client, until the ingress answers or readyTimeout is over.
 func (ingress *realIngress) waitReady(ctx context.Context) error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
@@ -254,7 +254,7 @@
 	}
 	fleet.backendGoroutines.Wait()
 	if fleet.directory != "" {
-		os.RemoveAll(fleet.directory) // after an error, files remain in the system's temporary directory
+		os.RemoveAll(fleet.directory) // files left after an error are in the system's temporary directory
 	}
 }
 
@@ -268,25 +268,25 @@
 }
 
 func (fleet *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
-	var c realCounters
+	var counters realCounters
 	for _, g := range generators {
-		c.requests += float64(g.sent)
-		c.rejected += float64(g.rejected.Load())
-		c.failed += float64(g.failed.Load())
-		c.mismatched += float64(g.mismatched.Load())
+		counters.requests += float64(g.sent)
+		counters.rejected += float64(g.rejected.Load())
+		counters.failed += float64(g.failed.Load())
+		counters.mismatched += float64(g.mismatched.Load())
 	}
 	for _, backend := range fleet.backends {
 		stats := backend.Stats()
-		c.attempts = append(c.attempts, uint64(stats.Attempts))
-		c.backendConnections += float64(stats.Connections)
+		counters.attempts = append(counters.attempts, uint64(stats.Attempts))
+		counters.backendConnections += float64(stats.Connections)
 	}
 	var err error
-	if c.cpuTime, err = fleet.cpuTime(); err != nil {
-		return c, err
+	if counters.cpuTime, err = fleet.cpuTime(); err != nil {
+		return counters, err
 	}
 	counter, err := fleet.counter.call(standInCommand{Action: actionReport})
-	c.counterCalls = counter.Counter.Calls
-	return c, err
+	counters.counterCalls = counter.Counter.Calls
+	return counters, err
 }
 
 // cpuTime returns the CPU time of all ingresses so far.
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -11,7 +11,7 @@
 type metric int
 
 const (
-	// Time of the decision module to handle an event.
+	// Times that the decision module takes to handle an event.
 	metricArrival metric = iota
 	metricAttemptEnd
 	metricCounterReply
@@ -35,11 +35,11 @@
 type histograms [metricCount]*hdrhistogram.Histogram
 
 func newHistograms() histograms {
-	var h histograms
-	for m := range h {
-		h[m] = newHistogram()
+	var hs histograms
+	for m := range hs {
+		hs[m] = newHistogram()
 	}
-	return h
+	return hs
 }
 
 // merge adds the recorded times of other, which does not change.
@@ -54,8 +54,8 @@
 }
 
 // recordTime adds a time to a histogram of newHistogram; a time outside its bounds counts as the nearest bound.
-func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
+func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
+	histogram.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
 }
 
 // timeRecorder collects times of many hollow ingresses. It is safe for concurrent use.
@@ -67,11 +67,11 @@
 }
 
 func newTimeRecorder() *timeRecorder {
-	r := &timeRecorder{}
-	for i := range r.shards {
-		r.shards[i].histograms = newHistograms()
+	recorder := &timeRecorder{}
+	for i := range recorder.shards {
+		recorder.shards[i].histograms = newHistograms()
 	}
-	return r
+	return recorder
 }
 
 // record adds a time of the ingress at an index.
@@ -89,8 +89,8 @@
 		shard := &recorder.shards[i]
 		shard.mu.Lock()
 		sum.merge(shard.histograms)
-		for _, h := range shard.histograms {
-			h.Reset()
+		for _, histogram := range shard.histograms {
+			histogram.Reset()
 		}
 		shard.mu.Unlock()
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -111,31 +111,33 @@
 
 // addHistogram adds a histogram of times in ns, with one of its quantiles (0 to 100) as the value of the figure.
 // unitDuration is the length of the named unit. An empty histogram adds no figure.
-func (p *Point) addHistogram(role, name, unit string, unitDuration time.Duration, h *hdrhistogram.Histogram,
+func (p *Point) addHistogram(role, name, unit string, unitDuration time.Duration, histogram *hdrhistogram.Histogram,
 	quantile float64) {
-	if h.TotalCount() == 0 {
+	if histogram.TotalCount() == 0 {
 		return
 	}
-	valueAt := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / float64(unitDuration) }
+	valueAt := func(quantile float64) float64 {
+		return float64(histogram.ValueAtQuantile(quantile)) / float64(unitDuration)
+	}
 	p.Figures = append(p.Figures, Figure{
 		Role:    role,
 		Name:    name,
 		Unit:    unit,
 		Value:   valueAt(quantile),
-		Samples: uint64(h.TotalCount()),
+		Samples: uint64(histogram.TotalCount()),
 		Percentiles: &Percentiles{
 			P50:  valueAt(50),
 			P90:  valueAt(90),
 			P99:  valueAt(99),
 			P999: valueAt(99.9),
-			Max:  float64(h.Max()) / float64(unitDuration),
-			Mean: h.Mean() / float64(unitDuration),
+			Max:  float64(histogram.Max()) / float64(unitDuration),
+			Mean: histogram.Mean() / float64(unitDuration),
 		},
 	})
 }
 
 func (p *Point) findFigure(role, name string) (Figure, bool) {
-	i := slices.IndexFunc(p.Figures, func(f Figure) bool { return f.Role == role && f.Name == name })
+	i := slices.IndexFunc(p.Figures, func(figure Figure) bool { return figure.Role == role && figure.Name == name })
 	if i < 0 {
 		return Figure{}, false
 	}
@@ -143,8 +145,8 @@
 }
 
 // quantileMS returns a quantile (0 to 100) of a histogram of times in ns, in milliseconds.
-func quantileMS(h *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(h.ValueAtQuantile(quantile)) / float64(time.Millisecond)
+func quantileMS(histogram *hdrhistogram.Histogram, quantile float64) float64 {
+	return float64(histogram.ValueAtQuantile(quantile)) / float64(time.Millisecond)
 }
 
 func toKB(bytes float64) float64 { return bytes / (1 << 10) }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -13,19 +13,19 @@
 
 // sampleReport returns a report with four points of a sweep whose costs do not fit a line, and a skipped point.
 func sampleReport() *Report {
-	r := &Report{Format: reportFormat, Seed: 3, Status: "whole"}
+	report := &Report{Format: reportFormat, Seed: 3, Status: "whole"}
 	for i := range 4 {
 		p := &Point{Sweep: "backends", Label: formatNumber(float64(1000 * i)), SizeUnit: "backends", Size: float64(i)}
 		p.addFigure(roleIngress, "cost", "µs", float64(i*i), 9)
-		h := newHistogram()
-		recordTime(h, time.Millisecond)
-		p.addHistogram(roleIngress, "wait", "ms", time.Millisecond, h, 50)
-		r.Points = append(r.Points, p)
+		histogram := newHistogram()
+		recordTime(histogram, time.Millisecond)
+		p.addHistogram(roleIngress, "wait", "ms", time.Millisecond, histogram, 50)
+		report.Points = append(report.Points, p)
 	}
-	r.Points[1].addNote("list not taken")
-	r.Points = append(r.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time left for this point"})
-	r.Fits = fitFigures(r.Points)
-	return r
+	report.Points[1].addNote("list not taken")
+	report.Points = append(report.Points, &Point{Sweep: "zone", Label: "lost", SkipReason: "no time left for this point"})
+	report.Fits = fitFigures(report.Points)
+	return report
 }
 
 func TestTablesNameSkippedPointsNotesAndOutliers(t *testing.T) {
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -24,7 +24,7 @@
 	realIngressBytes   = 60 << 20
 	tenantBytes        = 700
 	backendBytes       = 700  // bytes in each decision module
-	listEntryBytes     = 2500 // bytes once for each backend: in the model, in discovery and as text between the two
+	listEntryBytes     = 2500 // bytes for each backend once: in the model, in discovery and as text between the two
 )
 
 // Estimates of the descriptors of this process.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -138,7 +138,7 @@
 
 // startMonitor starts the goroutine of the resource monitor, and returns a function that stops it and waits for it.
 func (r *Run) startMonitor(stopRun func(error)) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background()) // not that of the run: child processes exit after the run's ends
+	ctx, cancel := context.WithCancel(context.Background()) // not the run's: child processes exit after that has ended
 	ended := make(chan struct{})
 	go func() { // stop ends it and waits for it
 		defer close(ended)
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -126,13 +126,13 @@
 
 // drawRequest draws a request of one of the tenants. All tenants send requests at the same rate.
 func drawRequest(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
-	t := tenants[rng.IntN(len(tenants))]
+	selected := tenants[rng.IntN(len(tenants))]
 	request := policy.Request{
 		Class:        orderClass,
-		Plan:         t.plan,
-		Customer:     t.id,
-		GatewaySpan:  t.gatewaySpan,
-		FirstGateway: t.firstGateway,
+		Plan:         selected.plan,
+		Customer:     selected.id,
+		GatewaySpan:  selected.gatewaySpan,
+		FirstGateway: selected.firstGateway,
 		Units:        float64(1 + rng.IntN(maxRequestUnits)),
 		Deadline:     now + orderDeadline,
 	}
--- a/internal/scale/simulated_sweeps.go
+++ b/internal/scale/simulated_sweeps.go
@@ -56,8 +56,8 @@
 	return u.threadCPU.Seconds() / max(1e-9, u.span.Seconds())
 }
 
-func (u simulatedUsage) plus(v simulatedUsage) simulatedUsage {
-	return simulatedUsage{u.span + v.span, u.threadCPU + v.threadCPU, u.tally.plus(v.tally)}
+func (u simulatedUsage) plus(other simulatedUsage) simulatedUsage {
+	return simulatedUsage{u.span + other.span, u.threadCPU + other.threadCPU, u.tally.plus(other.tally)}
 }
 
 // simulatedMeasurement is the usage of ingresses under load and then without requests.
@@ -90,15 +90,15 @@
 // measureLoadAndIdle measures a warmed-up ingress under load for a simulated span, and then without requests.
 func (h *hollowIngress) measureLoadAndIdle(ctx context.Context, loadSpan time.Duration,
 	scale timeLimitScale) simulatedMeasurement {
-	var m simulatedMeasurement
-	m.load = h.measure(ctx, loadSpan, scale(measureTimeLimit))
-	m.loadTimes = h.recorder.drain()
+	var measured simulatedMeasurement
+	measured.load = h.measure(ctx, loadSpan, scale(measureTimeLimit))
+	measured.loadTimes = h.recorder.drain()
 	h.setRate(0)
 	h.advance(drainSpan, whileTimeLeft(ctx, scale(warmUpTimeLimit)))
 	h.recorder.drain()
-	m.idle = h.measure(ctx, idleSpan, scale(warmUpTimeLimit))
-	m.idleTimes = h.recorder.drain()
-	return m
+	measured.idle = h.measure(ctx, idleSpan, scale(warmUpTimeLimit))
+	measured.idleTimes = h.recorder.drain()
+	return measured
 }
 
 func (r *Run) backendJobs() []job {
@@ -201,7 +201,7 @@
 	h.loadEndpoints(backends.targets())
 	memoryBefore := memoryInUse()
 	h.warmUp(ctx, r.RequestRate, r.scaleForQuickRun)
-	m := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaleForQuickRun)
+	measured := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaleForQuickRun)
 	h.clearCounterTable() // the table stands for the counter's memory, not the ingress's
 	memory := memoryGrowth(memoryBefore)
 	if err := ctx.Err(); err != nil {
@@ -210,7 +210,7 @@
 	p.addFigureWithoutFit(roleIngress, "tenants", "", p.Size)
 	p.addFigure(roleIngress, "state of the tenants", "MB", toMB(memory), 1)
 	p.addFigureWithoutFit(roleIngress, "state of a tenant", "bytes", memory/float64(len(h.tenants)))
-	r.addRequestFigures(p, m.load, m.loadTimes)
-	addModuleIdleFigure(p, m.idle, m.idleTimes)
+	r.addRequestFigures(p, measured.load, measured.loadTimes)
+	addModuleIdleFigure(p, measured.idle, measured.idleTimes)
 	return nil
 }
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -16,8 +16,8 @@
 
 const (
 	standInProcesses     = 2               // processes for discovery and the counter, separate so that each can be measured
-	polledCallsPerSecond = 100             // rate at which discovery serves polled lists
-	polledQueueTimeout   = 2 * time.Second // longest wait of a call in discovery's queue
+	polledCallsPerSecond = 100             // calls per second that discovery serves if lists are polled
+	polledQueueTimeout   = 2 * time.Second // longest wait of such a call in discovery's queue
 )
 
 // standInProcess is the run's handle of a stand-in's process.
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -63,26 +63,26 @@
 }
 
 func (w tableWriter) writeFigures(points []*Point) {
-	type row struct{ role, name, unit string }
-	var rows []row
+	type figureRow struct{ role, name, unit string }
+	var rows []figureRow
 	header := []string{"role", "figure", "unit"}
 	for _, p := range points {
 		header = append(header, p.Label)
-		for _, f := range p.Figures {
-			if r := (row{f.Role, f.Name, f.Unit}); !slices.Contains(rows, r) {
-				rows = append(rows, r)
+		for _, figure := range p.Figures {
+			if row := (figureRow{figure.Role, figure.Name, figure.Unit}); !slices.Contains(rows, row) {
+				rows = append(rows, row)
 			}
 		}
 	}
 	if len(rows) > 0 {
 		w.line("%s", strings.Join(header, "\t"))
 	}
-	for _, r := range rows {
-		cells := []string{r.role, r.name, r.unit}
+	for _, row := range rows {
+		cells := []string{row.role, row.name, row.unit}
 		for _, p := range points {
 			cell := "-"
-			if f, ok := p.findFigure(r.role, r.name); ok {
-				cell = formatNumber(f.Value)
+			if figure, ok := p.findFigure(row.role, row.name); ok {
+				cell = formatNumber(figure.Value)
 			}
 			cells = append(cells, cell)
 		}
@@ -93,14 +93,14 @@
 func (w tableWriter) writeFits(fits []Fit) {
 	w.line("\nFITS of lines by least squares; outliers are more than %.0f%% off the line", 100*maxRelativeDeviation)
 	w.line("sweep\trole\tfigure\tunit\tslope per %s\tintercept\tR2\tresidual\trelative\toutliers", formatNumber(slopeTableFactor))
-	for _, f := range fits {
+	for _, fit := range fits {
 		outliers := "-"
-		if len(f.Outliers) > 0 {
-			outliers = fmt.Sprintf("%d of %d do not fit a line", len(f.Outliers), f.Points)
+		if len(fit.Outliers) > 0 {
+			outliers = fmt.Sprintf("%d of %d do not fit a line", len(fit.Outliers), fit.Points)
 		}
-		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit,
-			formatNumber(slopeTableFactor*f.Slope), formatNumber(f.Intercept), f.R2, formatNumber(f.Residual),
-			100*f.RelativeResidual, outliers)
+		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", fit.Sweep, fit.Role, fit.Figure, fit.Unit,
+			formatNumber(slopeTableFactor*fit.Slope), formatNumber(fit.Intercept), fit.R2, formatNumber(fit.Residual),
+			100*fit.RelativeResidual, outliers)
 	}
 }
 
@@ -111,11 +111,11 @@
 		return "-" + formatNumber(-v)
 	}
 	if v >= 999.5 {
-		s := strconv.FormatFloat(v, 'f', 0, 64)
-		for i := len(s) - 3; i > 0; i -= 3 {
-			s = s[:i] + "," + s[i:]
+		digits := strconv.FormatFloat(v, 'f', 0, 64)
+		for i := len(digits) - 3; i > 0; i -= 3 {
+			digits = digits[:i] + "," + digits[i:]
 		}
-		return s
+		return digits
 	}
 	if v == float64(int(v)) {
 		return strconv.Itoa(int(v))
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -17,20 +17,20 @@
 	SkippedArrivals uint64 // arrivals for which a busy machine was too late
 }
 
-func (t tally) minus(u tally) tally {
+func (counts tally) minus(other tally) tally {
 	return tally{
-		Requests:        t.Requests - u.Requests,
-		Served:          t.Served - u.Served,
-		Rejected:        t.Rejected - u.Rejected,
-		Failed:          t.Failed - u.Failed,
-		Unanswered:      t.Unanswered - u.Unanswered,
-		Attempts:        t.Attempts - u.Attempts,
-		CounterCalls:    t.CounterCalls - u.CounterCalls,
-		TimerEvents:     t.TimerEvents - u.TimerEvents,
-		EndpointChanges: t.EndpointChanges - u.EndpointChanges,
-		ListSnapshots:   t.ListSnapshots - u.ListSnapshots,
-		SkippedArrivals: t.SkippedArrivals - u.SkippedArrivals,
+		Requests:        counts.Requests - other.Requests,
+		Served:          counts.Served - other.Served,
+		Rejected:        counts.Rejected - other.Rejected,
+		Failed:          counts.Failed - other.Failed,
+		Unanswered:      counts.Unanswered - other.Unanswered,
+		Attempts:        counts.Attempts - other.Attempts,
+		CounterCalls:    counts.CounterCalls - other.CounterCalls,
+		TimerEvents:     counts.TimerEvents - other.TimerEvents,
+		EndpointChanges: counts.EndpointChanges - other.EndpointChanges,
+		ListSnapshots:   counts.ListSnapshots - other.ListSnapshots,
+		SkippedArrivals: counts.SkippedArrivals - other.SkippedArrivals,
 	}
 }
 
-func (t tally) plus(u tally) tally { return t.minus(tally{}.minus(u)) }
+func (counts tally) plus(other tally) tally { return counts.minus(tally{}.minus(other)) }
