--- a/internal/discovery/pollpolicy.go
+++ b/internal/discovery/calltimings.go
@@ -26,63 +26,63 @@
 // All gateways share one discovery service of a fixed capacity, and calls that have waited for long fail there. So the
 // gateways of a fleet that starts, or loses its watches, at one moment must not all call at one moment.
 const (
-	spreadPerGateway    = 50 * time.Millisecond  // of the time over which a fleet's calls are spread, up to pollInterval
-	maxUnspreadGateways = 8                      // a fleet of up to this size may call at one moment
-	maxMoveSpread       = 500 * time.Millisecond // after a change of address, whose changes have to be known within 4 s
-	minBackoff          = 100 * time.Millisecond // doubled after each call
+	spreadPerGateway         = 50 * time.Millisecond  // of the time over which a fleet's calls are spread, up to pollInterval
+	maxGatewaysWithoutSpread = 8                      // a fleet of up to this size may call at one moment
+	maxMoveSpread            = 500 * time.Millisecond // after a change of address, whose changes have to be known within 4 s
+	minBackoff               = 100 * time.Millisecond // doubled after each call
 )
 
-// pollPolicy says how discovery is called.
-type pollPolicy struct {
+// callTimings says how discovery is called.
+type callTimings struct {
 	startSpread    time.Duration // over which the first calls of a fleet are spread; 0: they are not
 	answerTimeout  time.Duration // of a call
 	silenceTimeout time.Duration // of a watch that brings nothing, or too little of an object
 	minBackoff     time.Duration // pause after a call; it doubles up to maxBackoff
 	maxBackoff     time.Duration
-	hedgeAfter     time.Duration // without an answer; 0: no hedged calls
+	hedgeDelay     time.Duration // without an answer; 0: no hedged calls
 }
 
-// newPollPolicy returns the policy for a fleet of that many gateways which poll, or to which an agent pushes. hasKnownList
+// newCallTimings returns the policy for a fleet of that many gateways which poll, or to which an agent pushes. hasKnownList
 // says that the configuration brought a list to begin with.
-func newPollPolicy(polls bool, gateways int, hasKnownList bool) pollPolicy {
-	if !polls {
-		return pollPolicy{
+func newCallTimings(isPolling bool, gateways int, hasKnownList bool) callTimings {
+	if !isPolling {
+		return callTimings{
 			answerTimeout:  agentAnswerTimeout,
 			silenceTimeout: agentSilenceTimeout,
 			minBackoff:     minBackoff,
 			maxBackoff:     agentMaxBackoff,
 		}
 	}
-	policy := pollPolicy{
+	timings := callTimings{
 		answerTimeout:  pollAnswerTimeout,
 		silenceTimeout: pollSilenceTimeout,
 		minBackoff:     minBackoff,
 		maxBackoff:     pollInterval,
-		hedgeAfter:     pollInterval,
+		hedgeDelay:     pollInterval,
 	}
-	if gateways > maxUnspreadGateways && hasKnownList {
-		policy.startSpread = min(spreadPerGateway*time.Duration(gateways), pollInterval)
-		policy.minBackoff = policy.startSpread
+	if gateways > maxGatewaysWithoutSpread && hasKnownList {
+		timings.startSpread = min(spreadPerGateway*time.Duration(gateways), pollInterval)
+		timings.minBackoff = timings.startSpread
 	}
-	return policy
+	return timings
 }
 
 // backoff is a sequence of pauses that double up to a maximum.
 type backoff struct {
-	min, max time.Duration
-	pause    time.Duration // the next one
+	min, max  time.Duration
+	nextPause time.Duration // the next one
 }
 
 func newBackoff(minPause, maxPause time.Duration) backoff {
-	return backoff{min: minPause, max: maxPause, pause: minPause}
+	return backoff{min: minPause, max: maxPause, nextPause: minPause}
 }
 
 // next returns the pause to make now.
 func (b *backoff) next() time.Duration {
-	pause := b.pause
-	b.pause = min(2*pause, b.max)
+	pause := b.nextPause
+	b.nextPause = min(2*pause, b.max)
 	return pause
 }
 
 // reset makes the minimum the next pause.
-func (b *backoff) reset() { b.pause = b.min }
+func (b *backoff) reset() { b.nextPause = b.min }
