--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -28,9 +28,9 @@
 func NewCache(settings policy.Settings, log *slog.Logger) *Cache { return newCache(nil, settings, log) }
 
 // newCache returns an empty cache for that subset; nil: the widest one.
-func newCache(chosen *subset.Subset, settings policy.Settings, log *slog.Logger) *Cache {
-	if chosen == nil {
-		chosen = subset.New(subset.Config{
+func newCache(gatewaySubset *subset.Subset, settings policy.Settings, log *slog.Logger) *Cache {
+	if gatewaySubset == nil {
+		gatewaySubset = subset.New(subset.Config{
 			Index:          settings.Index,
 			GatewayCount:   settings.GatewayCount,
 			Zone:           settings.Zone,
@@ -39,59 +39,59 @@
 			MaxSize:        maxCacheSize,
 		})
 	}
-	return &Cache{members: subset.NewMembers(chosen, settings.Zone), log: log}
+	return &Cache{members: subset.NewMembers(gatewaySubset, settings.Zone), log: log}
 }
 
 // Apply takes over a list or a change that is in memory already, and returns the part of it to publish.
-func (c *Cache) Apply(list EndpointList) EndpointList {
-	wanted := newBatch()
+func (cache *Cache) Apply(list EndpointList) EndpointList {
+	collected := newEntryBatch()
 	for _, entry := range list.Entries {
-		c.collect(wanted, entry)
+		cache.collect(collected, entry)
 	}
-	list.Entries = wanted.entries
-	return c.apply(list)
+	list.Entries = collected.entries
+	return cache.applyDecoded(list)
 }
 
 // decode decodes the next list or change. However long it is, no more of its entries are returned than the cache can hold,
 // besides those of endpoints that are cached, of which every change counts. It calls beforeEntry before each entry.
-func (c *Cache) decode(objects *json.Decoder, beforeEntry func()) (header, EndpointList, error) {
-	wanted := newBatch()
-	take := func(entry Entry) { c.collect(wanted, entry) }
-	h, err := decodeList(objects, entryHandlers{before: beforeEntry, take: take})
-	if err != nil || !h.isComplete() {
-		return h, EndpointList{}, err
+func (cache *Cache) decode(decoder *json.Decoder, beforeEntry func()) (listHeader, EndpointList, error) {
+	collected := newEntryBatch()
+	onEntry := func(entry Entry) { cache.collect(collected, entry) }
+	header, err := decodeList(decoder, entryHandlers{beforeEntry: beforeEntry, onEntry: onEntry})
+	if err != nil || !header.isComplete() {
+		return header, EndpointList{}, err
 	}
-	return h, EndpointList{Revision: *h.Revision, Snapshot: h.Snapshot, Entries: wanted.entries}, nil
+	return header, EndpointList{Revision: *header.Revision, Snapshot: header.Snapshot, Entries: collected.entries}, nil
 }
 
 // collect adds an entry to the batch if it is valid and wanted, and narrows the subset if the batch gets too long.
-func (c *Cache) collect(wanted *batch, entry Entry) {
-	if !c.isValid(entry) || !c.isWanted(entry) {
+func (cache *Cache) collect(collected *entryBatch, entry Entry) {
+	if !cache.isValid(entry) || !cache.isWanted(entry) {
 		return
 	}
-	wanted.add(entry)
-	for c.members.NarrowIfOverfull(len(wanted.entries) - c.members.Len()) {
-		wanted.filter(c.isWanted)
+	collected.add(entry)
+	for cache.members.NarrowIfOverfull(len(collected.entries) - cache.members.Len()) {
+		collected.filter(cache.isWanted)
 	}
 }
 
-// apply takes over what decode or collect returned, and returns the part of it to publish. Endpoints that the subset no
+// applyDecoded takes over what decode or collect returned, and returns the part of it to publish. Endpoints that the subset no
 // longer contains by then are left out, or published as removed if they were cached.
-func (c *Cache) apply(list EndpointList) EndpointList {
+func (cache *Cache) applyDecoded(list EndpointList) EndpointList {
 	if list.Snapshot {
-		c.members.Reset()
+		cache.members.Reset()
 	}
 	for _, entry := range list.Entries {
 		if entry.isRemoved() {
-			c.members.Remove(entry.UID)
+			cache.members.Remove(entry.UID)
 		} else {
-			c.members.Add(entry.UID, entry.Zone)
+			cache.members.Add(entry.UID, entry.Zone)
 		}
 	}
-	evicted := c.members.Evict()
+	evicted := cache.members.Evict()
 	if len(evicted) > 0 {
 		list.Entries = slices.DeleteFunc(list.Entries, func(entry Entry) bool {
-			return !entry.isRemoved() && !c.members.IsCached(entry.UID)
+			return !entry.isRemoved() && !cache.members.IsCached(entry.UID)
 		})
 	}
 	if !list.Snapshot {
@@ -99,55 +99,55 @@
 			list.Entries = append(list.Entries, Entry{UID: uid, State: stateDeleted})
 		}
 	}
-	list.GatewaysPerEndpoint = c.members.GatewaysPerEndpoint()
+	list.GatewaysPerEndpoint = cache.members.GatewaysPerEndpoint()
 	return list
 }
 
 // needsResync reports whether the whole list has to be read again.
-func (c *Cache) needsResync() bool { return c.members.NeedsResync() }
+func (cache *Cache) needsResync() bool { return cache.members.NeedsResync() }
 
 // widenIfSparse makes room for more endpoints if the list has become short, and reports whether the whole list has to be
 // read again.
-func (c *Cache) widenIfSparse() bool { return c.members.WidenIfSparse() }
+func (cache *Cache) widenIfSparse() bool { return cache.members.WidenIfSparse() }
 
-func (c *Cache) isWanted(entry Entry) bool { return c.members.IsWanted(entry.UID, entry.Zone) }
+func (cache *Cache) isWanted(entry Entry) bool { return cache.members.IsWanted(entry.UID, entry.Zone) }
 
 // isValid reports whether an entry can be used, and logs why not.
-func (c *Cache) isValid(entry Entry) bool {
+func (cache *Cache) isValid(entry Entry) bool {
 	err := entry.validate()
 	if err != nil {
-		c.log.Warn("discovery ignores an invalid entry", "err", err)
+		cache.log.Warn("discovery ignores an invalid entry", "err", err)
 	}
 	return err == nil
 }
 
-// batch holds the wanted entries of one list, the latest of each endpoint.
-type batch struct {
-	entries []Entry
-	index   map[string]int // in entries, by uid
+// entryBatch holds the wanted entries of one list, the latest of each endpoint.
+type entryBatch struct {
+	entries   []Entry
+	positions map[string]int // in entries, by uid
 }
 
-func newBatch() *batch { return &batch{index: map[string]int{}} }
+func newEntryBatch() *entryBatch { return &entryBatch{positions: map[string]int{}} }
 
 // add appends an entry, or replaces the earlier one of its endpoint.
-func (b *batch) add(entry Entry) {
-	if i, exists := b.index[entry.UID]; exists {
-		b.entries[i] = entry
+func (batch *entryBatch) add(entry Entry) {
+	if i, exists := batch.positions[entry.UID]; exists {
+		batch.entries[i] = entry
 		return
 	}
-	b.index[entry.UID] = len(b.entries)
-	b.entries = append(b.entries, entry)
+	batch.positions[entry.UID] = len(batch.entries)
+	batch.entries = append(batch.entries, entry)
 }
 
 // filter removes the entries that are not wanted.
-func (b *batch) filter(isWanted func(Entry) bool) {
-	old := b.entries
-	b.entries = old[:0]
-	clear(b.index)
-	for _, entry := range old {
+func (batch *entryBatch) filter(isWanted func(Entry) bool) {
+	previous := batch.entries
+	batch.entries = previous[:0]
+	clear(batch.positions)
+	for _, entry := range previous {
 		if isWanted(entry) {
-			b.add(entry)
+			batch.add(entry)
 		}
 	}
-	clear(old[len(b.entries):])
+	clear(previous[len(batch.entries):])
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -35,15 +35,15 @@
 
 // Client keeps the endpoint list up to date. ChangeAddress and Ready may be called from any goroutine; the rest belongs to Run.
 type Client struct {
-	url       string // of the list; changes between two calls of synchronize
-	http      *http.Client
-	addresses mailbox.Latest[string] // address updates
-	publish   func(EndpointList)
-	policy    pollPolicy
-	ready     chan struct{} // closed by markReady
-	markReady func()
-	calls     sync.WaitGroup // goroutines of watch calls
-	log       *slog.Logger
+	url            string // of the list; changes between two calls of synchronize
+	http           *http.Client
+	addresses      mailbox.Latest[string] // address updates
+	publish        func(EndpointList)
+	timings        callTimings
+	ready          chan struct{} // closed by markReady
+	markReady      func()
+	callGoroutines sync.WaitGroup // goroutines of watch calls
+	log            *slog.Logger
 
 	// Of the goroutine that runs synchronize.
 	revision int64 // of the latest list or change
@@ -69,7 +69,7 @@
 		http:      &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
 		addresses: mailbox.NewLatest[string](),
 		publish:   publish,
-		policy:    newPollPolicy(settings.PollEndpoints, settings.GatewayCount, hasKnown),
+		timings:   newCallTimings(settings.PollEndpoints, settings.GatewayCount, hasKnown),
 		ready:     make(chan struct{}),
 		log:       log,
 		revision:  config.KnownList.Revision,
@@ -99,7 +99,7 @@
 // when it returns.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
-	defer c.calls.Wait()
+	defer c.callGoroutines.Wait()
 	for ctx.Err() == nil {
 		c.runUntilMove(ctx)
 	}
@@ -107,33 +107,33 @@
 
 // runUntilMove synchronizes with one address until ctx ends or another address comes.
 func (c *Client) runUntilMove(ctx context.Context) {
-	here, leave := context.WithCancel(ctx)
-	left := make(chan struct{})
+	syncCtx, stopSync := context.WithCancel(ctx)
+	syncDone := make(chan struct{})
 	// Ends with the context here; this function awaits it by left.
 	go func() {
-		defer close(left)
-		c.synchronize(here)
+		defer close(syncDone)
+		c.synchronize(syncCtx)
 	}()
 	select {
 	case <-ctx.Done():
 	case address := <-c.addresses:
 		c.log.Info("discovery address changed", "address", address)
-		leave()
-		<-left
+		stopSync()
+		<-syncDone
 		c.http.CloseIdleConnections()
 		c.url = listURL(address)
 	}
-	leave()
-	<-left
+	stopSync()
+	<-syncDone
 }
 
 // synchronize polls the list, then watches its changes until ctx ends. Whatever breaks a watch, the next one resumes from
 // the latest revision.
 func (c *Client) synchronize(ctx context.Context) {
-	c.start(ctx)
-	pauses := newBackoff(c.policy.minBackoff, c.policy.maxBackoff)
+	c.beginSync(ctx)
+	retryBackoff := newBackoff(c.timings.minBackoff, c.timings.maxBackoff)
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		if c.cache.needsResync() {
 			c.poll(ctx)
 		}
@@ -142,18 +142,18 @@
 			return
 		}
 		c.log.Warn("discovery watch ended", "err", err)
-		if time.Since(began) >= c.policy.silenceTimeout {
-			pauses.reset()
+		if time.Since(startedAt) >= c.timings.silenceTimeout {
+			retryBackoff.reset()
 		}
-		pause := pauses.next()
+		pause := retryBackoff.next()
 		sleep(ctx, pause/4+c.jitter(pause*3/4))
 	}
 }
 
-// start brings a list to begin with. Where polls are spread out, the known list has to do until the watch brings what has
+// beginSync brings a list to begin with. Where polls are spread out, the known list has to do until the watch brings what has
 // changed since, and only the beginning of the watch is delayed.
-func (c *Client) start(ctx context.Context) {
-	spread := c.policy.startSpread
+func (c *Client) beginSync(ctx context.Context) {
+	spread := c.timings.startSpread
 	if spread <= 0 {
 		c.poll(ctx)
 		c.markReady()
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -15,20 +15,20 @@
 
 // clientGroup is the clients of many gateways with one discovery service, on a simulated clock.
 type clientGroup struct {
-	service   *standin.Discovery
-	listener  *standin.PipeListener
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	clients   []*Client
-	mu        sync.Mutex
-	published []map[int64]time.Time // by client, when it first published a revision
+	service        *standin.Discovery
+	listener       *standin.PipeListener
+	cancel         context.CancelFunc
+	goroutines     sync.WaitGroup
+	clients        []*Client
+	mu             sync.Mutex
+	firstPublished []map[int64]time.Time // by client, when it first published a revision
 }
 
 // startClients starts n clients that know revision 1 at one moment.
-func startClients(n int, polls bool, seed uint64, service *standin.Discovery) *clientGroup {
+func startClients(n int, isPolling bool, seed uint64, service *standin.Discovery) *clientGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := &clientGroup{service: service, listener: standin.NewPipeListener(), cancel: cancel}
-	group.running.Go(func() { service.Serve(group.listener) })
+	group.goroutines.Go(func() { service.Serve(group.listener) })
 	for i := range n {
 		published := map[int64]time.Time{}
 		config := Config{
@@ -46,10 +46,10 @@
 			if published[list.Revision].IsZero() {
 				published[list.Revision] = time.Now()
 			}
-		}, quiet)
-		client.policy = newPollPolicy(polls, n, true)
-		group.published, group.clients = append(group.published, published), append(group.clients, client)
-		group.running.Go(func() { client.Run(ctx) })
+		}, discardLog)
+		client.timings = newCallTimings(isPolling, n, true)
+		group.firstPublished, group.clients = append(group.firstPublished, published), append(group.clients, client)
+		group.goroutines.Go(func() { client.Run(ctx) })
 	}
 	return group
 }
@@ -57,27 +57,27 @@
 func (group *clientGroup) close() {
 	group.cancel()
 	group.service.Close()
-	group.running.Wait()
+	group.goroutines.Wait()
 }
 
-// latest returns how long after a moment the last client published a revision, and how many did not.
-func (group *clientGroup) latest(revision int64, since time.Time) (last time.Duration, missing int) {
+// lastPublished returns how long after a moment the last client published a revision, and how many did not.
+func (group *clientGroup) lastPublished(revision int64, since time.Time) (delay time.Duration, missing int) {
 	group.mu.Lock()
 	defer group.mu.Unlock()
-	for _, published := range group.published {
-		at := time.Time{}
+	for _, published := range group.firstPublished {
+		first := time.Time{}
 		for r, t := range published {
-			if r >= revision && (at.IsZero() || t.Before(at)) {
-				at = t
+			if r >= revision && (first.IsZero() || t.Before(first)) {
+				first = t
 			}
 		}
-		if at.IsZero() {
+		if first.IsZero() {
 			missing++
 		} else {
-			last = max(last, at.Sub(since))
+			delay = max(delay, first.Sub(since))
 		}
 	}
-	return last, missing
+	return delay, missing
 }
 
 func target(i int, state string) standin.Target {
@@ -94,9 +94,9 @@
 	return name == "watches fall silent" || name == "silent for 100ms" || name == "silent for 1.3s"
 }
 
-// unavailable lets discovery be in a state for a while, some time after the start of all clients; meanwhile an endpoint
+// unavailableFor lets discovery be in a state for a while, some time after the start of all clients; meanwhile an endpoint
 // starts draining.
-func unavailable(start time.Duration, state standin.State, d time.Duration) outage {
+func unavailableFor(start time.Duration, state standin.State, d time.Duration) outage {
 	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
 		group.service.SetState(state)
@@ -109,7 +109,7 @@
 
 // outages are all the ways in which a client may miss a change.
 func outages() map[string]outage {
-	all := map[string]outage{
+	cases := map[string]outage{
 		"start": func(group *clientGroup) (int64, time.Time) {
 			return group.service.Change(target(0, "DRAINING")), time.Now()
 		},
@@ -126,29 +126,29 @@
 		"watches end, then silence": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20 * time.Second)
 			group.service.BreakWatches()
-			return unavailable(20*time.Second, standin.Silent, 3*time.Second)(group)
+			return unavailableFor(20*time.Second, standin.Silent, 3*time.Second)(group)
 		},
 	}
 	for name, state := range map[string]standin.State{"silent": standin.Silent, "down": standin.Down} {
 		for _, d := range []time.Duration{100 * time.Millisecond, 1300 * time.Millisecond, 3900 * time.Millisecond,
 			8 * time.Second, 41 * time.Second} {
-			all[fmt.Sprintf("%s for %v", name, d)] = unavailable(20*time.Second, state, d)
-			all[fmt.Sprintf("started %s for %v", name, d)] = unavailable(0, state, d)
+			cases[fmt.Sprintf("%s for %v", name, d)] = unavailableFor(20*time.Second, state, d)
+			cases[fmt.Sprintf("started %s for %v", name, d)] = unavailableFor(0, state, d)
 		}
 	}
-	return all
+	return cases
 }
 
 // Whatever has happened to its calls, each client publishes a change within the deadline after discovery had it
 // and could be reached, and 300 of them do not overload a discovery that serves 100 calls a second, one after another, those
 // of disconnected callers too.
-func TestAllClientsLearnChangesWithinTheDeadline(t *testing.T) {
+func TestAllClientsPublishAChangeWithinTheDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		n        int
-		polls    bool
-		deadline time.Duration
-		config   standin.DiscoveryConfig
+		name      string
+		n         int
+		isPolling bool
+		deadline  time.Duration
+		config    standin.DiscoveryConfig
 	}{
 		{"300 polling", 300, true, changeDeadline, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"300 polling, calls time out in the queue", 300, true, changeDeadline,
@@ -157,7 +157,7 @@
 		{"4 polling", 4, true, changeDeadline, standin.DiscoveryConfig{CallsPerSecond: 100}},
 		{"pushed", 1, false, pushDeadline, standin.DiscoveryConfig{}},
 	} {
-		for name, fail := range outages() {
+		for name, causeOutage := range outages() {
 			deadline := c.deadline
 			if isShortSilence(name) {
 				deadline = changeDeadline
@@ -167,13 +167,13 @@
 				synctest.Test(t, func(t *testing.T) {
 					service := standin.NewDiscovery(c.config)
 					service.SetList([]standin.Target{target(0, stateServing), target(1, stateServing)})
-					group := startClients(c.n, c.polls, 7, service)
+					group := startClients(c.n, c.isPolling, 7, service)
 					defer group.close()
-					revision, since := fail(group)
+					revision, since := causeOutage(group)
 					time.Sleep(3 * changeDeadline)
-					last, missing := group.latest(revision, since)
-					if missing > 0 || last > deadline {
-						t.Errorf("%d without the change, the last after %v; %+v", missing, last, service.Stats())
+					delay, missing := group.lastPublished(revision, since)
+					if missing > 0 || delay > deadline {
+						t.Errorf("%d without the change, the last after %v; %+v", missing, delay, service.Stats())
 					}
 				})
 			})
@@ -182,7 +182,7 @@
 }
 
 // When the address changes for all clients at one moment, all learn from the new discovery within the deadline of a move.
-func TestAllClientsFollowAnAddressChangeWithinTheDeadline(t *testing.T) {
+func TestAllClientsPublishFromANewAddressWithinTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewDiscovery(standin.DiscoveryConfig{CallsPerSecond: 100})
 		service.SetList([]standin.Target{target(0, stateServing)})
@@ -195,8 +195,8 @@
 			client.ChangeAddress("127.0.0.1:2")
 		}
 		time.Sleep(3 * moveDeadline)
-		if last, missing := group.latest(revision, since); missing > 0 || last > moveDeadline {
-			t.Errorf("%d without the change, the last after %v", missing, last)
+		if delay, missing := group.lastPublished(revision, since); missing > 0 || delay > moveDeadline {
+			t.Errorf("%d without the change, the last after %v", missing, delay)
 		}
 	})
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -10,65 +10,65 @@
 // Errors of objects that are no list.
 var (
 	errUnexpectedToken = errors.New("unexpected JSON token")
-	errEntriesNoArray  = errors.New("targets are not an array")
+	errEntriesNotArray = errors.New("targets are not an array")
 )
 
-// header is what an object of discovery says besides its entries.
-type header struct {
+// listHeader is what an object of discovery says besides its entries.
+type listHeader struct {
 	Revision   *int64
 	Snapshot   bool
 	hasEntries bool // it has an array of entries, which may be empty
 }
 
 // isComplete reports whether the object is a list: it has a revision and entries.
-func (h header) isComplete() bool { return h.Revision != nil && h.hasEntries }
+func (h listHeader) isComplete() bool { return h.Revision != nil && h.hasEntries }
 
 // entryHandlers are called while a list is decoded.
 type entryHandlers struct {
-	before func()      // each entry
-	take   func(Entry) // each entry, decoded
+	beforeEntry func()      // each entry
+	onEntry     func(Entry) // each entry, decoded
 }
 
 // decodeList decodes one list or change as a stream, so that its length costs no memory. It calls the handlers for every
 // entry in the order of the object, also where the header stands behind the entries. An error may come after some entries.
-func decodeList(objects *json.Decoder, handlers entryHandlers) (header, error) {
-	var h header
-	if err := expectDelimiter(objects, '{'); err != nil {
+func decodeList(decoder *json.Decoder, handlers entryHandlers) (listHeader, error) {
+	var h listHeader
+	if err := expectDelimiter(decoder, '{'); err != nil {
 		return h, err
 	}
-	for objects.More() {
-		if err := h.decodeMember(objects, handlers); err != nil {
+	for decoder.More() {
+		if err := h.decodeMember(decoder, handlers); err != nil {
 			return h, fmt.Errorf("decoding an endpoint list: %w", err)
 		}
 	}
-	if _, err := objects.Token(); err != nil {
+	if _, err := decoder.Token(); err != nil {
 		return h, fmt.Errorf("decoding an endpoint list: %w", err)
 	}
 	return h, nil
 }
 
 // decodeMember decodes one key of the object and its value. Unknown keys are ignored.
-func (h *header) decodeMember(objects *json.Decoder, handlers entryHandlers) error {
-	token, err := objects.Token()
+func (h *listHeader) decodeMember(decoder *json.Decoder, handlers entryHandlers) error {
+	token, err := decoder.Token()
 	if err != nil {
 		return err
 	}
 	key, _ := token.(string)
 	switch {
 	case strings.EqualFold(key, "rev"):
-		return objects.Decode(&h.Revision)
+		return decoder.Decode(&h.Revision)
 	case strings.EqualFold(key, "all"):
-		return objects.Decode(&h.Snapshot)
+		return decoder.Decode(&h.Snapshot)
 	case strings.EqualFold(key, "targets"):
-		h.hasEntries, err = decodeEntries(objects, handlers)
+		h.hasEntries, err = decodeEntries(decoder, handlers)
 		return err
 	}
-	return objects.Decode(new(json.RawMessage))
+	return decoder.Decode(new(json.RawMessage))
 }
 
 // expectDelimiter reads the beginning of an object or array.
-func expectDelimiter(objects *json.Decoder, want json.Delim) error {
-	got, err := objects.Token()
+func expectDelimiter(decoder *json.Decoder, want json.Delim) error {
+	got, err := decoder.Token()
 	if err != nil {
 		return fmt.Errorf("decoding an endpoint list: %w", err)
 	}
@@ -79,24 +79,24 @@
 }
 
 // decodeEntries decodes the entries of a list. It reports whether there is an array of them; null is none.
-func decodeEntries(objects *json.Decoder, handlers entryHandlers) (isArray bool, err error) {
-	begin, err := objects.Token()
+func decodeEntries(decoder *json.Decoder, handlers entryHandlers) (isArray bool, err error) {
+	start, err := decoder.Token()
 	switch {
 	case err != nil:
 		return false, err
-	case begin == nil: // null
+	case start == nil: // null
 		return false, nil
-	case begin != json.Delim('['):
-		return false, errEntriesNoArray
+	case start != json.Delim('['):
+		return false, errEntriesNotArray
 	}
-	for objects.More() {
-		handlers.before()
+	for decoder.More() {
+		handlers.beforeEntry()
 		var entry Entry
-		if err := objects.Decode(&entry); err != nil {
+		if err := decoder.Decode(&entry); err != nil {
 			return false, err
 		}
-		handlers.take(entry)
+		handlers.onEntry(entry)
 	}
-	_, err = objects.Token()
+	_, err = decoder.Token()
 	return err == nil, err
 }
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -31,8 +31,8 @@
 		var decoded []string
 		entries := 0
 		h, err := decodeList(json.NewDecoder(strings.NewReader(text)), entryHandlers{
-			before: func() { entries++ },
-			take: func(entry Entry) {
+			beforeEntry: func() { entries++ },
+			onEntry: func(entry Entry) {
 				decoded = append(decoded, fmt.Sprintf("%s/%s/%d", entry.UID, entry.Zone, entry.BootMS))
 			},
 		})
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -13,7 +13,7 @@
 	"lemontack/policy"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // The times within which a change has to be known, as the requirements of the ingress give them.
 const (
@@ -22,16 +22,16 @@
 	pushDeadline   = time.Second     // after discovery had it and could be reached, where an agent pushes lists
 )
 
-// manyGateways are the settings of one of many gateways.
-func manyGateways() policy.Settings {
+// oneOfManyGateways are the settings of one of many gateways.
+func oneOfManyGateways() policy.Settings {
 	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
 // singleGateway are the settings of a gateway that is alone and has an agent.
 func singleGateway() policy.Settings { return policy.Settings{GatewayCount: 1} }
 
-// entryOf is the i-th endpoint of a long list in nine zones.
-func entryOf(i int, state string) Entry {
+// newEntry is the i-th endpoint of a long list in nine zones.
+func newEntry(i int, state string) Entry {
 	return Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", Zone: fmt.Sprint("z", i%9), Group: i / 5, State: state}
 }
 
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -41,8 +41,8 @@
 
 // Errors of entries that cannot be used.
 var (
-	errNoUID       = errors.New("an entry without a uid")
-	errBadBootTime = errors.New("boot time out of range")
+	errNoUID              = errors.New("an entry without a uid")
+	errBootTimeOutOfRange = errors.New("boot time out of range")
 )
 
 // validate returns why an entry cannot be used. One of a removed endpoint needs no address.
@@ -54,7 +54,7 @@
 		return fmt.Errorf("entry %s: %w", e.UID, err)
 	}
 	if e.BootMS < 0 || e.BootMS > math.MaxInt64/int64(time.Millisecond) {
-		return fmt.Errorf("entry %s: %w: %d ms", e.UID, errBadBootTime, e.BootMS)
+		return fmt.Errorf("entry %s: %w: %d ms", e.UID, errBootTimeOutOfRange, e.BootMS)
 	}
 	return nil
 }
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -20,13 +20,13 @@
 // between them. An object has to end before the timeout; only entriesPerExtension entries of a long one extend it. Since
 // lists have no maximum length, each entry, and what is none, has a bound of its own.
 type objectReader struct {
-	body        io.Reader
-	timeout     *time.Timer   // of the call
-	extension   time.Duration // the timeout from the moment at which it is extended
-	onHeartbeat func()        // nil: heartbeats do not count
-	inObject    bool
-	remaining   int // bytes that may come before the next entry
-	entries     int // so far, in all objects
+	body           io.Reader
+	timeout        *time.Timer   // of the call
+	extension      time.Duration // the timeout from the moment at which it is extended
+	onHeartbeat    func()        // nil: heartbeats do not count
+	inObject       bool
+	remainingBytes int // bytes that may come before the next entry
+	entryCount     int // so far, in all objects
 }
 
 func newObjectReader(body io.Reader, timeout *time.Timer, extension time.Duration) *objectReader {
@@ -36,14 +36,14 @@
 // beginObject is called before each object.
 func (r *objectReader) beginObject() {
 	r.inObject = false
-	r.remaining = maxObjectPart
+	r.remainingBytes = maxObjectPart
 }
 
 // beginEntry is called before each entry of an object.
 func (r *objectReader) beginEntry() {
-	r.remaining = maxObjectPart
-	r.entries++
-	if r.entries%entriesPerExtension == 0 {
+	r.remainingBytes = maxObjectPart
+	r.entryCount++
+	if r.entryCount%entriesPerExtension == 0 {
 		r.extendTimeout()
 	}
 }
@@ -53,10 +53,10 @@
 
 // Read implements io.Reader.
 func (r *objectReader) Read(p []byte) (int, error) {
-	if r.remaining <= 0 {
+	if r.remainingBytes <= 0 {
 		return 0, errObjectTooLong
 	}
-	n, err := r.body.Read(p[:min(len(p), r.remaining)])
+	n, err := r.body.Read(p[:min(len(p), r.remainingBytes)])
 	if !r.inObject && len(bytes.TrimSpace(p[:n])) == 0 {
 		if n > 0 && r.onHeartbeat != nil {
 			r.onHeartbeat()
@@ -64,6 +64,6 @@
 		return n, err
 	}
 	r.inObject = true
-	r.remaining -= n
+	r.remainingBytes -= n
 	return n, err
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -23,21 +23,21 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// Not for longer than until a hedged call would be due, since the watch brings the list too.
-	timeout := time.AfterFunc(cmp.Or(c.policy.hedgeAfter, c.policy.answerTimeout), cancel)
+	timeout := time.AfterFunc(cmp.Or(c.timings.hedgeDelay, c.timings.answerTimeout), cancel)
 	defer timeout.Stop()
 	body, err := c.get(ctx, c.url)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	reader := newObjectReader(body, timeout, c.policy.silenceTimeout)
+	reader := newObjectReader(body, timeout, c.timings.silenceTimeout)
 	reader.beginObject()
 	return c.receive(json.NewDecoder(reader), reader.beginEntry)
 }
 
 // receive reads one list or change and publishes what is cached of it. It calls beforeEntry before each entry.
-func (c *Client) receive(objects *json.Decoder, beforeEntry func()) error {
-	header, list, err := c.cache.decode(objects, beforeEntry)
+func (c *Client) receive(decoder *json.Decoder, beforeEntry func()) error {
+	header, list, err := c.cache.decode(decoder, beforeEntry)
 	if err != nil {
 		return err
 	}
@@ -49,6 +49,6 @@
 		return nil
 	}
 	c.revision = list.Revision
-	c.publish(c.cache.apply(list))
+	c.publish(c.cache.applyDecoded(list))
 	return nil
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,12 +21,12 @@
 	}
 	defer call.close()
 	defer call.body.Close()
-	reader := newObjectReader(call.body, call.timeout, c.policy.silenceTimeout)
+	reader := newObjectReader(call.body, call.timeout, c.timings.silenceTimeout)
 	reader.onHeartbeat = reader.extendTimeout
-	for objects := json.NewDecoder(reader); ; {
+	for decoder := json.NewDecoder(reader); ; {
 		reader.extendTimeout()
 		reader.beginObject()
-		if err := c.receive(objects, reader.beginEntry); err != nil {
+		if err := c.receive(decoder, reader.beginEntry); err != nil {
 			return fmt.Errorf("watch: %w", err)
 		}
 		if c.cache.widenIfSparse() {
@@ -44,9 +44,9 @@
 }
 
 // close ends the call. It does not close the body.
-func (w *watchCall) close() {
-	w.timeout.Stop()
-	w.cancel()
+func (call *watchCall) close() {
+	call.timeout.Stop()
+	call.cancel()
 }
 
 // watchCalls are the calls for one watch that are open at one time: the first one and hedged ones.
@@ -54,7 +54,7 @@
 	client  *Client
 	open    map[*watchCall]struct{}
 	answers chan *watchCall // calls that are answered or have failed
-	over    chan struct{}   // closed when no more answers are received
+	closed  chan struct{}   // closed when no more answers are received
 }
 
 // openWatch returns the first call for a watch that is answered, the original or a hedged one, and cancels the others. It
@@ -64,11 +64,11 @@
 		client:  c,
 		open:    map[*watchCall]struct{}{},
 		answers: make(chan *watchCall),
-		over:    make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 	defer calls.close()
-	calls.begin(ctx)
-	for hedge := c.hedgeTimer(); ; {
+	calls.startCall(ctx)
+	for hedgeDue := c.hedgeTimer(); ; {
 		select {
 		case call := <-calls.answers:
 			delete(calls.open, call)
@@ -79,35 +79,35 @@
 			if len(calls.open) == 0 {
 				return nil, call.err
 			}
-		case <-hedge:
-			calls.begin(ctx)
-			hedge = c.hedgeTimer()
+		case <-hedgeDue:
+			calls.startCall(ctx)
+			hedgeDue = c.hedgeTimer()
 		}
 	}
 }
 
 // hedgeTimer returns a channel that fires when a hedged call is due; nil: never.
 func (c *Client) hedgeTimer() <-chan time.Time {
-	after := c.policy.hedgeAfter
-	if after <= 0 {
+	delay := c.timings.hedgeDelay
+	if delay <= 0 {
 		return nil
 	}
-	return time.After(after*3/4 + c.jitter(after/4))
+	return time.After(delay*3/4 + c.jitter(delay/4))
 }
 
-// begin starts a call, from the latest revision on.
-func (w *watchCalls) begin(ctx context.Context) {
-	client := w.client
+// startCall starts a call, from the latest revision on.
+func (calls *watchCalls) startCall(ctx context.Context) {
+	client := calls.client
 	ctx, cancel := context.WithCancel(ctx)
-	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.policy.answerTimeout, cancel)}
-	w.open[call] = struct{}{}
+	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.timings.answerTimeout, cancel)}
+	calls.open[call] = struct{}{}
 	url := fmt.Sprintf("%s?follow=1&since=%d", client.url, client.revision)
 	// Ends with the call's context, or once its answer is received or over is closed; Client.Run awaits it.
-	client.calls.Go(func() {
+	client.callGoroutines.Go(func() {
 		call.body, call.err = client.get(ctx, url)
 		select {
-		case w.answers <- call:
-		case <-w.over:
+		case calls.answers <- call:
+		case <-calls.closed:
 			if call.err == nil {
 				call.body.Close()
 			}
@@ -116,9 +116,9 @@
 }
 
 // close cancels the calls that are still open.
-func (w *watchCalls) close() {
-	close(w.over)
-	for call := range w.open {
+func (calls *watchCalls) close() {
+	close(calls.closed)
+	for call := range calls.open {
 		call.close()
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -27,7 +27,7 @@
 	defer s.Close()
 	lists := make(chan EndpointList, 64)
 	client := NewClient(Config{Address: strings.TrimPrefix(s.URL, "http://"), KnownList: EndpointList{Revision: 1},
-		Settings: singleGateway()}, func(list EndpointList) { lists <- list }, quiet)
+		Settings: singleGateway()}, func(list EndpointList) { lists <- list }, discardLog)
 	stop := runClient(t, client)
 	defer stop()
 	if a, b := <-lists, <-lists; a.Revision != 5 || b.Revision != 6 {
@@ -42,11 +42,11 @@
 func TestClientIgnoresStaleListsAndInvalidEntries(t *testing.T) {
 	var published []EndpointList
 	client := NewClient(Config{Address: "127.0.0.1:1", KnownList: EndpointList{Revision: 7}, Settings: singleGateway()},
-		func(list EndpointList) { published = append(published, list) }, quiet)
+		func(list EndpointList) { published = append(published, list) }, discardLog)
 	for _, c := range []struct {
-		in      string
-		ok      bool
-		entries int // published; -1: no list is
+		in         string
+		isValid    bool
+		entryCount int // published; -1: no list is
 	}{
 		{`{"rev":8`, false, -1},
 		{`[]`, false, -1},
@@ -60,11 +60,11 @@
 			{"uid":"d","endpoint":"127.0.0.1","state":"SERVING"},{"uid":"e","endpoint":"127.0.0.1:1","boot_ms":-5}]}`, true, 2},
 	} {
 		published = nil
-		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.ok {
+		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.isValid {
 			t.Errorf("%s: %v", c.in, err)
 		}
-		if c.entries < 0 && len(published) > 0 || c.entries >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entries) {
-			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entries)
+		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entryCount) {
+			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entryCount)
 		}
 	}
 	if e := (Entry{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
