--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -9,16 +9,16 @@
 	"lemontack/policy"
 )
 
-// Sizes of the cache, in endpoints. A gateway caches all of a list of up to targetCacheSize. With 1,024 the busiest of
-// 200,000 endpoints before 6,400 gateways carries less than one and a half times the mean (see internal/subsets).
-// maxCacheSize bounds the cache where it takes more than the target for each endpoint to be shared by enough gateways.
+// Sizes of the cache, in endpoints. A gateway caches the whole of a list of up to targetCacheSize endpoints. If each endpoint
+// would then be shared by too few gateways, the cache grows beyond the target, up to maxCacheSize.
 const (
 	targetCacheSize = 1024
 	maxCacheSize    = 4096
 )
 
-// Cache selects which part of discovery's list a gateway caches: all of a short one, a subset of a long one. It tracks the
-// ids only; the entries go to whoever the lists are published to. It belongs to the goroutine that reads the lists.
+// Cache selects the part of discovery's list that a gateway caches: the whole of a short list, a subset of a long one. It
+// keeps the ids only; the entries are returned to the caller for publishing. Only the goroutine that reads the lists may use
+// it.
 type Cache struct {
 	members *subset.Members
 	log     *slog.Logger
@@ -27,7 +27,7 @@
 // NewCache returns an empty cache.
 func NewCache(settings policy.Settings, log *slog.Logger) *Cache { return newCache(nil, settings, log) }
 
-// newCache returns an empty cache for that subset; nil: the widest one.
+// newCache returns an empty cache for the given subset. If it is nil, the cache starts with the widest subset.
 func newCache(gatewaySubset *subset.Subset, settings policy.Settings, log *slog.Logger) *Cache {
 	if gatewaySubset == nil {
 		gatewaySubset = subset.New(subset.Config{
@@ -42,7 +42,7 @@
 	return &Cache{members: subset.NewMembers(gatewaySubset, settings.Zone), log: log}
 }
 
-// Apply takes over a list or a change that is in memory already, and returns the part of it to publish.
+// Apply updates the cache with a decoded list or change, and returns the part to publish.
 func (cache *Cache) Apply(list EndpointList) EndpointList {
 	collected := newEntryBatch()
 	for _, entry := range list.Entries {
@@ -52,8 +52,9 @@
 	return cache.applyDecoded(list)
 }
 
-// decode decodes the next list or change. However long it is, no more of its entries are returned than the cache can hold,
-// besides those of endpoints that are cached, of which every change counts. It calls beforeEntry before each entry.
+// decode decodes the next list or change, and returns the entries of cached endpoints and of those that the subset contains.
+// For a list of any length, at most as many entries of uncached endpoints are returned as the cache can hold. It calls
+// beforeEntry before each entry.
 func (cache *Cache) decode(decoder *json.Decoder, beforeEntry func()) (listHeader, EndpointList, error) {
 	collected := newEntryBatch()
 	onEntry := func(entry Entry) { cache.collect(collected, entry) }
@@ -64,7 +65,8 @@
 	return header, EndpointList{Revision: *header.Revision, Snapshot: header.Snapshot, Entries: collected.entries}, nil
 }
 
-// collect adds an entry to the batch if it is valid and wanted, and narrows the subset if the batch gets too long.
+// collect adds an entry to the batch if it is valid and its endpoint is cached or in the subset. If the batch gets too long,
+// collect narrows the subset and removes the entries that it no longer contains.
 func (cache *Cache) collect(collected *entryBatch, entry Entry) {
 	if !cache.isValid(entry) || !cache.isWanted(entry) {
 		return
@@ -75,8 +77,8 @@
 	}
 }
 
-// applyDecoded takes over what decode or collect returned, and returns the part of it to publish. Endpoints that the subset no
-// longer contains by then are left out, or published as removed if they were cached.
+// applyDecoded updates the cache with a list or change that decode or collect has filtered, and returns the part to publish.
+// Endpoints that the subset no longer contains are left out. A change also gets a removal for each of them that was cached.
 func (cache *Cache) applyDecoded(list EndpointList) EndpointList {
 	if list.Snapshot {
 		cache.members.Reset()
@@ -106,30 +108,29 @@
 // needsResync reports whether the whole list has to be read again.
 func (cache *Cache) needsResync() bool { return cache.members.NeedsResync() }
 
-// widenIfSparse makes room for more endpoints if the list has become short, and reports whether the whole list has to be
-// read again.
+// widenIfSparse widens the subset if the list has become short, and reports whether the whole list has to be read again.
 func (cache *Cache) widenIfSparse() bool { return cache.members.WidenIfSparse() }
 
 func (cache *Cache) isWanted(entry Entry) bool { return cache.members.IsWanted(entry.UID, entry.Zone) }
 
-// isValid reports whether an entry can be used, and logs why not.
+// isValid reports whether an entry can be used, and logs the reason if not.
 func (cache *Cache) isValid(entry Entry) bool {
 	err := entry.validate()
 	if err != nil {
-		cache.log.Warn("discovery ignores an invalid entry", "err", err)
+		cache.log.Warn("ignoring an invalid entry from discovery", "err", err)
 	}
 	return err == nil
 }
 
-// entryBatch holds the wanted entries of one list, the latest of each endpoint.
+// entryBatch holds the collected entries of one list or change, only the latest entry of each endpoint.
 type entryBatch struct {
 	entries   []Entry
-	positions map[string]int // in entries, by uid
+	positions map[string]int // index in entries, by uid
 }
 
 func newEntryBatch() *entryBatch { return &entryBatch{positions: map[string]int{}} }
 
-// add appends an entry, or replaces the earlier one of its endpoint.
+// add appends an entry, or replaces the earlier entry of the same endpoint.
 func (batch *entryBatch) add(entry Entry) {
 	if i, exists := batch.positions[entry.UID]; exists {
 		batch.entries[i] = entry
@@ -139,7 +140,7 @@
 	batch.entries = append(batch.entries, entry)
 }
 
-// filter removes the entries that are not wanted.
+// filter removes the entries for which isWanted returns false, and frees them for garbage collection.
 func (batch *entryBatch) filter(isWanted func(Entry) bool) {
 	previous := batch.entries
 	batch.entries = previous[:0]
--- a/internal/discovery/calltimings.go
+++ b/internal/discovery/calltimings.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// heartbeatInterval is how often a watch brings an empty line while nothing changes, by the protocol.
+// heartbeatInterval is the interval at which a watch receives an empty line while nothing changes, as the protocol requires.
 const heartbeatInterval = 2 * time.Second
 
-// Where an agent pushes lists, what it has counts as known to the gateway, and endpoints that drain have one second from
-// then on. The timeout of a call and the maximum backoff after it fit into that second together.
+// Timings for lists that a local agent pushes. A change counts as known to the gateway once the agent has it, and a draining
+// endpoint allows one second from then on. So the timeout of a call and the maximum backoff after it together take less than
+// a second.
 const (
-	agentAnswerTimeout  = 400 * time.Millisecond // the agent answers at once, unless discovery is down
+	agentAnswerTimeout  = 400 * time.Millisecond // a running agent answers immediately unless discovery is down
 	agentSilenceTimeout = heartbeatInterval + 700*time.Millisecond
 	agentMaxBackoff     = 400 * time.Millisecond
 )
 
-// Where gateways poll, discovery's changes have to be known within 6 s of the moment at which it could be reached, also
-// after a failed call; a silent watch, a backoff, a failed call and an answer fit into that time together. A call may have to
-// wait for its turn, and a caller that gives up loses its place. So a call without an answer stays open, and hedged ones are
-// made beside it: a call that was lost while discovery was down then costs pollInterval only.
+// Timings for gateways that poll discovery. A change has to be known within 6 s after discovery became reachable, even after a
+// failed call. A silent watch, a backoff, a failed call and an answer together fit into that time. Discovery queues calls, and
+// a caller that disconnects loses its place in the queue. So an unanswered call stays open while hedged calls are sent: a call
+// that was lost while discovery was down then costs no more than pollInterval.
 const (
 	pollAnswerTimeout  = 4 * time.Second
 	pollSilenceTimeout = heartbeatInterval + time.Second
-	pollInterval       = 1500 * time.Millisecond // maximum between the beginnings of a call without an answer and of the next
+	pollInterval       = 1500 * time.Millisecond // maximum from the start of an unanswered call to that of the next
 )
 
-// All gateways share one discovery service of a fixed capacity, and calls that have waited for long fail there. So the
-// gateways of a fleet that starts, or loses its watches, at one moment must not all call at one moment.
+// Timings that spread the calls of a fleet. All gateways share one discovery service of fixed capacity, in which calls fail
+// after a long time in the queue. So gateways that start or lose their watches at the same time must not all call at once.
 const (
-	spreadPerGateway         = 50 * time.Millisecond  // of the time over which a fleet's calls are spread, up to pollInterval
-	maxGatewaysWithoutSpread = 8                      // a fleet of up to this size may call at one moment
-	maxMoveSpread            = 500 * time.Millisecond // after a change of address, whose changes have to be known within 4 s
-	minBackoff               = 100 * time.Millisecond // doubled after each call
+	spreadPerGateway         = 50 * time.Millisecond  // time added to the spread for each gateway, up to pollInterval
+	maxGatewaysWithoutSpread = 8                      // size of a fleet that may call all at once
+	maxAddressChangeSpread   = 500 * time.Millisecond // after an address change, which has a deadline of 4 s
+	minBackoff               = 100 * time.Millisecond // doubles after each call
 )
 
-// callTimings says how discovery is called.
+// callTimings holds the timeouts and delays of calls to discovery.
 type callTimings struct {
-	startSpread    time.Duration // over which the first calls of a fleet are spread; 0: they are not
-	answerTimeout  time.Duration // of a call
-	silenceTimeout time.Duration // of a watch that brings nothing, or too little of an object
-	minBackoff     time.Duration // pause after a call; it doubles up to maxBackoff
+	startSpread    time.Duration // time over which the first calls of a fleet are spread; zero means no spread
+	answerTimeout  time.Duration // until a call is answered
+	silenceTimeout time.Duration // until a watch receives a heartbeat, a whole object or entriesPerExtension entries
+	minBackoff     time.Duration // first pause after a call; it doubles up to maxBackoff
 	maxBackoff     time.Duration
-	hedgeDelay     time.Duration // without an answer; 0: no hedged calls
+	hedgeDelay     time.Duration // time without an answer before a hedged call; zero means no hedged calls
 }
 
-// newCallTimings returns the policy for a fleet of that many gateways which poll, or to which an agent pushes. hasKnownList
-// says that the configuration brought a list to begin with.
+// newCallTimings returns the timings for a fleet of the given number of gateways. If isPolling is false, an agent pushes the
+// lists. hasKnownList reports whether the configuration file has an endpoint list.
 func newCallTimings(isPolling bool, gateways int, hasKnownList bool) callTimings {
 	if !isPolling {
 		return callTimings{
@@ -70,19 +71,19 @@
 // backoff is a sequence of pauses that double up to a maximum.
 type backoff struct {
 	min, max  time.Duration
-	nextPause time.Duration // the next one
+	nextPause time.Duration
 }
 
 func newBackoff(minPause, maxPause time.Duration) backoff {
 	return backoff{min: minPause, max: maxPause, nextPause: minPause}
 }
 
-// next returns the pause to make now.
+// next returns the next pause of the sequence.
 func (b *backoff) next() time.Duration {
 	pause := b.nextPause
 	b.nextPause = min(2*pause, b.max)
 	return pause
 }
 
-// reset makes the minimum the next pause.
+// reset restarts the sequence at the minimum.
 func (b *backoff) reset() { b.nextPause = b.min }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery keeps a gateway's endpoint list up to date. A Client polls the list of a discovery service once, then
-// watches its changes, and publishes what the gateway caches of them: all of a short list, a subset of a long one.
+// Package discovery keeps a gateway's endpoint list up to date. A Client polls the list from a discovery service once, then
+// watches its changes, and publishes the part that the gateway caches: the whole of a short list, a subset of a long one.
 package discovery
 
 import (
@@ -18,40 +18,40 @@
 	"lemontack/policy"
 )
 
-// maxHeaderLength bounds the header of a response, in bytes.
-const maxHeaderLength = 16 << 10
+const maxHeaderLength = 16 << 10 // bytes of the HTTP header of a response
 
-// Config is what a Client is created from.
+// Config configures a Client.
 type Config struct {
-	Address   string         // of the discovery service: host and port
-	KnownList EndpointList   // the list that the configuration brought, if any; its entries are not retained
-	Subset    *subset.Subset // that KnownList was decoded with; nil: the widest one
+	Address   string         // host and port of the discovery service
+	KnownList EndpointList   // from the configuration file, if it has one; the entries are not retained
+	Subset    *subset.Subset // the subset with which KnownList was decoded; nil means the widest one
 	Settings  policy.Settings
-	Random    *rand.Rand // for jitter; nil: seeded at random. The client takes it over
+	Random    *rand.Rand // source of the jitter, used by the client alone; nil means a randomly seeded one
 
-	// DialContext opens the connections; nil: over TCP.
+	// DialContext opens the connections. If it is nil, they use TCP.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client keeps the endpoint list up to date. ChangeAddress and Ready may be called from any goroutine; the rest belongs to Run.
+// Client keeps the endpoint list up to date. ChangeAddress and Ready may be called from any goroutine. The other state belongs
+// to Run.
 type Client struct {
-	url            string // of the list; changes between two calls of synchronize
+	url            string // URL of the list; changes only while synchronize is not running
 	http           *http.Client
-	addresses      mailbox.Latest[string] // address updates
+	addresses      mailbox.Latest[string] // addresses passed to ChangeAddress
 	publish        func(EndpointList)
 	timings        callTimings
 	ready          chan struct{} // closed by markReady
 	markReady      func()
-	callGoroutines sync.WaitGroup // goroutines of watch calls
+	callGoroutines sync.WaitGroup // one goroutine for each watch call
 	log            *slog.Logger
 
-	// Of the goroutine that runs synchronize.
-	revision int64 // of the latest list or change
+	// Owned by the goroutine that runs synchronize.
+	revision int64 // revision of the latest list or change
 	random   *rand.Rand
 	cache    *Cache
 }
 
-// NewClient returns a client that does not run yet. It calls publish, on a goroutine of Run, with the cached part of each
+// NewClient returns a client that is not running yet. Run calls publish on one of its goroutines with the cached part of each
 // list and change; publish may block.
 func NewClient(config Config, publish func(EndpointList), log *slog.Logger) *Client {
 	random := config.Random
@@ -82,34 +82,36 @@
 
 func listURL(address string) string { return "http://" + address + "/registry/instances" }
 
-// refuseRedirect makes a redirect an answer like any other that is not a list.
+// refuseRedirect makes the HTTP client return a redirect as the answer, which get then rejects by its status.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// ApplyKnownList returns what is cached of the list that the configuration brought. It comes before Run.
+// ApplyKnownList updates the cache with the list from the configuration file, and returns the cached part. It has to be called
+// before Run.
 func (c *Client) ApplyKnownList(list EndpointList) EndpointList { return c.cache.Apply(list) }
 
-// ChangeAddress makes the client go over to another address. It may be called at any time and never blocks; the latest call counts.
+// ChangeAddress makes the client switch to another address of the discovery service. It may be called at any time and never
+// blocks. Of several calls the latest takes effect.
 func (c *Client) ChangeAddress(address string) { c.addresses.Set(address) }
 
-// Ready is closed once the first poll has ended, with a list or without. Where polls are spread out it is closed as soon as
-// Run begins, since the known list then has to do.
+// Ready returns a channel that is closed once the first poll has succeeded or failed. If the first calls of a fleet are spread
+// over time, it is closed as soon as Run starts, and the gateway uses the known list until the watch returns changes.
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
-// Run polls and watches until ctx ends, at each address that ChangeAddress brings in turn. All goroutines of the client have ended
-// when it returns.
+// Run polls and watches the endpoint list until ctx ends, and switches to each address passed to ChangeAddress. When it
+// returns, all goroutines of the client have ended.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	defer c.callGoroutines.Wait()
 	for ctx.Err() == nil {
-		c.runUntilMove(ctx)
+		c.runUntilAddressChange(ctx)
 	}
 }
 
-// runUntilMove synchronizes with one address until ctx ends or another address comes.
-func (c *Client) runUntilMove(ctx context.Context) {
+// runUntilAddressChange synchronizes with one address until ctx ends or ChangeAddress sets another address.
+func (c *Client) runUntilAddressChange(ctx context.Context) {
 	syncCtx, stopSync := context.WithCancel(ctx)
 	syncDone := make(chan struct{})
-	// Ends with the context here; this function awaits it by left.
+	// The goroutine ends with syncCtx; this function waits for it through syncDone.
 	go func() {
 		defer close(syncDone)
 		c.synchronize(syncCtx)
@@ -127,8 +129,8 @@
 	<-syncDone
 }
 
-// synchronize polls the list, then watches its changes until ctx ends. Whatever breaks a watch, the next one resumes from
-// the latest revision.
+// synchronize polls the list, then watches its changes until ctx ends. When a watch ends for any reason, the next one resumes
+// from the latest revision.
 func (c *Client) synchronize(ctx context.Context) {
 	c.beginSync(ctx)
 	retryBackoff := newBackoff(c.timings.minBackoff, c.timings.maxBackoff)
@@ -150,8 +152,8 @@
 	}
 }
 
-// beginSync brings a list to begin with. Where polls are spread out, the known list has to do until the watch brings what has
-// changed since, and only the beginning of the watch is delayed.
+// beginSync polls the list once. If the first calls of a fleet are spread over time, it does not poll: it only delays the
+// watch, which then returns the changes since the known list.
 func (c *Client) beginSync(ctx context.Context) {
 	spread := c.timings.startSpread
 	if spread <= 0 {
@@ -161,7 +163,7 @@
 	}
 	select {
 	case <-c.ready: // the address has changed
-		spread = min(spread, maxMoveSpread)
+		spread = min(spread, maxAddressChangeSpread)
 	default:
 		c.markReady()
 	}
@@ -173,7 +175,7 @@
 	return time.Duration(c.random.Int64N(int64(max(limit, 1))))
 }
 
-// sleep returns after a while, or when ctx ends.
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -181,15 +183,15 @@
 	}
 }
 
-// StatusError is the failure of a call that discovery answers with a status other than 200.
+// StatusError reports that discovery answered a call with an HTTP status other than 200.
 type StatusError struct {
-	Status string // as in "503 Service Unavailable"
+	Status string // such as "503 Service Unavailable"
 }
 
 // Error implements the error interface.
-func (e *StatusError) Error() string { return "discovery answers " + e.Status }
+func (e *StatusError) Error() string { return "discovery: got status " + e.Status + ", want 200" }
 
-// get calls discovery and returns the body of its answer, which the caller closes.
+// get sends a GET request to discovery and returns the body of the answer, which the caller has to close.
 func (c *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,7 +10,7 @@
 	"lemontack/policy"
 )
 
-// A polling client with a spread start uses the known list as it is: it only watches, from its revision on.
+// A client whose start is spread does not poll: it uses the known list and watches the changes since its revision.
 func TestClientWithSpreadStartWatchesWithoutAPoll(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -41,21 +41,21 @@
 			for query := range queries {
 				if query != "" {
 					if query != "follow=1&since=7" {
-						t.Errorf("watch with query %q", query)
+						t.Errorf("got watch query %q, want follow=1&since=7", query)
 					}
 					break
 				}
 				lists++
 			}
 			if lists != c.lists {
-				t.Errorf("%d polls before the watch, want %d", lists, c.lists)
+				t.Errorf("got %d polls before the watch, want %d", lists, c.lists)
 			}
 		})
 	}
 }
 
-// The first calls of many gateways are spread over a time that grows with their number, as far as the deadline allows. Few
-// gateways, gateways that an agent pushes to, and gateways without a known list call at once.
+// The first calls of many gateways are spread over a time that grows with the number of gateways, up to pollInterval. The
+// calls are not spread in a small fleet, if an agent pushes the lists, or without a known list.
 func TestStartSpreadGrowsWithTheGatewayCount(t *testing.T) {
 	for _, c := range []struct {
 		gateways     int
@@ -67,7 +67,7 @@
 		client := NewClient(Config{Address: "127.0.0.1:1", KnownList: EndpointList{Entries: make([]Entry, c.knownEntries)},
 			Settings: policy.Settings{GatewayCount: c.gateways, PollEndpoints: c.isPolling}}, func(EndpointList) {}, discardLog)
 		if client.timings.startSpread != c.want {
-			t.Errorf("%+v: spread %v", c, client.timings.startSpread)
+			t.Errorf("%+v: got spread %v, want %v", c, client.timings.startSpread, c.want)
 		}
 	}
 }
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -13,7 +13,7 @@
 	"lemontack/internal/standin"
 )
 
-// clientGroup is the clients of many gateways with one discovery service, on a simulated clock.
+// clientGroup holds the clients of many gateways that share one discovery service, on a simulated clock.
 type clientGroup struct {
 	service        *standin.Discovery
 	listener       *standin.PipeListener
@@ -21,10 +21,10 @@
 	goroutines     sync.WaitGroup
 	clients        []*Client
 	mu             sync.Mutex
-	firstPublished []map[int64]time.Time // by client, when it first published a revision
+	firstPublished []map[int64]time.Time // for each client, the time of the first publication by revision
 }
 
-// startClients starts n clients that know revision 1 at one moment.
+// startClients starts n clients at the same time, all with a known list of revision 1.
 func startClients(n int, isPolling bool, seed uint64, service *standin.Discovery) *clientGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := &clientGroup{service: service, listener: standin.NewPipeListener(), cancel: cancel}
@@ -60,7 +60,8 @@
 	group.goroutines.Wait()
 }
 
-// lastPublished returns how long after a moment the last client published a revision, and how many did not.
+// lastPublished returns the delay from the given time until the last client published the revision or a later one, and the
+// number of clients that did not.
 func (group *clientGroup) lastPublished(revision int64, since time.Time) (delay time.Duration, missing int) {
 	group.mu.Lock()
 	defer group.mu.Unlock()
@@ -84,18 +85,18 @@
 	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: "127.0.0.1:9", State: state}
 }
 
-// outage is a fault of discovery. It returns the revision that is to be published, and the moment from which on
-// discovery had it and could be reached (or the watch was silent).
+// outage causes a fault of discovery. It returns the revision that clients have to publish, and the time since which discovery
+// has had it and been reachable (or since which the watch has been silent).
 type outage func(group *clientGroup) (revision int64, since time.Time)
 
-// isShortSilence reports whether the fault leaves open watches silent for too short a time to be noticed before it is over:
-// these have the deadline of a silent watch, also where lists are pushed.
+// isShortSilence reports whether open watches are silent for too short a time to be detected during the fault. The deadline
+// of a silent watch then applies, even where lists are pushed.
 func isShortSilence(name string) bool {
 	return name == "watches fall silent" || name == "silent for 100ms" || name == "silent for 1.3s"
 }
 
-// unavailableFor lets discovery be in a state for a while, some time after the start of all clients; meanwhile an endpoint
-// starts draining.
+// unavailableFor puts discovery into a state for the duration d, starting at the given time after the start of all clients.
+// During the outage an endpoint starts draining.
 func unavailableFor(start time.Duration, state standin.State, d time.Duration) outage {
 	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
@@ -107,7 +108,7 @@
 	}
 }
 
-// outages are all the ways in which a client may miss a change.
+// outages returns the faults in which a client may miss a change, by name.
 func outages() map[string]outage {
 	cases := map[string]outage{
 		"start": func(group *clientGroup) (int64, time.Time) {
@@ -139,9 +140,9 @@
 	return cases
 }
 
-// Whatever has happened to its calls, each client publishes a change within the deadline after discovery had it
-// and could be reached, and 300 of them do not overload a discovery that serves 100 calls a second, one after another, those
-// of disconnected callers too.
+// After any outage, each client publishes a change within the deadline once discovery has it and is reachable. Even 300
+// clients do not overload a discovery service that serves 100 calls per second in sequence, including those of disconnected
+// callers.
 func TestAllClientsPublishAChangeWithinTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -173,7 +174,8 @@
 					time.Sleep(3 * changeDeadline)
 					delay, missing := group.lastPublished(revision, since)
 					if missing > 0 || delay > deadline {
-						t.Errorf("%d without the change, the last after %v; %+v", missing, delay, service.Stats())
+						t.Errorf("%d clients missed the change, the last published it after %v; want none, within %v; %+v", missing,
+							delay, deadline, service.Stats())
 					}
 				})
 			})
@@ -181,7 +183,7 @@
 	}
 }
 
-// When the address changes for all clients at one moment, all learn from the new discovery within the deadline of a move.
+// When the address changes for all clients at the same time, all publish a change from the new address within the deadline.
 func TestAllClientsPublishFromANewAddressWithinTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewDiscovery(standin.DiscoveryConfig{CallsPerSecond: 100})
@@ -189,14 +191,15 @@
 		group := startClients(300, true, 7, service)
 		defer group.close()
 		time.Sleep(20 * time.Second)
-		service.SilenceWatches() // the old address delivers nothing more
+		service.SilenceWatches() // the watches at the old address receive nothing more
 		revision, since := service.Change(target(0, "DRAINING")), time.Now()
 		for _, client := range group.clients {
 			client.ChangeAddress("127.0.0.1:2")
 		}
-		time.Sleep(3 * moveDeadline)
-		if delay, missing := group.lastPublished(revision, since); missing > 0 || delay > moveDeadline {
-			t.Errorf("%d without the change, the last after %v", missing, delay)
+		time.Sleep(3 * addressChangeDeadline)
+		if delay, missing := group.lastPublished(revision, since); missing > 0 || delay > addressChangeDeadline {
+			t.Errorf("%d clients missed the change, the last published it after %v; want none, within %v", missing, delay,
+				addressChangeDeadline)
 		}
 	})
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// Errors of objects that are no list.
+// Errors of objects that are not an endpoint list.
 var (
 	errUnexpectedToken = errors.New("unexpected JSON token")
-	errEntriesNotArray = errors.New("targets are not an array")
+	errEntriesNotArray = errors.New("targets is not an array")
 )
 
-// listHeader is what an object of discovery says besides its entries.
+// listHeader holds the members of a list or change other than its entries.
 type listHeader struct {
 	Revision   *int64
 	Snapshot   bool
-	hasEntries bool // it has an array of entries, which may be empty
+	hasEntries bool // the object has an array of entries, possibly empty
 }
 
-// isComplete reports whether the object is a list: it has a revision and entries.
+// isComplete reports whether the object has both a revision and an array of entries.
 func (h listHeader) isComplete() bool { return h.Revision != nil && h.hasEntries }
 
 // entryHandlers are called while a list is decoded.
 type entryHandlers struct {
-	beforeEntry func()      // each entry
-	onEntry     func(Entry) // each entry, decoded
+	beforeEntry func()      // called before each entry
+	onEntry     func(Entry) // called with each decoded entry
 }
 
-// decodeList decodes one list or change as a stream, so that its length costs no memory. It calls the handlers for every
-// entry in the order of the object, also where the header stands behind the entries. An error may come after some entries.
+// decodeList decodes one list or change as a stream, so that memory does not grow with its length. It calls the handlers for
+// each entry in order, even if the header follows the entries. Handlers may have been called before it returns an error.
 func decodeList(decoder *json.Decoder, handlers entryHandlers) (listHeader, error) {
 	var h listHeader
 	if err := expectDelimiter(decoder, '{'); err != nil {
@@ -66,19 +66,19 @@
 	return decoder.Decode(new(json.RawMessage))
 }
 
-// expectDelimiter reads the beginning of an object or array.
+// expectDelimiter reads a token that has to be the given delimiter.
 func expectDelimiter(decoder *json.Decoder, want json.Delim) error {
 	got, err := decoder.Token()
 	if err != nil {
 		return fmt.Errorf("decoding an endpoint list: %w", err)
 	}
 	if got != want {
-		return fmt.Errorf("decoding an endpoint list: %w: %v in place of %v", errUnexpectedToken, got, want)
+		return fmt.Errorf("decoding an endpoint list: %w: got %v, want %v", errUnexpectedToken, got, want)
 	}
 	return nil
 }
 
-// decodeEntries decodes the entries of a list. It reports whether there is an array of them; null is none.
+// decodeEntries decodes the entries of a list, and reports whether the value is an array. The value null is not an error.
 func decodeEntries(decoder *json.Decoder, handlers entryHandlers) (isArray bool, err error) {
 	start, err := decoder.Token()
 	switch {
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A list is decoded in every form that JSON allows, with its header before or behind the entries; anything else is an error.
+// A list is decoded in every form that JSON allows, with its header before or after the entries. Other input is an error.
 func TestDecodeListAcceptsEveryFormOfJSON(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"rev":7,"all":true,"targets":[{"uid":"a","az":"z"},{"uid":"b","boot_ms":5}]}`:       "7 true true a/z/0 b//5",
@@ -45,10 +45,10 @@
 			got = "error"
 		}
 		if got = strings.TrimSpace(got + " " + strings.Join(decoded, " ")); got != want {
-			t.Errorf("%s: %s, want %s", text, got, want)
+			t.Errorf("%s: got %s, want %s", text, got, want)
 		}
 		if entries < len(decoded) {
-			t.Errorf("%s: called before %d of %d entries", text, entries, len(decoded))
+			t.Errorf("%s: got %d calls of beforeEntry, want at least %d", text, entries, len(decoded))
 		}
 	}
 }
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -15,22 +15,22 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// The times within which a change has to be known, as the requirements of the ingress give them.
+// Deadlines for publishing a change, from the requirements of the ingress.
 const (
-	changeDeadline = 6 * time.Second // after discovery had it and could be reached, also after a failed call
-	moveDeadline   = 4 * time.Second // after a change of discovery's address
-	pushDeadline   = time.Second     // after discovery had it and could be reached, where an agent pushes lists
+	changeDeadline        = 6 * time.Second // after discovery has it and is reachable, even after a failed call
+	addressChangeDeadline = 4 * time.Second // after an address change of discovery
+	pushDeadline          = time.Second     // after discovery has it and is reachable, where an agent pushes lists
 )
 
-// oneOfManyGateways are the settings of one of many gateways.
+// oneOfManyGateways returns the settings of one gateway of a large fleet.
 func oneOfManyGateways() policy.Settings {
 	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
-// singleGateway are the settings of a gateway that is alone and has an agent.
+// singleGateway returns the settings of the only gateway of a fleet, to which an agent pushes the lists.
 func singleGateway() policy.Settings { return policy.Settings{GatewayCount: 1} }
 
-// newEntry is the i-th endpoint of a long list in nine zones.
+// newEntry returns the i-th entry of a long list in nine zones.
 func newEntry(i int, state string) Entry {
 	return Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", Zone: fmt.Sprint("z", i%9), Group: i / 5, State: state}
 }
@@ -44,7 +44,8 @@
 	return listener.Addr().String()
 }
 
-// runClient runs a client and returns what stops it and waits for its end; the end of the test does so at the latest.
+// runClient runs a client and returns a function that stops it and waits until it has ended. The client is stopped at the end
+// of the test at the latest.
 func runClient(t *testing.T, client *Client) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/known.go
+++ b/internal/discovery/known.go
@@ -8,8 +8,8 @@
 	"lemontack/policy"
 )
 
-// DecodeKnownList decodes the list of a configuration as a stream, and returns the part of it that a gateway of these settings
-// caches, with the subset that it was chosen by. Both go into Config.
+// DecodeKnownList decodes the endpoint list of a configuration file as a stream. It returns the part that a gateway with these
+// settings caches, and the subset that selected it. Both are meant for Config.
 func DecodeKnownList(decoder *json.Decoder, settings policy.Settings, log *slog.Logger) (EndpointList, *subset.Subset, error) {
 	cache := NewCache(settings, log)
 	header, list, err := cache.decode(decoder, func() {})
@@ -19,7 +19,8 @@
 	return list, cache.members.Subset(), err
 }
 
-// SkipKnownList reads past the list of a configuration, and fails where DecodeKnownList does.
+// SkipKnownList decodes the endpoint list of a configuration file and discards it. It returns an error for the same input as
+// DecodeKnownList.
 func SkipKnownList(decoder *json.Decoder) error {
 	_, err := decodeList(decoder, entryHandlers{beforeEntry: func() {}, onEntry: func(Entry) {}})
 	return err
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,42 +10,42 @@
 	"lemontack/policy"
 )
 
-// EndpointList is a snapshot of discovery's endpoint list, or the entries of it that changed. Its JSON form is that of the
-// protocol.
+// EndpointList is a snapshot of discovery's endpoint list, or a change with the changed entries only. Its JSON form is that of
+// the discovery protocol.
 type EndpointList struct {
 	Revision int64   `json:"rev"`
-	Snapshot bool    `json:"all"` // it is the whole list; otherwise a change
+	Snapshot bool    `json:"all"` // whether this is the whole list; otherwise it is a change
 	Entries  []Entry `json:"targets"`
 
-	// GatewaysPerEndpoint estimates how many gateways share each of the cached endpoints; 0: all.
+	// GatewaysPerEndpoint estimates how many gateways share each of the cached endpoints; zero means all gateways.
 	GatewaysPerEndpoint float64 `json:"-"`
 }
 
-// States of an entry. Any other one means that the endpoint is draining.
+// States of an entry. Any other state means that the endpoint is draining.
 const (
 	stateServing = "SERVING"
-	stateDeleted = "DELETED" // stands only in changes
+	stateDeleted = "DELETED" // occurs only in changes
 )
 
 // Entry is one endpoint of the list.
 type Entry struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"` // its address: host and port
+	Endpoint string  `json:"endpoint"` // address: host and port
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: not known
+	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; zero means unknown
 }
 
 // Errors of entries that cannot be used.
 var (
-	errNoUID              = errors.New("an entry without a uid")
+	errNoUID              = errors.New("entry has no uid")
 	errBootTimeOutOfRange = errors.New("boot time out of range")
 )
 
-// validate returns why an entry cannot be used. One of a removed endpoint needs no address.
+// validate returns an error if the entry cannot be used. The entry of a removed endpoint needs no address.
 func (e Entry) validate() error {
 	if e.UID == "" {
 		return errNoUID
@@ -61,7 +61,7 @@
 
 func (e Entry) isRemoved() bool { return e.State == stateDeleted }
 
-// PolicyEndpoint returns the entry in the form of the decision module.
+// PolicyEndpoint converts the entry to an endpoint of package policy.
 func (e Entry) PolicyEndpoint() policy.Endpoint {
 	endpoint := policy.Endpoint{
 		ID:        policy.EndpointID(e.UID),
@@ -80,7 +80,7 @@
 	return endpoint
 }
 
-// PolicyEvent returns the list as an event of the decision module.
+// PolicyEvent converts the list to an event of package policy.
 func (l EndpointList) PolicyEvent() policy.EndpointsChanged {
 	event := policy.EndpointsChanged{
 		Snapshot:            l.Snapshot,
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Bounds on an object, which may be a list of any length.
+// Limits on one JSON object, which may have any number of entries.
 const (
-	maxObjectPart       = 1 << 20 // bytes before, between and behind its entries
-	entriesPerExtension = 10_000  // entries that extend the timeout of a call
+	maxObjectPart       = 1 << 20 // bytes from the start of an entry, or of the object, to the next entry
+	entriesPerExtension = 10_000  // number of entries after which the timeout of the call is extended
 )
 
-// errObjectTooLong ends a call that brings more than maxObjectPart bytes without a further entry.
-var errObjectTooLong = errors.New("an object has too many bytes before, between or behind its entries")
+// errObjectTooLong ends a call that receives more than maxObjectPart bytes of an object without another entry.
+var errObjectTooLong = errors.New("object has too many bytes before, in or after an entry")
 
-// objectReader reads the body of an answer: JSON objects, which may stand on several lines, and empty lines, the heartbeats,
-// between them. An object has to end before the timeout; only entriesPerExtension entries of a long one extend it. Since
-// lists have no maximum length, each entry, and what is none, has a bound of its own.
+// objectReader reads the body of an answer: JSON objects, each on one or several lines, with empty lines between them as
+// heartbeats. Each object has to end before the timeout of the call, which is extended after every entriesPerExtension
+// entries. Since lists have no maximum length, the size limit applies to each entry and to the parts between entries.
 type objectReader struct {
 	body           io.Reader
-	timeout        *time.Timer   // of the call
-	extension      time.Duration // the timeout from the moment at which it is extended
-	onHeartbeat    func()        // nil: heartbeats do not count
+	timeout        *time.Timer   // timeout of the call
+	extension      time.Duration // duration to which extendTimeout resets the timeout
+	onHeartbeat    func()        // called for each heartbeat unless it is nil
 	inObject       bool
-	remainingBytes int // bytes that may come before the next entry
-	entryCount     int // so far, in all objects
+	remainingBytes int // bytes that may be read before the next entry starts
+	entryCount     int // entries of all objects so far
 }
 
 func newObjectReader(body io.Reader, timeout *time.Timer, extension time.Duration) *objectReader {
 	return &objectReader{body: body, timeout: timeout, extension: extension}
 }
 
-// beginObject is called before each object.
+// beginObject has to be called before each object is decoded.
 func (r *objectReader) beginObject() {
 	r.inObject = false
 	r.remainingBytes = maxObjectPart
 }
 
-// beginEntry is called before each entry of an object.
+// beginEntry has to be called before each entry is decoded.
 func (r *objectReader) beginEntry() {
 	r.remainingBytes = maxObjectPart
 	r.entryCount++
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// errNotAList is the failure to take an answer, which would empty the list, for one.
+// errNotAList rejects an answer that is not a list, which would otherwise be taken for an empty list.
 var errNotAList = errors.New("not an endpoint list: the revision or the entries are missing")
 
-// poll tries to read the whole list. After a failure the watch brings what is missing.
+// poll tries to read the whole list. If that fails, the following watch returns the missing changes.
 func (c *Client) poll(ctx context.Context) {
 	if err := c.readSnapshot(ctx); err != nil && ctx.Err() == nil {
 		c.log.Warn("discovery poll failed", "err", err)
@@ -22,7 +22,7 @@
 func (c *Client) readSnapshot(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Not for longer than until a hedged call would be due, since the watch brings the list too.
+	// A poll is given up when a hedged call would be due, since the watch that follows returns the list too.
 	timeout := time.AfterFunc(cmp.Or(c.timings.hedgeDelay, c.timings.answerTimeout), cancel)
 	defer timeout.Stop()
 	body, err := c.get(ctx, c.url)
@@ -35,7 +35,7 @@
 	return c.receive(json.NewDecoder(reader), reader.beginEntry)
 }
 
-// receive reads one list or change and publishes what is cached of it. It calls beforeEntry before each entry.
+// receive reads one list or change and publishes the cached part. It calls beforeEntry before each entry.
 func (c *Client) receive(decoder *json.Decoder, beforeEntry func()) error {
 	header, list, err := c.cache.decode(decoder, beforeEntry)
 	if err != nil {
@@ -44,8 +44,8 @@
 	if !header.isComplete() {
 		return errNotAList
 	}
-	if list.Revision < c.revision { // it would bring back endpoints that are removed
-		c.log.Warn("discovery ignores a stale list", "revision", list.Revision, "current_revision", c.revision)
+	if list.Revision < c.revision { // a stale list would restore removed endpoints
+		c.log.Warn("ignoring a stale list from discovery", "revision", list.Revision, "current_revision", c.revision)
 		return nil
 	}
 	c.revision = list.Revision
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// errNeedsResync ends a watch after which the whole list has to be read again.
-var errNeedsResync = errors.New("more endpoints can be cached: the list has to be read again")
+// errNeedsResync ends a watch when the subset has been widened, so that the whole list has to be read again.
+var errNeedsResync = errors.New("subset was widened: the whole list has to be read again")
 
-// watch receives changes until the watch breaks or falls silent, or the list has to be read again. It always returns an
-// error.
+// watch receives changes until the call fails or times out, or the whole list has to be read again. It always returns an error.
 func (c *Client) watch(ctx context.Context) error {
 	call, err := c.openWatch(ctx)
 	if err != nil {
@@ -35,7 +34,7 @@
 	}
 }
 
-// watchCall is a call for a watch.
+// watchCall is one HTTP call that starts a watch.
 type watchCall struct {
 	cancel  context.CancelFunc
 	timeout *time.Timer // cancels the call unless it is reset in time
@@ -49,16 +48,16 @@
 	call.cancel()
 }
 
-// watchCalls are the calls for one watch that are open at one time: the first one and hedged ones.
+// watchCalls holds the concurrent calls for one watch: the original and the hedged ones.
 type watchCalls struct {
 	client  *Client
 	open    map[*watchCall]struct{}
-	answers chan *watchCall // calls that are answered or have failed
-	closed  chan struct{}   // closed when no more answers are received
+	answers chan *watchCall // calls that have been answered or have failed
+	closed  chan struct{}   // closed once answers are no longer received
 }
 
-// openWatch returns the first call for a watch that is answered, the original or a hedged one, and cancels the others. It
-// fails when all calls that are open have failed.
+// openWatch returns the first call that is answered, the original or a hedged one, and cancels the others. It returns an error
+// as soon as every call sent so far has failed.
 func (c *Client) openWatch(ctx context.Context) (*watchCall, error) {
 	calls := &watchCalls{
 		client:  c,
@@ -86,7 +85,7 @@
 	}
 }
 
-// hedgeTimer returns a channel that fires when a hedged call is due; nil: never.
+// hedgeTimer returns a channel that receives when a hedged call is due. It returns nil if calls are not hedged.
 func (c *Client) hedgeTimer() <-chan time.Time {
 	delay := c.timings.hedgeDelay
 	if delay <= 0 {
@@ -95,14 +94,14 @@
 	return time.After(delay*3/4 + c.jitter(delay/4))
 }
 
-// startCall starts a call, from the latest revision on.
+// startCall sends a call for the changes since the latest revision.
 func (calls *watchCalls) startCall(ctx context.Context) {
 	client := calls.client
 	ctx, cancel := context.WithCancel(ctx)
 	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.timings.answerTimeout, cancel)}
 	calls.open[call] = struct{}{}
 	url := fmt.Sprintf("%s?follow=1&since=%d", client.url, client.revision)
-	// Ends with the call's context, or once its answer is received or over is closed; Client.Run awaits it.
+	// The request ends with ctx; the goroutine then ends once openWatch receives the call or returns. Client.Run waits for it.
 	client.callGoroutines.Go(func() {
 		call.body, call.err = client.get(ctx, url)
 		select {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 	"lemontack/policy"
 )
 
-// A broken watch is resumed from the latest revision: a change that the next one delivers still arrives.
+// After a watch breaks, the next one asks for the changes since the latest revision, so that no change is missed.
 func TestBrokenWatchResumesFromTheLatestRevision(t *testing.T) {
 	since := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -21,7 +21,7 @@
 		}
 		since <- r.URL.Query().Get("since")
 		if len(since) == 1 {
-			io.WriteString(w, "\n{\"rev\":6,\"all\":false,\"targets\":[]}\n") // then it breaks
+			io.WriteString(w, "\n{\"rev\":6,\"all\":false,\"targets\":[]}\n") // then the watch ends
 		}
 	}))
 	defer s.Close()
@@ -31,14 +31,14 @@
 	stop := runClient(t, client)
 	defer stop()
 	if a, b := <-lists, <-lists; a.Revision != 5 || b.Revision != 6 {
-		t.Fatalf("published revisions %d, %d", a.Revision, b.Revision)
+		t.Fatalf("published revisions %d, %d; want 5, 6", a.Revision, b.Revision)
 	}
 	if a, b := <-since, <-since; a != "5" || b != "6" {
 		t.Fatalf("watched since %s, then %s; want 5, 6", a, b)
 	}
 }
 
-// Stale lists, which would bring back removed endpoints, and invalid entries are ignored.
+// Invalid entries are ignored, and so are stale lists, which would restore removed endpoints.
 func TestClientIgnoresStaleListsAndInvalidEntries(t *testing.T) {
 	var published []EndpointList
 	client := NewClient(Config{Address: "127.0.0.1:1", KnownList: EndpointList{Revision: 7}, Settings: singleGateway()},
@@ -46,7 +46,7 @@
 	for _, c := range []struct {
 		in         string
 		isValid    bool
-		entryCount int // published; -1: no list is
+		entryCount int // published entries; -1 if no list is published
 	}{
 		{`{"rev":8`, false, -1},
 		{`[]`, false, -1},
@@ -61,13 +61,13 @@
 	} {
 		published = nil
 		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.isValid {
-			t.Errorf("%s: %v", c.in, err)
+			t.Errorf("%s: got error %v, want valid %v", c.in, err, c.isValid)
 		}
 		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entryCount) {
 			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entryCount)
 		}
 	}
 	if e := (Entry{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
-		t.Errorf("an unknown state is %v, want draining", e.State)
+		t.Errorf("unknown state: got %v, want draining", e.State)
 	}
 }
