--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -189,7 +189,7 @@
 }
 
 // Error implements the error interface.
-func (e *StatusError) Error() string { return "discovery: got status " + e.Status + ", want 200" }
+func (e *StatusError) Error() string { return "unexpected status from discovery: " + e.Status }
 
 // get sends a GET request to discovery and returns the body of the answer, which the caller has to close.
 func (c *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
--- a/internal/subset/members.go
+++ b/internal/subset/members.go
@@ -1,16 +1,16 @@
 package subset
 
-// Members tracks the endpoints of a subset that are cached, and adapts the subset to their number. It belongs to one
-// goroutine.
+// Members tracks the cached endpoints of a subset, and narrows or widens the subset according to their number. It is not safe
+// for concurrent use.
 type Members struct {
 	subset      *Subset
-	zone        string          // of this gateway
-	cached      map[string]bool // by the endpoint's id; true: it is in the own zone
-	evictionDue bool            // the subset has been narrowed since the last eviction
-	needsResync bool            // the subset has been widened since the last snapshot
+	zone        string          // zone of this gateway
+	cached      map[string]bool // by endpoint id; true if the endpoint is in the own zone
+	evictionDue bool            // whether the subset has been narrowed since the last eviction
+	needsResync bool            // whether the subset has been widened since the last snapshot
 }
 
-// NewMembers returns an empty set of members of the subset, for a gateway in that zone.
+// NewMembers returns an empty set of members of the subset, for a gateway in the given zone.
 func NewMembers(subset *Subset, zone string) *Members {
 	return &Members{subset: subset, zone: zone, cached: map[string]bool{}}
 }
@@ -27,7 +27,7 @@
 	return cached
 }
 
-// IsWanted reports whether entries of an endpoint count: it is cached, or it belongs to the subset.
+// IsWanted reports whether entries of an endpoint are to be processed: it is cached, or it belongs to the subset.
 func (m *Members) IsWanted(id, zone string) bool {
 	return m.IsCached(id) || m.subset.Contains(id, zone)
 }
@@ -38,14 +38,14 @@
 // Remove removes an endpoint, if it is cached.
 func (m *Members) Remove(id string) { delete(m.cached, id) }
 
-// Reset removes all endpoints, since a snapshot of the whole list takes their place.
+// Reset removes all endpoints, before those of a snapshot of the whole list are added.
 func (m *Members) Reset() {
 	clear(m.cached)
 	m.needsResync = false
 }
 
-// NarrowIfOverfull narrows the subset by one level if so many cached endpoints are too many, and reports whether it did.
-// The endpoints that no longer belong to the subset stay until Evict.
+// NarrowIfOverfull narrows the subset by one level if the given number of cached endpoints is too large for it, and reports
+// whether it did. Endpoints that no longer belong to the subset stay cached until Evict.
 func (m *Members) NarrowIfOverfull(cached int) bool {
 	if !m.subset.IsOverfull(cached) {
 		return false
@@ -55,17 +55,18 @@
 	return true
 }
 
-// Evict narrows the subset until the cached endpoints fit, removes those that no longer belong to it, and returns their ids.
+// Evict removes the endpoints that no longer belong to the subset, narrows it until the rest fit, and returns the ids of all
+// removed endpoints.
 func (m *Members) Evict() []string {
-	evicted := m.evictOutsiders()
+	evicted := m.removeNonMembers()
 	for m.NarrowIfOverfull(m.Len()) {
-		evicted = append(evicted, m.evictOutsiders()...)
+		evicted = append(evicted, m.removeNonMembers()...)
 	}
 	return evicted
 }
 
-// evictOutsiders removes the endpoints that do not belong to the subset any more.
-func (m *Members) evictOutsiders() (evicted []string) {
+// removeNonMembers removes the endpoints that no longer belong to the subset, and returns their ids.
+func (m *Members) removeNonMembers() (evicted []string) {
 	if !m.evictionDue {
 		return nil
 	}
@@ -83,36 +84,36 @@
 	return evicted
 }
 
-// NeedsResync reports whether the subset has been widened, so that the whole list has to be read again.
+// NeedsResync reports whether the whole list has to be read again because the subset has been widened.
 func (m *Members) NeedsResync() bool { return m.needsResync }
 
-// WidenIfSparse widens the subset if more endpoints can be cached than are, until about as many as fit belong to it. It
-// reports whether a resync is needed, now or still.
+// WidenIfSparse widens the subset if it holds too few endpoints, until a resync is expected to cache enough of them. It
+// reports whether a resync is needed, either from this call or from an earlier one.
 func (m *Members) WidenIfSparse() bool {
 	if m.needsResync || !m.subset.IsSparse(m.Len()) {
 		return m.needsResync
 	}
 	m.needsResync = true
-	before := m.GatewaysPerEndpoint()
-	for m.subset.IsSparse(m.expectedSize(before)) {
+	gatewaysBefore := m.GatewaysPerEndpoint()
+	for m.subset.IsSparse(m.expectedSize(gatewaysBefore)) {
 		m.subset.Widen()
 	}
 	return true
 }
 
-// expectedSize estimates how many endpoints a resync will cache, where before is GatewaysPerEndpoint at the level that the
-// present ones were read at.
-func (m *Members) expectedSize(before float64) int {
-	return int(float64(m.Len()) * m.GatewaysPerEndpoint() / before)
+// expectedSize estimates how many endpoints a resync will cache. gatewaysBefore is the result of GatewaysPerEndpoint at the
+// level at which the currently cached endpoints were read.
+func (m *Members) expectedSize(gatewaysBefore float64) int {
+	return int(float64(m.Len()) * m.GatewaysPerEndpoint() / gatewaysBefore)
 }
 
-// GatewaysPerEndpoint estimates how many gateways share one of the endpoints.
+// GatewaysPerEndpoint estimates how many gateways share each of the cached endpoints.
 func (m *Members) GatewaysPerEndpoint() float64 {
-	own := 0
+	ownZone := 0
 	for _, inOwnZone := range m.cached {
 		if inOwnZone {
-			own++
+			ownZone++
 		}
 	}
-	return m.subset.GatewaysPerEndpoint(own, m.Len()-own)
+	return m.subset.GatewaysPerEndpoint(ownZone, m.Len()-ownZone)
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,5 +1,5 @@
-// Package subset chooses which endpoints of a long endpoint list one gateway caches, and tracks the ones that it does. It is
-// deterministic subsetting on a ring of hashes, without communication between gateways. It decides no request.
+// Package subset selects the endpoints of a long endpoint list that one gateway caches, and tracks the cached ones. It uses
+// deterministic subsetting on a hash ring, without communication between gateways. It does not select endpoints for requests.
 package subset
 
 import (
@@ -8,77 +8,78 @@
 )
 
 const (
-	// minGatewaysPerEndpoint is how many gateways should share an endpoint, so that busy ones among them even out.
+	// minGatewaysPerEndpoint is how many gateways should share an endpoint, so that differences in their load average out.
 	minGatewaysPerEndpoint = 16.0
-	// levelsPerHalving is the number of levels that halve an arc: gateways one level apart differ by a fifth only.
+	// levelsPerHalving is the number of levels that halve an arc. Arcs one level apart differ by less than a fifth.
 	levelsPerHalving = 4.0
-	// ownZoneLevels makes the arc of the own zone four times as long as that of the others, where crossing zones costs.
+	// ownZoneLevels is the number of levels that the arc for the own zone is ahead, which makes it four times as long as that
+	// for other zones. It applies if requests across zones have a price.
 	ownZoneLevels = 8
-	// widenLevels is the number of levels that Widen goes down, to 1.7 times the arcs. That leaves room, so that the subset
-	// does not flap between widening and narrowing.
+	// widenLevels is the number of levels by which Widen goes down, which makes arcs 1.7 times as long. It is less than a
+	// doubling, so that the subset does not flap between widening and narrowing.
 	widenLevels = 3
 )
 
 // Subset decides for each endpoint whether this gateway caches it. The gateway's arc of the ring begins at its point of the
-// van der Corput sequence, whose low discrepancy spreads any number of gateways evenly and moves none when one joins. An
-// endpoint belongs to the subset if its hash lies on the arc. Since each endpoint is decided alone, a list can be read as a
-// stream, a change affects its own endpoints only, and a lost zone takes as much from every gateway.
+// van der Corput sequence, whose low discrepancy spreads any number of gateways evenly and moves none when one is added. An
+// endpoint belongs to the subset if its hash lies on the arc. The decision does not depend on other endpoints. So a list can be
+// read as a stream, a change affects only its own endpoints, and the loss of a zone affects all gateways alike.
 //
-// The arc gets shorter with each level: see Narrow and Widen.
+// The arc gets shorter with each level; see Narrow and Widen.
 type Subset struct {
-	zone           string // the own one, if it is preferred
-	start          uint64 // of the arcs; the ring has 2^64 positions
+	preferredZone  string // zone of this gateway; empty if no zone is preferred
+	arcStart       uint64 // ring position at which the arcs begin; the ring has 2^64 positions
 	gatewayCount   int
 	level          int
-	maxSharedLevel int // the highest level at which minGatewaysPerEndpoint share an endpoint
+	maxSharedLevel int // highest level at which minGatewaysPerEndpoint gateways share an endpoint
 	targetSize     int
 	maxSize        int
 }
 
-// Config holds what a subset is determined by.
+// Config determines the subset of one gateway.
 type Config struct {
-	Index          int // of this gateway, from 0
+	Index          int // index of this gateway, from 0
 	GatewayCount   int
-	Zone           string  // of this gateway
-	CrossZonePrice float64 // of a request that crosses zones; above 0, more endpoints of the own zone are cached
-	TargetSize     int     // endpoints in the subset, unless too few gateways would share each of them
-	MaxSize        int     // endpoints in the subset in any case
+	Zone           string  // zone of this gateway
+	CrossZonePrice float64 // price of a request across zones; if positive, more endpoints of the own zone are cached
+	TargetSize     int     // endpoints in the subset, exceeded if too few gateways would share each endpoint
+	MaxSize        int     // upper limit of endpoints in the subset
 }
 
 // New returns the widest subset, which contains every endpoint.
 func New(config Config) *Subset {
 	zone := config.Zone
-	if config.CrossZonePrice <= 0 { // all zones alike load the endpoints most evenly
+	if config.CrossZonePrice <= 0 { // without a preferred zone, load is spread most evenly
 		zone = ""
 	}
-	narrowing := max(float64(config.GatewayCount)/minGatewaysPerEndpoint, 1)
+	narrowingFactor := max(float64(config.GatewayCount)/minGatewaysPerEndpoint, 1)
 	return &Subset{
-		zone:           zone,
-		start:          bits.Reverse64(uint64(config.Index)),
+		preferredZone:  zone,
+		arcStart:       bits.Reverse64(uint64(config.Index)),
 		gatewayCount:   config.GatewayCount,
-		maxSharedLevel: int(levelsPerHalving * math.Log2(narrowing)),
+		maxSharedLevel: int(levelsPerHalving * math.Log2(narrowingFactor)),
 		targetSize:     config.TargetSize,
 		maxSize:        max(config.TargetSize, config.MaxSize),
 	}
 }
 
-// Contains reports whether an endpoint belongs to the subset at the present level.
+// Contains reports whether an endpoint belongs to the subset at the current level.
 func (s *Subset) Contains(id string, zone string) bool {
-	share := s.RingShare(zone != "" && zone == s.zone)
+	share := s.RingShare(zone != "" && zone == s.preferredZone)
 	if share >= 1 {
 		return true
 	}
-	return ringPosition(id)-s.start < uint64(math.Ldexp(share, 64))
+	return ringPosition(id)-s.arcStart < uint64(math.Ldexp(share, 64))
 }
 
-// IsOverfull reports whether so many cached endpoints are too many. The caller then calls Narrow, drops the endpoints that
-// Contains no longer reports, and checks again.
+// IsOverfull reports whether the number of cached endpoints is too large at the current level. The caller then has to call
+// Narrow, remove the endpoints that the subset no longer contains, and check again.
 func (s *Subset) IsOverfull(cached int) bool {
 	return cached > s.maxSize || cached > s.targetSize && s.level < s.maxSharedLevel
 }
 
-// IsSparse reports whether so few endpoints are cached that those of a wider subset fit. The caller then calls Widen and
-// reads the whole list again.
+// IsSparse reports whether so few endpoints are cached that those of a wider subset fit. The caller then has to call Widen
+// and read the whole list again.
 func (s *Subset) IsSparse(cached int) bool {
 	if s.level == 0 {
 		return false
@@ -86,20 +87,20 @@
 	return cached < s.targetSize/2 || cached < s.maxSize/2 && s.level > s.maxSharedLevel
 }
 
-// Narrow goes up one level.
+// Narrow shortens the arcs by going up one level.
 func (s *Subset) Narrow() { s.level++ }
 
-// Widen goes down by widenLevels.
+// Widen lengthens the arcs by going down widenLevels levels, at most to level 0.
 func (s *Subset) Widen() { s.level = max(0, s.level-widenLevels) }
 
-// GatewaysPerEndpoint estimates how many gateways share an endpoint, from the numbers of endpoints that are cached of the
-// own zone and of all others.
-func (s *Subset) GatewaysPerEndpoint(own, others int) float64 {
-	listed := float64(own)/s.RingShare(true) + float64(others)/s.RingShare(false)
-	return max(1, float64(s.gatewayCount*(own+others))/max(listed, 1))
+// GatewaysPerEndpoint estimates how many gateways share an endpoint, from the numbers of cached endpoints in the own zone and
+// in all other zones.
+func (s *Subset) GatewaysPerEndpoint(ownZone, otherZones int) float64 {
+	listed := float64(ownZone)/s.RingShare(true) + float64(otherZones)/s.RingShare(false)
+	return max(1, float64(s.gatewayCount*(ownZone+otherZones))/max(listed, 1))
 }
 
-// RingShare returns the share of the ring, up to 1, that the arc for the own zone or for each other zone covers.
+// RingShare returns the fraction of the ring, at most 1, that the arc for the own zone or the arc for other zones covers.
 func (s *Subset) RingShare(ownZone bool) float64 {
 	if ownZone {
 		return min(1, math.Exp2(float64(ownZoneLevels-s.level)/levelsPerHalving))
@@ -107,7 +108,8 @@
 	return math.Exp2(-float64(s.level) / levelsPerHalving)
 }
 
-// ringPosition is FNV-1a followed by a finalizer, since the high bits decide. It is the same in every process.
+// ringPosition hashes an id by FNV-1a followed by a finalizer, since Contains depends on the high bits. The result is the same
+// in every process.
 func ringPosition(id string) uint64 {
 	hash := uint64(14695981039346656037)
 	for i := range len(id) {
