--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -9,7 +9,7 @@
 	"lemontack/policy"
 )
 
-// lineBuilder appends one line to a buffer.
+// lineBuilder appends one line to a buffer: its name and its fields, separated by tabs.
 type lineBuilder struct{ buf []byte }
 
 func newLine(buf []byte, name string, instance int) *lineBuilder {
@@ -29,7 +29,7 @@
 	return l.text(name, strconv.FormatInt(value, 10))
 }
 
-// float writes a number without an exponent, in as few digits as tell it from others.
+// float appends a number without an exponent, in as few digits as identify it.
 func (l *lineBuilder) float(name string, value float64) *lineBuilder {
 	return l.text(name, strconv.FormatFloat(value, 'f', -1, 64))
 }
@@ -49,7 +49,7 @@
 // end ends the line and returns the buffer.
 func (l *lineBuilder) end() []byte { return append(l.buf, '\n') }
 
-// AppendAction appends the line of one action of an instance.
+// AppendAction appends the line for one action of an instance.
 func AppendAction(buf []byte, instance int, action policy.Action) []byte {
 	switch a := action.(type) {
 	case policy.Send:
@@ -125,7 +125,7 @@
 	if a.To >= 0 {
 		destination = strconv.Itoa(a.To)
 	}
-	body := absent
+	body := absentValue
 	if len(a.Body) > 0 {
 		body = base64.StdEncoding.EncodeToString(a.Body)
 	}
@@ -135,14 +135,14 @@
 		end()
 }
 
-// AppendFault appends the line that declares an instance broken.
+// AppendFault appends the line that reports that an instance has failed.
 func AppendFault(buf []byte, instance int, text string) []byte {
 	return newLine(buf, "PANIC", instance).
 		text("text", oneLine(text)).
 		end()
 }
 
-// oneLine replaces what would break the form of a line by spaces.
+// oneLine replaces each character that separates lines or fields by a space.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' || r == '\t' {
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -7,8 +7,8 @@
 	"lemontack/policy"
 )
 
-func TestActionsBecomeLines(t *testing.T) {
-	for want, a := range map[string]policy.Action{
+func TestActionsAreEncodedAsLines(t *testing.T) {
+	for want, action := range map[string]policy.Action{
 		"TRANSMIT\ti=1\tcall=2\tbackend=b\tstopAtUs=7\n": policy.Send{
 			ID: 2, Endpoint: "b", AttemptDeadline: 7 * time.Microsecond},
 		"REVOKE\ti=1\tcall=2\ttry=1\n":                     policy.Cancel{ID: 2, Attempt: 1},
@@ -24,8 +24,8 @@
 		"QUERY_ALL\ti=1\n":                                 policy.FetchEndpoints{},
 		"TIMER\ti=1\tspanUs=10\tref=t\n":                   policy.SetTimer{After: 10 * time.Microsecond},
 	} {
-		if got := string(AppendAction(nil, 1, a)); got != want {
-			t.Errorf("%T: %q, want %q", a, got, want)
+		if got := string(AppendAction(nil, 1, action)); got != want {
+			t.Errorf("%T: got %q, want %q", action, got, want)
 		}
 	}
 }
--- a/internal/wire/adapter.go
+++ b/internal/wire/adapter.go
@@ -9,60 +9,61 @@
 	"lemontack/policy"
 )
 
-// adapter runs the gateways of a simulation, each with its own events only. One goroutine owns it.
-type adapter struct {
-	gateways map[int]*policy.Gateway // by the number of their instance
+// gatewayAdapter runs the gateways of a simulation, each of which receives its own events only. It is not safe for concurrent
+// use.
+type gatewayAdapter struct {
+	gateways map[int]*policy.Gateway // by instance number
 }
 
-// Serve runs gateways on the batches that come from in, and writes their actions to out, until the input ends.
+// Serve runs gateways on the batches that it reads from in, and writes their actions to out, until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
-	a := &adapter{gateways: map[int]*policy.Gateway{}}
-	r, w := NewBatchReader(in), bufio.NewWriterSize(out, bufferBytes)
+	adapter := &gatewayAdapter{gateways: map[int]*policy.Gateway{}}
+	reader, writer := NewBatchReader(in), bufio.NewWriterSize(out, bufferBytes)
 	var reply []byte
 	for {
-		batch, err := r.Read()
+		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply = a.appendReply(reply[:0], batch)
-		if _, err := w.Write(reply); err != nil {
+		reply = adapter.appendReply(reply[:0], batch)
+		if _, err := writer.Write(reply); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// appendReply appends the answer to a batch.
-func (a *adapter) appendReply(buf []byte, batch *Batch) []byte {
+// appendReply appends the reply to a batch.
+func (adapter *gatewayAdapter) appendReply(buf []byte, batch *Batch) []byte {
 	for _, message := range batch.Messages {
-		buf = a.appendActions(buf, batch, message)
+		buf = adapter.appendActions(buf, batch, message)
 	}
 	return append(buf, "NEXT\n"...)
 }
 
-// appendActions handles one message and appends the actions. A panic of the module becomes the fault of that instance,
-// which ends, with nothing of its other actions.
-func (a *adapter) appendActions(buf []byte, batch *Batch, message Message) (reply []byte) {
+// appendActions handles one message and appends the resulting actions. If package policy panics, the instance is removed and
+// its fault is appended in place of the actions for the message.
+func (adapter *gatewayAdapter) appendActions(buf []byte, batch *Batch, message Message) (reply []byte) {
 	start := len(buf)
 	defer func() {
-		if cause := recover(); cause != nil {
-			delete(a.gateways, message.Instance)
-			reply = AppendFault(buf[:start], message.Instance, fmt.Sprint(cause))
+		if panicValue := recover(); panicValue != nil {
+			delete(adapter.gateways, message.Instance)
+			reply = AppendFault(buf[:start], message.Instance, fmt.Sprint(panicValue))
 		}
 	}()
 	switch {
 	case message.Destroyed:
-		delete(a.gateways, message.Instance)
+		delete(adapter.gateways, message.Instance)
 		return buf
 	case message.Start != nil:
-		return a.begin(buf, message.Instance, message.Start)
+		return adapter.startInstance(buf, message.Instance, message.Start)
 	}
-	gateway := a.gateways[message.Instance]
+	gateway := adapter.gateways[message.Instance]
 	if gateway == nil {
 		return buf
 	}
@@ -72,11 +73,11 @@
 	return buf
 }
 
-func (a *adapter) begin(buf []byte, instance int, begin *InstanceStart) []byte {
-	gateway, err := policy.New(*begin.Settings, begin.Seed)
+func (adapter *gatewayAdapter) startInstance(buf []byte, instance int, start *InstanceStart) []byte {
+	gateway, err := policy.New(*start.Settings, start.Seed)
 	if err != nil {
 		return AppendFault(buf, instance, err.Error())
 	}
-	a.gateways[instance] = gateway
+	adapter.gateways[instance] = gateway
 	return buf
 }
--- a/internal/wire/adapter_test.go
+++ b/internal/wire/adapter_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const begin = "BEGIN\ti=3\tnonce64=18446744073709551615\tfacts={\"me\":0,\"replicasOfMe\":2,\"unknown\":{\"a\":1}," +
+const beginLine = "BEGIN\ti=3\tnonce64=18446744073709551615\tfacts={\"me\":0,\"replicasOfMe\":2,\"unknown\":{\"a\":1}," +
 	"\"classes\":[{\"name\":\"read\",\"value\":1,\"objectiveUs\":500000,\"deadlineUs\":2000000,\"effect\":\"odd\"}]}\n"
 
 func serve(t *testing.T, in string) (string, error) {
@@ -16,6 +16,7 @@
 	return out.String(), err
 }
 
+// Each empty batch gets an empty reply, and the end of the input is not an error.
 func TestEmptyBatchesAreAnsweredUntilTheInputEnds(t *testing.T) {
 	out, err := serve(t, "SYNC\twallUs=8\nYOUR_TURN\nSYNC\twallUs=9\nYOUR_TURN\n")
 	if err != nil || out != "NEXT\nNEXT\n" {
@@ -24,7 +25,7 @@
 }
 
 func TestRequestIsSentToAListedEndpoint(t *testing.T) {
-	out, err := serve(t, "SYNC\twallUs=1000000\n"+begin+
+	out, err := serve(t, "SYNC\twallUs=1000000\n"+beginLine+
 		"MEMBERSHIP\ti=3\tform=cached\tgeneration=1\tmembers=1\nM\tbackend=10.0.0.1:80\taz=a\tlifecycle=on\n"+
 		"SOMETHING_NEW\ti=3\tx=1\n"+
 		"ARRIVAL\ti=3\tcall=4294967295\tqos=read\tterms=none\tholder=aa\tgiveUpAtUs=3000000\tnew=1\nYOUR_TURN\n")
@@ -34,13 +35,13 @@
 }
 
 func TestRestartsInOneBatchAreAnsweredOnce(t *testing.T) {
-	in := "SYNC\twallUs=1\n" + strings.Repeat(begin+"DESTROY\ti=3\n", 50) + "DROPPED\ti=3\tcall=1\nYOUR_TURN\n"
+	in := "SYNC\twallUs=1\n" + strings.Repeat(beginLine+"DESTROY\ti=3\n", 50) + "DROPPED\ti=3\tcall=1\nYOUR_TURN\n"
 	if out, err := serve(t, in); err != nil || out != "NEXT\n" {
 		t.Fatalf("out %q, err %v", out, err)
 	}
 }
 
-func TestUnusableSettingsBecomeAFault(t *testing.T) {
+func TestInvalidSettingsAreReportedAsAFault(t *testing.T) {
 	out, err := serve(t, "SYNC\twallUs=1\nBEGIN\ti=3\tnonce64=1\tfacts={}\nYOUR_TURN\n")
 	if err != nil || !strings.HasPrefix(out, "PANIC\ti=3\ttext=") {
 		t.Fatalf("out %q, err %v", out, err)
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -11,25 +11,24 @@
 	"lemontack/policy"
 )
 
-// bufferBytes is the size of the buffers for input and output: a batch of usual size fits.
-const bufferBytes = 1 << 20
+const bufferBytes = 1 << 20 // size of the input and the output buffer; holds a batch of usual size
 
-// Faults of a batch's frame; a ParseError wraps them.
+// Errors in the lines that start and end a batch; a ParseError wraps them.
 var (
-	errTruncatedLine  = errors.New("cut off without an end of line")
-	errTruncatedBatch = errors.New("input ends inside a batch")
-	errNestedBatch    = errors.New("a batch begins inside a batch")
+	errTruncatedLine  = errors.New("cut off before the line feed")
+	errTruncatedBatch = errors.New("end of input inside a batch")
+	errNestedBatch    = errors.New("got SYNC inside a batch, want YOUR_TURN first")
 )
 
-// ParseError says where the input breaks the form of the wire.
+// ParseError reports where the input is malformed.
 type ParseError struct {
-	Line    int    // from 1
-	Message string // the name of the message; empty where the frame of a batch is at fault
-	Field   string // empty where no single field is at fault
+	Line    int    // line number, from 1
+	Message string // name of the message; empty if the error is in the lines that start and end a batch
+	Field   string // name of the field; empty if the error is not in a single field
 	Err     error
 }
 
-// Error names the line, the message and the field, as far as they are known.
+// Error returns the line, the message and the field as far as they are known, and the cause.
 func (e *ParseError) Error() string {
 	text := fmt.Sprintf("line %d: ", e.Line)
 	if e.Message != "" {
@@ -41,33 +40,33 @@
 	return text + e.Err.Error()
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// Batch is what one exchange brings.
+// Batch is one batch of messages, which gets one reply.
 type Batch struct {
-	Now      time.Duration // time of the simulation
+	Now      time.Duration // simulated time
 	Messages []Message
 }
 
-// Message is one line of a batch, for one instance. At most one of its other fields is set.
+// Message is one message of a batch, for one instance. At most one of the fields other than Instance is set.
 type Message struct {
 	Instance  int
-	Start     *InstanceStart // the instance starts
-	Destroyed bool           // the instance ends
-	Event     policy.Event   // nil where there is nothing to tell
+	Start     *InstanceStart // set if the instance starts
+	Destroyed bool           // whether the instance ends
+	Event     policy.Event   // event for the gateway of the instance; may be nil
 }
 
-// InstanceStart is what an instance starts with.
+// InstanceStart holds the parameters with which an instance starts.
 type InstanceStart struct {
-	Seed     uint64 // of its random draws
+	Seed     uint64 // seed of the random number generator
 	Settings *policy.Settings
 }
 
 // BatchReader reads batches.
 type BatchReader struct {
 	in   *bufio.Reader
-	line int // number of the last line that was read
+	line int // number of the last line read
 }
 
 // NewBatchReader returns a BatchReader on r.
@@ -75,8 +74,7 @@
 	return &BatchReader{in: bufio.NewReaderSize(r, bufferBytes)}
 }
 
-// Read returns the next batch. Its error is io.EOF where input ended between batches, and a *ParseError where the form
-// is wrong.
+// Read returns the next batch. It returns io.EOF if the input ends between batches, and a *ParseError for malformed input.
 func (r *BatchReader) Read() (*Batch, error) {
 	batch, err := r.readStart()
 	if err != nil {
@@ -98,18 +96,18 @@
 		case "SYNC":
 			return nil, &ParseError{Line: r.line, Err: errNestedBatch}
 		default:
-			message, known, err := r.readMessage(name, fields)
+			message, isKnown, err := r.readMessage(name, fields)
 			if err != nil {
 				return nil, err
 			}
-			if known {
+			if isKnown {
 				batch.Messages = append(batch.Messages, message)
 			}
 		}
 	}
 }
 
-// readStart reads the line that a batch begins with.
+// readStart reads the SYNC line that starts a batch.
 func (r *BatchReader) readStart() (*Batch, error) {
 	for {
 		text, err := r.nextLine()
@@ -121,7 +119,7 @@
 		}
 		name, fields := splitLine(text)
 		if name != "SYNC" {
-			return nil, &ParseError{Line: r.line, Err: fmt.Errorf("%q before a batch has begun", name)}
+			return nil, &ParseError{Line: r.line, Err: fmt.Errorf("got %q before a batch, want SYNC", name)}
 		}
 		p := fieldParser{fields: fields}
 		batch := &Batch{Now: p.microseconds("wallUs")}
@@ -130,7 +128,7 @@
 	}
 }
 
-// nextLine returns the next line without its end.
+// nextLine returns the next line without its line ending.
 func (r *BatchReader) nextLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text != "" {
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,7 +1,7 @@
-// Package wire is the codec between the simulator's lines and package policy: lines become events of a gateway, its
-// actions become lines, and the settings object becomes policy.Settings. It parses and prints only; every decision is in
-// package policy. The names of messages, fields and keys are the simulator's.
+// Package wire converts between the simulator's line protocol and the types of package policy. It decodes lines into events of
+// a gateway and the settings object into policy.Settings, and encodes the gateway's actions as lines. All decisions are made
+// by package policy. The names of messages, fields and keys are defined by the simulator.
 //
-// Input comes in batches: a SYNC line with the time, one line for each message, and a YOUR_TURN line. Each batch is
-// answered by the lines of all actions and a NEXT line.
+// The input consists of batches. A batch is a SYNC line with the time, the lines of its messages, and a YOUR_TURN line. The
+// reply to a batch consists of the lines of all actions and a NEXT line.
 package wire
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,21 +7,20 @@
 	"lemontack/policy"
 )
 
-// errTruncatedList says that input ends inside an endpoint list.
-var errTruncatedList = errors.New("members: the list is cut off")
+var errTruncatedList = errors.New("members: input ends inside the endpoint list")
 
-// readMessage decodes one message; known is false for names that this program does not have. An endpoint list goes on
-// over the lines that follow.
-func (r *BatchReader) readMessage(name string, fields lineFields) (message Message, known bool, err error) {
+// readMessage decodes one message. isKnown is false for unknown names. An endpoint list continues on the following lines, which
+// readMessage reads too.
+func (r *BatchReader) readMessage(name string, fields lineFields) (message Message, isKnown bool, err error) {
 	p := &fieldParser{fields: fields}
 	switch name {
 	case "BEGIN":
-		message.Start = decodeBegin(p)
+		message.Start = decodeInstanceStart(p)
 	case "DESTROY":
 		message.Destroyed = true
 	default:
-		message.Event, known = r.decodeEvent(name, p)
-		if !known {
+		message.Event, isKnown = r.decodeEvent(name, p)
+		if !isKnown {
 			return Message{}, false, nil
 		}
 	}
@@ -30,21 +29,21 @@
 	return message, true, p.parseError(r.line, name)
 }
 
-func decodeBegin(p *fieldParser) *InstanceStart {
-	begin := &InstanceStart{Seed: p.uint("nonce64", 64)}
+func decodeInstanceStart(p *fieldParser) *InstanceStart {
+	start := &InstanceStart{Seed: p.uint("nonce64", 64)}
 	p.require("facts")
 	if p.err != nil {
 		return nil
 	}
 	settings, _, err := ParseSettings([]byte(p.text("facts")))
 	if err != nil {
-		p.fail("facts", err)
+		p.recordError("facts", err)
 	}
-	begin.Settings = settings
-	return begin
+	start.Settings = settings
+	return start
 }
 
-func (r *BatchReader) decodeEvent(name string, p *fieldParser) (event policy.Event, known bool) {
+func (r *BatchReader) decodeEvent(name string, p *fieldParser) (event policy.Event, isKnown bool) {
 	switch name {
 	case "MEMBERSHIP":
 		return r.decodeEndpointsChanged(p), true
@@ -136,7 +135,7 @@
 	}
 }
 
-// decodeEndpointsChanged decodes a list and the lines of its entries, which follow.
+// decodeEndpointsChanged decodes an endpoint list and reads the lines of its entries, which follow.
 func (r *BatchReader) decodeEndpointsChanged(p *fieldParser) policy.Event {
 	p.require("form")
 	form := p.text("form")
@@ -150,16 +149,16 @@
 	return event
 }
 
-// readEndpoint reads the line of one entry of a list. Its faults go to the parser of the list.
-func (r *BatchReader) readEndpoint(list *fieldParser) policy.Endpoint {
+// readEndpoint reads the line of one entry of an endpoint list. It records errors in the parser of the list.
+func (r *BatchReader) readEndpoint(listParser *fieldParser) policy.Endpoint {
 	text, err := r.nextLine()
 	if err != nil {
-		list.fail("", errTruncatedList)
+		listParser.recordError("", errTruncatedList)
 		return policy.Endpoint{}
 	}
 	name, fields := splitLine(text)
 	if name != "M" {
-		list.fail("", fmt.Errorf("members: %q where an entry is wanted", name))
+		listParser.recordError("", fmt.Errorf("members: got %q, want M", name))
 		return policy.Endpoint{}
 	}
 	p := &fieldParser{fields: fields}
@@ -174,7 +173,7 @@
 		StartedAt: p.microseconds("sinceUs"),
 	}
 	if p.err != nil {
-		list.fail(p.field, p.err)
+		listParser.recordError(p.faultyField, p.err)
 	}
 	return endpoint
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	idBits           = 32 // of a request's id
-	countBits        = 31 // of counts and numbers of instances
-	microsecondsBits = 53 // of times: what a float64 holds exactly, since the simulator's are such
-	maxNumber        = 1e300
+	requestIDBits    = 32    // size of a request id
+	countBits        = 31    // size of a count or an instance number
+	microsecondsBits = 53    // size of a time; the simulator uses float64, which is exact up to 53 bits
+	maxMagnitude     = 1e300 // largest absolute value of a number
 )
 
-// Faults of a field; a ParseError wraps them.
+// Errors of a field; a ParseError wraps them.
 var (
 	errMissing   = errors.New("missing")
 	errNotFinite = errors.New("not a finite number")
 )
 
-// lineFields are the name=value parts of a line.
+// lineFields holds the values of the name=value fields of a line, by name.
 type lineFields map[string]string
 
-// splitLine cuts a line into its name and its fields. The value of facts runs to the end of the line.
+// splitLine splits a line into its name and its fields. The value of the field facts extends to the end of the line.
 func splitLine(text string) (name string, fields lineFields) {
 	name, rest, _ := strings.Cut(text, "\t")
 	fields = make(lineFields, 8)
@@ -46,33 +46,34 @@
 	return name, fields
 }
 
-// fieldParser reads the fields of a line and keeps the first fault, so that callers check it once, at the end. A field
-// that is absent reads as the zero value.
+// fieldParser parses the fields of a line. It keeps the first error, so that callers check for it only once, at the end. A
+// missing field is parsed as the zero value.
 type fieldParser struct {
-	fields lineFields
-	field  string // that the fault is in; empty where no single one is
-	err    error
+	fields      lineFields
+	faultyField string // field with the error; empty if the error is not in a single field
+	err         error  // first error
 }
 
-func (p *fieldParser) fail(field string, err error) {
+// recordError keeps the error if it is the first one.
+func (p *fieldParser) recordError(field string, err error) {
 	if p.err == nil {
-		p.field, p.err = field, err
+		p.faultyField, p.err = field, err
 	}
 }
 
-// parseError returns the fault, if there is one, as a *ParseError.
+// parseError returns the recorded error, if there is one, as a *ParseError.
 func (p *fieldParser) parseError(line int, message string) error {
 	if p.err == nil {
 		return nil
 	}
-	return &ParseError{Line: line, Message: message, Field: p.field, Err: p.err}
+	return &ParseError{Line: line, Message: message, Field: p.faultyField, Err: p.err}
 }
 
-// require fails where one of the fields is absent.
+// require records an error if one of the fields is missing.
 func (p *fieldParser) require(names ...string) {
 	for _, name := range names {
 		if _, ok := p.fields[name]; !ok {
-			p.fail(name, errMissing)
+			p.recordError(name, errMissing)
 		}
 	}
 }
@@ -86,14 +87,14 @@
 	}
 	n, err := strconv.ParseUint(text, 10, bits)
 	if err != nil {
-		p.fail(name, err)
+		p.recordError(name, err)
 	}
 	return n
 }
 
 func (p *fieldParser) int(name string) int { return int(p.uint(name, countBits)) }
 
-// bool is true for 1 only.
+// bool returns true only for the value 1.
 func (p *fieldParser) bool(name string) bool { return p.fields[name] == "1" }
 
 func (p *fieldParser) microseconds(name string) time.Duration {
@@ -106,24 +107,24 @@
 		return 0
 	}
 	n, err := strconv.ParseFloat(text, 64)
-	if err == nil && (math.IsNaN(n) || math.Abs(n) > maxNumber) {
+	if err == nil && (math.IsNaN(n) || math.Abs(n) > maxMagnitude) {
 		err = errNotFinite
 	}
 	if err != nil {
-		p.fail(name, err)
+		p.recordError(name, err)
 	}
 	return n
 }
 
 func (p *fieldParser) requestID() policy.RequestID {
-	return policy.RequestID(p.uint("call", idBits))
+	return policy.RequestID(p.uint("call", requestIDBits))
 }
 
 func (p *fieldParser) endpointID() policy.EndpointID {
 	return policy.EndpointID(p.fields["backend"])
 }
 
-// loadReport reads pairs of name:number, separated by commas; nil where there is no report.
+// loadReport parses name:number pairs separated by commas. It returns nil if there is no report.
 func (p *fieldParser) loadReport(name string) policy.LoadReport {
 	text := p.fields[name]
 	if isAbsent(text) {
@@ -134,7 +135,7 @@
 		key, value, ok := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			p.fail(name, fmt.Errorf("pair %q", pair))
+			p.recordError(name, fmt.Errorf("got pair %q, want name:number", pair))
 			return nil
 		}
 		report[key] = n
@@ -142,7 +143,7 @@
 	return report
 }
 
-// base64 reads bytes; nil where there are none.
+// base64 decodes a value in base64. It returns nil if there is none.
 func (p *fieldParser) base64(name string) []byte {
 	text := p.fields[name]
 	if isAbsent(text) {
@@ -150,12 +151,12 @@
 	}
 	bytes, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		p.fail(name, err)
+		p.recordError(name, err)
 	}
 	return bytes
 }
 
-// absent stands for a value that is not there.
-const absent = "-"
+// absentValue is sent in place of an absent value.
+const absentValue = "-"
 
-func isAbsent(text string) bool { return text == "" || text == absent }
+func isAbsent(text string) bool { return text == "" || text == absentValue }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,14 +8,14 @@
 	"lemontack/policy"
 )
 
-// ConnectionSettings are the settings that matter only to a program with real connections to backends.
+// ConnectionSettings holds the settings that apply only to a program with real connections.
 type ConnectionSettings struct {
-	IdleTimeout     time.Duration // a backend closes a connection that has been idle for so long
-	ConnectTimeout  time.Duration // a connection that is not established by then has failed
-	MaxOpenRequests int           // requests in progress at once; further ones are rejected without a decision
+	IdleTimeout     time.Duration // time after which a backend closes an idle connection
+	ConnectTimeout  time.Duration // time after which establishing a connection has failed
+	MaxOpenRequests int           // limit of concurrent requests; further requests are rejected before package policy decides
 }
 
-// settingsObject mirrors the settings object; keys that are not here are skipped. Times are in microseconds.
+// settingsObject is the JSON form of the settings. Unknown keys are skipped. Times are in microseconds.
 type settingsObject struct {
 	Me           int              `json:"me"`
 	Replicas     int              `json:"replicasOfMe"`
@@ -57,7 +57,7 @@
 	} `json:"invariants"`
 }
 
-// classObject is a class of requests.
+// classObject is the JSON form of a class of requests.
 type classObject struct {
 	Name        string  `json:"name"`
 	Value       float64 `json:"value"`
@@ -69,7 +69,7 @@
 	WindowUs    float64 `json:"windowUs"`
 }
 
-// contractObject is a customer's plan.
+// contractObject is the JSON form of a customer's plan.
 type contractObject struct {
 	Name        string  `json:"name"`
 	Price       float64 `json:"price"`
@@ -83,8 +83,8 @@
 	Tolerance   float64 `json:"tolerance"`
 }
 
-// ParseSettings reads the settings object; keys that it does not know are skipped. Its error wraps a *RangeError or a
-// *ClassNameError where the object's form is right and its values are not.
+// ParseSettings parses and validates the settings object. Unknown keys are skipped. If the object is well-formed but a value is
+// invalid, the error wraps a *RangeError or a *ClassNameError.
 func ParseSettings(text []byte) (*policy.Settings, ConnectionSettings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -138,36 +138,36 @@
 	return settings
 }
 
-func (o classObject) class() policy.Class {
+func (class classObject) class() policy.Class {
 	return policy.Class{
-		Name:                o.Name,
-		PriorityWeight:      o.Value,
-		LatencyObjective:    microseconds(o.ObjectiveUs),
-		Deadline:            microseconds(o.DeadlineUs),
-		LateWeight:          o.LateShare,
-		Idempotency:         idempotency(o.Effect),
-		DeduplicationScope:  deduplicationScope(o.Group),
-		DeduplicationWindow: microseconds(o.WindowUs),
+		Name:                class.Name,
+		PriorityWeight:      class.Value,
+		LatencyObjective:    microseconds(class.ObjectiveUs),
+		Deadline:            microseconds(class.DeadlineUs),
+		LateWeight:          class.LateShare,
+		Idempotency:         idempotency(class.Effect),
+		DeduplicationScope:  deduplicationScope(class.Group),
+		DeduplicationWindow: microseconds(class.WindowUs),
 	}
 }
 
-func (o contractObject) plan(settledByReply bool) policy.Plan {
+func (contract contractObject) plan(settledByReply bool) policy.Plan {
 	return policy.Plan{
-		Name:             o.Name,
-		Price:            o.Price,
-		Rate:             o.Refill,
-		Burst:            o.Burst,
-		MaxConcurrency:   o.Concurrency,
-		OverQuotaWeight:  o.ExcessWorth,
-		OverQuotaCost:    o.ExcessCost,
-		CeilingRate:      o.HardRate,
-		CeilingBurst:     o.CapDepth,
-		CeilingTolerance: o.Tolerance,
+		Name:             contract.Name,
+		Price:            contract.Price,
+		Rate:             contract.Refill,
+		Burst:            contract.Burst,
+		MaxConcurrency:   contract.Concurrency,
+		OverQuotaWeight:  contract.ExcessWorth,
+		OverQuotaCost:    contract.ExcessCost,
+		CeilingRate:      contract.HardRate,
+		CeilingBurst:     contract.CapDepth,
+		CeilingTolerance: contract.Tolerance,
 		SettledByReply:   settledByReply,
 	}
 }
 
-// microseconds drops fractions of a microsecond.
+// microseconds converts a number of microseconds to a duration. Fractions of a microsecond are discarded.
 func microseconds(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
 func idempotency(effect string) policy.Idempotency {
--- a/internal/wire/settings_validate.go
+++ b/internal/wire/settings_validate.go
@@ -2,45 +2,46 @@
 
 import "fmt"
 
-// maxSetting is the largest number that settings may hold. As a time in microseconds it is decades.
+// maxSetting is the largest valid number in settings without a smaller limit of their own. As a time in microseconds it is
+// about 31 years.
 const maxSetting = 1e15
 
-// RangeError says that a number of the settings cannot be meant.
+// RangeError reports that a number in the settings is outside its valid range.
 type RangeError struct {
-	Key        string // by its path, or by the name of its class
+	Key        string // path of the key; for a key of a class, its name with that of the class in front
 	Value, Max float64
 }
 
-// Error names the key, its value and its range.
+// Error returns the key, its value and its range.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s is %v, want 0 to %v", e.Key, e.Value, e.Max)
 }
 
-// ClassNameError says that a class has no name, or that of another one.
+// ClassNameError reports that a class has an empty name or the name of another class.
 type ClassNameError struct{ Name string }
 
-// Error names the class.
+// Error returns the name of the class.
 func (e *ClassNameError) Error() string {
-	return fmt.Sprintf("class %q has no name of its own", e.Name)
+	return fmt.Sprintf("class %q: name is empty or not unique", e.Name)
 }
 
-// boundedSetting is a number of the settings that has to be from 0 to max.
+// boundedSetting is a number in the settings whose valid range is 0 to max.
 type boundedSetting struct {
 	key   string
 	value float64
 	max   float64
 }
 
-// inRange is false for NaN, too.
-func (s boundedSetting) inRange() bool { return s.value >= 0 && s.value <= s.max }
+// isInRange reports whether the value is in its range. It returns false for NaN.
+func (s boundedSetting) isInRange() bool { return s.value >= 0 && s.value <= s.max }
 
-// validate says what cannot be meant, so that a start ends with it and not later in some odd behaviour.
+// validate returns an error for the first invalid value, so that invalid settings end the start and have no later effects.
 func (o *settingsObject) validate() error {
 	if err := o.validateClassNames(); err != nil {
 		return err
 	}
 	for _, setting := range o.boundedSettings() {
-		if !setting.inRange() {
+		if !setting.isInRange() {
 			return &RangeError{setting.key, setting.value, setting.max}
 		}
 	}
