--- a/cmd/ingress/config.go
+++ b/cmd/ingress/config.go
@@ -16,23 +16,23 @@
 	"lemontack/internal/wire"
 )
 
-// Reasons for which a configuration file is rejected before its values are looked at.
+// Errors of a configuration file that is rejected before its values are validated.
 var (
-	errNotObject    = errors.New("the configuration is not a JSON object")
+	errNotObject    = errors.New("not a JSON object")
 	errTruncated    = errors.New("unexpected end of JSON input")
-	errTrailingData = errors.New("unexpected data after the configuration")
+	errTrailingData = errors.New("unexpected data after the JSON object")
 	errMissingKey   = errors.New("listen, discovery and settings are required")
 )
 
-// limits are the resources that the configuration grants the process.
+// limits holds the resource limits of the process.
 type limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"` // in MiB; 0: not limited
-	Sockets  int     `json:"sockets"`   // open file descriptors
+	Cores     float64 `json:"cores"`     // CPU cores
+	MemoryMiB int64   `json:"memory_mb"` // memory in MiB; zero means no limit
+	Sockets   int     `json:"sockets"`   // number of open file descriptors
 }
 
-// configFile is the configuration file without its list of known endpoints ("known"), which may be too long to be held in
-// memory and is therefore decoded as a stream.
+// configFile holds the configuration file without its endpoint list (key "known"), which is decoded as a stream since it may
+// be too long to be held in memory.
 type configFile struct {
 	Listen    string
 	Discovery string
@@ -42,7 +42,7 @@
 	Settings  json.RawMessage
 }
 
-// read decodes the file from its beginning. decodeKnown decodes the list of known endpoints.
+// read decodes the file from its beginning. It calls decodeKnown to decode the endpoint list.
 func (f *configFile) read(file io.ReadSeeker, decodeKnown func(*json.Decoder) error) error {
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
@@ -59,7 +59,7 @@
 }
 
 func (f *configFile) decode(decoder *json.Decoder, decodeKnown func(*json.Decoder) error) error {
-	if start, err := decoder.Token(); err != nil || start != json.Delim('{') {
+	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
 		return cmp.Or(err, errNotObject)
 	}
 	for decoder.More() {
@@ -76,7 +76,7 @@
 	return err
 }
 
-// decodeValue decodes the value of one key, whose case does not matter; the values of unknown keys are skipped.
+// decodeValue decodes the value of one key. Keys are compared without regard to case, and values of unknown keys are skipped.
 func (f *configFile) decodeValue(decoder *json.Decoder, key string, decodeKnown func(*json.Decoder) error) error {
 	switch strings.ToLower(key) {
 	case "listen":
@@ -97,48 +97,50 @@
 	return decoder.Decode(new(json.RawMessage))
 }
 
-// loadConfig reads the configuration file and validates all of it, so that a file it returns without an error can be run.
+// loadConfig reads the configuration file and validates all of it, so that the ingress can run with every configuration that it
+// returns without an error.
 func loadConfig(path string, log *slog.Logger) (ingress.Config, limits, error) {
-	cfg, granted, err := parseConfig(path, log)
+	cfg, processLimits, err := parseConfig(path, log)
 	if err != nil {
 		return ingress.Config{}, limits{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return cfg, granted, nil
+	return cfg, processLimits, nil
 }
 
-func parseConfig(path string, log *slog.Logger) (cfg ingress.Config, granted limits, err error) {
+func parseConfig(path string, log *slog.Logger) (cfg ingress.Config, processLimits limits, err error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return cfg, granted, err
+		return cfg, processLimits, err
 	}
 	defer file.Close()
 	var f configFile
 	if err := f.read(file, discovery.SkipKnownList); err != nil {
-		return cfg, granted, err
+		return cfg, processLimits, err
 	}
 	if f.Listen == "" || f.Discovery == "" || len(f.Settings) == 0 {
-		return cfg, granted, errMissingKey
+		return cfg, processLimits, errMissingKey
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return cfg, granted, fmt.Errorf("seed: %w", err)
+		return cfg, processLimits, fmt.Errorf("seed: %w", err)
 	}
-	settings, conns, err := wire.ParseSettings(f.Settings)
+	settings, connections, err := wire.ParseSettings(f.Settings)
 	if err != nil {
-		return cfg, granted, err
+		return cfg, processLimits, err
 	}
 	cfg = ingress.Config{Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Seed: seed,
-		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Settings: *settings, Connections: conns}
-	// Which known endpoints are kept depends on the settings, and these may stand behind the list: hence the second pass.
+		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMiB << 20), Settings: *settings, Connections: connections}
+	// A second pass decodes the endpoint list, since the selection of endpoints depends on the settings, which may follow the
+	// list in the file.
 	if err := new(configFile).read(file, func(in *json.Decoder) (err error) {
 		cfg.Known, cfg.Subset, err = discovery.DecodeKnownList(in, *settings, log)
 		return err
 	}); err != nil {
-		return cfg, granted, err
+		return cfg, processLimits, err
 	}
-	// New validates the rest. A gateway that is never run holds no resources.
+	// New validates the rest. A gateway holds no resources until it runs.
 	if _, err := ingress.New(cfg, log); err != nil {
-		return cfg, granted, err
+		return cfg, processLimits, err
 	}
 	return cfg, f.Limits, nil
 }
--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -17,22 +17,21 @@
 )
 
 const (
-	reservedDescriptors = 4   // of minDescriptors, never in use
-	fullDescriptors     = 100 // in use once those for clients and for connections to endpoints are all in use
-	concurrentAttempts  = 48  // each on a connection of its own: as many as an ingress opens to endpoints
-	idleClients         = 200
+	unusedDescriptors    = 4   // descriptors out of minDescriptors that stay free
+	exhaustedDescriptors = 100 // in use when clients and endpoint connections reach their limits
+	concurrentAttempts   = 48  // one connection each; the ingress opens no more to endpoints
+	idleClients          = 200
 )
 
-// leasingSettings make an ingress lease blocks of the plan metered from the counter, each for a few requests.
-const leasingSettings = `{"replicasOfMe":1,"registryMode":"push",
+// leaseSettings makes an ingress lease quota of the plan metered from the counter, in blocks for a few requests each.
+const leaseSettings = `{"replicasOfMe":1,"registryMode":"push",
 	"classes":[{"name":"read","value":1,"objectiveUs":60e6,"deadlineUs":60e6,"effect":"read_like"}],
 	"contracts":[{"name":"metered","price":1,"refill":100,"burst":7,"excessCost":1,"hardRate":1000,"capDepth":2000},
 		{"name":"free","price":1}],
 	"familyInfo":{"sharedCounter":true,"counterTimeoutUs":10e6,"maxUnits":4},
 	"permissions":{"connIdleUs":120e6,"connectTimeoutUs":10e6,"maxAttempts":3,"mayCancel":true}}`
 
-// connectIdleClients keeps idle clients connected until the end of the test: half of them send PING first, the others
-// nothing.
+// connectIdleClients keeps idle clients connected until the end of the test. Half of them send PING first.
 func connectIdleClients(t *testing.T, addr string) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -45,7 +44,7 @@
 					return
 				case <-time.After(10 * time.Millisecond): // limits the rate of connections
 				}
-				stayIdle(addr, i%2 == 0, stop)
+				holdIdleConnection(addr, i%2 == 0, stop)
 			}
 		})
 	}
@@ -55,8 +54,8 @@
 	})
 }
 
-// stayIdle keeps one connection open until the ingress closes it or stop is closed.
-func stayIdle(addr string, sendPing bool, stop <-chan struct{}) {
+// holdIdleConnection holds one connection open until the ingress or the channel stop is closed.
+func holdIdleConnection(addr string, sendPing bool, stop <-chan struct{}) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
@@ -64,39 +63,39 @@
 	if sendPing {
 		io.WriteString(nc, ping)
 	}
-	ended := make(chan struct{})
-	go func() { // waited for below; closing nc ends it
-		defer close(ended)
+	closedByPeer := make(chan struct{})
+	go func() { // ends when nc is closed; awaited below
+		defer close(closedByPeer)
 		io.Copy(io.Discard, nc)
 	}()
 	select {
 	case <-stop:
-	case <-ended:
+	case <-closedByPeer:
 	}
 	nc.Close()
-	<-ended
+	<-closedByPeer
 }
 
-// Idle clients fill the descriptors, and connections to endpoints the rest, while discovery is down. When it is back, its list
-// still arrives, the counter and the endpoints are still reached, and working clients are still accepted, while the idle
-// clients go on.
-func TestIngressFullOfIdleClientsStillServes(t *testing.T) {
-	for name, silent := range map[string]bool{"discovery refuses": false, "discovery is silent": true} {
-		t.Run(name, func(t *testing.T) { testFullOfIdleClients(t, silent) })
+// While discovery is down, idle clients and connections to endpoints use up all descriptors. Once discovery is reachable, the
+// ingress still receives its list, reaches the counter and the endpoints, and accepts new clients, while the idle clients
+// remain.
+func TestIngressServesWhenIdleClientsUseAllDescriptors(t *testing.T) {
+	for name, discoveryIsSilent := range map[string]bool{"discovery refuses": false, "discovery is silent": true} {
+		t.Run(name, func(t *testing.T) { testAllDescriptorsUsed(t, discoveryIsSilent) })
 	}
 }
 
-func testFullOfIdleClients(t *testing.T, silent bool) {
-	gate := make(chan struct{})
-	openGate := sync.OnceFunc(func() { close(gate) })
-	t.Cleanup(openGate)
+func testAllDescriptorsUsed(t *testing.T, discoveryIsSilent bool) {
+	release := make(chan struct{})
+	releaseReplies := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(releaseReplies)
 	var oldCommands, newCommands, counterCalls atomic.Int32
-	oldEndpoint := serveEndpoint(t, "old", gate, &oldCommands)
+	oldEndpoint := serveEndpoint(t, "old", release, &oldCommands)
 	var known []endpoint
-	for i := range concurrentAttempts/4 + 1 { // an ingress sends each endpoint four attempts at its start
+	for i := range concurrentAttempts/4 + 1 { // a new ingress sends four attempts to each endpoint
 		known = append(known, endpoint{fmt.Sprint("o", i), oldEndpoint})
 	}
-	changed := endpointList(2, endpoint{"n", serveEndpoint(t, "new", nil, &newCommands)})
+	changedList := endpointList(2, endpoint{"n", serveEndpoint(t, "new", nil, &newCommands)})
 	counter := nettest.Serve(t, func(nc net.Conn) {
 		for in := bufio.NewScanner(nc); in.Scan(); {
 			counterCalls.Add(1)
@@ -105,85 +104,86 @@
 	})
 
 	listen, discovery := reserveAddress(t), reserveAddress(t)
-	var discoveryUp atomic.Bool
+	var isDiscoveryUp atomic.Bool
 	discoveryServer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !discoveryUp.Load() {
+		if !isDiscoveryUp.Load() {
 			<-r.Context().Done()
 			return
 		}
-		json.NewEncoder(w).Encode(changed)
+		json.NewEncoder(w).Encode(changedList)
 		if r.URL.Query().Get("follow") != "" {
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}
 	})}
-	var serving sync.WaitGroup
+	var serveGoroutine sync.WaitGroup
 	t.Cleanup(func() {
 		discoveryServer.Close()
-		serving.Wait()
+		serveGoroutine.Wait()
 	})
 	serveDiscovery := func() {
 		ln := discovery.listen(t)
-		serving.Go(func() { discoveryServer.Serve(ln) }) // ended and waited for by the cleanup above
+		serveGoroutine.Go(func() { discoveryServer.Serve(ln) }) // stopped and awaited by the cleanup above
 	}
-	if silent {
+	if discoveryIsSilent {
 		serveDiscovery()
 	}
 
 	pid := startIngress(t, configuration{Listen: listen.addr, Discovery: discovery.addr, Counter: counter, Seed: "1",
 		Known: endpointList(1, known...), Limits: limits{Cores: 1, Sockets: minDescriptors},
-		Settings: json.RawMessage(leasingSettings)})
-	maxUsed := 0
-	usedDescriptors := func() int {
+		Settings: json.RawMessage(leaseSettings)})
+	maxDescriptorsUsed := 0
+	countDescriptors := func() int {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		maxUsed = max(maxUsed, len(open))
+		maxDescriptorsUsed = max(maxDescriptorsUsed, len(open))
 		return len(open)
 	}
-	awaitReady(t, listen.addr)
-	blocked, err := net.Dial("tcp", listen.addr)
+	waitUntilReady(t, listen.addr)
+	pendingClient, err := net.Dial("tcp", listen.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer blocked.Close()
+	defer pendingClient.Close()
 	for i := range concurrentAttempts {
-		blocked.Write(request{id: i, customer: 4, class: "read", plan: "free", timeLeft: 60_000}.encode())
+		pendingClient.Write(request{id: i, customer: 4, class: "read", plan: "free", timeLeft: 60_000}.encode())
 	}
 	nettest.Eventually(t, "all connections to endpoints are in use", func() bool { return oldCommands.Load() >= concurrentAttempts })
 	connectIdleClients(t, listen.addr)
-	nettest.Eventually(t, "the descriptors are full", func() bool { return usedDescriptors() >= fullDescriptors })
-	openGate()
-	for in, i := bufio.NewReader(blocked), 0; i < 2*concurrentAttempts; i++ { // idle from now on: may be closed for others
+	nettest.Eventually(t, "all available descriptors are in use", func() bool { return countDescriptors() >= exhaustedDescriptors })
+	releaseReplies()
+	for in, i := bufio.NewReader(pendingClient), 0; i < 2*concurrentAttempts; i++ { // afterwards idle, so that the ingress may close it
 		if line, err := in.ReadString('\n'); err != nil {
-			t.Fatalf("reply %q: %v", line, err)
+			t.Fatalf("got reply %q, error %v; want a reply", line, err)
 		}
 	}
-	nettest.Eventually(t, "the descriptors are full while discovery is still down",
-		func() bool { return usedDescriptors() >= fullDescriptors })
+	nettest.Eventually(t, "all available descriptors are in use while discovery is still down",
+		func() bool { return countDescriptors() >= exhaustedDescriptors })
 
 	callsBefore := counterCalls.Load()
-	discoveryUp.Store(true)
-	if !silent {
+	isDiscoveryUp.Store(true)
+	if !discoveryIsSilent {
 		serveDiscovery()
 	}
 	id := concurrentAttempts
-	newClientIsServed := func() bool { // by the new endpoint; retried if the connection is closed
-		usedDescriptors()
+	isNewClientServed := func() bool { // true if the new endpoint replies; false if the connection is closed
+		countDescriptors()
 		id++
 		got, err := exchange(listen.addr, request{id: id, customer: 7, class: "read", plan: "metered", timeLeft: 60_000}.encode(), 2)
 		return err == nil && got == "$3\r\nnew\r\n"
 	}
-	nettest.Eventually(t, "the new endpoint serves", newClientIsServed)
-	nettest.Eventually(t, "the counter is called", func() bool { return newClientIsServed() && counterCalls.Load() > callsBefore })
+	nettest.Eventually(t, "the new endpoint serves", isNewClientServed)
+	nettest.Eventually(t, "the counter is called", func() bool { return isNewClientServed() && counterCalls.Load() > callsBefore })
 	for range 20 {
-		nettest.Eventually(t, "another working client is served", newClientIsServed)
+		nettest.Eventually(t, "another new client is served", isNewClientServed)
 	}
-	nettest.Eventually(t, "idle clients have filled the descriptors again",
-		func() bool { return usedDescriptors() >= fullDescriptors-concurrentAttempts })
-	if maxUsed > minDescriptors-reservedDescriptors {
-		t.Errorf("%d of %d descriptors were in use", maxUsed, minDescriptors)
+	nettest.Eventually(t, "idle clients use the descriptors again",
+		func() bool { return countDescriptors() >= exhaustedDescriptors-concurrentAttempts })
+	if maxDescriptorsUsed > minDescriptors-unusedDescriptors {
+		t.Errorf("got %d of %d descriptors in use, want at most %d", maxDescriptorsUsed, minDescriptors,
+			minDescriptors-unusedDescriptors)
 	}
-	t.Logf("at most %d of %d descriptors in use", maxUsed, minDescriptors)
+	t.Logf("at most %d of %d descriptors in use", maxDescriptorsUsed, minDescriptors)
 }
--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -23,8 +23,8 @@
 	"lemontack/internal/nettest"
 )
 
-// descriptorsEnv names the environment variable that makes the test binary run as the ingress, with so many file
-// descriptors.
+// descriptorsEnv is the name of the environment variable that makes the test binary run as the ingress, with the given limit
+// of file descriptors.
 const descriptorsEnv = "INGRESS_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
@@ -40,13 +40,13 @@
 }
 
 const (
-	minDescriptors = 128              // the minimum that an ingress accepts
-	testTimeout    = 90 * time.Second // for a reply to come, however busy the machine is
+	minDescriptors = 128              // minimum number of file descriptors that an ingress accepts
+	testTimeout    = 90 * time.Second // time limit for a reply; long enough for a busy machine
 	ping           = "*1\r\n$4\r\nPING\r\n"
 	unknownCommand = "*1\r\n$5\r\nHELLO\r\n"
 )
 
-// reservedAddress is a loopback address that no other socket gets and that refuses connections until listen.
+// reservedAddress is a loopback address that no other socket can use. It refuses connections until listen is called.
 type reservedAddress struct {
 	*loopback.Reservation
 	addr string
@@ -62,7 +62,7 @@
 	return reservedAddress{reservation, reservation.Address()}
 }
 
-// listen begins to accept connections at the address.
+// listen starts to accept connections at the address.
 func (r reservedAddress) listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := r.Listen()
@@ -73,9 +73,9 @@
 	return ln
 }
 
-// serveEndpoint runs an endpoint that replies with its name to each command and counts them. If gate is not nil, it replies
-// only once gate is closed.
-func serveEndpoint(t *testing.T, name string, gate <-chan struct{}, commands *atomic.Int32) (addr string) {
+// serveEndpoint runs an endpoint that counts the commands and replies to each of them with its name. If release is not nil, it
+// replies only after release is closed.
+func serveEndpoint(t *testing.T, name string, release <-chan struct{}, commands *atomic.Int32) (addr string) {
 	t.Helper()
 	return nettest.Serve(t, func(nc net.Conn) {
 		for in := redcon.NewReader(nc); ; {
@@ -83,8 +83,8 @@
 				return
 			}
 			commands.Add(1)
-			if gate != nil {
-				<-gate
+			if release != nil {
+				<-release
 			}
 			fmt.Fprintf(nc, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(name), name)
 		}
@@ -105,15 +105,15 @@
 		fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", r.class, r.plan, r.timeLeft)))
 }
 
-// exchange sends bytes on a new connection and returns the first lines of the reply.
-func exchange(addr string, b []byte, lines int) (string, error) {
+// exchange sends a command on a new connection and returns the first lines of the reply.
+func exchange(addr string, command []byte, lines int) (string, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := nc.Write(b); err != nil {
+	if _, err := nc.Write(command); err != nil {
 		return "", err
 	}
 	in, got := bufio.NewReader(nc), ""
@@ -127,7 +127,7 @@
 	return got, nil
 }
 
-// testClient is a connection whose reads end the test if nothing comes.
+// testClient is a client connection. Its reads fail the test after testTimeout.
 type testClient struct {
 	t  *testing.T
 	nc net.Conn
@@ -147,7 +147,7 @@
 
 func (c *testClient) send(r request) { c.nc.Write(r.encode()) }
 
-// reply reads one reply: the value of a bulk string, or else the only line.
+// reply reads one reply. It returns the value of a bulk string, and otherwise the whole line.
 func (c *testClient) reply() string {
 	c.t.Helper()
 	first := nettest.ReadLine(c.t, c.in)
@@ -171,7 +171,7 @@
 // endpoint is an entry of an endpoint list.
 type endpoint struct{ id, addr string }
 
-// endpointList is a complete list of endpoints, all of them serving, as discovery and the configuration give it.
+// endpointList returns a snapshot of serving endpoints, in the form that discovery and the configuration file use.
 func endpointList(revision int64, endpoints ...endpoint) *discovery.EndpointList {
 	list := &discovery.EndpointList{Revision: revision, Snapshot: true}
 	for _, e := range endpoints {
@@ -191,8 +191,8 @@
 	}
 }
 
-// startIngress runs an ingress as a process with minDescriptors descriptors and returns its process id. At the end of the
-// test it has to shut down without an error, and must not have run out of descriptors.
+// startIngress starts an ingress process with minDescriptors file descriptors and returns its process id. At the end of the
+// test it shuts the ingress down, and fails the test if there was an error or the ingress ran out of descriptors.
 func startIngress(t *testing.T, cfg configuration) (pid int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -207,13 +207,13 @@
 	t.Cleanup(func() {
 		cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil || strings.Contains(log.String(), "too many open files") {
-			t.Errorf("the ingress ended: %v; its log:\n%s", err, log.String())
+			t.Errorf("ingress exited: got error %v, want none and enough descriptors; log:\n%s", err, log.String())
 		}
 	})
 	return cmd.Process.Pid
 }
 
-func awaitReady(t *testing.T, addr string) {
+func waitUntilReady(t *testing.T, addr string) {
 	t.Helper()
 	nettest.Eventually(t, "the ingress replies to PING", func() bool {
 		got, err := exchange(addr, []byte(ping), 1)
--- a/cmd/ingress/log.go
+++ b/cmd/ingress/log.go
@@ -6,12 +6,11 @@
 	"os"
 )
 
-// logLevelEnv names the environment variable that sets the minimum level of the log: debug, info (the default), warn or
-// error.
+// logLevelEnv is the name of the environment variable that sets the minimum log level: debug, info (the default), warn or error.
 const logLevelEnv = "ROUTER_LOG_LEVEL"
 
-// newLog returns the log of the process, which goes to standard error. An unknown level does not keep the ingress from
-// starting: it is reported and replaced by info.
+// newLog returns a logger that writes to standard error. For an unknown level it logs a warning and uses the level info, so that
+// the ingress starts anyway.
 func newLog(level string) *slog.Logger {
 	var minLevel slog.Level
 	err := minLevel.UnmarshalText([]byte(cmp.Or(level, "info")))
--- a/cmd/ingress/main.go
+++ b/cmd/ingress/main.go
@@ -1,6 +1,6 @@
-// Command ingress accepts requests from clients and forwards them to backends, as the decision module (package policy)
-// decides. The environment variable ROUTER_CONFIG names its configuration file. SIGHUP makes it read the file again and
-// move to the discovery and counter addresses that it names then; SIGTERM and SIGINT make it shut down gracefully.
+// Command ingress accepts requests from clients and forwards them to backends that package policy selects. The environment
+// variable ROUTER_CONFIG holds the path of the configuration file. On SIGHUP the ingress reloads the file and switches to its
+// addresses of discovery and the counter. On SIGTERM or SIGINT it shuts down gracefully.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	"lemontack/internal/ingress"
 )
 
-// configEnv names the environment variable that holds the path of the configuration file.
+// configEnv is the name of the environment variable that holds the path of the configuration file.
 const configEnv = "ROUTER_CONFIG"
 
-var errNoConfig = errors.New(configEnv + " names no configuration file")
+var errNoConfig = errors.New(configEnv + " is not set to the path of a configuration file")
 
 func main() {
 	log := newLog(os.Getenv(logLevelEnv))
@@ -32,49 +32,49 @@
 
 // run runs the ingress until a signal ends it or it fails.
 func run(log *slog.Logger) error {
-	// Registered before anything else: by default SIGHUP would end the process.
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	defer signal.Stop(hangup)
+	// SIGHUP is registered first, since its default action terminates the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	path := os.Getenv(configEnv)
 	if path == "" {
 		return errNoConfig
 	}
-	cfg, granted, err := loadConfig(path, log)
+	cfg, processLimits, err := loadConfig(path, log)
 	if err != nil {
 		return err
 	}
-	granted.apply()
+	processLimits.apply()
 	gateway, err := ingress.New(cfg, log)
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// The loop below waits for this goroutine; ctx ends it.
-	ended := make(chan error, 1)
-	go func() { ended <- gateway.Run(ctx) }()
+	// The goroutine ends with ctx; the loop below waits for it.
+	runResult := make(chan error, 1)
+	go func() { runResult <- gateway.Run(ctx) }()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-runResult:
 			return err
-		case <-hangup: // also during a shutdown, where it must do no harm
+		case <-hangups: // may also arrive during a shutdown and must then have no effect
 			reload(path, gateway, log)
 		}
 	}
 }
 
-// apply sets the limits of the Go runtime. Its soft limit of memory is three quarters of what the process may use: the rest
-// is for what the runtime does not count, and for the time until a collection has ended.
+// apply sets the limits of the Go runtime. The soft memory limit is three quarters of the memory of the process. The rest is
+// reserved for memory that the runtime does not account for and for allocations while a garbage collection is running.
 func (l limits) apply() {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
-	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(l.MemoryMB << 20 / 4 * 3)
+	if l.MemoryMiB > 0 {
+		debug.SetMemoryLimit(l.MemoryMiB << 20 / 4 * 3)
 	}
 }
 
-// reload reads the configuration file again and moves the ingress to the addresses that it names. A file that is rejected
-// changes nothing.
+// reload reads the configuration file again and switches the ingress to its addresses of discovery and the counter. An invalid
+// file has no effect.
 func reload(path string, gateway *ingress.Gateway, log *slog.Logger) {
 	cfg, _, err := loadConfig(path, log)
 	if err != nil {
--- a/cmd/ingress/main_test.go
+++ b/cmd/ingress/main_test.go
@@ -14,17 +14,17 @@
 	"testing"
 )
 
-// SIGHUP moves discovery to the address that the file names now; a bad file changes nothing, nor does a SIGHUP in the middle
-// of a shutdown.
-func TestHangupReloadsConfiguration(t *testing.T) {
-	hangups := make(chan os.Signal, 1) // keeps SIGHUP from ending the test's process, whatever run does
+// On SIGHUP the ingress switches to the discovery address in the changed configuration file. SIGHUP has no effect with an
+// invalid file or during a shutdown.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
+	hangups := make(chan os.Signal, 1) // prevents SIGHUP from terminating the test process
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	polled := make(chan int, 16)
+	polledServers := make(chan int, 16)
 	var discovery [3]string
 	for i := range discovery {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			polled <- i
+			polledServers <- i
 			io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 		}))
 		defer s.Close()
@@ -34,39 +34,39 @@
 	t.Setenv(configEnv, path)
 	const settings = `{"replicasOfMe":1,
 		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}`
-	write := func(addr string) {
+	writeDiscovery := func(addr string) {
 		t.Helper()
 		writeConfig(t, path, configuration{Listen: "127.0.0.1:0", Discovery: addr, Seed: "1",
 			Limits: limits{Cores: 1, Sockets: 256}, Settings: json.RawMessage(settings)})
 	}
-	hangup := func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
-	await := func(want int) {
-		for got := range polled {
+	sendHangup := func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
+	awaitPoll := func(want int) {
+		for got := range polledServers {
 			if got == want {
 				return
 			}
 		}
 	}
-	write(discovery[0])
+	writeDiscovery(discovery[0])
 	done := make(chan error, 1)
-	go func() { done <- run(slog.New(slog.DiscardHandler)) }() // waited for below; SIGTERM ends it
-	await(0)
-	write(discovery[1])
-	hangup()
-	await(1)
-	write("nowhere")
-	hangup()
-	write(discovery[2])
-	hangup()
-	await(2)
+	go func() { done <- run(slog.New(slog.DiscardHandler)) }() // ends on SIGTERM; awaited below
+	awaitPoll(0)
+	writeDiscovery(discovery[1])
+	sendHangup()
+	awaitPoll(1)
+	writeDiscovery("nowhere")
+	sendHangup()
+	writeDiscovery(discovery[2])
+	sendHangup()
+	awaitPoll(2)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	hangup()
+	sendHangup()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The error for a bad configuration is one line that names what is wrong.
+// The error for an invalid configuration is one line that names the invalid part.
 func TestBadConfigurationIsRejectedInOneLine(t *testing.T) {
 	const addresses = `"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`
 	for name, c := range map[string]struct{ text, want string }{
@@ -89,12 +89,12 @@
 			t.Setenv(configEnv, path)
 			err := run(slog.New(slog.DiscardHandler))
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: error %v, want one line with %q", c.text, err, c.want)
+				t.Errorf("%s: got error %v, want one line with %q", c.text, err, c.want)
 			}
 		})
 	}
 	t.Setenv(configEnv, "")
 	if err := run(slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("no configuration: no error")
+		t.Errorf("%s is empty: got no error, want one", configEnv)
 	}
 }
--- a/cmd/ingress/soak_test.go
+++ b/cmd/ingress/soak_test.go
@@ -9,10 +9,10 @@
 	"lemontack/internal/soak"
 )
 
-// Ten ingresses under overlapping faults keep the rules that can be checked without a clock. cmd/faultsoak does longer runs of
-// more processes, and checks times too.
-func TestProcessesUnderFaultsKeepProtocol(t *testing.T) {
-	for seed, descriptors := range map[uint64]int{1: 1024, 2: 160} { // the second fewer than the configuration grants
+// Ten ingress processes under overlapping faults keep all invariants that do not depend on time. Command faultsoak runs more
+// processes for longer and checks times too.
+func TestProcessesUnderFaultsFollowTheProtocol(t *testing.T) {
+	for seed, descriptors := range map[uint64]int{1: 1024, 2: 160} { // the second run has fewer than the configuration allows
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			report, err := soak.Run(t.Context(), soak.Options{Seed: seed, Processes: 10, Duration: 5 * time.Second, Rate: 20,
 				Command: []string{os.Args[0]}, Env: []string{fmt.Sprint(descriptorsEnv, "=", descriptors)}, Dir: t.TempDir()})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs gateways' decisions on the simulator's wire: batches in, replies out.
+// Command simadapter runs gateways for the simulator. It reads batches of events from standard input and writes replies with
+// the gateways' actions to standard output.
 package main
 
 import (
