--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,3 +1,3 @@
-// Package architecture holds no code: its test checks which package of this module imports which, as docs/ARCHITECTURE.md
-// says.
+// Package architecture contains only tests. They check that the imports between the packages of this module follow
+// docs/ARCHITECTURE.md.
 package architecture
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-const module = "lemontack/"
+const modulePrefix = "lemontack/" // prefix of the import paths of this module
 
-// allowedImports are the packages of this module that each package may import, other than in its tests.
+// allowedImports maps each package of this module to the packages of this module that it may import outside its tests.
 var allowedImports = map[string][]string{
-	// Programs.
+	// Commands.
 	"cmd/faultsoak":  {"internal/soak"},
 	"cmd/ingress":    {"internal/discovery", "internal/ingress", "internal/wire"},
 	"cmd/scalerun":   {"internal/scale"},
 	"cmd/simadapter": {"internal/wire"},
 
-	// Decisions: no package here imports anything that does I/O.
+	// Decisions. These packages import nothing that does I/O.
 	"policy": {"policy/balancer", "policy/latency", "policy/limiter", "policy/model", "policy/queue",
 		"policy/quota"},
 	"policy/balancer": {"policy/latency", "policy/limiter", "policy/model"},
@@ -27,7 +27,7 @@
 	"policy/queue":    {},
 	"policy/quota":    {"policy/model"},
 
-	// The ingress: its parts know nothing of the event loop, nor of each other.
+	// The ingress. Its parts import neither the event loop nor each other.
 	"internal/ingress": {"internal/counterclient", "internal/discovery", "internal/listener", "internal/minheap",
 		"internal/resp", "internal/stall", "internal/subset", "internal/telemetry", "internal/upstream",
 		"internal/wire", "policy"},
@@ -38,7 +38,7 @@
 	"internal/upstream": {"internal/resp", "internal/sockets", "policy"},
 	"internal/wire":     {"policy"},
 
-	// Small parts that stand alone.
+	// Small independent packages.
 	"internal/loopback":  {},
 	"internal/mailbox":   {},
 	"internal/minheap":   {},
@@ -48,7 +48,7 @@
 	"internal/subset":    {},
 	"internal/telemetry": {},
 
-	// Test tools: none of them is part of the ingress.
+	// Test tools, which are not part of the ingress.
 	"internal/architecture": {},
 	"internal/faults":       {},
 	"internal/scale": {"internal/counterclient", "internal/discovery", "internal/minheap", "internal/resp",
@@ -60,51 +60,51 @@
 	"internal/nettest":        {},
 }
 
-// forbiddenInPolicy are packages of the standard library that would give the decisions a clock, chance or I/O of their own;
-// math/rand/v2 is allowed, since the source comes from outside.
+// forbiddenInPolicy lists packages of the standard library with which the policy packages could read the clock, draw random
+// numbers from a global source or do I/O. The package math/rand/v2 is allowed, since the caller passes in the random source.
 var forbiddenInPolicy = []string{"context", "crypto/rand", "io", "log", "log/slog", "math/rand", "net", "net/http", "os",
 	"sync", "sync/atomic", "syscall"}
 
-// listImports returns the imports of each package of the module, without those of tests.
+// listImports returns the imports of each package of this module, without the imports of tests.
 func listImports(t *testing.T) map[string][]string {
 	t.Helper()
 	const format = `{{.ImportPath}} {{join .Imports " "}}`
-	out, err := exec.CommandContext(t.Context(), "go", "list", "-f", format, module+"...").Output()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-f", format, modulePrefix+"...").Output()
 	if err != nil {
 		t.Fatalf("go list: %v", err)
 	}
 	imports := map[string][]string{}
 	for line := range strings.Lines(string(out)) {
 		words := strings.Fields(line)
-		imports[strings.TrimPrefix(words[0], module)] = words[1:]
+		imports[strings.TrimPrefix(words[0], modulePrefix)] = words[1:]
 	}
 	return imports
 }
 
-func TestPackagesImportOnlyWhatTheArchitectureAllows(t *testing.T) {
+func TestPackagesImportOnlyAllowedPackages(t *testing.T) {
 	for name, imports := range listImports(t) {
-		allowed, listed := allowedImports[name]
-		if !listed {
-			t.Errorf("package %s is not in the table", name)
+		allowed, isListed := allowedImports[name]
+		if !isListed {
+			t.Errorf("package %s: got no entry in allowedImports, want one", name)
 			continue
 		}
 		for _, imported := range imports {
-			own, isOwn := strings.CutPrefix(imported, module)
-			if isOwn && !slices.Contains(allowed, own) {
-				t.Errorf("package %s imports %s", name, own)
+			modulePackage, isInModule := strings.CutPrefix(imported, modulePrefix)
+			if isInModule && !slices.Contains(allowed, modulePackage) {
+				t.Errorf("package %s: got import of %s, want only %v", name, modulePackage, allowed)
 			}
 		}
 	}
 }
 
-func TestDecisionsHaveNoClockChanceOrInputOfTheirOwn(t *testing.T) {
+func TestPolicyPackagesDoNotImportClocksRandomnessOrIO(t *testing.T) {
 	for name, imports := range listImports(t) {
 		if name != "policy" && !strings.HasPrefix(name, "policy/") {
 			continue
 		}
 		for _, imported := range imports {
 			if slices.Contains(forbiddenInPolicy, imported) {
-				t.Errorf("package %s imports %s", name, imported)
+				t.Errorf("package %s: got import of %s, want none of %v", name, imported, forbiddenInPolicy)
 			}
 		}
 	}
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -63,7 +63,8 @@
 
 // Every gateway caches the whole of a short list, so all gateways share each endpoint.
 func TestShortListIsCachedWhole(t *testing.T) {
-	for _, settings := range []policy.Settings{oneOfManyGateways(), {GatewayCount: 1}, {Index: 299, GatewayCount: 300, Zone: "z0"}} {
+	for _, settings := range []policy.Settings{oneOfManyGateways(), {GatewayCount: 1},
+		{Index: 299, GatewayCount: 300, Zone: "z0"}} {
 		cache := NewCache(settings, discardLog)
 		_, list, err := cache.decode(json.NewDecoder(streamSnapshot(targetCacheSize)), func() {})
 		list = cache.applyDecoded(list)
--- a/internal/subsetcompare/fleet.go
+++ b/internal/subsetcompare/fleet.go
@@ -8,22 +8,23 @@
 	"strconv"
 )
 
-// ZoneCount is the number of zones of a simulated fleet.
+// ZoneCount is the number of zones in a simulation.
 const ZoneCount = 9
 
-// ZoneName returns the name of a zone in lists of endpoints.
+// ZoneName returns the name of a zone, as endpoint lists have it.
 func ZoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
-// RoundRobinZones assigns the zones to the gateways in turn. It is one value of Scenario.ZoneOf, as are the results of
-// ContiguousZones and RandomZones: a gateway does not know how the indices of the others follow their zones.
+// RoundRobinZones assigns the zones to the gateways in turn. It can be used as Scenario.ZoneOf, as can the results of
+// ContiguousZones and RandomZones. Subsetting has to work with each of them, since a gateway does not know the zones of other
+// gateways.
 func RoundRobinZones(gateway int) int { return gateway % ZoneCount }
 
-// ContiguousZones assigns each zone to a range of consecutive indices of n gateways.
+// ContiguousZones returns a function that assigns each zone to a range of consecutive indices of n gateways.
 func ContiguousZones(n int) func(gateway int) int {
 	return func(gateway int) int { return gateway * ZoneCount / n }
 }
 
-// RandomZones assigns a zone to each gateway by a hash of its index and a seed.
+// RandomZones returns a function that assigns a zone to each gateway by a hash of its index and the seed.
 func RandomZones(seed uint64) func(gateway int) int {
 	return func(gateway int) int { return int(mixBits(mixBits(seed)+uint64(gateway)) >> 32 % ZoneCount) }
 }
@@ -31,7 +32,7 @@
 // Backend is a simulated server.
 type Backend struct {
 	ID   string
-	Hash uint64 // of the id; backends of one cell share both, so that a subset keeps cells together
+	Hash uint64 // hash of the id; backends of one cell have the same id and hash, so that a subset contains whole cells
 	Zone int
 }
 
@@ -50,8 +51,8 @@
 	return Backend{ID: id, Hash: ringHash(id), Zone: cell % ZoneCount}
 }
 
-// ReplaceBackends returns a copy of the fleet in which a share of the backends, drawn from the seed, has new ids in the same
-// zones, and reports which ones.
+// ReplaceBackends returns a copy of the fleet in which the given share of the backends has new ids in the same zones. The seed
+// determines which backends are replaced; replaced reports it for each backend.
 func ReplaceBackends(fleet []Backend, share float64, seed uint64) (next []Backend, replaced []bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	next, replaced = slices.Clone(fleet), make([]bool, len(fleet))
@@ -62,8 +63,8 @@
 	return next, replaced
 }
 
-// ringHash is the hash that subset.Subset places an id by: FNV-1a, then mixBits. Package subset does not export it; a
-// test compares the subsets that follow from both.
+// ringHash is the hash that determines the ring position of an id in subset.Subset: FNV-1a followed by mixBits. It is a copy,
+// since package subset does not export its hash; a test compares the resulting subsets.
 func ringHash(id string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(id) {
@@ -80,10 +81,10 @@
 
 // indicesByHash returns the indices of the backends in the order of their hashes.
 func indicesByHash(fleet []Backend) []int32 {
-	order := make([]int32, len(fleet))
-	for i := range order {
-		order[i] = int32(i)
+	indices := make([]int32, len(fleet))
+	for i := range indices {
+		indices[i] = int32(i)
 	}
-	slices.SortFunc(order, func(a, b int32) int { return cmp.Compare(fleet[a].Hash, fleet[b].Hash) })
-	return order
+	slices.SortFunc(indices, func(a, b int32) int { return cmp.Compare(fleet[a].Hash, fleet[b].Hash) })
+	return indices
 }
