--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -9,8 +9,8 @@
 	"lemontack/policy"
 )
 
-// Sizes of the cache, in endpoints. A gateway caches the whole of a list of up to targetCacheSize endpoints. If each endpoint
-// would then be shared by too few gateways, the cache grows beyond the target, up to maxCacheSize.
+// Sizes of the cache, in endpoints. A gateway caches the whole of a list of up to targetCacheSize endpoints. If a cache
+// of the target size would leave too few gateways for each endpoint, the cache is larger, up to maxCacheSize.
 const (
 	targetCacheSize = 1024
 	maxCacheSize    = 4096
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -63,13 +63,13 @@
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderLength,
 	}
-	settings, hasKnown := config.Settings, len(config.KnownList.Entries) > 0
+	settings, hasKnownList := config.Settings, len(config.KnownList.Entries) > 0
 	client := &Client{
 		url:       listURL(config.Address),
 		http:      &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
 		addresses: mailbox.NewLatest[string](),
 		publish:   publish,
-		timings:   newCallTimings(settings.PollEndpoints, settings.GatewayCount, hasKnown),
+		timings:   newCallTimings(settings.PollEndpoints, settings.GatewayCount, hasKnownList),
 		ready:     make(chan struct{}),
 		log:       log,
 		revision:  config.KnownList.Revision,
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -23,7 +23,7 @@
 // isComplete reports whether the object has both a revision and an array of entries.
 func (h listHeader) isComplete() bool { return h.Revision != nil && h.hasEntries }
 
-// entryHandlers are called while a list is decoded.
+// entryHandlers holds the functions that decodeList calls for each entry.
 type entryHandlers struct {
 	beforeEntry func()      // called before each entry
 	onEntry     func(Entry) // called with each decoded entry
@@ -32,19 +32,19 @@
 // decodeList decodes one list or change as a stream, so that memory does not grow with its length. It calls the handlers for
 // each entry in order, even if the header follows the entries. Handlers may have been called before it returns an error.
 func decodeList(decoder *json.Decoder, handlers entryHandlers) (listHeader, error) {
-	var h listHeader
+	var header listHeader
 	if err := expectDelimiter(decoder, '{'); err != nil {
-		return h, err
+		return header, err
 	}
 	for decoder.More() {
-		if err := h.decodeMember(decoder, handlers); err != nil {
-			return h, fmt.Errorf("decoding an endpoint list: %w", err)
+		if err := header.decodeMember(decoder, handlers); err != nil {
+			return header, fmt.Errorf("decoding an endpoint list: %w", err)
 		}
 	}
 	if _, err := decoder.Token(); err != nil {
-		return h, fmt.Errorf("decoding an endpoint list: %w", err)
+		return header, fmt.Errorf("decoding an endpoint list: %w", err)
 	}
-	return h, nil
+	return header, nil
 }
 
 // decodeMember decodes one key of the object and its value. Unknown keys are ignored.
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -9,7 +9,7 @@
 
 // Limits on one JSON object, which may have any number of entries.
 const (
-	maxObjectPart       = 1 << 20 // bytes from the start of an entry, or of the object, to the next entry
+	maxObjectPart       = 1 << 20 // bytes from the start of the object or of an entry to the next entry or the end
 	entriesPerExtension = 10_000  // number of entries after which the timeout of the call is extended
 )
 
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -15,8 +15,8 @@
 	// ownZoneLevels is the number of levels that the arc for the own zone is ahead, which makes it four times as long as that
 	// for other zones. It applies if requests across zones have a price.
 	ownZoneLevels = 8
-	// widenLevels is the number of levels by which Widen goes down, which makes arcs 1.7 times as long. It is less than a
-	// doubling, so that the subset does not flap between widening and narrowing.
+	// widenLevels is the number of levels by which Widen goes down, which makes arcs 1.7 times as long. Since the
+	// arcs do not double, the subset does not flap between widening and narrowing.
 	widenLevels = 3
 )
 
