--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -83,7 +83,7 @@
 // PolicyEvent converts the list to an event of package policy.
 func (l EndpointList) PolicyEvent() policy.EndpointsChanged {
 	event := policy.EndpointsChanged{
-		Snapshot:            l.Snapshot,
+		IsSnapshot:          l.Snapshot,
 		GatewaysPerEndpoint: l.GatewaysPerEndpoint,
 		Endpoints:           make([]policy.Endpoint, len(l.Entries)),
 	}
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -14,7 +14,7 @@
 	if !list.Snapshot && len(list.Entries) == 0 { // changes of endpoints that are not kept
 		return
 	}
-	changed := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
+	changed := policy.EndpointsChanged{IsSnapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
 	updates := make([]upstream.EndpointUpdate, 0, len(list.Entries))
 	for _, entry := range list.Entries {
 		endpoint := entry.PolicyEndpoint()
@@ -28,12 +28,12 @@
 // applyKnownEndpoints takes over the list that the configuration brought; the policy is told before anything else.
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.clock(time.Now())
-	g.cfg.Known.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.Known)})
-	g.cfg.Known.Entries = nil // a long list is not kept twice
+	g.cfg.KnownEndpoints.Snapshot = true
+	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownEndpoints)})
+	g.cfg.KnownEndpoints.Entries = nil // a long list is not kept twice
 }
 
 // endpointList is the list as it stands, for the policy.
 func (g *Gateway) endpointList() policy.EndpointsChanged {
-	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
+	return policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -4,21 +4,22 @@
 	"github.com/tidwall/redcon"
 )
 
-// MaxPipelined is the number of commands of one connection whose answers have not been written; requests beyond it are
+// MaxPipelined is the maximum number of commands of one connection whose answers have not been written; requests beyond it are
 // rejected.
 const MaxPipelined = 64
 
 const (
-	// maxUnwritten is the same for commands of any kind, rejected ones included; with one more the connection ends.
-	maxUnwritten = 512
-	// maxFaults is the number of faults with which a connection ends.
+	// maxUnwrittenCommands is the same limit for commands of any kind, including rejected ones; the connection is closed when
+	// it is exceeded.
+	maxUnwrittenCommands = 512
+	// maxFaults is the number of faults at which a connection is closed.
 	maxFaults = 10
 )
 
-// Texts of faults that clients are sent.
+// Error texts that are sent to clients.
 const (
 	floodText          = "too many commands at once"
-	notACommandText    = "a command is an array of bulk strings"
+	invalidCommandText = "a command is an array of bulk strings"
 	unknownCommandText = "unknown command"
 )
 
@@ -29,34 +30,34 @@
 	commandPing = "PING"
 )
 
-// handleCommand takes one complete command; it reports whether the client is still there.
-func (c *conn) handleCommand(frame []byte) (present bool) {
-	present = true
-	if !c.reader.rejecting && c.unwrittenAtLeast(maxUnwritten) {
+// handleCommand processes one complete command. It reports whether the client is still connected.
+func (c *conn) handleCommand(frame []byte) (connected bool) {
+	connected = true
+	if !c.reader.rejectsRequests && c.hasUnwrittenCommands(maxUnwrittenCommands) {
 		c.answerFlood()
 	} else {
-		present = c.dispatch(frame)
+		connected = c.dispatch(frame)
 	}
 	switch faults := c.faults.Load(); {
-	case !present:
+	case !connected:
 		return false
-	case c.reader.rejecting:
+	case c.reader.rejectsRequests:
 	case faults >= maxFaults:
 		c.startRejecting()
-	case faults > c.reader.pausedFaults && !c.pauseAfterFault(faults): // one that the handler found
+	case faults > c.reader.faultsAtLastPause && !c.pauseAfterFault(faults): // the handler rejected a duplicate request
 		return false
 	}
-	c.unlimitCommand()
+	c.clearCommandDeadline()
 	return true
 }
 
-// dispatch takes one command by its name; it reports whether the client is still there.
-func (c *conn) dispatch(frame []byte) (present bool) {
+// dispatch processes one command according to its name. It reports whether the client is still connected.
+func (c *conn) dispatch(frame []byte) (connected bool) {
 	complete, args, _, _, err := redcon.ReadNextCommand(frame, nil)
 	switch {
 	case err != nil || !complete || len(args) == 0:
-		return c.answerFault(FaultCommand, notACommandText)
-	case isRequest(args[0]):
+		return c.answerFault(FaultCommand, invalidCommandText)
+	case isRequestCommand(args[0]):
 		return c.handleRequest(args)
 	case string(args[0]) != commandPing:
 		return c.answerFault(FaultCommand, unknownCommandText)
@@ -65,23 +66,25 @@
 	return true
 }
 
-func isRequest(name []byte) bool { return string(name) == commandAsk || string(name) == commandDo }
+func isRequestCommand(name []byte) bool {
+	return string(name) == commandAsk || string(name) == commandDo
+}
 
-// handleRequest hands a request to the handler, or rejects it; it reports whether the client is still there. Reading never
-// stops for want of capacity, or nobody would see this client leave.
-func (c *conn) handleRequest(args [][]byte) (present bool) {
-	request, err := c.server.cfg.parseRequest(args, c.reader.readAt)
+// handleRequest passes a request to the handler, or rejects it. It reports whether the client is still connected. Reading never
+// stops for lack of capacity, because a disconnect is detected only by reading.
+func (c *conn) handleRequest(args [][]byte) (connected bool) {
+	request, err := c.server.cfg.parseRequest(args, c.reader.arrivedAt)
 	if err != nil {
 		return c.answerFault(FaultRequest, err.Error())
 	}
 	observer := c.server.cfg.Observer
 	observer.RequestRead()
-	if c.reader.rejecting || c.reader.presenceUnknown || c.unwrittenAtLeast(MaxPipelined) {
+	if c.reader.rejectsRequests || c.reader.mayBeDisconnected || c.hasUnwrittenCommands(MaxPipelined) {
 		observer.RequestRejected(request, "the connection is closing, or has too many open commands")
 		c.answerCommand(c.server.cfg.RejectedReply)
 		return true
 	}
-	pending := c.openResponse(request)
+	pending := c.addPendingResponse(request)
 	if pending == nil {
 		observer.RequestUnanswered(request, "read on a connection that has ended")
 		return true
@@ -91,29 +94,30 @@
 	return true
 }
 
-// answerFlood answers the command that is one too many on the connection.
+// answerFlood answers the command that exceeds maxUnwrittenCommands and starts closing the connection.
 func (c *conn) answerFlood() {
 	c.observeFault(FaultFlood, floodText, c.faults.Add(1))
 	c.answerCommand(errorReply(floodText))
 	c.startRejecting()
 }
 
-// answerFault answers a fault after a pause; it reports whether the client is still there.
-func (c *conn) answerFault(kind FaultKind, text string) (present bool) {
+// answerFault answers a fault, after a pause unless the connection is closing because of faults. It reports whether the client
+// is still connected.
+func (c *conn) answerFault(kind FaultKind, text string) (connected bool) {
 	faults := c.faults.Add(1)
 	c.observeFault(kind, text, faults)
-	if !c.reader.rejecting && !c.pauseAfterFault(faults) {
+	if !c.reader.rejectsRequests && !c.pauseAfterFault(faults) {
 		return false
 	}
 	c.answerCommand(errorReply(text))
 	return true
 }
 
-// startRejecting ends the connection as soon as no answer is owed on it. What is read until then is answered in its order,
-// without pauses, and requests are rejected.
+// startRejecting closes the connection as soon as all its commands are answered. Commands that are read until then are answered
+// in order and without pauses, and requests are rejected.
 func (c *conn) startRejecting() {
-	c.reader.rejecting = true
-	c.close(CloseForFaults)
+	c.reader.rejectsRequests = true
+	c.requestClose(CloseForFaults)
 }
 
 func errorReply(text string) []byte { return redcon.AppendError(nil, "ERR "+text) }
--- a/internal/listener/presence.go
+++ b/internal/listener/disconnect.go
@@ -10,12 +10,12 @@
 	"lemontack/internal/sockets"
 )
 
-// checkPresence reads what has come, without waiting and as far as there is memory, up to the client's end, and reports
-// whether that is not there. After what the client sent last its presence is known again.
-func (c *conn) checkPresence() (present bool) {
+// checkClientConnected reads the available input without blocking, as far as the memory allows. It reports false if it reached
+// the end of the input, and clears mayBeDisconnected if it has read all input without reaching the end.
+func (c *conn) checkClientConnected() (connected bool) {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
-		c.reader.presenceUnknown = false
+		c.reader.mayBeDisconnected = false
 		return true
 	}
 	raw, err := socket.SyscallConn()
@@ -24,16 +24,16 @@
 	}
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
-		c.reader.presenceUnknown = false
+		c.reader.mayBeDisconnected = false
 		return true
 	case sockets.IsTransient(err), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrNoMemory),
 		errors.Is(err, os.ErrDeadlineExceeded):
-		return true // the next read will tell
+		return true // a later read detects a disconnect
 	}
 	return false
 }
 
-// readWithoutWaiting reads once; where nothing has come the error is EAGAIN.
+// readWithoutWaiting reads once without blocking; the error is EAGAIN if no input is available.
 func readWithoutWaiting(raw syscall.RawConn, b []byte) (n int, err error) {
 	rawErr := raw.Read(func(fd uintptr) bool {
 		for n, err = syscall.Read(int(fd), b); errors.Is(err, syscall.EINTR); {
--- a/internal/listener/sweep.go
+++ b/internal/listener/sweep.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// idleTimeout is how long a connection may be without an open request once it has sent a command.
+	// idleTimeout is how long a connection that has sent a command may be without an open request.
 	idleTimeout = 2100 * time.Millisecond
-	// sweepInterval is the time between two looks for idle connections.
+	// sweepInterval is the time between two sweeps for idle connections.
 	sweepInterval = 250 * time.Millisecond
-	// newConnGrace is how long the first command of a new connection may be under way before the connection is closed for
-	// want of slots, or in a shutdown.
+	// newConnGrace is the time in which a new connection is not closed for a shutdown or for its slot, because its first
+	// command may be in transit.
 	newConnGrace = 50 * time.Millisecond
 )
 
-// closeMostIdle closes the oldest connection that has sent no command yet, or else the one that has been idle for longest.
-func (s *Server) closeMostIdle(now time.Time) {
+// closeMostIdleConn closes the oldest connection that has sent no command within newConnGrace, or if there is none, the
+// connection that has been idle for longest.
+func (s *Server) closeMostIdleConn(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var mostIdle *conn
@@ -24,20 +25,20 @@
 	var since time.Time
 	for c := range s.conns {
 		c.mu.Lock()
-		idle := c.state == stateIdle || c.state == stateNew && now.Sub(c.lastUsed) > newConnGrace
-		better := mostIdle == nil || state == stateIdle && c.state == stateNew || state == c.state && c.lastUsed.Before(since)
-		if idle && better {
-			mostIdle, state, since = c, c.state, c.lastUsed
+		idle := c.state == stateIdle || c.state == stateNew && now.Sub(c.lastActivity) > newConnGrace
+		isPreferred := mostIdle == nil || state == stateIdle && c.state == stateNew || state == c.state && c.lastActivity.Before(since)
+		if idle && isPreferred {
+			mostIdle, state, since = c, c.state, c.lastActivity
 		}
 		c.mu.Unlock()
 	}
 	if mostIdle != nil {
-		mostIdle.close(CloseForSlot)
+		mostIdle.requestClose(CloseForSlot)
 	}
 }
 
-// SweepIdle closes, until ctx ends, the connections that have been without an open request for too long: every one of them
-// keeps memory and a descriptor, and some clients ask once and stay for good, or never ask.
+// SweepIdle closes, until ctx ends, the connections that have been without an open request for too long: each of them uses
+// memory and a descriptor, and some clients stay connected after one request or without any.
 func (s *Server) SweepIdle(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -46,37 +47,37 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.closeIdle(now)
+			s.closeIdleConns(now)
 		}
 	}
 }
 
-// closeIdle closes every connection that has been idle for too long.
-func (s *Server) closeIdle(now time.Time) {
+// closeIdleConns closes every connection that has been idle for too long.
+func (s *Server) closeIdleConns(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.idleTooLong(now) {
-			c.close(CloseIdle)
+		if c.hasIdledTooLong(now) {
+			c.requestClose(CloseIdle)
 		}
 	}
 }
 
-// idleTooLong reports whether the connection has been without an open request for too long.
-func (c *conn) idleTooLong(now time.Time) bool {
+// hasIdledTooLong reports whether the connection has been without an open request for too long.
+func (c *conn) hasIdledTooLong(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) > 0 {
+	if len(c.pendingResponses) > 0 {
 		return false
 	}
-	idle := now.Sub(c.lastUsed)
-	if c.received {
+	idle := now.Sub(c.lastActivity)
+	if c.commandReceived {
 		return idle > idleTimeout
 	}
 	return idle > commandTimeout-sweepInterval
 }
 
-// closeSlowestReader closes the connection whose client leaves most bytes of answers unread.
+// closeSlowestReader closes the connection with the most unsent bytes of answers.
 func (s *Server) closeSlowestReader() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -95,14 +95,14 @@
 		}
 		if frame != nil {
 			reply := parseReply(frame)
-			reply.reusable = reply.reusable && !buffer.Partial()
+			reply.reusable = reply.reusable && !buffer.HasPartialFrame()
 			post(ReplyReceived{c, c.lastWritten(), reply})
 			if !reply.reusable {
 				return
 			}
 			continue
 		}
-		limited = c.limitReply(limited, buffer.Partial())
+		limited = c.limitReply(limited, buffer.HasPartialFrame())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
@@ -167,7 +167,7 @@
 	if next.attempt.command.Abandoned() {
 		return false
 	}
-	next.attempt.command.BeforeFirstByte(next.TimeLimit)
+	next.attempt.command.BeforeWrite(next.TimeLimit)
 	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	c.writing.Lock()
 	defer c.writing.Unlock()
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -101,8 +101,8 @@
 		}
 	}
 	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
-	if len(g.gateway.balancer.Serving()) != 1 {
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
+	if len(g.gateway.balancer.ServingEndpoints()) != 1 {
 		t.Fatal("an endpoint that is not in a snapshot still serves")
 	}
 }
@@ -111,7 +111,7 @@
 // also where all endpoints are in slow start.
 func TestEndpointInSlowStartIsNotOverloaded(t *testing.T) {
 	g := newTestGateway(t, settings())
-	g.handle(EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
+	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
 	g.gateway.limiter.SetWindow(100)
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the endpoint at once
@@ -197,7 +197,7 @@
 // A gateway with few permissions and minimal settings must still decide, and never panic.
 func TestMinimalSettingsStillDecide(t *testing.T) {
 	set := settings()
-	set.SharedCounter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
+	set.HasSharedCounter, set.HedgingEnabled, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
 	g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving})
 	sends := 0
@@ -244,7 +244,7 @@
 		calls = append(calls, only[IncrementCounter](acts)...)
 		g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
-	if len(calls) != 1 || calls[0].Add < 4 {
+	if len(calls) != 1 || calls[0].Delta < 4 {
 		t.Fatalf("calls %v, want one that adds the first lease and the next", calls)
 	}
 }
@@ -259,14 +259,14 @@
 	before := g.gateway.limiter.Window()
 	c := g.gateway.classes["read"]
 	for range 50 {
-		g.gateway.recordSample(c, g.gateway.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.ServingEndpoints()[0], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(100 * ms)
 	if g.gateway.limiter.Window() < before {
 		t.Fatal("narrowed by one endpoint")
 	}
 	for i := range 50 {
-		g.gateway.recordSample(c, g.gateway.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(c, g.gateway.balancer.ServingEndpoints()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(2 * time.Second)
 	if g.gateway.limiter.Window() >= before {
@@ -279,7 +279,7 @@
 	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	before := g.gateway.limiter.Window()
 	for i := range 40 {
-		s := g.gateway.balancer.Serving()[i%2]
+		s := g.gateway.balancer.ServingEndpoints()[i%2]
 		g.gateway.recordSample(g.gateway.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
 		g.gateway.recordSample(g.gateway.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
 	}
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -7,34 +7,34 @@
 	"lemontack/policy/model"
 )
 
-// sweepTicks is the number of ticks in which each customer is checked once for unused tokens.
-const sweepTicks = 50
+// ticksPerIdleSweep is the number of ticks in which Tick checks every customer once.
+const ticksPerIdleSweep = 50
 
-// Config is what a Manager has to know of the gateway's settings.
+// Config holds the gateway's settings for its quotas.
 type Config struct {
-	Index               int           // number of this gateway, from 0
-	GatewayCount        int           // number of all gateways
+	GatewayIndex        int           // index of this gateway, from 0
+	GatewayCount        int           // number of gateways
 	MaxUnits            float64       // units of the largest request
-	SharedCounter       bool          // the shared counter may be called
-	CounterTimeout      time.Duration // a call of the counter fails after it
-	MaxRetryAfter       time.Duration // clients are told to wait for no longer than this
-	TickInterval        time.Duration // between two calls of Manager.Tick
-	MinLatencyObjective time.Duration // shortest latency objective of a class, in whole ticks
+	HasSharedCounter    bool          // the shared counter may be called
+	CounterTimeout      time.Duration // timeout of a call of the counter
+	MaxRetryAfter       time.Duration // longest retry delay that clients are sent
+	TickInterval        time.Duration // time between two calls of Manager.Tick
+	MinLatencyObjective time.Duration // shortest latency objective of a class, a multiple of TickInterval
 	MaxLatencyObjective time.Duration // longest latency objective of a class
 	MaxDeadline         time.Duration // longest deadline of a class
 }
 
-// Host is the gateway that a Manager decides for.
+// Host is the gateway to which a Manager belongs.
 type Host interface {
 	// Now returns the time on the gateway's clock. It does not change during a call of the Manager.
 	Now() time.Duration
-	// CallCounter starts a call of the shared counter. The reply goes to Manager.HandleReply later; replies
-	// for one name arrive in the order of the calls.
+	// CallCounter starts a call of the shared counter. The reply is passed to Manager.HandleReply later;
+	// replies for one name arrive in the order of the calls.
 	CallCounter(call Call)
-	// Saturated reports whether requests that are inside their quotas wait, or soon will.
+	// Saturated reports whether requests within their quotas are waiting, or are about to wait.
 	Saturated() bool
-	// MeanAnswerTime returns the mean latency of answers, at least one tick.
-	MeanAnswerTime() time.Duration
+	// MeanLatency returns the mean latency of answers, at least one tick.
+	MeanLatency() time.Duration
 }
 
 // Manager holds the quotas of all customers of one gateway. It is not safe for concurrent use.
@@ -46,15 +46,14 @@
 	plans         map[string]*planState
 	customers     map[string]*customer
 	customerOrder []*customer // in the order of their first requests
-	nextIdleCheck int         // index in customerOrder
+	nextIdleCheck int         // index in customerOrder of the customer checked last
 
-	throttle        callThrottle
-	counterFailures int     // failed calls for leases in a row
-	meanPermitStake float64 // mean weight at stake in a decision without a permit; see shouldCallForPermit
+	throttle                 callThrottle
+	consecutiveLeaseFailures int     // failed calls for leases since the last success, without error replies
+	meanPermitLoss           float64 // mean expected loss of a decision without a permit, in weight
 }
 
-// NewManager returns a Manager for the customers of the given plans. It draws from rng, which it shares with
-// its host.
+// NewManager returns a Manager for the customers of the given plans. It shares rng with its host.
 func NewManager(config Config, plans []model.Plan, rng *rand.Rand, host Host) *Manager {
 	m := &Manager{
 		config:    config,
@@ -72,7 +71,7 @@
 	return m
 }
 
-// planFor returns the plan of a name. An unknown plan has no quotas.
+// planFor returns the plan with a name. An unknown plan has no quotas.
 func (m *Manager) planFor(name string) *planState {
 	if plan := m.plans[name]; plan != nil {
 		return plan
@@ -80,22 +79,22 @@
 	return newPlanState(model.Plan{Name: name, Price: 1})
 }
 
-// Tick returns unused tokens and forgets idle customers. The host calls it once in each tick interval; a call
-// checks only a part of the customers, so that no tick takes long.
+// Tick returns unused tokens and evicts idle customers. The host calls it once in each tick interval. Each
+// call checks only some of the customers, so that no tick takes long.
 func (m *Manager) Tick() {
-	checks := (len(m.customerOrder) + sweepTicks - 1) / sweepTicks
+	checks := (len(m.customerOrder) + ticksPerIdleSweep - 1) / ticksPerIdleSweep
 	for range checks {
-		m.checkNextIdle()
+		m.checkNextCustomer()
 	}
 }
 
-// HandleReply takes the reply to a call of the counter. Where it decides on a request that waited for it, it
-// returns the request and the decision; else the verdict is Pending.
+// HandleReply handles the reply to a call of the counter. If the reply decides on a request that was
+// waiting for it, HandleReply returns the request and the decision; otherwise the verdict is Pending.
 func (m *Manager) HandleReply(reply Reply) (model.RequestID, Decision) {
-	c := m.customers[customerOf(reply.Name)]
+	c := m.customers[customerIDOf(reply.Name)]
 	switch {
 	case c == nil:
-	case c.central || isSemaphoreName(reply.Name):
+	case c.hasCentralBucket || isSemaphoreName(reply.Name):
 		return m.handleCallReply(c, reply)
 	case c.lease.callInFlight:
 		m.handleLeaseReply(c, reply)
@@ -103,16 +102,16 @@
 	return 0, pending
 }
 
-// CustomerState is a view of what a Manager knows of one customer, for inspection.
+// CustomerState is a Manager's state of one customer, for inspection.
 type CustomerState struct {
 	LeaseTokens      float64 // units left in the lease
-	AvailableTokens  float64 // estimated level of the customer's token bucket, in units, without all leases
+	AvailableTokens  float64 // estimated level of the customer's token bucket in units, without the leases
 	ReservedTokens   float64 // units reserved in a central bucket for a client's retry
-	AttemptsInFlight int     // at this gateway
-	Central          bool    // the customer has a central token bucket
+	AttemptsInFlight int     // attempts in flight at this gateway
+	HasCentralBucket bool    // the customer has a central token bucket
 }
 
-// Customer returns the state of a customer, or the zero state for one that is not known.
+// Customer returns the state of a customer, or the zero state if the customer is unknown.
 func (m *Manager) Customer(id string) CustomerState {
 	c := m.customers[id]
 	if c == nil {
@@ -121,8 +120,8 @@
 	return CustomerState{
 		LeaseTokens:      c.lease.tokens,
 		AvailableTokens:  c.availableTokens(m.host.Now()),
-		ReservedTokens:   c.bucket.reserved,
+		ReservedTokens:   c.bucket.reservedTokens,
 		AttemptsInFlight: c.attemptsInFlight,
-		Central:          c.central,
+		HasCentralBucket: c.hasCentralBucket,
 	}
 }
