--- a/internal/discovery/calltimings.go
+++ b/internal/discovery/calltimings.go
@@ -5,8 +5,8 @@
 // heartbeatInterval is the interval at which a watch receives an empty line while nothing changes, as the protocol requires.
 const heartbeatInterval = 2 * time.Second
 
-// Timings for lists that a local agent pushes. A change counts as known to the gateway once the agent has it, and from then on the
-// gateway has one second to stop sending attempts to a draining endpoint. So the timeout of a call and the maximum backoff
+// Timings for lists that a local agent pushes. A change counts as known to the gateway once the agent has it, and from then on
+// the gateway has one second to stop sending attempts to a draining endpoint. So the timeout of a call and the maximum backoff
 // after it together take less than a second.
 const (
 	agentAnswerTimeout  = 400 * time.Millisecond // a running agent answers immediately unless discovery is down
--- a/internal/subsetcompare/subsetcompare_test.go
+++ b/internal/subsetcompare/subsetcompare_test.go
@@ -87,8 +87,7 @@
 	}
 }
 
-// An added gateway moves no pairs of other gateways. Removing it is the same comparison in the other
-// direction.
+// An added gateway moves no pairs of other gateways. Removing it is the same comparison in the other direction.
 func TestAddedGatewayMovesNoPairs(t *testing.T) {
 	fleet := NewFleet(5000, 1, 3)
 	scenario := Scenario{640, 300, 300, RandomZones(2), true}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -17,9 +17,9 @@
 
 // settingsObject is the JSON form of the settings. Unknown keys are skipped. Times are in microseconds.
 type settingsObject struct {
-	Me           int              `json:"me"`
-	Replicas     int              `json:"replicasOfMe"`
-	MyZone       string           `json:"myZone"`
+	GatewayIndex int              `json:"me"`
+	GatewayCount int              `json:"replicasOfMe"`
+	Zone         string           `json:"myZone"`
 	RegistryMode string           `json:"registryMode"`
 	Classes      []classObject    `json:"classes"`
 	Contracts    []contractObject `json:"contracts"`
@@ -106,9 +106,9 @@
 
 func (o *settingsObject) settings() *policy.Settings {
 	settings := &policy.Settings{
-		Index:                   o.Me,
-		GatewayCount:            o.Replicas,
-		Zone:                    o.MyZone,
+		Index:                   o.GatewayIndex,
+		GatewayCount:            o.GatewayCount,
+		Zone:                    o.Zone,
 		PollEndpoints:           o.RegistryMode == "subscribe",
 		MaxUnits:                o.FamilyInfo.MaxUnits,
 		HasSharedCounter:        o.FamilyInfo.SharedCounter,
