--- a/policy/actions.go
+++ b/policy/actions.go
@@ -4,72 +4,74 @@
 	"time"
 )
 
-// Action is something that a gateway wants to be done. The action types below are all that there are.
+// Action is an operation that the caller of Gateway.Handle has to perform. The types below are the only
+// actions.
 type Action interface{ isAction() }
 
 // Send starts an attempt of a request at an endpoint. Attempts of a request are numbered from 0 in the order
-// of their Sends. An AttemptEnded answers it.
+// of their Sends. An AttemptEnded event follows each Send.
 type Send struct {
 	ID       RequestID
 	Endpoint EndpointID
-	// AttemptDeadline is the time on the gateway's clock at which the attempt ends as TimedOut; 0 stands for
-	// the request's deadline.
+	// AttemptDeadline is the time on the gateway's clock at which the attempt ends as TimedOut; 0 means the
+	// request's deadline.
 	AttemptDeadline time.Duration
 }
 
-// Cancel ends an attempt that is no longer needed. Its AttemptEnded still comes. It is used only if
-// Settings.MayCancel is set.
+// Cancel ends an attempt that is no longer needed. The attempt's AttemptEnded event still follows. A gateway
+// sends it only if Settings.MayCancel is set.
 type Cancel struct {
 	ID RequestID
-	// Attempt is the number of the attempt.
+	// Attempt is the number of the attempt, from 0.
 	Attempt int
 }
 
-// Reject is the final answer to a request that has not been executed, or whose retry is harmless: the client
-// may try again.
+// Reject is the final answer to a request that has not been executed, or that is safe to retry: the client
+// may retry it.
 type Reject struct {
 	ID RequestID
-	// RetryAfter is the time that the client is told to wait first; 0 gives no advice.
+	// RetryAfter is the time that the client should wait before it retries; 0 means that none is sent.
 	RetryAfter time.Duration
 }
 
-// Fail is the final answer to a request that may have been executed: the client must not take it for harmless
-// to try again.
+// Fail is the final answer to a request that may have been executed: the client must not assume that it is
+// safe to retry.
 type Fail struct{ ID RequestID }
 
-// SetTimer asks for one TimerFired after a time.
+// SetTimer requests one TimerFired event after a delay.
 type SetTimer struct{ Delay time.Duration }
 
-// CheckHealth asks an endpoint for its health. A HealthCheckEnded answers it.
+// CheckHealth starts a health check of an endpoint. A HealthCheckEnded event follows.
 type CheckHealth struct{ Endpoint EndpointID }
 
 // Gossip sends a message to other gateways. It may be lost.
 type Gossip struct {
-	// To is the index of the receiving gateway; less than 0 stands for all others.
+	// To is the index of the receiving gateway; a negative value means all other gateways.
 	To   int
 	Body []byte
 }
 
-// IncrementCounter adds to a name of the shared counter. A CounterReply with the total answers it.
+// IncrementCounter adds to a named number of the shared counter. A CounterReply event with the new total
+// follows.
 type IncrementCounter struct {
 	Name string
-	// Delta is the amount, which may be 0 or less.
+	// Delta is the amount to add; it may be 0 or negative.
 	Delta float64
-	// TTL is the time for which the counter keeps the name, from its first increment on.
+	// TTL is the time for which the counter keeps the name, counted from its first increment.
 	TTL time.Duration
 }
 
-// WatchEndpoints subscribes to changes of the endpoint list. EndpointsChanged events follow, until one that
-// has failed.
+// WatchEndpoints subscribes to changes of the endpoint list. EndpointsChanged events follow, until one with
+// Failed set ends the subscription.
 type WatchEndpoints struct{}
 
-// FetchEndpoints asks for the entire endpoint list once. An EndpointsChanged answers it.
+// FetchEndpoints requests the entire endpoint list once. An EndpointsChanged event follows.
 type FetchEndpoints struct{}
 
 // CloseIdleConnections closes the idle connections to an endpoint.
 type CloseIdleConnections struct{ Endpoint EndpointID }
 
-// Log writes a line to the log.
+// Log writes a message to the log.
 type Log struct{ Message string }
 
 func (Send) isAction()                 {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,9 +6,9 @@
 	"lemontack/policy/quota"
 )
 
-// This file connects the gateway with package quota, which decides whether requests are inside their quotas.
+// This file connects the gateway to package quota, which decides whether requests are inside their quotas.
 
-// quotaConfig returns what the quotas have to know of the settings.
+// quotaConfig returns the settings that the quota manager needs.
 func (g *Gateway) quotaConfig() quota.Config {
 	return quota.Config{
 		Index:               g.settings.Index,
@@ -24,7 +24,7 @@
 	}
 }
 
-// quotaHost is the gateway as the quotas see it.
+// quotaHost implements quota.Host for a gateway.
 type quotaHost struct{ gateway *Gateway }
 
 // Now implements quota.Host.
@@ -41,7 +41,7 @@
 // MeanAnswerTime implements quota.Host.
 func (host quotaHost) MeanAnswerTime() time.Duration { return host.gateway.meanAnswerTime() }
 
-// openCharge opens the account of a new request with the quotas.
+// openCharge creates the charge of a new request, which records its use of quotas, and looks up its plan.
 func (g *Gateway) openCharge(r *request) {
 	r.charge = g.quota.Open(quota.Request{
 		ID:             r.ID,
@@ -56,17 +56,17 @@
 	r.plan = r.charge.Plan()
 }
 
-// handleCounterReply takes a reply of the shared counter, and queues or rejects the request that waited for
-// it.
+// handleCounterReply passes a reply of the shared counter to the quota manager, and queues or rejects the
+// request that waited for it, if any.
 func (g *Gateway) handleCounterReply(ev CounterReply) {
 	id, decision := g.quota.HandleReply(quota.Reply(ev))
-	if r := g.requests[id]; r != nil {
-		g.resolveQuota(r, decision)
+	if r := g.requestsByID[id]; r != nil {
+		g.applyQuotaDecision(r, decision)
 	}
 }
 
-// resolveQuota queues or rejects a request as the quotas have decided.
-func (g *Gateway) resolveQuota(r *request, decision quota.Decision) {
+// applyQuotaDecision queues or rejects a request according to the decision of the quota manager.
+func (g *Gateway) applyQuotaDecision(r *request, decision quota.Decision) {
 	switch decision.Verdict {
 	case quota.Admitted:
 		r.overQuota = decision.OverQuota
@@ -74,6 +74,6 @@
 		g.dispatch()
 	case quota.Rejected:
 		g.reject(r, decision.RetryAfter)
-	case quota.Pending: // the reply of the counter will decide
+	case quota.Pending: // handleCounterReply applies the decision
 	}
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -10,23 +10,24 @@
 
 const (
 	// answerDeviations is the number of mean deviations above the mean latency within which nearly all
-	// answers come.
+	// answers arrive.
 	answerDeviations = 2.0
-	// hedgeDeviations is the same number after which a request is hedged.
+	// hedgeDeviations is the number of mean deviations above the mean latency after which a request is
+	// hedged.
 	hedgeDeviations = 3.0
-	// attemptDeadlineDeviations is the same number after which an attempt ends for a retry, where hedging is
-	// off.
+	// attemptDeadlineDeviations is the number of mean deviations above the mean latency after which an
+	// attempt times out, so that the request can be retried, where hedging is disabled.
 	attemptDeadlineDeviations = 2 * hedgeDeviations
-	// minAttemptDeadlineDivisor lets an attempt last this part of the latency objective at least.
+	// minAttemptDeadlineDivisor divides the latency objective to give the minimum duration of an attempt
+	// before it times out.
 	minAttemptDeadlineDivisor = 3
 
-	// maxTriedOnStack is the number of earlier attempts that the choice of an endpoint is told of without an
-	// allocation.
+	// maxTriedOnStack is the number of earlier attempts that pickEndpoint lists without a heap allocation.
 	maxTriedOnStack = 8
 )
 
-// maybeExecuted returns the first attempt that may have been executed, or nil.
-func (r *request) maybeExecuted() *attempt {
+// firstMaybeExecuted returns the first attempt that may have been executed, or nil if there is none.
+func (r *request) firstMaybeExecuted() *attempt {
 	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
 	if i < 0 {
 		return nil
@@ -34,49 +35,50 @@
 	return r.attempts[i]
 }
 
-// tried reports whether an attempt of the request has gone to the endpoint.
-func (r *request) tried(endpoint *balancer.Endpoint) bool {
+// hasTried reports whether an attempt of the request has been sent to the endpoint.
+func (r *request) hasTried(endpoint *balancer.Endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.Endpoint == endpoint })
 }
 
-// mayRetry reports whether another attempt is safe and within the limits now. The deduplication window has a
-// margin of a tenth for the time to the endpoint.
+// mayRetry reports whether another attempt is safe and within the limits now. A tenth of the deduplication
+// window is kept as a margin for the transmission to the endpoint.
 func (g *Gateway) mayRetry(r *request) bool {
 	if len(r.attempts) >= g.settings.MaxAttempts || r.streaming || r.finished {
 		return false
 	}
-	executed := r.maybeExecuted()
-	if executed == nil {
+	maybeExecuted := r.firstMaybeExecuted()
+	if maybeExecuted == nil {
 		return true
 	}
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKey:
-		return g.now-executed.StartedAt < r.class.DeduplicationWindow*9/10
+		return g.now-maybeExecuted.StartedAt < r.class.DeduplicationWindow*9/10
 	default:
 		return false
 	}
 }
 
-// pickEndpoint chooses the endpoint of the request's next attempt; nil if none may take it now.
+// pickEndpoint chooses the endpoint of the request's next attempt, or returns nil if no endpoint may receive
+// it now.
 func (g *Gateway) pickEndpoint(r *request) *balancer.Endpoint {
 	var buffer [maxTriedOnStack]*balancer.Endpoint
 	query := balancer.Query{Tried: buffer[:0], Scope: r.class.DeduplicationScope}
 	for _, a := range r.attempts {
 		query.Tried = append(query.Tried, a.Endpoint)
 	}
-	if executed := r.maybeExecuted(); executed != nil {
-		query.MaybeExecuted = executed.Endpoint
+	if maybeExecuted := r.firstMaybeExecuted(); maybeExecuted != nil {
+		query.MaybeExecuted = maybeExecuted.Endpoint
 	}
 	return g.balancer.Pick(g.now, query)
 }
 
-// startAttempt sends the request to an endpoint.
+// startAttempt sends the request to an endpoint. The first attempt of a request adds to the retry budget.
 func (g *Gateway) startAttempt(r *request, endpoint *balancer.Endpoint) {
 	if !r.dispatched {
 		r.dispatched = true
-		g.retryBudget.fill(g.balancer.InitialAttempts())
+		g.retryBudget.deposit(g.balancer.InitialAttempts())
 	}
 	a := &attempt{
 		Attempt:         balancer.Attempt{Endpoint: endpoint},
@@ -91,8 +93,9 @@
 	g.emit(Send{ID: r.ID, Endpoint: endpoint.ID, AttemptDeadline: g.attemptDeadline(r)})
 }
 
-// attemptDeadline is when an attempt that starts now ends for a retry, where the latency of its class is
-// known and hedging, which would keep it in flight, is off; else 0, for the request's deadline.
+// attemptDeadline returns the time at which an attempt that starts now times out, so that the request can be
+// retried. It returns 0, which means the request's deadline, if the latency of the class is unknown, if the
+// class is non-idempotent, or if hedging is enabled: a hedge leaves the earlier attempt in flight.
 func (g *Gateway) attemptDeadline(r *request) time.Duration {
 	if g.settings.HedgingEnabled || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
 		return 0
@@ -101,9 +104,9 @@
 	return g.now + max(expected, r.class.LatencyObjective/minAttemptDeadlineDivisor)
 }
 
-// markOverdue releases the window of attempts that have been in flight for more than the latency objective:
-// their endpoints may never answer.
-func (g *Gateway) markOverdue(r *request) {
+// markOverdueAttempts releases the limiter's window from attempts that have been in flight for longer than
+// the latency objective, since their endpoints may never answer. The limiter records them as timed out.
+func (g *Gateway) markOverdueAttempts(r *request) {
 	for _, a := range r.attempts {
 		if a.ended || a.overdue || g.now-a.StartedAt <= r.class.LatencyObjective {
 			continue
@@ -114,7 +117,7 @@
 	}
 }
 
-// hedgeIfOverdue starts a second attempt at another endpoint where the answer to the only one in flight is
+// hedgeIfOverdue starts a second attempt at another endpoint if the answer to the only attempt in flight is
 // overdue.
 func (g *Gateway) hedgeIfOverdue(r *request) {
 	if !g.mayHedge(r) || !g.mayRetry(r) || !g.mayDispatch(r) {
@@ -125,29 +128,30 @@
 		return
 	}
 	endpoint := g.pickEndpoint(r)
-	if endpoint == nil || r.tried(endpoint) {
+	if endpoint == nil || r.hasTried(endpoint) {
 		return
 	}
-	g.retryBudget.spend()
+	g.retryBudget.withdraw()
 	g.startAttempt(r, endpoint)
 }
 
-// mayHedge reports whether a hedge can still save the request, and takes no capacity from others.
+// mayHedge reports whether a hedge can still meet the latency objective, and takes no capacity that other
+// requests need.
 func (g *Gateway) mayHedge(r *request) bool {
 	switch {
-	case !g.settings.HedgingEnabled, r.attemptsInFlight != 1, !g.retryBudget.allows():
+	case !g.settings.HedgingEnabled, r.attemptsInFlight != 1, !g.retryBudget.allowsRetry():
 		return false
-	case g.now > r.arrived+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
+	case g.now > r.arrivedAt+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
 		return false
 	default:
 		return !g.saturated()
 	}
 }
 
-// handleAttemptEnded takes in the end of an attempt. The request is finished with it, waits for another
-// attempt in flight, is queued for a retry, or gets its final answer.
+// handleAttemptEnded processes the end of an attempt. The request is then finished, waits for another attempt
+// in flight, is queued for a retry, or is rejected or failed.
 func (g *Gateway) handleAttemptEnded(ev AttemptEnded) {
-	r := g.requests[ev.ID]
+	r := g.requestsByID[ev.ID]
 	if r == nil || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
 		return
 	}
@@ -160,19 +164,20 @@
 		g.finish(r)
 	case r.attemptsInFlight > 0:
 	case !g.mayRetry(r) || r.Deadline-g.now < r.class.latency.Expected(0)+2*g.tickInterval:
-		g.giveUp(r)
-	case ev.Outcome == NotSent: // it put no load on an endpoint: it needs no budget
+		g.rejectOrFail(r)
+	case ev.Outcome == NotSent: // the attempt put no load on an endpoint, so a retry needs no budget
 		g.enqueue(r)
-	case !g.retryBudget.allows():
-		g.giveUp(r)
+	case !g.retryBudget.allowsRetry():
+		g.rejectOrFail(r)
 	default:
-		g.retryBudget.spend()
+		g.retryBudget.withdraw()
 		g.enqueue(r)
 	}
 	g.quota.Release(&r.charge)
 }
 
-// endAttempt marks an attempt as ended, and lets limiter and balancer learn from it.
+// endAttempt marks an attempt as ended and records its outcome in the quotas, the limiter and the balancer.
+// The limiter has already recorded an overdue attempt.
 func (g *Gateway) endAttempt(r *request, a *attempt, ev AttemptEnded) {
 	a.ended = true
 	a.mayHaveExecuted = !ev.Outcome.NotExecuted()
@@ -187,22 +192,23 @@
 	g.recordLatency(r.class, a.Endpoint, ev.Outcome, ev.Latency)
 }
 
-// recordSample counts the end of an attempt in the limiter.
+// recordSample adds the latency objective and the state of the queue to a sample and records it in the
+// limiter.
 func (g *Gateway) recordSample(class *classState, endpoint *balancer.Endpoint, sample limiter.Sample) {
 	sample.LatencyObjective = class.LatencyObjective
 	sample.RequestsQueued = g.queue.Len() > 0
-	g.limiter.Record(sample, &class.samples, &endpoint.LimiterSamples)
+	g.limiter.Record(sample, &class.limiterSamples, &endpoint.LimiterSamples)
 }
 
-// recordLatency lets the estimate of the class and the balancer learn from an attempt that its endpoint had a
-// chance to answer.
+// recordLatency records an ended attempt in the latency estimate of the class and in the balancer. Attempts
+// that were cancelled or not sent are ignored: their endpoints had no chance to answer.
 func (g *Gateway) recordLatency(
-	class *classState, endpoint *balancer.Endpoint, outcome Outcome, took time.Duration,
+	class *classState, endpoint *balancer.Endpoint, outcome Outcome, latency time.Duration,
 ) {
 	switch outcome {
 	case Cancelled, NotSent:
 	case Succeeded:
-		g.balancer.RecordSuccess(g.now, endpoint, class.latency.Record(took))
+		g.balancer.RecordSuccess(g.now, endpoint, class.latency.Record(latency))
 	default:
 		g.balancer.RecordFailure(g.now, endpoint)
 	}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -1,19 +1,19 @@
 package policy
 
-// enqueue queues a request by its priority, behind those of the same priority.
+// enqueue queues a request by its priority, behind queued requests of the same priority.
 func (g *Gateway) enqueue(r *request) {
 	g.queue.Push(r, r.priority())
 	r.queued = true
 }
 
-// dequeue takes a request out of the queue.
+// dequeue removes a request from the queue.
 func (g *Gateway) dequeue(r *request) {
 	g.queue.Remove(r)
 	r.queued = false
 }
 
-// priority is what an answer earns: priority weight of the class times price of the plan, less for a request
-// over its quota and for a late answer.
+// priority returns the value of an answer: the priority weight of the class times the price of the plan,
+// reduced for a request over its quota and for a late answer.
 func (r *request) priority() float64 {
 	priority := r.class.PriorityWeight * r.plan.Price
 	if r.overQuota {
@@ -25,13 +25,15 @@
 	return priority
 }
 
-// saturated reports whether requests inside their quotas wait for capacity, or are about to.
+// saturated reports whether requests wait for capacity, or the limiter's window is so full that they soon
+// will.
 func (g *Gateway) saturated() bool {
 	return g.queue.Len() > 0 || g.limiter.NearlyFull()
 }
 
-// dispatch starts attempts from the head of the queue while the window has capacity. A request that may not
-// go yet, because of its customer's quotas or for want of an endpoint, lets the ones behind it pass.
+// dispatch starts attempts of queued requests, highest priority first, while the limiter's window has
+// capacity. It skips requests that cannot start yet because of their customer's quotas, or because no
+// endpoint may receive them.
 func (g *Gateway) dispatch() {
 	position := 0
 	for position < g.queue.Len() && g.limiter.HasCapacity(g.now) {
@@ -51,8 +53,8 @@
 	}
 }
 
-// mayDispatch reports whether an attempt may start by the request's deadline and its customer's concurrency
-// quota and ceiling.
+// mayDispatch reports whether the request's deadline has not passed, and its customer's concurrency quota and
+// ceiling allow an attempt to start now.
 func (g *Gateway) mayDispatch(r *request) bool {
 	if g.now >= r.Deadline {
 		return false
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,26 +1,27 @@
-// Package policy decides for one gateway of a metered service: which requests it admits, in which order and
-// at which endpoints it attempts them, when it retries or hedges, and how each request ends.
+// Package policy makes the decisions of one gateway of a service with quotas: which requests it admits, in
+// which order and at which endpoints it attempts them, when it retries or hedges, and how each request ends.
 //
-// It is a pure state machine without I/O, goroutines or a clock of its own. A Gateway is given its settings
-// (settings.go) and a seed; then it is told of one event after the other (events.go), with the time, and
-// returns the actions to be taken (actions.go). Equal settings, seeds and events lead to equal actions.
+// It is a pure state machine without I/O, goroutines or a clock of its own. A Gateway is created with its
+// settings (settings.go) and a seed. Gateway.Handle receives one event at a time (events.go), with the
+// current time, and returns the actions to be taken (actions.go). Equal settings, seeds and events lead to
+// equal actions.
 //
-// # The life of a request
+// # Request processing
 //
-// An Arrival is charged to its customer's quotas: it spends units of the lease that this gateway has of the
-// customer's rate, or claims them at the shared counter. A request that they admit joins the queue at its
-// priority, priority weight of the class times price of the plan (request.go). It leaves the queue, highest
+// An Arrival is charged to its customer's quotas: it spends units of this gateway's lease of the customer's
+// rate, or claims them at the shared counter. An admitted request is queued by its priority, which is the
+// priority weight of its class times the price of its plan (dispatch.go). It leaves the queue, highest
 // priority first, when the window of the limiter has capacity (dispatch.go). The choice of the endpoint,
-// retries, hedges and slow start never change that order. An attempt that fails is followed by a retry, and
-// one whose answer is overdue by a hedge, where the class allows it and the retry budget has some left
+// retries, hedges and slow start never change that order. A failed attempt is followed by a retry, and an
+// attempt whose answer is overdue by a hedge, if the class allows it and the retry budget is not exhausted
 // (attempts.go). Each request has exactly one final answer.
 //
-// Parts with a state of their own are packages of their own, which know nothing of this one:
+// The stateful components are separate packages, which do not depend on this one:
 //
 //   - balancer: endpoints, outlier ejection, slow start and the choice of the endpoint
-//   - latency: estimates of how long answers take
+//   - latency: estimates of answer latency
 //   - limiter: the AIMD window on attempts in flight
-//   - model: the plain data that all share
+//   - model: the data types shared by all packages
 //   - queue: the priority queue
 //   - quota: whether a request is inside the quotas of its customer; admission.go connects it
 package policy
--- a/policy/events.go
+++ b/policy/events.go
@@ -4,100 +4,105 @@
 	"time"
 )
 
-// Request is one try of a client. A client that is rejected and tries again sends a new Request.
+// Request is one request of a client. A client that retries after a rejection sends a new Request.
 type Request struct {
 	ID RequestID
-	// Class names the request's class. One that the settings do not have counts as non-idempotent.
+	// Class is the name of the request's class. A request of an unknown class is treated as non-idempotent.
 	Class string
-	// Plan names the customer's plan. One that the settings do not have has no quotas.
+	// Plan is the name of the customer's plan. An unknown plan has no quotas.
 	Plan string
 	// Customer identifies the customer whose quotas the request is charged to.
 	Customer string
 	// Deadline is the time on the gateway's clock after which the client no longer waits.
 	Deadline time.Duration
-	// Units is what the request costs of the quotas of its customer; 0 or less stands for 1.
+	// Units is the number of quota units that the request uses; 0 or less means 1.
 	Units float64
-	// GatewaySpan is the number of gateways that the customer's requests come through.
+	// GatewaySpan is the number of consecutive gateways that receive the customer's requests.
 	GatewaySpan int
-	// FirstGateway is the index of the first of these; the others follow it.
+	// FirstGateway is the index of the first of these gateways.
 	FirstGateway int
-	// IsRetry tells that the client was rejected before and tries again, where clients say so.
+	// IsRetry reports that the client has marked the request as a retry after a rejection.
 	IsRetry bool
 }
 
-// Event is something that a gateway is told. The event types below are all that there are.
+// Event is an input of Gateway.Handle. The types below are the only events.
 type Event interface{ isEvent() }
 
-// Arrival comes with each request. The gateway owes it exactly one final answer: a Reject, a Fail, or the
-// answer of an attempt, which AttemptEnded tells of.
+// Arrival reports a new request. The request receives exactly one final answer: a Reject, a Fail, or the
+// answer of an attempt, which AttemptEnded reports.
 type Arrival struct{ Request }
 
-// AttemptEnded comes exactly once for each Send, also after the request's final answer.
+// AttemptEnded reports the end of an attempt. It follows each Send exactly once, even after the request's
+// final answer.
 type AttemptEnded struct {
 	ID RequestID
-	// Attempt is the number of the attempt, in the order of the request's Sends from 0.
+	// Attempt is the number of the attempt, from 0 in the order of the request's Sends.
 	Attempt  int
 	Endpoint EndpointID
 	Outcome  Outcome
-	// Latency is the time from the Send to the end.
+	// Latency is the time from the Send to the end of the attempt.
 	Latency time.Duration
-	// RequestFinished tells that the request has had its final answer, from this attempt or before.
+	// RequestFinished reports that the request has received its final answer, from this attempt or earlier.
 	RequestFinished bool
-	// SettledUnits is what the request cost, known from the answer; 0 if unknown.
+	// SettledUnits is the actual number of units of the request, as reported with the answer; 0 means
+	// unknown.
 	SettledUnits float64
-	// LoadReport is what the endpoint said of itself with the answer.
+	// LoadReport holds the load metrics that the endpoint sent with the answer.
 	LoadReport LoadReport
 }
 
-// StreamStarted comes when an attempt's answer begins to reach the client. From then on no other attempt can
-// answer.
+// StreamStarted reports that the answer of an attempt has begun to reach the client. From then on no other
+// attempt can answer the request.
 type StreamStarted struct {
 	ID RequestID
-	// Attempt is the number of the attempt.
+	// Attempt is the number of the attempt, from 0.
 	Attempt int
 }
 
-// ClientDisconnected comes when the client no longer waits for the answer. The request needs none then.
+// ClientDisconnected reports that the client no longer waits for the answer. The request then needs no final
+// answer.
 type ClientDisconnected struct{ ID RequestID }
 
-// EndpointsChanged comes with the endpoint list at the start, and after a WatchEndpoints or FetchEndpoints
-// with what has changed or the list.
+// EndpointsChanged carries the endpoint list at the start of the gateway, and the entire list or its changes
+// after a WatchEndpoints or FetchEndpoints.
 type EndpointsChanged struct {
-	// IsSnapshot tells that Endpoints is the entire list; else it holds only the endpoints that have changed.
+	// IsSnapshot reports whether Endpoints is the entire list, rather than only the changed endpoints.
 	IsSnapshot bool
-	// Failed tells that no list could be had; the gateway keeps the last one.
+	// Failed reports that the list could not be fetched; the gateway keeps its previous list.
 	Failed    bool
 	Endpoints []Endpoint
-	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints, where the gateway
-	// is given a subset; 0 stands for all gateways.
+	// GatewaysPerEndpoint is the mean number of gateways that use the same endpoint, if each gateway uses a
+	// subset of the list; 0 means that all gateways use all endpoints.
 	GatewaysPerEndpoint float64
 }
 
-// TimerFired comes once for each SetTimer, when its time is over.
+// TimerFired reports that the delay of a SetTimer has passed. It follows each SetTimer exactly once.
 type TimerFired struct{}
 
-// HealthCheckEnded comes once for each CheckHealth.
+// HealthCheckEnded reports the result of a health check. It follows each CheckHealth exactly once.
 type HealthCheckEnded struct {
 	Endpoint EndpointID
 	Outcome  Outcome
-	// Latency is the time from the CheckHealth to the end.
+	// Latency is the time from the CheckHealth to the end of the health check.
 	Latency time.Duration
-	// LoadReport is what the endpoint said of itself.
+	// LoadReport holds the load metrics that the endpoint sent with its reply.
 	LoadReport LoadReport
 }
 
-// GossipReceived comes when another gateway's Gossip has arrived.
+// GossipReceived carries the Gossip message of another gateway.
 type GossipReceived struct {
-	// From is the index of the gateway that sent it.
+	// From is the index of the sending gateway.
 	From int
 	Body []byte
 }
 
-// CounterReply comes once for each IncrementCounter. For one name, replies come in the order of the calls.
+// CounterReply reports the result of a call of the shared counter. It follows each IncrementCounter exactly
+// once. Replies for one name arrive in the order of the calls.
 type CounterReply struct {
 	Name    string
 	Outcome Outcome
-	// Total is the sum of all additions to the name, this call's too, if the outcome is Succeeded.
+	// Total is the sum of all additions to the name, including that of this call. It is valid if Outcome is
+	// Succeeded.
 	Total float64
 }
 
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -13,49 +13,52 @@
 )
 
 const (
-	// ticksPerObjective is the number of ticks in the shortest latency objective: requests that wait are late
-	// by 2% of it at most when they are looked at.
+	// ticksPerObjective is the number of ticks in the shortest latency objective. It bounds how late a
+	// waiting request is checked.
 	ticksPerObjective = 50
-	// minTickInterval bounds the CPU time that ticks take.
+	// minTickInterval limits the CPU time that ticks use.
 	minTickInterval = time.Millisecond
-	// maxTickInterval lets every gateway look at its requests and customers once a second.
+	// maxTickInterval limits the time between two checks of a request or customer.
 	maxTickInterval = time.Second
-	// minCounterTimeout bounds Settings.CounterTimeout below: the backoff after failures is a multiple of it.
+	// minCounterTimeout is the lower limit of Settings.CounterTimeout, since the backoff after failed calls
+	// is a multiple of that timeout.
 	minCounterTimeout = time.Millisecond
 
-	// seedMix makes a second word of the seed, which differs in many bits: the golden ratio in 64 bits.
+	// seedMix is XORed with the seed to derive the second seed word of the random source: 2^64 divided by the
+	// golden ratio, so that the two words differ in many bits.
 	seedMix = 0x9e3779b97f4a7c15
 )
 
-// Gateway decides for one gateway process: it is told of events, and returns the actions to be taken. It owns
-// the parts that decide, dispatches the events to them, and has the clock and the random source that they
-// share. It is single-threaded and starts no goroutine: the clock comes with the events.
+// Gateway makes the decisions of one gateway process: Handle receives events and returns the actions to be
+// taken. A Gateway owns the components that make the decisions, dispatches the events to them, and holds the
+// clock and the random source that they share. It is not safe for concurrent use and starts no goroutine. The
+// clock is the time that was passed with the latest event.
 type Gateway struct {
 	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action // of the event that is being handled
+	actions  []Action // returned by the current call of Handle
 
 	tickInterval        time.Duration // time between two ticks
 	tickerStarted       bool
-	watchingEndpoints   bool          // changes of the endpoint list come
-	maxLatencyObjective time.Duration // longest of a class
-	maxDeadline         time.Duration // longest of a class
+	watchingEndpoints   bool          // subscribed to changes of the endpoint list
+	maxLatencyObjective time.Duration // longest latency objective of all classes
+	maxDeadline         time.Duration // longest deadline of all classes
 
 	classes map[string]*classState
 	quota   *quota.Manager
 
-	requests       map[RequestID]*request // all that have no final answer, or have attempts in flight
-	activeRequests []*request             // the same, in the order of arrival
-	queue          queue.Queue[*request]
-	limiter        *limiter.Limiter
-	balancer       *balancer.Balancer
-	latency        *latency.Overall
-	retryBudget    retryBudget
+	requestsByID      map[RequestID]*request // requests without a final answer or with attempts in flight
+	requestsByArrival []*request             // the same requests, in the order of arrival
+	queue             queue.Queue[*request]
+	limiter           *limiter.Limiter
+	balancer          *balancer.Balancer
+	latency           *latency.Overall
+	retryBudget       retryBudget
 }
 
-// New returns a gateway. Equal settings, seeds and events lead to equal actions. The error says which setting
-// the gateway cannot decide with.
+// New returns a gateway. Equal settings, seeds and events lead to equal actions. New returns an error for
+// invalid settings.
 func New(settings Settings, seed uint64) (*Gateway, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -67,13 +70,13 @@
 		rng:          rand.New(rand.NewPCG(seed, seed^seedMix)),
 		tickInterval: settings.tickInterval(),
 		classes:      map[string]*classState{},
-		requests:     map[RequestID]*request{},
+		requestsByID: map[RequestID]*request{},
 		latency:      overall,
 	}
 	g.limiter = limiter.New(overall, g.tickInterval)
 	for _, class := range settings.Classes {
 		state := g.newClassState(class)
-		g.limiter.AddClass(&state.samples)
+		g.limiter.AddClass(&state.limiterSamples)
 		g.classes[class.Name] = state
 		g.maxLatencyObjective = max(g.maxLatencyObjective, class.LatencyObjective)
 		g.maxDeadline = max(g.maxDeadline, class.Deadline)
@@ -105,8 +108,9 @@
 	}
 }
 
-// Handle tells the gateway of one event, at a time on its clock. It appends the actions to be taken, in their
-// order, to out.
+// Handle processes one event at a time on the gateway's clock. It appends the actions to be taken, in order,
+// to out and returns the result. A time before that of an earlier event is replaced by that of the earlier
+// event.
 func (g *Gateway) Handle(now time.Duration, event Event, out []Action) []Action {
 	g.now = max(now, g.now)
 	g.actions = out
@@ -137,38 +141,39 @@
 func (g *Gateway) emit(action Action) { g.actions = append(g.actions, action) }
 
 func (g *Gateway) handleStreamStarted(ev StreamStarted) {
-	if r := g.requests[ev.ID]; r != nil {
+	if r := g.requestsByID[ev.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
 func (g *Gateway) handleClientDisconnected(ev ClientDisconnected) {
-	if r := g.requests[ev.ID]; r != nil && !r.finished {
+	if r := g.requestsByID[ev.ID]; r != nil && !r.finished {
 		g.finish(r)
 	}
 }
 
-// handleEndpointsChanged takes in a change of the endpoint list. With the first endpoints the gateway starts
-// with its share of the attempts that they are assumed to serve.
+// handleEndpointsChanged applies a change of the endpoint list. If no endpoint served before, the limiter's
+// window and the retry budget start at this gateway's share of the attempts that the endpoints are assumed to
+// serve at once.
 func (g *Gateway) handleEndpointsChanged(ev EndpointsChanged) {
 	if ev.Failed {
 		g.watchingEndpoints = false
 		return
 	}
-	first := len(g.balancer.Serving()) == 0
+	hadNoEndpoints := len(g.balancer.Serving()) == 0
 	g.balancer.Apply(g.now, balancer.Change{
 		Snapshot:            ev.IsSnapshot,
 		Endpoints:           ev.Endpoints,
 		GatewaysPerEndpoint: ev.GatewaysPerEndpoint,
 	})
-	if first {
+	if hadNoEndpoints {
 		g.limiter.SetWindow(g.balancer.InitialAttempts())
 		g.retryBudget = retryBudget(g.balancer.InitialAttempts())
 	}
 }
 
-// tick does what is due by the clock. Requests that are too late end before dispatch, so that none of them
-// gets capacity that has become free.
+// tick performs the periodic work. It ends requests that can no longer be answered by their deadline before
+// Handle dispatches, so that they receive no capacity that has become free.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{Delay: g.tickInterval})
 	if g.settings.PollEndpoints && !g.watchingEndpoints {
@@ -176,14 +181,14 @@
 		g.emit(WatchEndpoints{})
 	}
 	g.limiter.EndRoundIfDue(g.now, len(g.balancer.Serving()), g.balancer.GatewaysPerEndpoint())
-	g.activeRequests = slices.DeleteFunc(g.activeRequests, g.tickRequest)
+	g.requestsByArrival = slices.DeleteFunc(g.requestsByArrival, g.tickRequest)
 	g.quota.Tick()
 }
 
-// tickRequest does what is due for one request, and reports whether the request is over and has been
-// forgotten.
+// tickRequest performs the periodic work of one request. It reports whether the request is over: it has its
+// final answer and no attempt in flight, and has been removed from requestsByID.
 func (g *Gateway) tickRequest(r *request) (over bool) {
-	g.markOverdue(r)
+	g.markOverdueAttempts(r)
 	g.hedgeIfOverdue(r)
 	if r.queued || !r.dispatched && !r.finished {
 		g.expireIfLate(r)
@@ -191,11 +196,11 @@
 	if !r.finished || r.attemptsInFlight > 0 {
 		return false
 	}
-	delete(g.requests, r.ID)
+	delete(g.requestsByID, r.ID)
 	return true
 }
 
-// meanAnswerTime returns the mean latency of answers, at least one tick.
+// meanAnswerTime returns the mean latency of answers, at least one tick interval.
 func (g *Gateway) meanAnswerTime() time.Duration {
 	return max(g.latency.Duration(), g.tickInterval)
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -84,7 +84,7 @@
 
 // attemptsInFlight returns all attempts that have not ended, in the order of their requests' arrival.
 func (g *testGateway) attemptsInFlight() (all []inFlight) {
-	for _, q := range g.gateway.activeRequests {
+	for _, q := range g.gateway.requestsByArrival {
 		for _, a := range q.attempts {
 			if !a.ended {
 				all = append(all, inFlight{a, q.ID})
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -25,7 +25,7 @@
 	}
 	count(g.advance(1990 * ms))
 	for id := RequestID(1); id <= 40; id++ {
-		q := g.gateway.requests[id]
+		q := g.gateway.requestsByID[id]
 		if q == nil || q.finished {
 			continue
 		}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -69,7 +69,7 @@
 		g.advance(3 * time.Second)
 		c := g.gateway.quota.Customer("c")
 		share, tokens := max(8/float64(span), 1), c.LeaseTokens+c.ReservedTokens
-		if tokens > share+1e-9 || tokens < share/2 || len(g.gateway.activeRequests) > 0 {
+		if tokens > share+1e-9 || tokens < share/2 || len(g.gateway.requestsByArrival) > 0 {
 			t.Errorf("%d gateways: lease %v after all have expired, the share is %v", span, tokens, share)
 		}
 		if all := c.LeaseTokens + c.AvailableTokens; !c.Central && all > 8+1e-9 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,63 +9,65 @@
 	"lemontack/policy/quota"
 )
 
-// classState is a class, with what this gateway has learned of it.
+// classState holds a class with its latency estimate and limiter samples at this gateway.
 type classState struct {
 	Class
-	latency latency.Estimate
-	samples limiter.ClassSamples
+	latency        latency.Estimate
+	limiterSamples limiter.ClassSamples
 }
 
-// request is a request from its arrival to its last attempt's end, which may come after its final answer.
+// request holds the state of a request from its arrival to its final answer and the end of its last attempt,
+// whichever is later.
 type request struct {
 	Request
 	class           *classState
-	charge          quota.Charge // its account with the quotas
+	charge          quota.Charge // units and permits that it has taken from its customer's quotas
 	plan            *Plan
-	arrived         time.Duration
+	arrivedAt       time.Duration
 	overQuota       bool // admitted although it is over its quota
-	queued          bool // in the queue
+	queued          bool // waits in Gateway.queue
 	dispatched      bool // its first attempt has started
 	finished        bool // it has its final answer, or its client has disconnected
-	objectiveMissed bool // it can no longer be answered within the latency objective
-	streaming       bool // its answer has begun to reach the client
+	objectiveMissed bool // it was queued again because it would miss the latency objective
+	streaming       bool // the answer of an attempt has begun to reach the client
 	attempts        []*attempt
-	// attemptsInFlight counts the attempts that have not ended, overdue ones too.
+	// attemptsInFlight is the number of attempts that have not ended, including overdue ones.
 	attemptsInFlight int
 }
 
-// attempt is one attempt of a request.
+// attempt holds the state of one attempt of a request.
 type attempt struct {
 	balancer.Attempt
 	number          int
 	ended           bool
-	overdue         bool // in flight for so long that it no longer counts in the limiter's window
+	overdue         bool // in flight beyond the latency objective; not counted in the limiter's window
 	mayHaveExecuted bool // in flight, or ended without proof that it was not executed
 }
 
-// handleArrival starts the life of a request: it is rejected, waits for the counter, or is queued.
+// handleArrival processes a new request: it rejects the request, queues it, or lets it wait for the reply of
+// the counter.
 func (g *Gateway) handleArrival(arrival Request) {
 	r := &request{
-		Request: arrival,
-		class:   g.classes[arrival.Class],
-		arrived: g.now,
+		Request:   arrival,
+		class:     g.classes[arrival.Class],
+		arrivedAt: g.now,
 	}
 	g.setDefaults(r)
-	if r.Deadline <= g.now { // before any quota is charged
+	if r.Deadline <= g.now { // rejected before any quota is charged
 		g.emit(Reject{ID: r.ID, RetryAfter: min(r.class.LatencyObjective, g.settings.MaxRetryAfter)})
 		return
 	}
 	g.openCharge(r)
-	g.requests[r.ID] = r
-	g.activeRequests = append(g.activeRequests, r)
-	g.resolveQuota(r, g.quota.Admit(&r.charge))
+	g.requestsByID[r.ID] = r
+	g.requestsByArrival = append(g.requestsByArrival, r)
+	g.applyQuotaDecision(r, g.quota.Admit(&r.charge))
 	if !r.dispatched && !r.finished {
-		g.expireIfLate(r) // its deadline may come before the next tick
+		g.expireIfLate(r) // its deadline may pass before the next tick
 	}
 }
 
-// setDefaults makes a request of an unknown class one that can be decided on: non-idempotent, with its
-// deadline as the latency objective.
+// setDefaults gives a request of an unknown class a non-idempotent class whose latency objective is the time
+// until its deadline, and a request without units one unit.
 func (g *Gateway) setDefaults(r *request) {
 	if r.class == nil {
 		objective := max(r.Deadline-g.now, time.Millisecond)
@@ -76,23 +78,23 @@
 	}
 }
 
-// expireIfLate ends a request that waits and, by the latency of its class, can no longer be answered by its
-// deadline. One that will only miss its latency objective is queued again at the priority of a late answer,
-// if that earns anything.
+// expireIfLate ends a waiting request if, by the latency estimate of its class, it can no longer be answered
+// by its deadline. A queued request that would miss only its latency objective is queued again at the
+// priority of a late answer, or ended if a late answer has no value.
 func (g *Gateway) expireIfLate(r *request) {
 	expected := min(r.class.latency.Expected(answerDeviations), r.class.LatencyObjective)
 	if g.now+min(expected, r.class.latency.Expected(0)) >= r.Deadline-2*g.tickInterval {
-		g.giveUp(r)
+		g.rejectOrFail(r)
 		return
 	}
-	if !r.queued || r.objectiveMissed { // it waits for the counter, or was queued again before
+	if !r.queued || r.objectiveMissed { // it waits for the counter, or was queued again already
 		return
 	}
-	if g.now+expected < r.arrived+r.class.LatencyObjective {
+	if g.now+expected < r.arrivedAt+r.class.LatencyObjective {
 		return
 	}
 	if r.class.LateWeight <= 0 {
-		g.giveUp(r)
+		g.rejectOrFail(r)
 		return
 	}
 	g.dequeue(r)
@@ -100,9 +102,10 @@
 	g.enqueue(r)
 }
 
-// giveUp answers for good: it rejects where a retry of the client is surely harmless, else it fails.
-func (g *Gateway) giveUp(r *request) {
-	if r.maybeExecuted() != nil && !r.class.clientMayRetry() {
+// rejectOrFail ends a request with its final answer: a rejection if a retry by the client is safe, otherwise
+// a failure.
+func (g *Gateway) rejectOrFail(r *request) {
+	if r.firstMaybeExecuted() != nil && !r.class.clientMayRetry() {
 		g.emit(Fail{ID: r.ID})
 		g.finish(r)
 		return
@@ -110,26 +113,28 @@
 	g.reject(r, r.class.LatencyObjective)
 }
 
-// clientMayRetry reports whether a retry by the client is harmless, at whichever endpoint it ends up,
-// although the request may have been executed.
-func (c *classState) clientMayRetry() bool {
-	switch c.Idempotency {
+// clientMayRetry reports whether a client may safely retry a request of the class that may have been
+// executed, whichever endpoint receives the retry.
+func (class *classState) clientMayRetry() bool {
+	switch class.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKey:
-		return c.DeduplicationScope == ScopeAll
+		return class.DeduplicationScope == ScopeAll
 	default:
 		return false
 	}
 }
 
-// reject answers for good that the client may retry after a time.
+// reject ends a request with a rejection, which tells the client to retry after retryAfter, limited to
+// Settings.MaxRetryAfter.
 func (g *Gateway) reject(r *request, retryAfter time.Duration) {
 	g.emit(Reject{ID: r.ID, RetryAfter: min(retryAfter, g.settings.MaxRetryAfter)})
 	g.finish(r)
 }
 
-// finish marks a request as finally answered, returns what it holds, and cancels its attempts in flight.
+// finish marks a request as finished, removes it from the queue, releases its unused units and permits, and
+// cancels its attempts in flight unless cancelling is not allowed or its answer is streaming.
 func (g *Gateway) finish(r *request) {
 	if r.queued {
 		g.dequeue(r)
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -1,18 +1,18 @@
 package policy
 
-// retryBudgetRatio is the part of a retry or hedge that each first attempt adds to the budget: with all of it
-// spent, retries and hedges raise the load by 15%.
+// retryBudgetRatio is the share of a retry or hedge that each first attempt adds to the budget, and so the
+// largest lasting load of retries and hedges, relative to that of first attempts.
 const retryBudgetRatio = 0.15
 
-// retryBudget is the number of retries and hedges that may start. First attempts fill it, so that retries and
-// hedges stay a share of them and cannot multiply an overload.
+// retryBudget is the number of retries and hedges that may start. First attempts add to it, which limits
+// retries and hedges to a share of the first attempts, so that they cannot amplify an overload.
 type retryBudget float64
 
-// fill adds the share of one first attempt, up to a limit.
-func (b *retryBudget) fill(limit float64) { *b = min(retryBudget(limit), *b+retryBudgetRatio) }
+// deposit adds the share of one first attempt, up to a limit on the budget.
+func (b *retryBudget) deposit(limit float64) { *b = min(retryBudget(limit), *b+retryBudgetRatio) }
 
-// allows reports whether a retry or hedge may start.
-func (b retryBudget) allows() bool { return b >= 1 }
+// allowsRetry reports whether the budget holds at least one retry or hedge.
+func (b retryBudget) allowsRetry() bool { return b >= 1 }
 
-// spend takes one retry or hedge out.
-func (b *retryBudget) spend() { *b-- }
+// withdraw removes one retry or hedge from the budget.
+func (b *retryBudget) withdraw() { *b-- }
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -6,9 +6,9 @@
 	var budget retryBudget
 	retries := 0
 	for range 1000 {
-		budget.fill(10)
-		if budget.allows() {
-			budget.spend()
+		budget.deposit(10)
+		if budget.allowsRetry() {
+			budget.withdraw()
 			retries++
 		}
 	}
@@ -20,11 +20,11 @@
 func TestRetryBudgetIsLimited(t *testing.T) {
 	var budget retryBudget
 	for range 1000 {
-		budget.fill(3)
+		budget.deposit(3)
 	}
 	retries := 0
-	for ; budget.allows(); retries++ {
-		budget.spend()
+	for ; budget.allowsRetry(); retries++ {
+		budget.withdraw()
 	}
 	if retries != 3 {
 		t.Errorf("%d retries after a long time without any, want 3", retries)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Settings are what a gateway is told once, at its start.
+// Settings configure a gateway. They are set once, when it is created.
 type Settings struct {
-	// Index is the number of this gateway, from 0.
+	// Index is the index of this gateway among all gateways, from 0.
 	Index int
-	// GatewayCount is the number of gateways, this one too.
+	// GatewayCount is the number of gateways, including this one.
 	GatewayCount int
 	// Zone is the zone of this gateway.
 	Zone string
@@ -21,9 +21,9 @@
 	Plans []Plan
 	// MaxUnits is the number of units of the largest request.
 	MaxUnits float64
-	// MaxAttempts is the number of attempts that a request may have; less than 1 stands for 1.
+	// MaxAttempts is the largest number of attempts of a request; less than 1 means 1.
 	MaxAttempts int
-	// MaxRetryAfter is the longest time that a rejection may tell the client to wait.
+	// MaxRetryAfter is the upper limit of Reject.RetryAfter.
 	MaxRetryAfter time.Duration
 	// MayCancel allows Cancel actions.
 	MayCancel bool
@@ -33,65 +33,70 @@
 	HedgingEnabled bool
 	// HasSharedCounter allows IncrementCounter actions.
 	HasSharedCounter bool
-	// CounterTimeout is the time after which a call of the shared counter ends without a reply; less than 1
-	// ms stands for 1 ms.
+	// CounterTimeout is the time after which a call of the shared counter without a reply times out; less
+	// than 1 ms means 1 ms.
 	CounterTimeout time.Duration
-	// PollEndpoints says that the endpoint list comes only if the gateway subscribes to it.
+	// PollEndpoints makes the gateway subscribe to the endpoint list with WatchEndpoints. Otherwise the list
+	// is pushed to it.
 	PollEndpoints bool
-	// CrossZonePrice is the price of an attempt at an endpoint of another zone; above 0 the own zone is
-	// preferred.
+	// CrossZonePrice is the price of an attempt at an endpoint in another zone. If it is above 0, endpoints
+	// in the gateway's zone are preferred.
 	CrossZonePrice float64
 	// HandshakePrice is the price of a new connection to an endpoint, in requests of mean price.
 	HandshakePrice float64
 	// ConnectionIdleTimeout is the time after which an idle connection to an endpoint closes.
 	ConnectionIdleTimeout time.Duration
-	// SlowStartMinWeight is the share of its capacity that an endpoint has at its start.
+	// SlowStartMinWeight is the share of its full capacity that an endpoint has at its start, 0 to 1.
 	SlowStartMinWeight float64
-	// SlowStartWindow is the time after its start in which an endpoint reaches its whole capacity; 0 turns
-	// slow start off.
+	// SlowStartWindow is the time from its start in which an endpoint reaches its full capacity; 0 disables
+	// slow start.
 	SlowStartWindow time.Duration
-	// SlowStartBudgetMultiple is the multiple of its capacity that an endpoint in slow start may get from all
-	// gateways within SlowStartBudgetSpan; 0 sets no limit.
+	// SlowStartBudgetMultiple limits the attempts that all gateways together send to an endpoint in slow
+	// start within SlowStartBudgetSpan, as a multiple of the endpoint's capacity; 0 means no limit.
 	SlowStartBudgetMultiple float64
-	// SlowStartBudgetSpan is the time over which SlowStartBudgetMultiple is counted.
+	// SlowStartBudgetSpan is the length of the time span in which these attempts are counted.
 	SlowStartBudgetSpan time.Duration
-	// DrainGracePeriod is the time after the gateway was told that an endpoint is draining or removed within
-	// which the last attempt at it may start.
+	// DrainGracePeriod is the time after the gateway receives the notification that an endpoint is draining
+	// or removed, within which the last attempt at the endpoint may start.
 	DrainGracePeriod time.Duration
 }
 
-// validate returns an error for settings that a gateway cannot decide with.
+// validate returns an error if a gateway cannot work with the settings.
 func (s *Settings) validate() error {
 	if s.GatewayCount < 1 || s.Index < 0 || s.Index >= s.GatewayCount {
-		return fmt.Errorf("policy: gateway %d of %d", s.Index, s.GatewayCount)
+		return fmt.Errorf("policy: gateway index %d, gateway count %d, want 0 <= index < count",
+			s.Index, s.GatewayCount)
 	}
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("policy: no classes")
+		return fmt.Errorf("policy: no classes, want at least one")
 	}
 	for _, c := range s.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective {
-			return fmt.Errorf("policy: class %q: latency objective %v, deadline %v",
+			return fmt.Errorf(
+				"policy: class %q: latency objective %v, deadline %v, want 0 < objective <= deadline",
 				c.Name, c.LatencyObjective, c.Deadline)
 		}
 	}
 	for _, p := range s.Plans {
-		figures := []float64{
+		values := []float64{
 			p.Price, p.Rate, p.Burst, float64(p.MaxConcurrency), p.CeilingRate, p.CeilingBurst,
 		}
-		if !(slices.Min(figures) >= 0) || math.IsInf(slices.Max(figures), 1) {
-			return fmt.Errorf("policy: plan %q: figures %v, want finite ones of 0 or more", p.Name, figures)
+		if !(slices.Min(values) >= 0) || math.IsInf(slices.Max(values), 1) {
+			return fmt.Errorf("policy: plan %q: price and limits %v, want finite numbers >= 0",
+				p.Name, values)
 		}
 	}
 	return nil
 }
 
-// setMinimums raises settings that are too small to work with.
+// setMinimums raises MaxAttempts and CounterTimeout to their lower limits.
 func (s *Settings) setMinimums() {
 	s.MaxAttempts = max(s.MaxAttempts, 1)
 	s.CounterTimeout = max(s.CounterTimeout, minCounterTimeout)
 }
 
-// tickInterval is the time between two ticks: a part of the shortest latency objective, within bounds.
+// tickInterval returns the time between two ticks: the shortest latency objective divided by
+// ticksPerObjective, from minTickInterval to maxTickInterval.
 func (s *Settings) tickInterval() time.Duration {
 	interval := maxTickInterval
 	for _, c := range s.Classes {
--- a/policy/types.go
+++ b/policy/types.go
@@ -2,13 +2,13 @@
 
 import "lemontack/policy/model"
 
-// The plain data of the interface, which the module's parts share.
+// Data types of the interface, defined in package model and shared with the other packages.
 type (
 	// RequestID identifies one request at one gateway; it is never reused.
 	RequestID = model.RequestID
-	// Idempotency says whether a request of a class may be executed more than once.
+	// Idempotency specifies whether a request of a class may be executed more than once.
 	Idempotency = model.Idempotency
-	// DeduplicationScope says which endpoints share the idempotency keys that they have seen.
+	// DeduplicationScope specifies which endpoints share the idempotency keys that they have seen.
 	DeduplicationScope = model.DeduplicationScope
 	// Class is a kind of request.
 	Class = model.Class
@@ -20,9 +20,9 @@
 	Endpoint = model.Endpoint
 	// EndpointState is the state of an endpoint in the endpoint list.
 	EndpointState = model.EndpointState
-	// LoadReport is what an endpoint last said of itself.
+	// LoadReport holds the load metrics that an endpoint last reported.
 	LoadReport = model.LoadReport
-	// Outcome tells how an attempt, a health check or a call of the shared counter ended.
+	// Outcome is the result of an attempt, a health check or a call of the shared counter.
 	Outcome = model.Outcome
 )
 
