--- a/policy/cluster_test.go
+++ b/policy/cluster_test.go
@@ -7,18 +7,18 @@
 
 // cluster is several gateways with the same endpoints and one counter.
 type cluster struct {
-	gateways      []*testGateway
-	totals        map[string]float64
-	counterSilent bool // calls of the counter time out
+	gateways        []*testGateway
+	totals          map[string]float64
+	counterTimesOut bool // calls of the counter time out
 }
 
 // newCluster returns n gateways that have just started and know these endpoints.
-func newCluster(t *testing.T, n int, set Settings, endpoints ...Endpoint) *cluster {
+func newCluster(t *testing.T, n int, settings Settings, endpoints ...Endpoint) *cluster {
 	t.Helper()
 	c := &cluster{totals: map[string]float64{}}
 	for i := range n {
-		set.Index, set.GatewayCount = i, n
-		gateway, err := New(set, uint64(i+1))
+		settings.Index, settings.GatewayCount = i, n
+		gateway, err := New(settings, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,12 +30,12 @@
 }
 
 // handle gives one gateway an event, replies to its calls of the counter, and returns what it sent.
-func (c *cluster) handle(g *testGateway, ev Event) []Send {
-	acts := g.handle(ev)
-	sends := only[Send](acts)
-	for _, call := range only[IncrementCounter](acts) {
+func (c *cluster) handle(g *testGateway, event Event) []Send {
+	actions := g.handle(event)
+	sends := actionsOf[Send](actions)
+	for _, call := range actionsOf[IncrementCounter](actions) {
 		reply := CounterReply{Name: call.Name, Outcome: TimedOut}
-		if !c.counterSilent {
+		if !c.counterTimesOut {
 			c.totals[call.Name] += call.Delta
 			reply.Outcome, reply.Total = Succeeded, c.totals[call.Name]
 		}
@@ -44,8 +44,8 @@
 	return sends
 }
 
-// arrive brings one request to a gateway.
-func (c *cluster) arrive(g *testGateway, id int, class, plan string) []Send {
+// sendRequest brings one request to a gateway.
+func (c *cluster) sendRequest(g *testGateway, id int, class, plan string) []Send {
 	return c.handle(g, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Customer: "c", Units: 1,
 		Deadline: g.now + 2*time.Second, GatewaySpan: len(c.gateways)}})
 }
@@ -54,23 +54,23 @@
 // gateways' shares of it, however many gateways there are.
 func TestFirstRequestsAtAllGatewaysSumToTheBurst(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
-		for _, silent := range []bool{false, true} {
-			c := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-			c.counterSilent = silent
+		for _, timesOut := range []bool{false, true} {
+			c := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+			c.counterTimesOut = timesOut
 			sent := 0
 			for i := range 2 * max(n, 20) { // all of them twice at one moment, a few gateways more often
 				g := c.gateways[i%n]
-				for _, s := range c.arrive(g, i, "read", "small") {
+				for _, s := range c.sendRequest(g, i, "read", "small") {
 					sent++
 					c.handle(g, AttemptEnded{ID: s.ID, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 				}
 			}
 			limit := 2 * 8 // the burst is 8; the random parts of the local buckets add some variance
-			if n == 3 && !silent {
+			if n == 3 && !timesOut {
 				limit = (n + 1) * 8 // leased ahead: a gateway's first total takes earlier usage as spread over its window
 			}
 			if sent < 3 || sent > limit {
-				t.Errorf("%d gateways, counter silent %v: %d sent at one moment, the burst is 8", n, silent, sent)
+				t.Errorf("%d gateways, counter silent %v: %d sent at one moment, the burst is 8", n, timesOut, sent)
 			}
 		}
 	}
@@ -80,24 +80,24 @@
 // all of them.
 func TestCeilingHoldsOverAllGateways(t *testing.T) {
 	for _, n := range []int{1, 3, 20} { // the requests of such a customer arrive at no more gateways than half its burst
-		for _, silent := range []bool{false, true} {
-			c := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-			c.counterSilent = silent
+		for _, timesOut := range []bool{false, true} {
+			c := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+			c.counterTimesOut = timesOut
 			sent, id := 0, 0
 			for step := range 300 { // 3 s, all restarted in the middle
 				if step == 150 {
-					fresh := newCluster(t, n, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
-					fresh.counterSilent, fresh.totals = silent, c.totals
-					for i, g := range fresh.gateways {
+					restarted := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+					restarted.counterTimesOut, restarted.totals = timesOut, c.totals
+					for i, g := range restarted.gateways {
 						g.now = c.gateways[i].now
 					}
-					c = fresh
+					c = restarted
 				}
 				for i := range max(1, 20/n) * n {
 					g := c.gateways[i%n]
 					g.gateway.limiter.SetWindow(1000)
 					id++
-					for _, s := range c.arrive(g, id, "read", "capped") {
+					for _, s := range c.sendRequest(g, id, "read", "capped") {
 						sent++
 						c.handle(g, AttemptEnded{ID: s.ID, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 					}
@@ -110,7 +110,7 @@
 				}
 			}
 			if limit := 40 + 3*20 + 4; sent == 0 || sent > limit {
-				t.Errorf("%d gateways, counter silent %v: %d sent in 3 s, the ceiling allows %d", n, silent, sent, limit)
+				t.Errorf("%d gateways, counter silent %v: %d sent in 3 s, the ceiling allows %d", n, timesOut, sent, limit)
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 // gateways have just started.
 func TestSlowStartBudgetHoldsOverAllGateways(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
-		c := newCluster(t, n, settings())
+		c := newCluster(t, n, testSettings())
 		sent, id := 0, 0
 		for _, g := range c.gateways {
 			c.handle(g, EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
@@ -128,7 +128,7 @@
 		for range 30 { // 3 s
 			for _, g := range c.gateways {
 				id++
-				sends := c.arrive(g, id, "read", "free")
+				sends := c.sendRequest(g, id, "read", "free")
 				for range 10 {
 					g.now += 10 * ms
 					sends = append(sends, c.handle(g, TimerFired{})...)
@@ -148,17 +148,17 @@
 
 // Where gateways outnumber a customer's concurrent attempts and an over-quota attempt has a cost, they take turns.
 func TestConcurrencyLimitHoldsOverAllGateways(t *testing.T) {
-	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
+	settings := testSettings()
+	settings.Plans = append(settings.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
-		c := newCluster(t, n, set, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+		c := newCluster(t, n, settings, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		for _, g := range c.gateways {
 			g.now = time.Minute + 19*37*ms // some gateways have their turn
 			g.gateway.limiter.SetWindow(100)
 		}
 		sent := 0
 		for i := range 3 * n {
-			sent += len(c.arrive(c.gateways[i%n], i, "read", "open"))
+			sent += len(c.sendRequest(c.gateways[i%n], i, "read", "open"))
 		}
 		if n > 1 && sent != 3 {
 			t.Errorf("%d gateways sent %d at one moment, the limit is 3", n, sent)
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// settings are those of one of two gateways that share a counter.
-func settings() Settings {
+// testSettings are those of one of two gateways that share a counter.
+func testSettings() Settings {
 	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 50 * ms,
 		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second, SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
@@ -35,9 +35,9 @@
 }
 
 // newTestGateway returns a gateway that has just started and knows these endpoints.
-func newTestGateway(t *testing.T, set Settings, endpoints ...Endpoint) *testGateway {
+func newTestGateway(t *testing.T, settings Settings, endpoints ...Endpoint) *testGateway {
 	t.Helper()
-	gateway, err := New(set, 7)
+	gateway, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,56 +47,56 @@
 }
 
 // handle gives the gateway an event now and returns its actions.
-func (g *testGateway) handle(ev Event) []Action { return g.gateway.Handle(g.now, ev, nil) }
+func (tg *testGateway) handle(event Event) []Action { return tg.gateway.Handle(tg.now, event, nil) }
 
-// arrive brings a request of one unit of customer c.
-func (g *testGateway) arrive(id RequestID, class, plan string) []Action {
-	return g.handle(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
-		Deadline: g.now + 2*time.Second, GatewaySpan: 2}})
+// sendRequest brings a request of one unit of customer c.
+func (tg *testGateway) sendRequest(id RequestID, class, plan string) []Action {
+	return tg.handle(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
+		Deadline: tg.now + 2*time.Second, GatewaySpan: 2}})
 }
 
 // advance moves the clock on in ticks and returns all actions.
-func (g *testGateway) advance(d time.Duration) (out []Action) {
-	for end := g.now + d; g.now < end; {
-		g.now += 10 * ms
-		out = append(out, g.handle(TimerFired{})...)
+func (tg *testGateway) advance(d time.Duration) (out []Action) {
+	for end := tg.now + d; tg.now < end; {
+		tg.now += 10 * ms
+		out = append(out, tg.handle(TimerFired{})...)
 	}
 	return out
 }
 
 // endpoint returns a serving endpoint.
-func (g *testGateway) endpoint(id EndpointID) *balancer.Endpoint {
-	g.Helper()
-	for _, e := range g.gateway.balancer.Serving() {
+func (tg *testGateway) endpoint(id EndpointID) *balancer.Endpoint {
+	tg.Helper()
+	for _, e := range tg.gateway.balancer.Serving() {
 		if e.ID == id {
 			return e
 		}
 	}
-	g.Fatalf("no serving endpoint %s", id)
+	tg.Fatalf("no serving endpoint %s", id)
 	return nil
 }
 
-// inFlight is an attempt that has not ended.
-type inFlight struct {
+// attemptInFlight is an attempt that has not ended.
+type attemptInFlight struct {
 	*attempt
 	id RequestID
 }
 
 // attemptsInFlight returns all attempts that have not ended, in the order of their requests' arrival.
-func (g *testGateway) attemptsInFlight() (all []inFlight) {
-	for _, q := range g.gateway.requestsByArrival {
-		for _, a := range q.attempts {
+func (tg *testGateway) attemptsInFlight() (all []attemptInFlight) {
+	for _, request := range tg.gateway.requestsByArrival {
+		for _, a := range request.attempts {
 			if !a.ended {
-				all = append(all, inFlight{a, q.ID})
+				all = append(all, attemptInFlight{a, request.ID})
 			}
 		}
 	}
 	return all
 }
 
-// only returns the actions of one type.
-func only[A Action](acts []Action) (out []A) {
-	for _, a := range acts {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (out []A) {
+	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			out = append(out, a)
 		}
@@ -105,37 +105,37 @@
 }
 
 func TestRequestIsSentAtOnceWhileTheWindowHasCapacity(t *testing.T) {
-	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
-	if got := only[Send](g.arrive(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
+	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving})
+	if got := actionsOf[Send](g.sendRequest(1, "read", "free")); len(got) != 1 || got[0].Endpoint != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
 
 func TestCapacityThatBecomesFreeGoesToTheHighestPriority(t *testing.T) {
-	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
-	g.arrive(1, "read", "free")
-	g.arrive(2, "read", "free")
-	g.arrive(3, "read", "free")
-	g.arrive(4, "read", "dear")
-	got := only[Send](g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
+	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving})
+	g.sendRequest(1, "read", "free")
+	g.sendRequest(2, "read", "free")
+	g.sendRequest(3, "read", "free")
+	g.sendRequest(4, "read", "dear")
+	got := actionsOf[Send](g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("sends %v, want request 4 first", got)
 	}
 }
 
-func TestRequestWithLessTimeThanATickIsAnsweredAtOnce(t *testing.T) {
-	g := newTestGateway(t, settings()) // no endpoints: nothing can be sent
+func TestRequestWithLessTimeThanATickIsRejectedAtOnce(t *testing.T) {
+	g := newTestGateway(t, testSettings()) // no endpoints: nothing can be sent
 	got := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, Deadline: g.now + ms}})
-	if len(only[Reject](got)) != 1 {
+	if len(actionsOf[Reject](got)) != 1 {
 		t.Fatalf("actions %v, want a rejection", got)
 	}
 }
 
 func TestRejectedRequestsRefundNoUnits(t *testing.T) {
-	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
-		sent += len(only[Send](g.arrive(id, "read", "small")))
+		sent += len(actionsOf[Send](g.sendRequest(id, "read", "small")))
 		g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})
 	}
 	if sent < 4 || sent > 8 {
@@ -145,13 +145,13 @@
 
 // An endpoint that restarts keeps its attempts in flight until they end.
 func TestRestartedEndpointKeepsItsAttemptsInFlight(t *testing.T) {
-	g := newTestGateway(t, settings(), Endpoint{ID: "s", State: Serving})
-	g.arrive(1, "read", "free")
-	g.arrive(2, "read", "free")
+	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving})
+	g.sendRequest(1, "read", "free")
+	g.sendRequest(2, "read", "free")
 	before := g.endpoint("s").InFlight()
 	g.handle(EndpointsChanged{Endpoints: []Endpoint{{ID: "s", State: Serving, StartedAt: g.now}}})
-	if now := g.endpoint("s").InFlight(); now != before || before == 0 {
-		t.Fatalf("%d attempts in flight before the restart, %d after", before, now)
+	if after := g.endpoint("s").InFlight(); after != before || before == 0 {
+		t.Fatalf("%d attempts in flight before the restart, %d after", before, after)
 	}
 	g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Reset})
 	g.handle(AttemptEnded{ID: 2, Endpoint: "s", Outcome: Reset})
@@ -159,8 +159,8 @@
 	if got, want := g.endpoint("s").InFlight(), len(g.attemptsInFlight()); got != want {
 		t.Fatalf("%d attempts in flight at the endpoint, %d have not ended", got, want)
 	}
-	for left := g.attemptsInFlight(); len(left) > 0; left = g.attemptsInFlight() {
-		g.handle(AttemptEnded{ID: left[0].id, Attempt: left[0].number, Endpoint: "s", Outcome: Reset})
+	for remaining := g.attemptsInFlight(); len(remaining) > 0; remaining = g.attemptsInFlight() {
+		g.handle(AttemptEnded{ID: remaining[0].id, Attempt: remaining[0].number, Endpoint: "s", Outcome: Reset})
 	}
 	if got := g.endpoint("s").InFlight(); got != 0 {
 		t.Fatalf("%d attempts in flight at the endpoint after all have ended", got)
@@ -171,22 +171,22 @@
 // send stays within it, whatever each has seen, and also after all have restarted.
 func TestSmallBurstOverManyGatewaysIsClaimedAtTheCounter(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
-		set := settings()
-		set.GatewayCount = n
-		set.Plans = append(set.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, OverQuotaCost: 1})
+		settings := testSettings()
+		settings.GatewayCount = n
+		settings.Plans = append(settings.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, OverQuotaCost: 1})
 		totals, sent := map[string]float64{}, 0
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
-			set.Index = i % n
-			g := newTestGateway(t, set, Endpoint{ID: "s", State: Serving})
-			acts := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
+			settings.Index = i % n
+			g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving})
+			actions := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
 				Deadline: g.now + time.Second, GatewaySpan: n}})
-			for k := 0; k < len(acts); k++ {
-				if c, ok := acts[k].(IncrementCounter); ok {
+			for k := 0; k < len(actions); k++ {
+				if c, ok := actions[k].(IncrementCounter); ok {
 					totals[c.Name] += c.Delta
-					acts = append(acts, g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
+					actions = append(actions, g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 				}
 			}
-			sent += len(only[Send](acts))
+			sent += len(actionsOf[Send](actions))
 		}
 		if sent != 2 {
 			t.Errorf("%d gateways sent %d at once, the burst is 2", n, sent)
@@ -197,13 +197,13 @@
 // The windows of many gateways add up: with late answers of several endpoints a window falls below one attempt, and the
 // attempts are spaced from then on.
 func TestWindowBelowOneAttemptSpacesAttempts(t *testing.T) {
-	set := settings()
-	set.GatewayCount = 300
+	settings := testSettings()
+	settings.GatewayCount = 300
 	var endpoints []Endpoint
 	for i := range 60 {
 		endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
-	g := newTestGateway(t, set, endpoints...)
+	g := newTestGateway(t, settings, endpoints...)
 	for i := range 12 {
 		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.Serving()[i], limiter.Sample{Outcome: TimedOut})
 		g.advance(time.Second)
@@ -213,25 +213,25 @@
 	}
 	g.gateway.classes["read"].latency.Record(100 * ms)
 	g.gateway.limiter.SetWindow(0.5)
-	first := only[Send](g.arrive(1, "read", "free"))
+	first := actionsOf[Send](g.sendRequest(1, "read", "free"))
 	g.handle(AttemptEnded{ID: 1, Outcome: Succeeded, Latency: 100 * ms, RequestFinished: true})
-	second := only[Send](g.arrive(2, "read", "free"))
+	second := actionsOf[Send](g.sendRequest(2, "read", "free"))
 	if len(first) != 1 || len(second) != 0 {
 		t.Fatalf("sent %v, then %v at once", first, second)
 	}
-	if got := only[Send](g.advance(time.Second)); len(got) == 0 || got[0].ID != 2 {
+	if got := actionsOf[Send](g.advance(time.Second)); len(got) == 0 || got[0].ID != 2 {
 		t.Fatalf("sent %v in the second after, want the queued one", got)
 	}
 }
 
 // Out-of-range gateway spans and indexes lead to valid decisions without a panic.
-func TestOutOfRangeGatewaySpansStillDecide(t *testing.T) {
-	set := settings()
-	set.GatewayCount = 100
-	for _, q := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
-		g := newTestGateway(t, set)
-		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.Deadline = 1, "read", "small", "c", 1, g.now+time.Second
-		calls := only[IncrementCounter](g.handle(Arrival{q}))
+func TestRequestWithOutOfRangeGatewaySpanIsSent(t *testing.T) {
+	settings := testSettings()
+	settings.GatewayCount = 100
+	for _, request := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
+		g := newTestGateway(t, settings)
+		request.ID, request.Class, request.Plan, request.Customer, request.Units, request.Deadline = 1, "read", "small", "c", 1, g.now+time.Second
+		calls := actionsOf[IncrementCounter](g.handle(Arrival{request}))
 		for _, c := range calls {
 			g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Delta})
 		}
@@ -239,9 +239,9 @@
 		for i := range 100 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 		}
-		acts := g.handle(EndpointsChanged{Endpoints: endpoints})
-		if got := only[Send](append(acts, g.advance(20*ms)...)); len(got) != 1 {
-			t.Errorf("request %+v: sent %v, want it sent once there are endpoints", q, got)
+		actions := g.handle(EndpointsChanged{Endpoints: endpoints})
+		if got := actionsOf[Send](append(actions, g.advance(20*ms)...)); len(got) != 1 {
+			t.Errorf("request %+v: sent %v, want it sent once there are endpoints", request, got)
 		}
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -37,49 +37,51 @@
 
 // goldenScenario is a variant of the settings and of what happens.
 type goldenScenario struct {
-	name           string
-	adjust         func(*Settings)
-	endpointCount  int
-	counterDelay   time.Duration // mean of a call's time
-	counterFaults  float64       // share of the calls that end otherwise than done
-	endpointFaults float64       // share of the attempts that do
-	changeEvery    time.Duration // mean time between two changes of the endpoint list of one gateway
-	requestEvery   time.Duration // mean time between two requests of one gateway
+	name                string
+	adjustSettings      func(*Settings)
+	endpointCount       int
+	counterDelay        time.Duration // mean of a call's time
+	counterFaultShare   float64       // share of the calls that end otherwise than done
+	endpointFaultShare  float64       // share of the attempts that do
+	meanChangeInterval  time.Duration // mean time between two changes of the endpoint list of one gateway
+	meanRequestInterval time.Duration // mean time between two requests of one gateway
 }
 
 func goldenScenarios() []goldenScenario {
-	base := goldenScenario{endpointCount: goldenEndpoints, counterDelay: 4 * ms, counterFaults: 0.02, endpointFaults: 0.05,
-		changeEvery: 800 * ms, requestEvery: 9 * ms}
+	base := goldenScenario{endpointCount: goldenEndpoints, counterDelay: 4 * ms, counterFaultShare: 0.02, endpointFaultShare: 0.05,
+		meanChangeInterval: 800 * ms, meanRequestInterval: 9 * ms}
 	with := func(name string, change func(*goldenScenario)) goldenScenario {
-		s := base
-		s.name, s.adjust = name, func(*Settings) {}
-		change(&s)
-		return s
+		scenario := base
+		scenario.name, scenario.adjustSettings = name, func(*Settings) {}
+		change(&scenario)
+		return scenario
 	}
 	return []goldenScenario{
 		with("leases", func(*goldenScenario) {}),
-		with("hedging off", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.HedgingEnabled, set.MayCancel = false, false }
+		with("hedging off", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.HedgingEnabled, settings.MayCancel = false, false }
 		}),
-		with("central buckets", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
+		with("central buckets", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.GatewayCount = 60 }
 		}),
-		with("central buckets without counter", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.GatewayCount, set.HasSharedCounter = 60, false }
+		with("central buckets without counter", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.GatewayCount, settings.HasSharedCounter = 60, false }
 		}),
-		with("counter slow and failing", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.GatewayCount = 60 }
-			s.counterDelay, s.counterFaults = 30*ms, 0.4
+		with("counter slow and failing", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.GatewayCount = 60 }
+			scenario.counterDelay, scenario.counterFaultShare = 30*ms, 0.4
 		}),
-		with("overload", func(s *goldenScenario) { s.requestEvery, s.endpointFaults, s.endpointCount = 2*ms, 0.3, 6 }),
-		with("slow start", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.HandshakePrice, set.CrossZonePrice = 0.2, 0.1 }
-			s.changeEvery = 150 * ms
+		with("overload", func(scenario *goldenScenario) {
+			scenario.meanRequestInterval, scenario.endpointFaultShare, scenario.endpointCount = 2*ms, 0.3, 6
 		}),
-		with("long list", func(s *goldenScenario) { s.endpointCount = 600 }),
-		with("asked list", func(s *goldenScenario) {
-			s.adjust = func(set *Settings) { set.PollEndpoints, set.MayCheckHealth = true, true }
-			s.counterFaults, s.endpointFaults = 0.2, 0.2
+		with("slow start", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.HandshakePrice, settings.CrossZonePrice = 0.2, 0.1 }
+			scenario.meanChangeInterval = 150 * ms
+		}),
+		with("long list", func(scenario *goldenScenario) { scenario.endpointCount = 600 }),
+		with("asked list", func(scenario *goldenScenario) {
+			scenario.adjustSettings = func(settings *Settings) { settings.PollEndpoints, settings.MayCheckHealth = true, true }
+			scenario.counterFaultShare, scenario.endpointFaultShare = 0.2, 0.2
 		}),
 	}
 }
@@ -107,18 +109,18 @@
 
 // goldenEvent is an event that is due at a gateway.
 type goldenEvent struct {
-	at      time.Duration
-	number  int
-	gateway int
-	event   Event
-	then    func() // instead of the event
+	dueAt    time.Duration
+	sequence int
+	gateway  int
+	event    Event
+	callback func() // instead of the event
 }
 
 type goldenQueue []goldenEvent
 
 func (q goldenQueue) Len() int { return len(q) }
 func (q goldenQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].sequence < q[j].sequence
 }
 func (q goldenQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *goldenQueue) Push(x any)   { *q = append(*q, x.(goldenEvent)) }
@@ -131,151 +133,151 @@
 // goldenRun is one run of a scenario on a simulated clock.
 type goldenRun struct {
 	goldenScenario
-	t         *testing.T
-	rng       *rand.Rand
-	sum       hash.Hash
-	now       time.Duration
-	queue     goldenQueue
-	number    int
-	gateways  []*Gateway
-	totals    map[string]float64
-	endpoints []Endpoint
-	lastID    RequestID
-	seen      map[string]int // actions by kind
-	attempts  map[RequestID]int
-	ended     map[string]bool // attempts that have had their end
-	final     map[RequestID]bool
+	t             *testing.T
+	rng           *rand.Rand
+	actionHash    hash.Hash
+	now           time.Duration
+	queue         goldenQueue
+	lastSequence  int
+	gateways      []*Gateway
+	counterTotals map[string]float64
+	endpoints     []Endpoint
+	lastID        RequestID
+	actionCounts  map[string]int // actions by kind
+	attemptCounts map[RequestID]int
+	endedAttempts map[string]bool // attempts that have had their end
+	answered      map[RequestID]bool
 }
 
-func (run *goldenRun) push(after time.Duration, gateway int, event Event, then func()) {
-	run.number++
-	heap.Push(&run.queue, goldenEvent{run.now + after, run.number, gateway, event, then})
+func (run *goldenRun) schedule(delay time.Duration, gateway int, event Event, callback func()) {
+	run.lastSequence++
+	heap.Push(&run.queue, goldenEvent{run.now + delay, run.lastSequence, gateway, event, callback})
 }
 
-// about is a random time with a mean.
-func (run *goldenRun) about(mean time.Duration) time.Duration {
+// exponentialDuration is a random time with a mean.
+func (run *goldenRun) exponentialDuration(mean time.Duration) time.Duration {
 	return time.Duration(run.rng.ExpFloat64() * float64(mean))
 }
 
-func (run *goldenRun) play() {
-	set := goldenSettings()
-	run.adjust(&set)
+func (run *goldenRun) simulate() {
+	settings := goldenSettings()
+	run.adjustSettings(&settings)
 	for i := range run.goldenScenario.endpointCount {
 		run.endpoints = append(run.endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: fmt.Sprint("z", i%3),
 			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Serving, Capacity: 1 + float64(i%3)})
 	}
 	for i := range goldenGateways {
-		set.Index = i
-		g, err := New(set, run.rng.Uint64())
+		settings.Index = i
+		g, err := New(settings, run.rng.Uint64())
 		if err != nil {
 			run.t.Fatal(err)
 		}
 		run.gateways = append(run.gateways, g)
-		run.push(0, i, EndpointsChanged{IsSnapshot: true, Endpoints: append([]Endpoint{}, run.endpoints...)}, nil)
-		run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
-		run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
+		run.schedule(0, i, EndpointsChanged{IsSnapshot: true, Endpoints: append([]Endpoint{}, run.endpoints...)}, nil)
+		run.schedule(run.exponentialDuration(run.meanRequestInterval), i, nil, func() { run.scheduleRequest(i, settings) })
+		run.schedule(run.exponentialDuration(run.meanChangeInterval), i, nil, func() { run.changeEndpoints(i) })
 	}
-	for len(run.queue) > 0 && run.queue[0].at < time.Hour+goldenLength {
-		ev := heap.Pop(&run.queue).(goldenEvent)
-		run.now = ev.at
-		if ev.then != nil {
-			ev.then()
+	for len(run.queue) > 0 && run.queue[0].dueAt < time.Hour+goldenLength {
+		event := heap.Pop(&run.queue).(goldenEvent)
+		run.now = event.dueAt
+		if event.callback != nil {
+			event.callback()
 			continue
 		}
-		for _, a := range run.gateways[ev.gateway].Handle(run.now, ev.event, nil) {
-			run.act(ev.gateway, a)
+		for _, a := range run.gateways[event.gateway].Handle(run.now, event.event, nil) {
+			run.handleAction(event.gateway, a)
 		}
 	}
 }
 
-// request brings a request, and the next one.
-func (run *goldenRun) request(i int, set Settings) {
-	class := set.Classes[run.rng.IntN(len(set.Classes))]
-	plan := set.Plans[run.rng.IntN(len(set.Plans))]
+// scheduleRequest brings a request, and the next one.
+func (run *goldenRun) scheduleRequest(i int, settings Settings) {
+	class := settings.Classes[run.rng.IntN(len(settings.Classes))]
+	plan := settings.Plans[run.rng.IntN(len(settings.Plans))]
 	run.lastID++
 	id := run.lastID
-	q := Request{ID: id, Class: class.Name, Plan: plan.Name, Customer: fmt.Sprint(plan.Name, "-", run.rng.IntN(3)),
+	request := Request{ID: id, Class: class.Name, Plan: plan.Name, Customer: fmt.Sprint(plan.Name, "-", run.rng.IntN(3)),
 		Deadline: run.now + time.Duration(run.rng.Float64()*float64(class.Deadline)), Units: 1 + 3*run.rng.Float64(),
-		GatewaySpan: 1 + run.rng.IntN(2*set.GatewayCount), FirstGateway: run.rng.IntN(set.GatewayCount), IsRetry: run.rng.IntN(4) == 0}
+		GatewaySpan: 1 + run.rng.IntN(2*settings.GatewayCount), FirstGateway: run.rng.IntN(settings.GatewayCount), IsRetry: run.rng.IntN(4) == 0}
 	switch run.rng.IntN(60) {
 	case 0:
-		q.Class = "unknown"
+		request.Class = "unknown"
 	case 1:
-		q.Plan, q.Customer = "unknown", "unknown"
+		request.Plan, request.Customer = "unknown", "unknown"
 	case 2:
-		q.Deadline = run.now - ms
+		request.Deadline = run.now - ms
 	}
-	run.push(0, i, Arrival{q}, nil)
+	run.schedule(0, i, Arrival{request}, nil)
 	if run.rng.IntN(20) == 0 {
-		run.push(run.about(class.LatencyObjective), i, ClientDisconnected{ID: id}, nil)
+		run.schedule(run.exponentialDuration(class.LatencyObjective), i, ClientDisconnected{ID: id}, nil)
 	}
-	run.push(run.about(run.requestEvery), i, nil, func() { run.request(i, set) })
+	run.schedule(run.exponentialDuration(run.meanRequestInterval), i, nil, func() { run.scheduleRequest(i, settings) })
 }
 
-// change notifies a gateway of changes of the endpoint list, or of a failure, and schedules the next notification.
-func (run *goldenRun) change(i int) {
-	ev := EndpointsChanged{GatewaysPerEndpoint: float64(1 + run.rng.IntN(goldenGateways))}
+// changeEndpoints notifies a gateway of changes of the endpoint list, or of a failure, and schedules the next notification.
+func (run *goldenRun) changeEndpoints(i int) {
+	event := EndpointsChanged{GatewaysPerEndpoint: float64(1 + run.rng.IntN(goldenGateways))}
 	for range 1 + run.rng.IntN(3) {
-		s := &run.endpoints[run.rng.IntN(len(run.endpoints))]
+		endpoint := &run.endpoints[run.rng.IntN(len(run.endpoints))]
 		switch run.rng.IntN(5) {
 		case 0:
-			s.State = Draining
+			endpoint.State = Draining
 		case 1:
-			s.State = Removed
+			endpoint.State = Removed
 		default:
-			if s.State != Serving || run.rng.IntN(2) == 0 {
-				s.StartedAt = run.now - run.about(time.Second)
+			if endpoint.State != Serving || run.rng.IntN(2) == 0 {
+				endpoint.StartedAt = run.now - run.exponentialDuration(time.Second)
 			}
-			s.State = Serving
+			endpoint.State = Serving
 		}
-		ev.Endpoints = append(ev.Endpoints, *s)
+		event.Endpoints = append(event.Endpoints, *endpoint)
 	}
 	switch run.rng.IntN(10) {
 	case 0:
-		ev = EndpointsChanged{IsSnapshot: true}
-		for _, s := range run.endpoints {
-			if s.State != Removed {
-				ev.Endpoints = append(ev.Endpoints, s)
+		event = EndpointsChanged{IsSnapshot: true}
+		for _, endpoint := range run.endpoints {
+			if endpoint.State != Removed {
+				event.Endpoints = append(event.Endpoints, endpoint)
 			}
 		}
 	case 1:
-		ev = EndpointsChanged{Failed: true}
+		event = EndpointsChanged{Failed: true}
 	}
-	run.push(0, i, ev, nil)
+	run.schedule(0, i, event, nil)
 	if run.rng.IntN(8) == 0 {
-		run.push(0, i, HealthCheckEnded{Endpoint: run.endpoints[0].ID, Outcome: Succeeded, Latency: ms}, nil)
-		run.push(0, i, GossipReceived{From: 1, Body: []byte("x")}, nil)
+		run.schedule(0, i, HealthCheckEnded{Endpoint: run.endpoints[0].ID, Outcome: Succeeded, Latency: ms}, nil)
+		run.schedule(0, i, GossipReceived{From: 1, Body: []byte("x")}, nil)
 	}
-	run.push(run.about(run.changeEvery), i, nil, func() { run.change(i) })
+	run.schedule(run.exponentialDuration(run.meanChangeInterval), i, nil, func() { run.changeEndpoints(i) })
 }
 
-// act hashes an action and lets its outcome come.
-func (run *goldenRun) act(i int, a Action) {
+// handleAction hashes an action and lets its outcome come.
+func (run *goldenRun) handleAction(i int, a Action) {
 	write := func(kind string, args ...any) {
-		run.seen[kind]++
-		fmt.Fprintln(run.sum, append([]any{i, kind}, args...)...)
+		run.actionCounts[kind]++
+		fmt.Fprintln(run.actionHash, append([]any{i, kind}, args...)...)
 	}
 	switch a := a.(type) {
 	case Send:
-		n := run.attempts[a.ID]
-		run.attempts[a.ID]++
+		attempt := run.attemptCounts[a.ID]
+		run.attemptCounts[a.ID]++
 		write("send", a.ID, a.Endpoint, int64(a.AttemptDeadline))
-		run.attempt(i, a.ID, n, a.Endpoint)
+		run.scheduleAttemptEnd(i, a.ID, attempt, a.Endpoint)
 	case Cancel:
 		write("cancel", a.ID, a.Attempt)
-		run.push(ms, i, nil, func() { run.end(i, a.ID, a.Attempt, "", Cancelled, 5*ms) })
+		run.schedule(ms, i, nil, func() { run.endAttempt(i, a.ID, a.Attempt, "", Cancelled, 5*ms) })
 	case Reject:
 		write("refuse", a.ID, int64(a.RetryAfter))
-		run.finish(a.ID)
+		run.recordFinalAnswer(a.ID)
 	case Fail:
 		write("fail", a.ID)
-		run.finish(a.ID)
+		run.recordFinalAnswer(a.ID)
 	case SetTimer:
 		write("timer", int64(a.Delay))
-		run.push(a.Delay, i, TimerFired{}, nil)
+		run.schedule(a.Delay, i, TimerFired{}, nil)
 	case IncrementCounter:
 		write("count", a.Name, a.Delta, int64(a.TTL))
-		run.count(i, a)
+		run.replyToCounterCall(i, a)
 	case CheckHealth:
 		write("probe", a.Endpoint)
 	case Gossip:
@@ -293,80 +295,80 @@
 	}
 }
 
-// finish notes the one final answer.
-func (run *goldenRun) finish(id RequestID) {
-	if run.final[id] {
+// recordFinalAnswer notes the one final answer.
+func (run *goldenRun) recordFinalAnswer(id RequestID) {
+	if run.answered[id] {
 		run.t.Errorf("request %d has two final answers", id)
 	}
-	run.final[id] = true
+	run.answered[id] = true
 }
 
-// attempt lets an attempt end, with the latency and the faults of an endpoint.
-func (run *goldenRun) attempt(i int, id RequestID, n int, endpoint EndpointID) {
-	took, outcome := 5*ms+run.about(20*ms), Succeeded
+// scheduleAttemptEnd lets an attempt end, with the latency and the faults of an endpoint.
+func (run *goldenRun) scheduleAttemptEnd(i int, id RequestID, attempt int, endpoint EndpointID) {
+	latency, outcome := 5*ms+run.exponentialDuration(20*ms), Succeeded
 	if run.rng.IntN(25) == 0 {
-		took += run.about(400 * ms)
+		latency += run.exponentialDuration(400 * ms)
 	}
-	if run.rng.Float64() < run.endpointFaults {
+	if run.rng.Float64() < run.endpointFaultShare {
 		outcome = Outcome(run.rng.IntN(int(OutcomeCount)))
 	}
 	if outcome == Succeeded && run.rng.IntN(30) == 0 {
-		run.push(took/2, i, StreamStarted{ID: id, Attempt: n}, nil)
+		run.schedule(latency/2, i, StreamStarted{ID: id, Attempt: attempt}, nil)
 	}
-	run.push(took, i, nil, func() { run.end(i, id, n, endpoint, outcome, took) })
+	run.schedule(latency, i, nil, func() { run.endAttempt(i, id, attempt, endpoint, outcome, latency) })
 }
 
-// end notifies the gateway of an attempt's end, once.
-func (run *goldenRun) end(i int, id RequestID, n int, endpoint EndpointID, outcome Outcome, took time.Duration) {
-	key := fmt.Sprint(id, "/", n)
-	if run.ended[key] {
+// endAttempt notifies the gateway of an attempt's end, once.
+func (run *goldenRun) endAttempt(i int, id RequestID, attempt int, endpoint EndpointID, outcome Outcome, latency time.Duration) {
+	key := fmt.Sprint(id, "/", attempt)
+	if run.endedAttempts[key] {
 		return
 	}
-	run.ended[key] = true
-	ev := AttemptEnded{ID: id, Attempt: n, Endpoint: endpoint, Outcome: outcome, Latency: took}
+	run.endedAttempts[key] = true
+	event := AttemptEnded{ID: id, Attempt: attempt, Endpoint: endpoint, Outcome: outcome, Latency: latency}
 	if run.rng.IntN(2) == 0 {
-		ev.LoadReport = LoadReport{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
+		event.LoadReport = LoadReport{"queue": float64(run.rng.IntN(3)), "inflight": float64(run.rng.IntN(9))}
 	}
 	if outcome == Succeeded {
-		ev.SettledUnits = 1 + 3*run.rng.Float64()
+		event.SettledUnits = 1 + 3*run.rng.Float64()
 	}
-	if ev.RequestFinished = run.final[id] || outcome == Succeeded; ev.RequestFinished {
-		run.final[id] = true
+	if event.RequestFinished = run.answered[id] || outcome == Succeeded; event.RequestFinished {
+		run.answered[id] = true
 	}
-	run.push(0, i, ev, nil)
+	run.schedule(0, i, event, nil)
 }
 
-// count answers a call of the counter, late or not at all where it fails. Calls of one name are answered in order.
-func (run *goldenRun) count(i int, a IncrementCounter) {
+// replyToCounterCall answers a call of the counter, late or not at all where it fails. Calls of one name are answered in order.
+func (run *goldenRun) replyToCounterCall(i int, a IncrementCounter) {
 	reply := CounterReply{Name: a.Name, Outcome: Succeeded}
-	after := run.counterDelay
-	if run.rng.Float64() < run.counterFaults {
+	delay := run.counterDelay
+	if run.rng.Float64() < run.counterFaultShare {
 		reply.Outcome = []Outcome{Failed, Rejected, TimedOut, ConnectFailed, Reset, NotSent}[run.rng.IntN(6)]
 	}
 	if !reply.Outcome.NotExecuted() {
-		run.totals[a.Name] += a.Delta
+		run.counterTotals[a.Name] += a.Delta
 	}
 	if run.rng.IntN(2000) == 0 { // it comes back empty
-		clear(run.totals)
+		clear(run.counterTotals)
 	}
 	if reply.Outcome == Succeeded {
-		reply.Total = run.totals[a.Name]
+		reply.Total = run.counterTotals[a.Name]
 	}
-	run.push(after, i, reply, nil)
+	run.schedule(delay, i, reply, nil)
 }
 
 func TestDecisionsAreUnchanged(t *testing.T) {
 	for _, scenario := range goldenScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
-			sum, seen := sha256.New(), map[string]int{}
+			actionHash, actionCounts := sha256.New(), map[string]int{}
 			for seed := range uint64(goldenSeeds) {
-				run := &goldenRun{goldenScenario: scenario, t: t, rng: rand.New(rand.NewPCG(seed, 22)), sum: sum,
-					now: time.Hour, totals: map[string]float64{}, attempts: map[RequestID]int{}, seen: seen,
-					ended: map[string]bool{}, final: map[RequestID]bool{}}
-				run.play()
+				run := &goldenRun{goldenScenario: scenario, t: t, rng: rand.New(rand.NewPCG(seed, 22)), actionHash: actionHash,
+					now: time.Hour, counterTotals: map[string]float64{}, attemptCounts: map[RequestID]int{}, actionCounts: actionCounts,
+					endedAttempts: map[string]bool{}, answered: map[RequestID]bool{}}
+				run.simulate()
 			}
-			t.Log("actions:", seen)
-			if got := hex.EncodeToString(sum.Sum(nil)); got != goldenHashes[scenario.name] {
+			t.Log("actions:", actionCounts)
+			if got := hex.EncodeToString(actionHash.Sum(nil)); got != goldenHashes[scenario.name] {
 				t.Errorf("hash of all actions: %s, want %s", got, goldenHashes[scenario.name])
 			}
 		})
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -9,35 +9,35 @@
 // Many gateways with few requests each: none has much in flight anywhere, and an endpoint in slow start must not look worse
 // than all the warm ones that are idle.
 func TestEndpointsInSlowStartAreChosenByGatewaysWithFewRequests(t *testing.T) {
-	set := manyGatewaySettings()
-	set.SlowStartMinWeight, set.SlowStartWindow = 0.3, 18*time.Second
+	settings := manyGatewaySettings()
+	settings.SlowStartMinWeight, settings.SlowStartWindow = 0.3, 18*time.Second
 	sent := map[bool]int{}
-	for me := range 20 {
-		set.Index = me
-		g := newTestGateway(t, set)
+	for index := range 20 {
+		settings.Index = index
+		g := newTestGateway(t, settings)
 		var endpoints []Endpoint
 		for i := range 20 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprintf("old%d", i)), State: Serving})
 		}
 		g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: endpoints})
-		starting := map[EndpointID]bool{}
+		inSlowStart := map[EndpointID]bool{}
 		for step := range 300 { // 30 s
 			if step == 150 {
 				for i := range 20 {
 					id := EndpointID(fmt.Sprintf("new%d", i))
-					starting[id] = true
+					inSlowStart[id] = true
 					endpoints = append(endpoints, Endpoint{ID: id, State: Serving, StartedAt: g.now})
 				}
 				g.handle(EndpointsChanged{Endpoints: endpoints[20:]})
 			}
 			g.now += 100 * ms
-			for _, s := range only[Send](g.handle(Arrival{Request{ID: RequestID(step + 1), Class: "read", Plan: "free",
+			for _, s := range actionsOf[Send](g.handle(Arrival{Request{ID: RequestID(step + 1), Class: "read", Plan: "free",
 				Customer: "c", Units: 1, Deadline: g.now + time.Second, GatewaySpan: 1}})) {
 				if step >= 150 {
-					sent[starting[s.Endpoint]]++
+					sent[inSlowStart[s.Endpoint]]++
 				}
-				took := 20*ms + time.Duration(g.gateway.rng.Int64N(int64(80*ms)))
-				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: took, RequestFinished: true})
+				latency := 20*ms + time.Duration(g.gateway.rng.Int64N(int64(80*ms)))
+				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: latency, RequestFinished: true})
 			}
 		}
 	}
@@ -49,17 +49,17 @@
 // Where handshakes are expensive a gateway prefers endpoints with a warm connection; where they cost nothing, it does not.
 func TestExpensiveHandshakesPreferWarmConnections(t *testing.T) {
 	endpointsUsed := func(price float64) int {
-		set := manyGatewaySettings()
-		set.HandshakePrice, set.ConnectionIdleTimeout = price, 15*time.Second
+		settings := manyGatewaySettings()
+		settings.HandshakePrice, settings.ConnectionIdleTimeout = price, 15*time.Second
 		var endpoints []Endpoint
 		for i := range 30 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(fmt.Sprintf("s%d", i)), State: Serving})
 		}
-		g := newTestGateway(t, set, endpoints...)
+		g := newTestGateway(t, settings, endpoints...)
 		used := map[EndpointID]bool{}
 		for i := range 40 {
 			g.now += 200 * ms
-			for _, s := range only[Send](g.handle(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
+			for _, s := range actionsOf[Send](g.handle(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
 				Customer: "c", Units: 1, Deadline: g.now + time.Second, GatewaySpan: 1}})) {
 				used[s.Endpoint] = true
 				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms, RequestFinished: true})
--- a/policy/quietday_test.go
+++ b/policy/quietday_test.go
@@ -11,15 +11,15 @@
 
 // tokenBucket is the true state of a customer's quota.
 type tokenBucket struct {
-	plan    Plan
-	level   float64
-	at      time.Duration
-	history []float64 // level at each step
+	plan         Plan
+	level        float64
+	refilledAt   time.Duration
+	levelHistory []float64 // level at each step
 }
 
 func (bucket *tokenBucket) refill(now time.Duration) {
-	bucket.level = min(bucket.plan.Burst, bucket.level+bucket.plan.Rate*(now-bucket.at).Seconds())
-	bucket.at = now
+	bucket.level = min(bucket.plan.Burst, bucket.level+bucket.plan.Rate*(now-bucket.refilledAt).Seconds())
+	bucket.refilledAt = now
 }
 
 // take reports whether a request is inside the quota, and takes its units then.
@@ -33,20 +33,20 @@
 }
 
 // admittedWeight is the weight of the requests that a policy has admitted, and the cost of those over their quotas.
-type admittedWeight struct{ offered, inside, cost float64 }
+type admittedWeight struct{ offered, insideQuota, overQuotaCost float64 }
 
-func (weight *admittedWeight) add(inside bool, p Plan, units float64) {
-	if inside {
-		weight.inside += p.Price * units
+func (weight *admittedWeight) add(insideQuota bool, plan Plan, units float64) {
+	if insideQuota {
+		weight.insideQuota += plan.Price * units
 		return
 	}
-	weight.cost += p.Price * units * max(0, p.OverQuotaCost-p.OverQuotaWeight)
+	weight.overQuotaCost += plan.Price * units * max(0, plan.OverQuotaCost-plan.OverQuotaWeight)
 }
 
 const (
-	stepLength     = 10 * ms
-	stateDelay     = 50 * ms // of the true state, as the reference sees it
-	quietDayLength = 75 * time.Second
+	stepLength          = 10 * ms
+	stateDelay          = 50 * ms // of the true state, as the reference sees it
+	spareCapacityLength = 75 * time.Second
 )
 
 // customerDemand is the demand of a customer, by its rate. A bursty one has less between its bursts.
@@ -55,25 +55,25 @@
 	gatewaySpan, firstGateway int
 	plan                      Plan
 	rate                      float64 // units a second
-	bursty                    bool
+	isBursty                  bool
 }
 
-func drawDemands(rng *rand.Rand, n int, plans []Plan) (out []customerDemand) {
+func drawDemands(rng *rand.Rand, gatewayCount int, plans []Plan) (out []customerDemand) {
 	for i := range 30 {
-		p := plans[i%len(plans)]
-		demand := customerDemand{id: fmt.Sprintf("%016x", i), plan: p, firstGateway: rng.IntN(n)}
-		demand.gatewaySpan = n/2 + rng.IntN(n-n/2) + 1
-		switch x := rng.Float64(); {
-		case x < 0.1:
-			demand.rate = p.Rate * (2 + 3*rng.Float64())
-		case x < 0.3:
-			demand.rate, demand.bursty = p.Rate*(2+5*rng.Float64()), true
-		case x < 0.5:
-			demand.rate = p.Rate * 0.95
+		plan := plans[i%len(plans)]
+		demand := customerDemand{id: fmt.Sprintf("%016x", i), plan: plan, firstGateway: rng.IntN(gatewayCount)}
+		demand.gatewaySpan = gatewayCount/2 + rng.IntN(gatewayCount-gatewayCount/2) + 1
+		switch draw := rng.Float64(); {
+		case draw < 0.1:
+			demand.rate = plan.Rate * (2 + 3*rng.Float64())
+		case draw < 0.3:
+			demand.rate, demand.isBursty = plan.Rate*(2+5*rng.Float64()), true
+		case draw < 0.5:
+			demand.rate = plan.Rate * 0.95
 		default:
-			demand.rate = p.Rate * (0.2 + 0.3*rng.Float64())
+			demand.rate = plan.Rate * (0.2 + 0.3*rng.Float64())
 		}
-		demand.gatewaySpan = min(demand.gatewaySpan, n)
+		demand.gatewaySpan = min(demand.gatewaySpan, gatewayCount)
 		out = append(out, demand)
 	}
 	return out
@@ -82,97 +82,97 @@
 // arrivals draws the number of requests in one step. Bursts last 3 s of each 15 s.
 func (demand customerDemand) arrivals(rng *rand.Rand, now time.Duration) int {
 	rate := demand.rate
-	if demand.bursty && now%(15*time.Second) > 3*time.Second {
+	if demand.isBursty && now%(15*time.Second) > 3*time.Second {
 		rate = demand.plan.Rate / 4
 	}
-	n, l := 0, math.Exp(-rate/2*stepLength.Seconds()) // of two units each
-	for p := rng.Float64(); p > l; p *= rng.Float64() {
-		n++
+	count, limit := 0, math.Exp(-rate/2*stepLength.Seconds()) // of two units each
+	for product := rng.Float64(); product > limit; product *= rng.Float64() {
+		count++
 	}
-	return n
+	return count
 }
 
 // delayedEvent is an event that a gateway gets later.
 type delayedEvent struct {
-	at time.Duration
-	to *testGateway
-	ev Event
+	dueAt   time.Duration
+	gateway *testGateway
+	event   Event
 }
 
-// playQuietDay simulates n seeded gateways with one counter and endpoints that have spare capacity. It returns what the
+// simulateSpareCapacity simulates n seeded gateways with one counter and endpoints that have spare capacity. It returns what the
 // gateways have admitted, and what the reference has, which sees the true state with a delay.
-func playQuietDay(t *testing.T, n int, seed uint64) (actual, reference admittedWeight) {
-	set := settings()
-	set.MaxUnits = 2
-	set.Plans = []Plan{{Name: "low", Price: 1, Rate: 3, Burst: 12, OverQuotaCost: 1.2},
+func simulateSpareCapacity(t *testing.T, gatewayCount int, seed uint64) (actual, reference admittedWeight) {
+	settings := testSettings()
+	settings.MaxUnits = 2
+	settings.Plans = []Plan{{Name: "low", Price: 1, Rate: 3, Burst: 12, OverQuotaCost: 1.2},
 		{Name: "mid", Price: 1.3, Rate: 10, Burst: 40, OverQuotaWeight: 0.3},
 		{Name: "top", Price: 1.6, Rate: 40, Burst: 70, OverQuotaCost: 1.2}}
 	endpoints := make([]Endpoint, 40)
 	for i := range endpoints {
 		endpoints[i] = Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving}
 	}
-	c := newCluster(t, n, set, endpoints...)
+	c := newCluster(t, gatewayCount, settings, endpoints...)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	buckets, referenceBuckets := map[string]*tokenBucket{}, map[string]*tokenBucket{}
-	demands := drawDemands(rng, n, set.Plans)
+	demands := drawDemands(rng, gatewayCount, settings.Plans)
 	for _, demand := range demands {
-		buckets[demand.id] = &tokenBucket{plan: demand.plan, level: demand.plan.Burst, at: time.Minute}
-		referenceBuckets[demand.id] = &tokenBucket{plan: demand.plan, level: demand.plan.Burst, at: time.Minute}
+		buckets[demand.id] = &tokenBucket{plan: demand.plan, level: demand.plan.Burst, refilledAt: time.Minute}
+		referenceBuckets[demand.id] = &tokenBucket{plan: demand.plan, level: demand.plan.Burst, refilledAt: time.Minute}
 	}
-	var inTransit []delayedEvent
+	var pending []delayedEvent
 	undecided := map[RequestID]customerDemand{}
-	do := func(g *testGateway, acts []Action) {
-		for _, act := range acts {
-			switch act := act.(type) {
+	apply := func(g *testGateway, actions []Action) {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case Send:
-				if demand, first := undecided[act.ID]; first {
+				if demand, first := undecided[action.ID]; first {
 					actual.add(buckets[demand.id].take(2, g.now), demand.plan, 2)
-					delete(undecided, act.ID)
+					delete(undecided, action.ID)
 				}
-				inTransit = append(inTransit, delayedEvent{g.now + 30*ms, g, AttemptEnded{ID: act.ID, Endpoint: act.Endpoint, Outcome: Succeeded,
+				pending = append(pending, delayedEvent{g.now + 30*ms, g, AttemptEnded{ID: action.ID, Endpoint: action.Endpoint, Outcome: Succeeded,
 					Latency: 30 * ms, RequestFinished: true}})
 			case Reject:
-				delete(undecided, act.ID)
+				delete(undecided, action.ID)
 			case IncrementCounter:
-				c.totals[act.Name] += act.Delta // adds in the order of the calls
-				inTransit = append(inTransit, delayedEvent{g.now + 10*ms, g, CounterReply{Name: act.Name, Outcome: Succeeded,
-					Total: c.totals[act.Name]}})
+				c.totals[action.Name] += action.Delta // adds in the order of the calls
+				pending = append(pending, delayedEvent{g.now + 10*ms, g, CounterReply{Name: action.Name, Outcome: Succeeded,
+					Total: c.totals[action.Name]}})
 			}
 		}
 	}
 	id := RequestID(0)
-	for now := time.Minute; now < time.Minute+quietDayLength; now += stepLength {
+	for now := time.Minute; now < time.Minute+spareCapacityLength; now += stepLength {
 		for _, g := range c.gateways {
 			g.now = now
 		}
-		due := inTransit
-		inTransit = nil
-		for _, u := range due {
-			if u.at > now {
-				inTransit = append(inTransit, u)
+		due := pending
+		pending = nil
+		for _, delayed := range due {
+			if delayed.dueAt > now {
+				pending = append(pending, delayed)
 				continue
 			}
-			do(u.to, u.to.handle(u.ev))
+			apply(delayed.gateway, delayed.gateway.handle(delayed.event))
 		}
 		for _, demand := range demands {
 			bucket := referenceBuckets[demand.id]
 			bucket.refill(now)
-			bucket.history = append(bucket.history, bucket.level)
-			seen := bucket.history[max(0, len(bucket.history)-1-int(stateDelay/stepLength))]
+			bucket.levelHistory = append(bucket.levelHistory, bucket.level)
+			seenLevel := bucket.levelHistory[max(0, len(bucket.levelHistory)-1-int(stateDelay/stepLength))]
 			for range demand.arrivals(rng, now) {
 				id++
 				actual.offered += demand.plan.Price * 2
-				if seen >= 2 {
+				if seenLevel >= 2 {
 					reference.add(bucket.take(2, now), demand.plan, 2)
 				}
-				g := c.gateways[(demand.firstGateway+rng.IntN(demand.gatewaySpan))%n]
+				g := c.gateways[(demand.firstGateway+rng.IntN(demand.gatewaySpan))%gatewayCount]
 				undecided[id] = demand
-				do(g, g.handle(Arrival{Request{ID: id, Class: "read", Plan: demand.plan.Name, Customer: demand.id, Units: 2,
+				apply(g, g.handle(Arrival{Request{ID: id, Class: "read", Plan: demand.plan.Name, Customer: demand.id, Units: 2,
 					Deadline: now + 2*time.Second, GatewaySpan: demand.gatewaySpan, FirstGateway: demand.firstGateway}}))
 			}
 		}
 		for _, g := range c.gateways {
-			do(g, g.handle(TimerFired{}))
+			apply(g, g.handle(TimerFired{}))
 		}
 	}
 	return actual, reference
@@ -184,14 +184,14 @@
 func TestQuotasHoldOverAllGatewaysWithSpareCapacity(t *testing.T) {
 	for _, n := range []int{4, 30, 120} {
 		for _, seed := range []uint64{1, 2, 3} {
-			actual, reference := playQuietDay(t, n, seed)
-			served := slices.Max([]float64{reference.inside, 1})
-			cost, bound := actual.cost/served, reference.cost/served+0.1
+			actual, reference := simulateSpareCapacity(t, n, seed)
+			served := slices.Max([]float64{reference.insideQuota, 1})
+			cost, bound := actual.overQuotaCost/served, reference.overQuotaCost/served+0.1
 			t.Logf("%d gateways, seed %d: %.3f of the weight inside is admitted, over-quota cost %.3f; reference %.3f", n, seed,
-				actual.inside/served, cost, reference.cost/served)
-			if cost > bound || actual.inside < 0.5*served {
+				actual.insideQuota/served, cost, reference.overQuotaCost/served)
+			if cost > bound || actual.insideQuota < 0.5*served {
 				t.Errorf("%d gateways, seed %d: over-quota cost %.3f, bound %.3f; %.3f of the weight inside", n, seed, cost,
-					bound, actual.inside/served)
+					bound, actual.insideQuota/served)
 			}
 		}
 	}
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -21,16 +21,16 @@
 
 // simulationCase is the parameters of one simulation.
 type simulationCase struct {
-	gateways  int
-	rps       float64 // first attempts a second that each gateway gets
-	cost      float64 // OverQuotaCost of each plan
-	limits    quotaLimits
-	counter   counterCase
-	rates     []float64 // units a second of the plans
-	bursts    []float64 // seconds at the rate
-	restartAt time.Duration
-	restarted float64 // share of the gateways that crash at restartAt
-	length    time.Duration
+	gatewayCount     int
+	requestRate      float64 // first attempts a second that each gateway gets
+	overQuotaCost    float64 // OverQuotaCost of each plan
+	limits           quotaLimits
+	counter          counterCase
+	planRates        []float64 // units a second of the plans
+	planBurstSeconds []float64 // seconds at the rate
+	restartAt        time.Duration
+	restartedShare   float64 // share of the gateways that crash at restartAt
+	duration         time.Duration
 }
 
 // quotaLimits is the kind of limits that each plan has.
@@ -47,116 +47,116 @@
 	absent          bool
 	callsPerRequest float64 // capacity, in calls for each first request
 	delay           time.Duration
-	loss            float64 // share of the calls whose answer never comes
-	silentFrom      time.Duration
-	silentFor       time.Duration
-	losesNumbers    bool // it loses its numbers while it is silent
+	lossShare       float64 // share of the calls whose answer never comes
+	outageStart     time.Duration
+	outageLength    time.Duration
+	losesTotals     bool // it loses its numbers while it is silent
 }
 
 // simulatedCustomer is a customer and its exact quota.
 type simulatedCustomer struct {
-	id                        string
-	plan                      Plan
-	gatewaySpan, firstGateway int
-	weights                   []float64 // cumulative, of its gateways
-	rate                      float64   // units a second asked for
-	burstRate                 float64   // units a second in a burst; 0: none
-	burstInterval             time.Duration
-	burstLength               time.Duration
-	phase                     time.Duration
-	actual, delayed           exactQuota
-	reference                 exactQuota // of one gateway that sees all first tries
+	id                          string
+	plan                        Plan
+	gatewaySpan, firstGateway   int
+	gatewayWeights              []float64 // cumulative, of its gateways
+	demandRate                  float64   // units a second asked for
+	burstRate                   float64   // units a second in a burst; 0: none
+	burstInterval               time.Duration
+	burstLength                 time.Duration
+	burstPhase                  time.Duration
+	actualQuota, referenceQuota exactQuota
+	idealQuota                  exactQuota // of one gateway that sees all first tries
 }
 
 // exactQuota is the true state of one customer's quota.
 type exactQuota struct {
-	level    float64
-	at       time.Duration
-	attempts int
-	history  []quotaState
+	level            float64
+	refilledAt       time.Duration
+	attemptsInFlight int
+	history          []quotaState
 }
 
 type quotaState struct {
-	at       time.Duration
-	level    float64
-	attempts int
+	at               time.Duration
+	level            float64
+	attemptsInFlight int
 }
 
-func (s *exactQuota) refill(p Plan, now time.Duration) {
-	s.level = min(p.Burst, s.level+p.Rate*(now-s.at).Seconds())
-	s.at = now
+func (quota *exactQuota) refill(plan Plan, now time.Duration) {
+	quota.level = min(plan.Burst, quota.level+plan.Rate*(now-quota.refilledAt).Seconds())
+	quota.refilledAt = now
 }
 
 // allows reports whether a request would be inside the quota.
-func (s *exactQuota) allows(p Plan, units float64, now time.Duration) bool {
-	s.refill(p, now)
-	return (p.Rate <= 0 || s.level >= units) && (p.MaxConcurrency <= 0 || s.attempts < p.MaxConcurrency)
+func (quota *exactQuota) allows(plan Plan, units float64, now time.Duration) bool {
+	quota.refill(plan, now)
+	return (plan.Rate <= 0 || quota.level >= units) && (plan.MaxConcurrency <= 0 || quota.attemptsInFlight < plan.MaxConcurrency)
 }
 
-// start counts a first attempt and reports whether its request is inside the quota.
-func (s *exactQuota) start(p Plan, units float64, now time.Duration) bool {
-	inside := s.allows(p, units, now)
-	if inside && p.Rate > 0 {
-		s.level -= units
+// startAttempt counts a first attempt and reports whether its request is inside the quota.
+func (quota *exactQuota) startAttempt(plan Plan, units float64, now time.Duration) bool {
+	insideQuota := quota.allows(plan, units, now)
+	if insideQuota && plan.Rate > 0 {
+		quota.level -= units
 	}
-	s.attempts++
-	s.record(now)
-	return inside
+	quota.attemptsInFlight++
+	quota.record(now)
+	return insideQuota
 }
 
-// end counts the end of an attempt, which settles the units of a request that was inside the quota.
-func (s *exactQuota) end(now time.Duration, guessedLess float64) {
-	s.attempts--
-	s.level -= guessedLess
-	s.record(now)
+// endAttempt counts the end of an attempt, which settles the units of a request that was inside the quota.
+func (quota *exactQuota) endAttempt(now time.Duration, underestimatedUnits float64) {
+	quota.attemptsInFlight--
+	quota.level -= underestimatedUnits
+	quota.record(now)
 }
 
-func (s *exactQuota) record(now time.Duration) {
-	s.history = append(s.history, quotaState{now, s.level, s.attempts})
+func (quota *exactQuota) record(now time.Duration) {
+	quota.history = append(quota.history, quotaState{now, quota.level, quota.attemptsInFlight})
 }
 
 // delayedState is the state as it was stateDelay ago.
-func (s *exactQuota) delayedState(p Plan, now time.Duration) quotaState {
-	i, _ := slices.BinarySearchFunc(s.history, now-stateDelay, func(a quotaState, t time.Duration) int {
+func (quota *exactQuota) delayedState(plan Plan, now time.Duration) quotaState {
+	i, _ := slices.BinarySearchFunc(quota.history, now-stateDelay, func(a quotaState, t time.Duration) int {
 		return int(a.at - t)
 	})
 	if i == 0 {
-		return quotaState{level: p.Burst}
+		return quotaState{level: plan.Burst}
 	}
-	state := s.history[i-1]
-	state.level = min(p.Burst, state.level+p.Rate*(now-stateDelay-state.at).Seconds())
+	state := quota.history[i-1]
+	state.level = min(plan.Burst, state.level+plan.Rate*(now-stateDelay-state.at).Seconds())
 	return state
 }
 
 // policyWeight is the weight of the requests that a policy has admitted.
 type policyWeight struct {
-	offered, inside, overQuotaCost float64 // weights; overQuotaCost times the cost of each
-	rejectedInside, requests       int
-	calls                          int
+	offered, insideQuota, overQuotaCost float64 // weights; overQuotaCost times the cost of each
+	rejectedInsideQuota, requests       int
+	calls                               int
 }
 
-func (weight policyWeight) servedShare() float64 { return weight.inside / weight.offered }
+func (weight policyWeight) servedShare() float64 { return weight.insideQuota / weight.offered }
 func (weight policyWeight) costShare() float64   { return weight.overQuotaCost / weight.offered }
 
 // simulationEvent is an event of the simulation. Events are in the order of their times, then of their creation.
 type simulationEvent struct {
-	at  time.Duration
-	seq int
-	do  func()
+	dueAt    time.Duration
+	sequence int
+	run      func()
 }
 
 type simulationEvents []simulationEvent
 
-func (q simulationEvents) Len() int { return len(q) }
-func (q simulationEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (events simulationEvents) Len() int { return len(events) }
+func (events simulationEvents) Less(i, j int) bool {
+	return events[i].dueAt < events[j].dueAt || events[i].dueAt == events[j].dueAt && events[i].sequence < events[j].sequence
 }
-func (q simulationEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *simulationEvents) Push(x any)   { *q = append(*q, x.(simulationEvent)) }
-func (q *simulationEvents) Pop() any {
-	old := *q
+func (events simulationEvents) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
+func (events *simulationEvents) Push(x any)   { *events = append(*events, x.(simulationEvent)) }
+func (events *simulationEvents) Pop() any {
+	old := *events
 	last := old[len(old)-1]
-	*q = old[:len(old)-1]
+	*events = old[:len(old)-1]
 	return last
 }
 
@@ -167,8 +167,8 @@
 	rng            *rand.Rand
 	now            time.Duration
 	events         simulationEvents
-	seq            int
-	set            Settings
+	lastSequence   int
+	settings       Settings
 	endpoints      []Endpoint
 	instances      []*simulatedGateway
 	customers      []*simulatedCustomer
@@ -177,7 +177,7 @@
 	requests       map[RequestID]*simulatedRequest
 	lastID         RequestID
 	actual         policyWeight
-	delayed        policyWeight
+	reference      policyWeight
 }
 
 type simulatedGateway struct {
@@ -187,330 +187,330 @@
 
 // simulatedRequest is a request of a client: a first request or a retry.
 type simulatedRequest struct {
-	customer     *simulatedCustomer
-	gateway      int
-	units        float64
-	settled      float64
-	retries      int
-	attempts     []*simulatedAttempt
-	answered     bool
-	work         time.Duration
-	firstArrival time.Duration
+	customer       *simulatedCustomer
+	gateway        int
+	units          float64
+	settledUnits   float64
+	retries        int
+	attempts       []*simulatedAttempt
+	answered       bool
+	workTime       time.Duration
+	firstArrivedAt time.Duration
 }
 
 // simulatedAttempt is an attempt at an endpoint.
 type simulatedAttempt struct {
-	inside, ended bool // inside the quota; only first attempts
-	end           func(Outcome)
+	insideQuota, ended bool // inside the quota; only first attempts
+	finish             func(Outcome)
 }
 
 // newQuotaSimulation draws the customers of a simulation and starts its gateways.
-func newQuotaSimulation(t testing.TB, c simulationCase, seed uint64) *quotaSimulation {
-	d := &quotaSimulation{TB: t, simulationCase: c, rng: rand.New(rand.NewPCG(seed, 11)), totals: map[string]float64{},
+func newQuotaSimulation(t testing.TB, params simulationCase, seed uint64) *quotaSimulation {
+	sim := &quotaSimulation{TB: t, simulationCase: params, rng: rand.New(rand.NewPCG(seed, 11)), totals: map[string]float64{},
 		requests: map[RequestID]*simulatedRequest{}}
-	if d.length == 0 {
-		d.length = simulationLength
+	if sim.duration == 0 {
+		sim.duration = simulationLength
 	}
-	if d.rps == 0 {
-		d.rps = 10
+	if sim.requestRate == 0 {
+		sim.requestRate = 10
 	}
-	if d.rates == nil {
-		d.rates, d.bursts = []float64{1, 5.5, 17}, []float64{8, 4.5, 2.1}
+	if sim.planRates == nil {
+		sim.planRates, sim.planBurstSeconds = []float64{1, 5.5, 17}, []float64{8, 4.5, 2.1}
 	}
-	d.set = settings()
-	d.set.GatewayCount, d.set.MaxUnits, d.set.HasSharedCounter = c.gateways, maxRequestUnits, !c.counter.absent
-	d.set.CounterTimeout, d.set.MaxRetryAfter, d.set.SlowStartWindow = 80*ms, 2*time.Second, 0
-	d.set.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms, LateWeight: 0.2, Idempotency: Idempotent}}
-	d.set.Plans = nil
+	sim.settings = testSettings()
+	sim.settings.GatewayCount, sim.settings.MaxUnits, sim.settings.HasSharedCounter = params.gatewayCount, maxRequestUnits, !params.counter.absent
+	sim.settings.CounterTimeout, sim.settings.MaxRetryAfter, sim.settings.SlowStartWindow = 80*ms, 2*time.Second, 0
+	sim.settings.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms, LateWeight: 0.2, Idempotency: Idempotent}}
+	sim.settings.Plans = nil
 	prices := []float64{0.9, 1.3, 1.6}
-	for i, rate := range d.rates {
-		p := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate, Burst: max(rate*d.bursts[i], 2*maxRequestUnits),
-			OverQuotaCost: c.cost, SettledByReply: true}
-		if c.limits != limitRate {
-			p.MaxConcurrency = max(2, int(math.Ceil(2*rate*meanWork.Seconds()/meanRequestUnits)))
+	for i, rate := range sim.planRates {
+		plan := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate, Burst: max(rate*sim.planBurstSeconds[i], 2*maxRequestUnits),
+			OverQuotaCost: params.overQuotaCost, SettledByReply: true}
+		if params.limits != limitRate {
+			plan.MaxConcurrency = max(2, int(math.Ceil(2*rate*meanWorkTime.Seconds()/meanRequestUnits)))
 		}
-		if c.limits == limitConcurrency {
-			p.Rate, p.Burst = 0, 0
+		if params.limits == limitConcurrency {
+			plan.Rate, plan.Burst = 0, 0
 		}
-		d.set.Plans = append(d.set.Plans, p)
+		sim.settings.Plans = append(sim.settings.Plans, plan)
 	}
-	for i := range max(20, c.gateways*2/3) {
-		d.endpoints = append(d.endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
+	for i := range max(20, params.gatewayCount*2/3) {
+		sim.endpoints = append(sim.endpoints, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), State: Serving})
 	}
-	d.now = time.Hour
-	for i := range c.gateways {
-		d.instances = append(d.instances, &simulatedGateway{})
-		d.start(i)
+	sim.now = time.Hour
+	for i := range params.gatewayCount {
+		sim.instances = append(sim.instances, &simulatedGateway{})
+		sim.startGateway(i)
 	}
-	d.drawCustomers()
-	return d
+	sim.drawCustomers()
+	return sim
 }
 
 const (
-	meanWork         = 120 * ms
-	meanRequestUnits = 1.8
-	counterShards    = 3
-	burstFrom        = 6 * time.Second // all demand is burstFactor times as high
-	burstFor         = 5 * time.Second
-	burstFactor      = 1.5
-	hotFrom          = 4 * time.Second // one customer has hotShare of all demand
-	hotFor           = 7 * time.Second
-	hotShare         = 0.1
-	guessError       = 0.33 // deviation of a request's true units from those that it names, as a logarithm
+	meanWorkTime      = 120 * ms
+	meanRequestUnits  = 1.8
+	counterShards     = 3
+	demandPeakStart   = 6 * time.Second // all demand is burstFactor times as high
+	demandPeakLength  = 5 * time.Second
+	demandPeakFactor  = 1.5
+	hotCustomerStart  = 4 * time.Second // one customer has hotShare of all demand
+	hotCustomerLength = 7 * time.Second
+	hotCustomerShare  = 0.1
+	unitsDeviation    = 0.33 // deviation of a request's true units from those that it names, as a logarithm
 )
 
-func (d *quotaSimulation) schedule(t time.Duration, do func()) {
-	d.seq++
-	heap.Push(&d.events, simulationEvent{t, d.seq, do})
+func (sim *quotaSimulation) schedule(t time.Duration, run func()) {
+	sim.lastSequence++
+	heap.Push(&sim.events, simulationEvent{t, sim.lastSequence, run})
 }
 
-// start starts or restarts a gateway.
-func (d *quotaSimulation) start(i int) {
-	set := d.set
-	set.Index = i
-	g, err := New(set, d.rng.Uint64())
+// startGateway starts or restarts a gateway.
+func (sim *quotaSimulation) startGateway(i int) {
+	settings := sim.settings
+	settings.Index = i
+	g, err := New(settings, sim.rng.Uint64())
 	if err != nil {
-		d.Fatal(err)
+		sim.Fatal(err)
 	}
-	d.instances[i].incarnation++
-	d.instances[i].gateway = g
-	d.handle(i, EndpointsChanged{IsSnapshot: true, Endpoints: d.endpoints})
+	sim.instances[i].incarnation++
+	sim.instances[i].gateway = g
+	sim.handle(i, EndpointsChanged{IsSnapshot: true, Endpoints: sim.endpoints})
 }
 
 // drawCustomers draws customers until their demand is what the gateways are to get.
-func (d *quotaSimulation) drawCustomers() {
-	rng, n := d.rng, d.gateways
-	wanted := d.rps * float64(n) * meanRequestUnits
-	for i, p := range d.set.Plans {
-		rate := d.rates[i]
-		for asked := 0.0; asked < wanted/float64(len(d.rates)); {
-			c := &simulatedCustomer{id: fmt.Sprintf("%d-%07x", i, len(d.customers)), plan: p, firstGateway: rng.IntN(n),
-				rate: rate * (0.18 + 0.3*rng.Float64())}
-			switch x := rng.Float64(); {
-			case x < 0.12:
-				c.rate = rate * (2 + 2.9*rng.Float64())
-			case x < 0.29:
-				c.burstRate = rate * (2 + 5.5*rng.Float64())
-				c.burstLength = time.Duration((1 + 3.2*rng.Float64()) * float64(time.Second))
-				c.burstInterval = time.Duration((11 + 13*rng.Float64()) * float64(time.Second))
-				c.phase = time.Duration(rng.Float64() * float64(c.burstInterval))
-			case x < 0.5:
-				c.rate = rate * (0.85 + 0.15*rng.Float64())
+func (sim *quotaSimulation) drawCustomers() {
+	rng, gatewayCount := sim.rng, sim.gatewayCount
+	totalRate := sim.requestRate * float64(gatewayCount) * meanRequestUnits
+	for i, plan := range sim.settings.Plans {
+		rate := sim.planRates[i]
+		for drawnRate := 0.0; drawnRate < totalRate/float64(len(sim.planRates)); {
+			customer := &simulatedCustomer{id: fmt.Sprintf("%d-%07x", i, len(sim.customers)), plan: plan, firstGateway: rng.IntN(gatewayCount),
+				demandRate: rate * (0.18 + 0.3*rng.Float64())}
+			switch draw := rng.Float64(); {
+			case draw < 0.12:
+				customer.demandRate = rate * (2 + 2.9*rng.Float64())
+			case draw < 0.29:
+				customer.burstRate = rate * (2 + 5.5*rng.Float64())
+				customer.burstLength = time.Duration((1 + 3.2*rng.Float64()) * float64(time.Second))
+				customer.burstInterval = time.Duration((11 + 13*rng.Float64()) * float64(time.Second))
+				customer.burstPhase = time.Duration(rng.Float64() * float64(customer.burstInterval))
+			case draw < 0.5:
+				customer.demandRate = rate * (0.85 + 0.15*rng.Float64())
 			}
-			asked += c.rate
-			if i == len(d.set.Plans)-1 && asked == c.rate {
-				c.rate, c.burstRate, c.burstInterval, c.burstLength = 0.3*rate, hotShare*wanted, time.Hour, hotFor
-				c.phase = -hotFrom
+			drawnRate += customer.demandRate
+			if i == len(sim.settings.Plans)-1 && drawnRate == customer.demandRate {
+				customer.demandRate, customer.burstRate, customer.burstInterval, customer.burstLength = 0.3*rate, hotCustomerShare*totalRate, time.Hour, hotCustomerLength
+				customer.burstPhase = -hotCustomerStart
 			}
-			c.gatewaySpan = max(min(2, n), int(float64(n)*(0.5+0.5*rng.Float64())))
-			full := exactQuota{level: p.Burst, at: d.now}
-			c.actual, c.delayed, c.reference = full, full, full
-			d.customers = append(d.customers, c)
-			d.shiftGateways(c)
-			d.scheduleNextArrival(c)
+			customer.gatewaySpan = max(min(2, gatewayCount), int(float64(gatewayCount)*(0.5+0.5*rng.Float64())))
+			full := exactQuota{level: plan.Burst, refilledAt: sim.now}
+			customer.actualQuota, customer.referenceQuota, customer.idealQuota = full, full, full
+			sim.customers = append(sim.customers, customer)
+			sim.redrawGatewayWeights(customer)
+			sim.scheduleNextArrival(customer)
 		}
 	}
 }
 
-// shiftGateways draws new weights of a customer's gateways, and schedules the next draw.
-func (d *quotaSimulation) shiftGateways(c *simulatedCustomer) {
-	c.weights = c.weights[:0]
+// redrawGatewayWeights draws new weights of a customer's gateways, and schedules the next draw.
+func (sim *quotaSimulation) redrawGatewayWeights(customer *simulatedCustomer) {
+	customer.gatewayWeights = customer.gatewayWeights[:0]
 	sum := 0.0
-	for range c.gatewaySpan {
-		sum += math.Exp(1.4 * d.rng.NormFloat64())
-		c.weights = append(c.weights, sum)
+	for range customer.gatewaySpan {
+		sum += math.Exp(1.4 * sim.rng.NormFloat64())
+		customer.gatewayWeights = append(customer.gatewayWeights, sum)
 	}
-	d.schedule(d.now+time.Duration((4+4*d.rng.Float64())*float64(time.Second)), func() { d.shiftGateways(c) })
+	sim.schedule(sim.now+time.Duration((4+4*sim.rng.Float64())*float64(time.Second)), func() { sim.redrawGatewayWeights(customer) })
 }
 
-func (c *simulatedCustomer) pick(rng *rand.Rand, n int) int {
-	x := rng.Float64() * c.weights[len(c.weights)-1]
-	i, _ := slices.BinarySearch(c.weights, x)
-	return (c.firstGateway + min(i, c.gatewaySpan-1)) % n
+func (customer *simulatedCustomer) pickGateway(rng *rand.Rand, gatewayCount int) int {
+	x := rng.Float64() * customer.gatewayWeights[len(customer.gatewayWeights)-1]
+	i, _ := slices.BinarySearch(customer.gatewayWeights, x)
+	return (customer.firstGateway + min(i, customer.gatewaySpan-1)) % gatewayCount
 }
 
-func (d *quotaSimulation) scheduleNextArrival(c *simulatedCustomer) {
-	use := c.rate
-	top := max(c.rate, c.burstRate) * burstFactor
-	gap := d.rng.ExpFloat64() * meanRequestUnits / top
-	d.schedule(d.now+time.Duration(gap*float64(time.Second)), func() {
-		if c.burstRate > 0 && (d.now+c.phase)%c.burstInterval < c.burstLength {
-			use = c.burstRate
+func (sim *quotaSimulation) scheduleNextArrival(customer *simulatedCustomer) {
+	rate := customer.demandRate
+	maxRate := max(customer.demandRate, customer.burstRate) * demandPeakFactor
+	interval := sim.rng.ExpFloat64() * meanRequestUnits / maxRate
+	sim.schedule(sim.now+time.Duration(interval*float64(time.Second)), func() {
+		if customer.burstRate > 0 && (sim.now+customer.burstPhase)%customer.burstInterval < customer.burstLength {
+			rate = customer.burstRate
 		}
-		if since := d.now - time.Hour; since >= burstFrom && since < burstFrom+burstFor {
-			use *= burstFactor
+		if elapsed := sim.now - time.Hour; elapsed >= demandPeakStart && elapsed < demandPeakStart+demandPeakLength {
+			rate *= demandPeakFactor
 		}
-		if d.rng.Float64() < use/top {
-			d.arriveFirstTry(c)
+		if sim.rng.Float64() < rate/maxRate {
+			sim.sendFirstRequest(customer)
 		}
-		d.scheduleNextArrival(c)
+		sim.scheduleNextArrival(customer)
 	})
 }
 
-// arriveFirstTry brings a first request to the gateways and to the reference.
-func (d *quotaSimulation) arriveFirstTry(c *simulatedCustomer) {
-	units := []float64{1, 1, 1, 2, 2, 2, 4}[d.rng.IntN(7)]
-	work := time.Duration(d.rng.ExpFloat64() * float64(meanWork))
-	settled := units * math.Exp(guessError*(d.rng.NormFloat64()-guessError/2))
-	if c.reference.allows(c.plan, units, d.now) {
-		d.actual.offered += c.plan.Price * units
-		c.reference.start(c.plan, units, d.now)
-		d.schedule(d.now+work, func() { c.reference.end(d.now, settled-units) })
+// sendFirstRequest brings a first request to the gateways and to the reference.
+func (sim *quotaSimulation) sendFirstRequest(customer *simulatedCustomer) {
+	units := []float64{1, 1, 1, 2, 2, 2, 4}[sim.rng.IntN(7)]
+	workTime := time.Duration(sim.rng.ExpFloat64() * float64(meanWorkTime))
+	settledUnits := units * math.Exp(unitsDeviation*(sim.rng.NormFloat64()-unitsDeviation/2))
+	if customer.idealQuota.allows(customer.plan, units, sim.now) {
+		sim.actual.offered += customer.plan.Price * units
+		customer.idealQuota.startAttempt(customer.plan, units, sim.now)
+		sim.schedule(sim.now+workTime, func() { customer.idealQuota.endAttempt(sim.now, settledUnits-units) })
 	}
-	d.arrive(&simulatedRequest{customer: c, gateway: c.pick(d.rng, d.gateways), units: units, settled: settled, work: work, firstArrival: d.now})
-	d.decideByDelayedState(c, units, work, settled-units)
+	sim.sendRequest(&simulatedRequest{customer: customer, gateway: customer.pickGateway(sim.rng, sim.gatewayCount), units: units, settledUnits: settledUnits, workTime: workTime, firstArrivedAt: sim.now})
+	sim.decideByDelayedState(customer, units, workTime, settledUnits-units)
 }
 
 // decideByDelayedState is the reference: it decides by the true state of stateDelay ago.
-func (d *quotaSimulation) decideByDelayedState(c *simulatedCustomer, units float64, work time.Duration, guessedLess float64) {
-	seen := c.delayed.delayedState(c.plan, d.now)
-	if c.plan.Rate > 0 && seen.level < units || c.plan.MaxConcurrency > 0 && seen.attempts >= c.plan.MaxConcurrency {
+func (sim *quotaSimulation) decideByDelayedState(customer *simulatedCustomer, units float64, workTime time.Duration, underestimatedUnits float64) {
+	seen := customer.referenceQuota.delayedState(customer.plan, sim.now)
+	if customer.plan.Rate > 0 && seen.level < units || customer.plan.MaxConcurrency > 0 && seen.attemptsInFlight >= customer.plan.MaxConcurrency {
 		return
 	}
-	inside := c.delayed.start(c.plan, units, d.now)
-	d.delayed.add(c.plan, units, inside)
-	if !inside {
-		guessedLess = 0
+	insideQuota := customer.referenceQuota.startAttempt(customer.plan, units, sim.now)
+	sim.reference.add(customer.plan, units, insideQuota)
+	if !insideQuota {
+		underestimatedUnits = 0
 	}
-	d.schedule(d.now+work, func() { c.delayed.end(d.now, guessedLess) })
+	sim.schedule(sim.now+workTime, func() { customer.referenceQuota.endAttempt(sim.now, underestimatedUnits) })
 }
 
-func (weight *policyWeight) add(p Plan, units float64, inside bool) {
-	if inside {
-		weight.inside += p.Price * units
+func (weight *policyWeight) add(plan Plan, units float64, insideQuota bool) {
+	if insideQuota {
+		weight.insideQuota += plan.Price * units
 	} else {
-		weight.overQuotaCost += p.Price * units * p.OverQuotaCost
+		weight.overQuotaCost += plan.Price * units * plan.OverQuotaCost
 	}
 }
 
-func (d *quotaSimulation) arrive(request *simulatedRequest) {
-	d.lastID++
-	id := d.lastID
-	d.requests[id] = request
-	d.actual.requests++
-	c := request.customer
-	d.handle(request.gateway, Arrival{Request{ID: id, Class: "read", Plan: c.plan.Name, Customer: c.id, Units: request.units,
-		Deadline: d.now + 2500*ms, GatewaySpan: c.gatewaySpan, FirstGateway: c.firstGateway, IsRetry: request.retries > 0}})
+func (sim *quotaSimulation) sendRequest(request *simulatedRequest) {
+	sim.lastID++
+	id := sim.lastID
+	sim.requests[id] = request
+	sim.actual.requests++
+	customer := request.customer
+	sim.handle(request.gateway, Arrival{Request{ID: id, Class: "read", Plan: customer.plan.Name, Customer: customer.id, Units: request.units,
+		Deadline: sim.now + 2500*ms, GatewaySpan: customer.gatewaySpan, FirstGateway: customer.firstGateway, IsRetry: request.retries > 0}})
 }
 
 // handle gives a gateway an event and carries out its actions.
-func (d *quotaSimulation) handle(i int, ev Event) {
-	instance := d.instances[i]
+func (sim *quotaSimulation) handle(i int, event Event) {
+	instance := sim.instances[i]
 	incarnation := instance.incarnation
-	later := func(after time.Duration, ev func() Event) {
-		d.schedule(d.now+after, func() {
+	scheduleEvent := func(delay time.Duration, event func() Event) {
+		sim.schedule(sim.now+delay, func() {
 			if instance.incarnation == incarnation {
-				d.handle(i, ev())
+				sim.handle(i, event())
 			}
 		})
 	}
-	for _, act := range instance.gateway.Handle(d.now, ev, nil) {
-		switch act := act.(type) {
+	for _, action := range instance.gateway.Handle(sim.now, event, nil) {
+		switch action := action.(type) {
 		case SetTimer:
-			later(act.Delay, func() Event { return TimerFired{} })
+			scheduleEvent(action.Delay, func() Event { return TimerFired{} })
 		case Send:
-			d.send(act, later)
+			sim.send(action, scheduleEvent)
 		case Cancel:
-			d.requests[act.ID].attempts[act.Attempt].end(Cancelled)
+			sim.requests[action.ID].attempts[action.Attempt].finish(Cancelled)
 		case Reject:
-			d.handleReject(act)
+			sim.handleReject(action)
 		case IncrementCounter:
-			d.handleCounterCall(act, later)
+			sim.handleCounterCall(action, scheduleEvent)
 		}
 	}
 }
 
 // send starts an attempt; the first that succeeds answers the request.
-func (d *quotaSimulation) send(act Send, later func(time.Duration, func() Event)) {
-	request := d.requests[act.ID]
-	c := request.customer
+func (sim *quotaSimulation) send(action Send, scheduleEvent func(time.Duration, func() Event)) {
+	request := sim.requests[action.ID]
+	customer := request.customer
 	number := len(request.attempts)
 	attempt := &simulatedAttempt{}
 	request.attempts = append(request.attempts, attempt)
-	work := request.work
+	workTime := request.workTime
 	if number == 0 {
-		attempt.inside = c.actual.start(c.plan, request.units, d.now)
-		d.actual.add(c.plan, request.units, attempt.inside)
+		attempt.insideQuota = customer.actualQuota.startAttempt(customer.plan, request.units, sim.now)
+		sim.actual.add(customer.plan, request.units, attempt.insideQuota)
 	} else {
-		c.actual.attempts++
-		work = time.Duration(d.rng.ExpFloat64() * float64(meanWork))
+		customer.actualQuota.attemptsInFlight++
+		workTime = time.Duration(sim.rng.ExpFloat64() * float64(meanWorkTime))
 	}
-	attempt.end = func(o Outcome) {
+	attempt.finish = func(outcome Outcome) {
 		if attempt.ended {
 			return
 		}
 		attempt.ended = true
-		finished, guessedLess := o == Succeeded && !request.answered, 0.0
-		if finished && request.attempts[0].inside && c.plan.Rate > 0 {
-			guessedLess = request.settled - request.units
+		finished, underestimatedUnits := outcome == Succeeded && !request.answered, 0.0
+		if finished && request.attempts[0].insideQuota && customer.plan.Rate > 0 {
+			underestimatedUnits = request.settledUnits - request.units
 		}
 		request.answered = request.answered || finished
-		c.actual.end(d.now, guessedLess)
-		later(ms, func() Event {
-			return AttemptEnded{ID: act.ID, Attempt: number, Endpoint: act.Endpoint, Outcome: o, Latency: work + ms,
-				RequestFinished: finished, SettledUnits: request.settled, LoadReport: LoadReport{"queue": 0}}
+		customer.actualQuota.endAttempt(sim.now, underestimatedUnits)
+		scheduleEvent(ms, func() Event {
+			return AttemptEnded{ID: action.ID, Attempt: number, Endpoint: action.Endpoint, Outcome: outcome, Latency: workTime + ms,
+				RequestFinished: finished, SettledUnits: request.settledUnits, LoadReport: LoadReport{"queue": 0}}
 		})
 	}
-	d.schedule(d.now+work, func() { attempt.end(Succeeded) })
+	sim.schedule(sim.now+workTime, func() { attempt.finish(Succeeded) })
 }
 
 // handleReject lets clients retry, usually at the same gateway; half of them after the Retry-After of the rejection.
-func (d *quotaSimulation) handleReject(act Reject) {
-	request := d.requests[act.ID]
-	delete(d.requests, act.ID)
-	c := request.customer
-	inside := c.actual.allows(c.plan, request.units, d.now)
-	if inside {
-		d.actual.rejectedInside++
+func (sim *quotaSimulation) handleReject(action Reject) {
+	request := sim.requests[action.ID]
+	delete(sim.requests, action.ID)
+	customer := request.customer
+	insideQuota := customer.actualQuota.allows(customer.plan, request.units, sim.now)
+	if insideQuota {
+		sim.actual.rejectedInsideQuota++
 	}
-	if request.retries >= 3 || d.rng.Float64() > 0.85 {
+	if request.retries >= 3 || sim.rng.Float64() > 0.85 {
 		return
 	}
 	wait := 40 * ms << request.retries
-	if d.rng.Float64() < 0.5 {
-		wait = max(wait, min(act.RetryAfter, d.set.MaxRetryAfter))
+	if sim.rng.Float64() < 0.5 {
+		wait = max(wait, min(action.RetryAfter, sim.settings.MaxRetryAfter))
 	}
-	next := &simulatedRequest{customer: c, gateway: request.gateway, units: request.units, settled: request.settled, retries: request.retries + 1, work: request.work, firstArrival: request.firstArrival}
-	if d.rng.Float64() < 0.2 {
-		next.gateway = c.pick(d.rng, d.gateways)
+	next := &simulatedRequest{customer: customer, gateway: request.gateway, units: request.units, settledUnits: request.settledUnits, retries: request.retries + 1, workTime: request.workTime, firstArrivedAt: request.firstArrivedAt}
+	if sim.rng.Float64() < 0.2 {
+		next.gateway = customer.pickGateway(sim.rng, sim.gatewayCount)
 	}
-	d.schedule(d.now+time.Duration(float64(wait)*(0.5+d.rng.Float64())), func() {
-		if d.now < next.firstArrival+2500*ms {
-			d.arrive(next)
+	sim.schedule(sim.now+time.Duration(float64(wait)*(0.5+sim.rng.Float64())), func() {
+		if sim.now < next.firstArrivedAt+2500*ms {
+			sim.sendRequest(next)
 		}
 	})
 }
 
 // handleCounterCall is the counter: each shard has one queue of calls, served in order.
-func (d *quotaSimulation) handleCounterCall(act IncrementCounter, later func(time.Duration, func() Event)) {
-	d.actual.calls++
-	fail := func(after time.Duration, o Outcome) {
-		later(after, func() Event { return CounterReply{Name: act.Name, Outcome: o} })
+func (sim *quotaSimulation) handleCounterCall(action IncrementCounter, scheduleEvent func(time.Duration, func() Event)) {
+	sim.actual.calls++
+	fail := func(delay time.Duration, outcome Outcome) {
+		scheduleEvent(delay, func() Event { return CounterReply{Name: action.Name, Outcome: outcome} })
 	}
-	since := d.now - time.Hour
-	if k := d.counter; k.silentFor > 0 && since >= k.silentFrom && since < k.silentFrom+k.silentFor {
-		if k.losesNumbers {
-			clear(d.totals)
+	elapsed := sim.now - time.Hour
+	if counter := sim.counter; counter.outageLength > 0 && elapsed >= counter.outageStart && elapsed < counter.outageStart+counter.outageLength {
+		if counter.losesTotals {
+			clear(sim.totals)
 		}
-		fail(d.set.CounterTimeout, TimedOut)
+		fail(sim.settings.CounterTimeout, TimedOut)
 		return
 	}
-	busyUntil := &d.shardBusyUntil[shardOf(act.Name)]
-	perCall := time.Duration(counterShards * float64(time.Second) / (d.counter.callsPerRequest * d.rps * float64(d.gateways)))
-	if *busyUntil > d.now+160*ms {
+	busyUntil := &sim.shardBusyUntil[shardOf(action.Name)]
+	callTime := time.Duration(counterShards * float64(time.Second) / (sim.counter.callsPerRequest * sim.requestRate * float64(sim.gatewayCount)))
+	if *busyUntil > sim.now+160*ms {
 		fail(2*ms, Rejected)
 		return
 	}
-	*busyUntil = max(*busyUntil, d.now) + perCall
-	late := *busyUntil+d.counter.delay > d.now+d.set.CounterTimeout || d.rng.Float64() < d.counter.loss
-	if late {
-		fail(d.set.CounterTimeout, TimedOut)
+	*busyUntil = max(*busyUntil, sim.now) + callTime
+	timesOut := *busyUntil+sim.counter.delay > sim.now+sim.settings.CounterTimeout || sim.rng.Float64() < sim.counter.lossShare
+	if timesOut {
+		fail(sim.settings.CounterTimeout, TimedOut)
 	}
-	d.schedule(*busyUntil, func() {
-		d.totals[act.Name] += act.Delta
-		total := d.totals[act.Name]
-		if !late {
-			later(d.counter.delay, func() Event { return CounterReply{Name: act.Name, Outcome: Succeeded, Total: total} })
+	sim.schedule(*busyUntil, func() {
+		sim.totals[action.Name] += action.Delta
+		total := sim.totals[action.Name]
+		if !timesOut {
+			scheduleEvent(sim.counter.delay, func() Event { return CounterReply{Name: action.Name, Outcome: Succeeded, Total: total} })
 		}
 	})
 }
@@ -524,26 +524,26 @@
 	return (sum%counterShards + counterShards) % counterShards
 }
 
-// play runs the simulation to its end.
-func (d *quotaSimulation) play() (actual, reference policyWeight) {
-	end := time.Hour + d.length
-	if d.restarted > 0 {
-		d.schedule(time.Hour+d.restartAt, func() {
-			for i := range d.instances {
-				if d.rng.Float64() < d.restarted {
-					d.start(i)
+// simulate runs the simulation to its end.
+func (sim *quotaSimulation) simulate() (actual, reference policyWeight) {
+	end := time.Hour + sim.duration
+	if sim.restartedShare > 0 {
+		sim.schedule(time.Hour+sim.restartAt, func() {
+			for i := range sim.instances {
+				if sim.rng.Float64() < sim.restartedShare {
+					sim.startGateway(i)
 				}
 			}
 		})
 	}
-	for d.events.Len() > 0 {
-		e := heap.Pop(&d.events).(simulationEvent)
-		if e.at > end {
+	for sim.events.Len() > 0 {
+		event := heap.Pop(&sim.events).(simulationEvent)
+		if event.dueAt > end {
 			break
 		}
-		d.now = max(d.now, e.at)
-		e.do()
+		sim.now = max(sim.now, event.dueAt)
+		event.run()
 	}
-	d.delayed.offered = d.actual.offered
-	return d.actual, d.delayed
+	sim.reference.offered = sim.actual.offered
+	return sim.actual, sim.reference
 }
