--- a/policy/cluster_test.go
+++ b/policy/cluster_test.go
@@ -70,7 +70,8 @@
 				limit = (n + 1) * 8 // leases: the first total of a gateway is estimated as usage spread over its window
 			}
 			if sent < 3 || sent > limit {
-				t.Errorf("%d gateways, counter times out %v: got %d sent at one time, want at least 3 and about the burst of 8", n, timesOut, sent)
+				t.Errorf("%d gateways, counter times out %v: got %d sent at one time, want at least 3 and about the burst of 8",
+					n, timesOut, sent)
 			}
 		}
 	}
@@ -86,7 +87,8 @@
 			sent, id := 0, 0
 			for step := range 300 { // 3 s, all gateways restart in the middle
 				if step == 150 {
-					restarted := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
+					restarted := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving},
+						Endpoint{ID: "u", State: Serving})
 					restarted.counterTimesOut, restarted.totals = timesOut, c.totals
 					for i, g := range restarted.gateways {
 						g.now = c.gateways[i].now
@@ -110,7 +112,8 @@
 				}
 			}
 			if limit := 40 + 3*20 + 4; sent == 0 || sent > limit {
-				t.Errorf("%d gateways, counter times out %v: got %d sent in 3 s, want 1 to the %d that the ceiling allows", n, timesOut, sent, limit)
+				t.Errorf("%d gateways, counter times out %v: got %d sent in 3 s, want 1 to the %d that the ceiling allows", n,
+					timesOut, sent, limit)
 			}
 		}
 	}
@@ -139,9 +142,10 @@
 				}
 			}
 		}
-		// An endpoint that serves 20 requests per second when warm serves 4 at its start; the budget of 4 times that for 3 s is 48.
+		// An endpoint that serves 20 requests per second when warm serves 4 at its start; 4 times that for 3 s is 48.
 		if n >= 3 && sent == 0 || sent > 48 {
-			t.Errorf("%d gateways: got %d attempts at an endpoint in slow start in 3 s, want at most 48, and some from 3 gateways or more", n, sent)
+			t.Errorf("%d gateways: got %d attempts at an endpoint in slow start in 3 s, want at most 48, and at least 1 from 3 gateways",
+				n, sent)
 		}
 	}
 }
@@ -149,7 +153,8 @@
 // Gateways take turns if they outnumber a customer's concurrent attempts and an over-quota attempt has a cost.
 func TestConcurrencyLimitHoldsOverAllGateways(t *testing.T) {
 	settings := testSettings()
-	settings.Plans = append(settings.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3, OverQuotaCost: 0.6})
+	settings.Plans = append(settings.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxConcurrency: 3,
+		OverQuotaCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
 		c := newCluster(t, n, settings, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 		for _, g := range c.gateways {
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -36,8 +36,8 @@
 	}
 	// timeOutCall makes a call for another customer time out, after which not all requests call the counter.
 	timeOutCall := func(g *testGateway) {
-		calls := actionsOf[IncrementCounter](g.handle(Arrival{Request{ID: 9, Class: "read", Plan: "thin", Customer: "other", Units: 1,
-			Deadline: g.now + 2*time.Second, GatewaySpan: 60}}))
+		calls := actionsOf[IncrementCounter](g.handle(Arrival{Request{ID: 9, Class: "read", Plan: "thin", Customer: "other",
+			Units: 1, Deadline: g.now + 2*time.Second, GatewaySpan: 60}}))
 		g.handle(CounterReply{Name: calls[0].Name, Outcome: TimedOut})
 	}
 	for name, test := range map[string]struct {
@@ -45,7 +45,7 @@
 		rejectedIfConnected bool // by the counter, if the client stays connected
 		gatewaySpan         int
 		prepare             func(g *testGateway)                                    // called before the request arrives
-		enterWait           func(g *testGateway)                                    // called after the request has arrived, until it waits
+		enterWait           func(g *testGateway)                                    // called after its arrival, until it waits
 		afterDisconnect     func(g *testGateway, calls []IncrementCounter) []Action // called after the client has disconnected
 	}{
 		"for the counter, which grants":             {"thin", false, 60, nil, nil, replyToCalls(Succeeded, 1)},
@@ -119,7 +119,8 @@
 					}
 					switch {
 					case disconnects && sends+answers > 0:
-						t.Errorf("MayCancel %v: got %d attempts and %d answers after the client disconnected, want none", mayCancel, sends, answers)
+						t.Errorf("MayCancel %v: got %d attempts and %d answers after the client disconnected, want none",
+							mayCancel, sends, answers)
 					case !disconnects && sends == 0 && !test.rejectedIfConnected:
 						t.Errorf("MayCancel %v: got no attempt for a connected client, want one", mayCancel)
 					}
@@ -137,8 +138,8 @@
 	}
 	now := time.Second
 	for id := RequestID(1); id <= 50; id++ {
-		out := g.Handle(now, Arrival{Request: Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1, GatewaySpan: 1,
-			Deadline: now}}, nil)
+		out := g.Handle(now, Arrival{Request: Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1,
+			GatewaySpan: 1, Deadline: now}}, nil)
 		rejections := 0
 		for _, a := range out {
 			switch a := a.(type) {
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -15,10 +15,12 @@
 func testSettings() Settings {
 	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 50 * ms,
-		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second, SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
+		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second,
+		SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: Idempotent},
-			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: IdempotencyKey, DeduplicationWindow: 4 * time.Second},
+			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second,
+				Idempotency: IdempotencyKey, DeduplicationWindow: 4 * time.Second},
 			{Name: "pay", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second},
 		},
 		Plans: []Plan{{Name: "free", Price: 1}, {Name: "dear", Price: 2},
@@ -117,7 +119,8 @@
 	g.sendRequest(2, "read", "free")
 	g.sendRequest(3, "read", "free")
 	g.sendRequest(4, "read", "dear")
-	got := actionsOf[Send](g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true}))
+	got := actionsOf[Send](g.handle(AttemptEnded{ID: 1, Endpoint: "s", Outcome: Succeeded, Latency: 20 * ms,
+		RequestFinished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("got sends %v, want request 4 first", got)
 	}
@@ -228,9 +231,11 @@
 func TestRequestWithOutOfRangeGatewaySpanIsSent(t *testing.T) {
 	settings := testSettings()
 	settings.GatewayCount = 100
-	for _, request := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70}, {GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
+	for _, request := range []Request{{GatewaySpan: 0}, {GatewaySpan: 5000}, {GatewaySpan: 3, FirstGateway: 70},
+		{GatewaySpan: 3, FirstGateway: 4000}, {GatewaySpan: 2, FirstGateway: -7}} {
 		g := newTestGateway(t, settings)
-		request.ID, request.Class, request.Plan, request.Customer, request.Units, request.Deadline = 1, "read", "small", "c", 1, g.now+time.Second
+		request.ID, request.Class, request.Plan, request.Customer, request.Units, request.Deadline = 1, "read", "small", "c", 1,
+			g.now+time.Second
 		calls := actionsOf[IncrementCounter](g.handle(Arrival{request}))
 		for _, c := range calls {
 			g.handle(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Delta})
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -48,8 +48,8 @@
 }
 
 func goldenScenarios() []goldenScenario {
-	base := goldenScenario{endpointCount: goldenEndpoints, counterDelay: 4 * ms, counterFaultShare: 0.02, endpointFaultShare: 0.05,
-		meanChangeInterval: 800 * ms, meanRequestInterval: 9 * ms}
+	base := goldenScenario{endpointCount: goldenEndpoints, counterDelay: 4 * ms, counterFaultShare: 0.02,
+		endpointFaultShare: 0.05, meanChangeInterval: 800 * ms, meanRequestInterval: 9 * ms}
 	with := func(name string, change func(*goldenScenario)) goldenScenario {
 		scenario := base
 		scenario.name, scenario.adjustSettings = name, func(*Settings) {}
@@ -88,15 +88,20 @@
 
 func goldenSettings() Settings {
 	return Settings{GatewayCount: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
-		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 40 * ms, ConnectionIdleTimeout: 5 * time.Second,
-		SlowStartMinWeight: 0.2, SlowStartWindow: 4 * time.Second, SlowStartBudgetMultiple: 2, SlowStartBudgetSpan: time.Second, DrainGracePeriod: time.Second,
+		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 40 * ms,
+		ConnectionIdleTimeout: 5 * time.Second, SlowStartMinWeight: 0.2, SlowStartWindow: 4 * time.Second,
+		SlowStartBudgetMultiple: 2, SlowStartBudgetSpan: time.Second, DrainGracePeriod: time.Second,
 		Classes: []Class{
-			{Name: "read", PriorityWeight: 1, LatencyObjective: 200 * ms, Deadline: 900 * ms, LateWeight: 0.4, Idempotency: Idempotent},
-			{Name: "book", PriorityWeight: 4, LatencyObjective: 300 * ms, Deadline: 1200 * ms, LateWeight: 0, Idempotency: IdempotencyKey, DeduplicationScope: ScopeZone,
+			{Name: "read", PriorityWeight: 1, LatencyObjective: 200 * ms, Deadline: 900 * ms, LateWeight: 0.4,
+				Idempotency: Idempotent},
+			{Name: "book", PriorityWeight: 4, LatencyObjective: 300 * ms, Deadline: 1200 * ms, LateWeight: 0,
+				Idempotency: IdempotencyKey, DeduplicationScope: ScopeZone,
 				DeduplicationWindow: 800 * ms},
-			{Name: "key", PriorityWeight: 2, LatencyObjective: 250 * ms, Deadline: time.Second, LateWeight: 0.1, Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll,
+			{Name: "key", PriorityWeight: 2, LatencyObjective: 250 * ms, Deadline: time.Second, LateWeight: 0.1,
+				Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll,
 				DeduplicationWindow: 2 * time.Second},
-			{Name: "pay", PriorityWeight: 9, LatencyObjective: 400 * ms, Deadline: 1500 * ms, LateWeight: 0.2, Idempotency: NonIdempotent}},
+			{Name: "pay", PriorityWeight: 9, LatencyObjective: 400 * ms, Deadline: 1500 * ms, LateWeight: 0.2,
+				Idempotency: NonIdempotent}},
 		Plans: []Plan{
 			{Name: "rate", Price: 1, Rate: 40, Burst: 30, OverQuotaWeight: 0.2, OverQuotaCost: 0.5},
 			{Name: "paid", Price: 3, Rate: 25, Burst: 60, OverQuotaWeight: 0.5, OverQuotaCost: 0.1, SettledByReply: true},
@@ -199,7 +204,8 @@
 	id := run.lastID
 	request := Request{ID: id, Class: class.Name, Plan: plan.Name, Customer: fmt.Sprint(plan.Name, "-", run.rng.IntN(3)),
 		Deadline: run.now + time.Duration(run.rng.Float64()*float64(class.Deadline)), Units: 1 + 3*run.rng.Float64(),
-		GatewaySpan: 1 + run.rng.IntN(2*settings.GatewayCount), FirstGateway: run.rng.IntN(settings.GatewayCount), IsRetry: run.rng.IntN(4) == 0}
+		GatewaySpan: 1 + run.rng.IntN(2*settings.GatewayCount), FirstGateway: run.rng.IntN(settings.GatewayCount),
+		IsRetry: run.rng.IntN(4) == 0}
 	switch run.rng.IntN(60) {
 	case 0:
 		request.Class = "unknown"
@@ -366,8 +372,8 @@
 			actionHash, actionCounts := sha256.New(), map[string]int{}
 			for seed := range uint64(goldenSeeds) {
 				run := &goldenRun{goldenScenario: scenario, t: t, rng: rand.New(rand.NewPCG(seed, 22)), actionHash: actionHash,
-					now: time.Hour, counterTotals: map[string]float64{}, attemptCounts: map[RequestID]int{}, actionCounts: actionCounts,
-					endedAttempts: map[string]bool{}, answered: map[RequestID]bool{}}
+					now: time.Hour, counterTotals: map[string]float64{}, attemptCounts: map[RequestID]int{},
+					actionCounts: actionCounts, endedAttempts: map[string]bool{}, answered: map[RequestID]bool{}}
 				run.simulate()
 			}
 			t.Log("actions:", actionCounts)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -151,7 +151,8 @@
 
 func TestConcurrencyQuotaIsSharedAndRequestsWaitForIt(t *testing.T) {
 	settings := testSettings()
-	settings.Plans = append(settings.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4, OverQuotaCost: 1})
+	settings.Plans = append(settings.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxConcurrency: 4,
+		OverQuotaCost: 1})
 	g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	g.gateway.limiter.SetWindow(100)
 	sends := 0
@@ -204,7 +205,8 @@
 	g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving})
 	sends := 0
 	for id := RequestID(1); id <= 20; id++ {
-		actions := append(g.sendRequest(id, "read", "small"), g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
+		actions := append(g.sendRequest(id, "read", "small"),
+			g.handle(AttemptEnded{ID: id, Outcome: Succeeded, Latency: ms, RequestFinished: true})...)
 		actions = append(actions, g.advance(200*ms)...)
 		sends += len(actionsOf[Send](actions))
 		if len(actionsOf[IncrementCounter](actions)) > 0 {
--- a/policy/longlist_test.go
+++ b/policy/longlist_test.go
@@ -41,10 +41,12 @@
 			if len(sends) != 1 {
 				t.Fatalf("%d endpoints: got sends %v, want one", n, sends)
 			}
-			if considered := source.draws; considered > balancer.MaxCandidates+1 || n <= balancer.MaxCandidates && considered != n {
+			if considered := source.draws; considered > balancer.MaxCandidates+1 ||
+				n <= balancer.MaxCandidates && considered != n {
 				t.Fatalf("%d endpoints: got %d considered, want all, up to %d", n, considered, balancer.MaxCandidates)
 			}
-			g.handle(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms, RequestFinished: true})
+			g.handle(AttemptEnded{ID: id + 1, Endpoint: sends[0].Endpoint, Outcome: Succeeded, Latency: 20 * ms,
+				RequestFinished: true})
 		}
 	}
 }
@@ -68,7 +70,8 @@
 		counts = append(counts, n)
 	}
 	if len(sent) != endpoints || slices.Max(counts) > 2*attemptsEach {
-		t.Errorf("got %d of %d endpoints used, one of them %d times, want all, at most twice the mean of %d", len(sent), endpoints, slices.Max(counts), attemptsEach)
+		t.Errorf("got %d of %d endpoints used, one of them %d times, want all, at most twice the mean of %d", len(sent),
+			endpoints, slices.Max(counts), attemptsEach)
 	}
 }
 
--- a/policy/overquotacost_test.go
+++ b/policy/overquotacost_test.go
@@ -24,15 +24,20 @@
 		{simulationCase{gatewayCount: 30, overQuotaCost: 4, limits: limitBoth, counter: counter}, 0.7},
 		{simulationCase{gatewayCount: 150, overQuotaCost: 1.2, counter: counter, duration: 8 * time.Second}, 0.9},
 		{simulationCase{gatewayCount: 150, overQuotaCost: 4, counter: counter, duration: 8 * time.Second}, 0.9},
-		{simulationCase{gatewayCount: 30, overQuotaCost: 1.2, counter: counter, restartAt: 7 * time.Second, restartedShare: 0.7}, 0.9},
-		{simulationCase{gatewayCount: 30, overQuotaCost: 1.2, counter: counterCase{callsPerRequest: 2, delay: 2 * ms, outageStart: 5 * time.Second,
-			outageLength: 4 * time.Second, losesTotals: true}}, 0.7},
+		{simulationCase{gatewayCount: 30, overQuotaCost: 1.2, counter: counter, restartAt: 7 * time.Second,
+			restartedShare: 0.7}, 0.9},
+		{simulationCase{gatewayCount: 30, overQuotaCost: 1.2,
+			counter: counterCase{callsPerRequest: 2, delay: 2 * ms, outageStart: 5 * time.Second,
+				outageLength: 4 * time.Second, losesTotals: true}}, 0.7},
 		{simulationCase{gatewayCount: 100, overQuotaCost: 2, counter: counterCase{absent: true}, duration: 8 * time.Second}, 0.4},
-		{simulationCase{gatewayCount: 300, overQuotaCost: 2, limits: limitConcurrency, counter: counter, duration: 8 * time.Second}, 0.75},
+		{simulationCase{gatewayCount: 300, overQuotaCost: 2, limits: limitConcurrency, counter: counter,
+			duration: 8 * time.Second}, 0.75},
 	} {
-		t.Run(fmt.Sprint(test.gatewayCount, " gateways, cost ", test.overQuotaCost, ", limits ", test.limits, ", counter ", !test.counter.absent), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.gatewayCount, " gateways, cost ", test.overQuotaCost, ", limits ", test.limits, ", counter ",
+			!test.counter.absent), func(t *testing.T) {
 			actual, reference := newQuotaSimulation(t, test.simulationCase, 1).simulate()
-			t.Logf("served %.2f (reference %.2f), over-quota cost %.3f (%.3f), %d calls for %d requests", actual.servedShare(), reference.servedShare(),
+			t.Logf("served %.2f (reference %.2f), over-quota cost %.3f (%.3f), %d calls for %d requests",
+				actual.servedShare(), reference.servedShare(),
 				actual.costShare(), reference.costShare(), actual.calls, actual.requests)
 			if bound := reference.costShare() + 0.05; actual.costShare() > bound {
 				t.Errorf("got over-quota cost %.3f, want at most %.3f", actual.costShare(), bound)
--- a/policy/permits_test.go
+++ b/policy/permits_test.go
@@ -25,7 +25,8 @@
 		t.Fatalf("got %d attempts in flight, want the limit of 2", len(sent))
 	}
 	first := c.gateways[sent[0].ID-1]
-	c.handle(first, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Outcome: Succeeded, Latency: ms, RequestFinished: true})
+	c.handle(first, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Outcome: Succeeded, Latency: ms,
+		RequestFinished: true})
 	other := c.gateways[50]
 	other.now += time.Second
 	if got := c.sendRequest(other, 1000, "read", "open"); len(got) != 1 {
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -37,7 +37,8 @@
 					sent[inSlowStart[s.Endpoint]]++
 				}
 				latency := 20*ms + time.Duration(g.gateway.rng.Int64N(int64(80*ms)))
-				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: latency, RequestFinished: true})
+				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: latency,
+					RequestFinished: true})
 			}
 		}
 	}
@@ -62,12 +63,14 @@
 			for _, s := range actionsOf[Send](g.handle(Arrival{Request{ID: RequestID(i + 1), Class: "read", Plan: "free",
 				Customer: "c", Units: 1, Deadline: g.now + time.Second, GatewaySpan: 1}})) {
 				used[s.Endpoint] = true
-				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms, RequestFinished: true})
+				g.handle(AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: Succeeded, Latency: 50 * ms,
+					RequestFinished: true})
 			}
 		}
 		return len(used)
 	}
 	if free, expensive := endpointsUsed(0), endpointsUsed(0.08); expensive*2 > free {
-		t.Errorf("got %d endpoints used with expensive handshakes and %d with free ones, want at most half as many", expensive, free)
+		t.Errorf("got %d endpoints used with expensive handshakes and %d with free ones, want at most half as many", expensive,
+			free)
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -36,8 +36,10 @@
 			}
 			disconnectEarly(g)
 			c := g.gateway.quota.Customer("c")
-			if tokens := c.LeaseTokens + c.ReservedTokens; tokens != want || c.AttemptsInFlight != 0 || g.gateway.limiter.InFlight() != 0 {
-				t.Fatalf("got %v units in lease and reservation, want %v; got %d attempts in flight and %d in the window, want none", tokens, want,
+			if tokens := c.LeaseTokens + c.ReservedTokens; tokens != want || c.AttemptsInFlight != 0 ||
+				g.gateway.limiter.InFlight() != 0 {
+				t.Fatalf("got %v units in lease and reservation, want %v; got %d attempts in flight, %d in the window, want none",
+					tokens, want,
 					c.AttemptsInFlight, g.gateway.limiter.InFlight())
 			}
 			g.gateway.limiter.SetWindow(10)
@@ -57,8 +59,8 @@
 		g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving})
 		g.gateway.limiter.SetWindow(0) // prevents all sends
 		sendRequest := func(id RequestID) {
-			for _, call := range actionsOf[IncrementCounter](g.handle(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c",
-				Units: 1, Deadline: g.now + 2*time.Second, GatewaySpan: span}})) {
+			for _, call := range actionsOf[IncrementCounter](g.handle(Arrival{Request{ID: id, Class: "read", Plan: "small",
+				Customer: "c", Units: 1, Deadline: g.now + 2*time.Second, GatewaySpan: span}})) {
 				g.handle(CounterReply{Name: call.Name, Outcome: Succeeded, Total: max(0, call.Delta)})
 			}
 		}
@@ -70,7 +72,8 @@
 		c := g.gateway.quota.Customer("c")
 		share, tokens := max(8/float64(span), 1), c.LeaseTokens+c.ReservedTokens
 		if tokens > share+1e-9 || tokens < share/2 || len(g.gateway.requestsByArrival) > 0 {
-			t.Errorf("%d gateways: got %v units in the lease after all requests have expired, want between half of the share of %v and all of it", span, tokens, share)
+			t.Errorf("%d gateways: got %v units in the lease after all requests expired, want half to all of the share of %v",
+				span, tokens, share)
 		}
 		if all := c.LeaseTokens + c.AvailableTokens; !c.Central && all > 8+1e-9 {
 			t.Errorf("%d gateways: got %v units in lease and token bucket, want at most the burst of 8", span, all)
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -133,7 +133,7 @@
 
 // policyWeight holds the results of a policy: weights and cost of the requests, and the number of requests and calls.
 type policyWeight struct {
-	offered, insideQuota, overQuotaCost float64 // overQuotaCost is the weight of the admitted over-quota requests, times the cost of each
+	offered, insideQuota, overQuotaCost float64 // overQuotaCost: weight times OverQuotaCost of the admitted over-quota requests
 	rejectedInsideQuota, requests       int
 	calls                               int
 }
@@ -223,14 +223,16 @@
 		sim.planRates, sim.planBurstSeconds = []float64{1, 5.5, 17}, []float64{8, 4.5, 2.1}
 	}
 	sim.settings = testSettings()
-	sim.settings.GatewayCount, sim.settings.MaxUnits, sim.settings.HasSharedCounter = params.gatewayCount, maxRequestUnits, !params.counter.absent
+	sim.settings.GatewayCount, sim.settings.MaxUnits, sim.settings.HasSharedCounter =
+		params.gatewayCount, maxRequestUnits, !params.counter.absent
 	sim.settings.CounterTimeout, sim.settings.MaxRetryAfter, sim.settings.SlowStartWindow = 80*ms, 2*time.Second, 0
-	sim.settings.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms, LateWeight: 0.2, Idempotency: Idempotent}}
+	sim.settings.Classes = []Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 600 * ms, Deadline: 2500 * ms,
+		LateWeight: 0.2, Idempotency: Idempotent}}
 	sim.settings.Plans = nil
 	prices := []float64{0.9, 1.3, 1.6}
 	for i, rate := range sim.planRates {
-		plan := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate, Burst: max(rate*sim.planBurstSeconds[i], 2*maxRequestUnits),
-			OverQuotaCost: params.overQuotaCost, SettledByReply: true}
+		plan := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate,
+			Burst: max(rate*sim.planBurstSeconds[i], 2*maxRequestUnits), OverQuotaCost: params.overQuotaCost, SettledByReply: true}
 		if params.limits != limitRate {
 			plan.MaxConcurrency = max(2, int(math.Ceil(2*rate*meanWorkTime.Seconds()/meanRequestUnits)))
 		}
@@ -289,8 +291,8 @@
 	for i, plan := range sim.settings.Plans {
 		rate := sim.planRates[i]
 		for drawnRate := 0.0; drawnRate < totalRate/float64(len(sim.planRates)); {
-			customer := &simulatedCustomer{id: fmt.Sprintf("%d-%07x", i, len(sim.customers)), plan: plan, firstGateway: rng.IntN(gatewayCount),
-				demandRate: rate * (0.18 + 0.3*rng.Float64())}
+			customer := &simulatedCustomer{id: fmt.Sprintf("%d-%07x", i, len(sim.customers)), plan: plan,
+				firstGateway: rng.IntN(gatewayCount), demandRate: rate * (0.18 + 0.3*rng.Float64())}
 			switch draw := rng.Float64(); {
 			case draw < 0.12:
 				customer.demandRate = rate * (2 + 2.9*rng.Float64())
@@ -304,7 +306,8 @@
 			}
 			drawnRate += customer.demandRate
 			if i == len(sim.settings.Plans)-1 && drawnRate == customer.demandRate {
-				customer.demandRate, customer.burstRate, customer.burstInterval, customer.burstLength = 0.3*rate, hotCustomerShare*totalRate, time.Hour, hotCustomerLength
+				customer.demandRate, customer.burstRate, customer.burstInterval, customer.burstLength =
+					0.3*rate, hotCustomerShare*totalRate, time.Hour, hotCustomerLength
 				customer.burstPhase = -hotCustomerStart
 			}
 			customer.gatewaySpan = max(min(2, gatewayCount), int(float64(gatewayCount)*(0.5+0.5*rng.Float64())))
@@ -325,7 +328,8 @@
 		sum += math.Exp(1.4 * sim.rng.NormFloat64())
 		customer.gatewayWeights = append(customer.gatewayWeights, sum)
 	}
-	sim.schedule(sim.now+time.Duration((4+4*sim.rng.Float64())*float64(time.Second)), func() { sim.redrawGatewayWeights(customer) })
+	sim.schedule(sim.now+time.Duration((4+4*sim.rng.Float64())*float64(time.Second)),
+		func() { sim.redrawGatewayWeights(customer) })
 }
 
 // pickGateway draws one of the customer's gateways by weight.
@@ -363,14 +367,17 @@
 		customer.idealQuota.startAttempt(customer.plan, units, sim.now)
 		sim.schedule(sim.now+workTime, func() { customer.idealQuota.endAttempt(sim.now, settledUnits-units) })
 	}
-	sim.sendRequest(&simulatedRequest{customer: customer, gateway: customer.pickGateway(sim.rng, sim.gatewayCount), units: units, settledUnits: settledUnits, workTime: workTime, firstArrivedAt: sim.now})
+	sim.sendRequest(&simulatedRequest{customer: customer, gateway: customer.pickGateway(sim.rng, sim.gatewayCount),
+		units: units, settledUnits: settledUnits, workTime: workTime, firstArrivedAt: sim.now})
 	sim.decideByDelayedState(customer, units, workTime, settledUnits-units)
 }
 
 // decideByDelayedState implements the reference policy, which decides by the exact state of stateDelay ago.
-func (sim *quotaSimulation) decideByDelayedState(customer *simulatedCustomer, units float64, workTime time.Duration, underestimatedUnits float64) {
+func (sim *quotaSimulation) decideByDelayedState(customer *simulatedCustomer, units float64, workTime time.Duration,
+	underestimatedUnits float64) {
 	seen := customer.referenceQuota.delayedState(customer.plan, sim.now)
-	if customer.plan.Rate > 0 && seen.level < units || customer.plan.MaxConcurrency > 0 && seen.attemptsInFlight >= customer.plan.MaxConcurrency {
+	if customer.plan.Rate > 0 && seen.level < units ||
+		customer.plan.MaxConcurrency > 0 && seen.attemptsInFlight >= customer.plan.MaxConcurrency {
 		return
 	}
 	insideQuota := customer.referenceQuota.startAttempt(customer.plan, units, sim.now)
@@ -395,8 +402,9 @@
 	sim.requests[id] = request
 	sim.actual.requests++
 	customer := request.customer
-	sim.handle(request.gateway, Arrival{Request{ID: id, Class: "read", Plan: customer.plan.Name, Customer: customer.id, Units: request.units,
-		Deadline: sim.now + 2500*ms, GatewaySpan: customer.gatewaySpan, FirstGateway: customer.firstGateway, IsRetry: request.retries > 0}})
+	sim.handle(request.gateway, Arrival{Request{ID: id, Class: "read", Plan: customer.plan.Name, Customer: customer.id,
+		Units: request.units, Deadline: sim.now + 2500*ms, GatewaySpan: customer.gatewaySpan, FirstGateway: customer.firstGateway,
+		IsRetry: request.retries > 0}})
 }
 
 // handle passes an event to the gateway with index i and performs the actions that it returns.
@@ -453,8 +461,9 @@
 		request.answered = request.answered || finished
 		customer.actualQuota.endAttempt(sim.now, underestimatedUnits)
 		scheduleEvent(ms, func() Event {
-			return AttemptEnded{ID: action.ID, Attempt: number, Endpoint: action.Endpoint, Outcome: outcome, Latency: workTime + ms,
-				RequestFinished: finished, SettledUnits: request.settledUnits, LoadReport: LoadReport{"queue": 0}}
+			return AttemptEnded{ID: action.ID, Attempt: number, Endpoint: action.Endpoint, Outcome: outcome,
+				Latency: workTime + ms, RequestFinished: finished, SettledUnits: request.settledUnits,
+				LoadReport: LoadReport{"queue": 0}}
 		})
 	}
 	sim.schedule(sim.now+workTime, func() { attempt.finish(Succeeded) })
@@ -477,7 +486,9 @@
 	if sim.rng.Float64() < 0.5 {
 		wait = max(wait, min(action.RetryAfter, sim.settings.MaxRetryAfter))
 	}
-	next := &simulatedRequest{customer: customer, gateway: request.gateway, units: request.units, settledUnits: request.settledUnits, retries: request.retries + 1, workTime: request.workTime, firstArrivedAt: request.firstArrivedAt}
+	next := &simulatedRequest{customer: customer, gateway: request.gateway, units: request.units,
+		settledUnits: request.settledUnits, retries: request.retries + 1, workTime: request.workTime,
+		firstArrivedAt: request.firstArrivedAt}
 	if sim.rng.Float64() < 0.2 {
 		next.gateway = customer.pickGateway(sim.rng, sim.gatewayCount)
 	}
@@ -497,7 +508,8 @@
 		scheduleEvent(delay, func() Event { return CounterReply{Name: action.Name, Outcome: outcome} })
 	}
 	elapsed := sim.now - time.Hour
-	if counter := sim.counter; counter.outageLength > 0 && elapsed >= counter.outageStart && elapsed < counter.outageStart+counter.outageLength {
+	if counter := sim.counter; counter.outageLength > 0 && elapsed >= counter.outageStart &&
+		elapsed < counter.outageStart+counter.outageLength {
 		if counter.losesTotals {
 			clear(sim.totals)
 		}
@@ -505,7 +517,8 @@
 		return
 	}
 	busyUntil := &sim.shardBusyUntil[shardOf(action.Name)]
-	callTime := time.Duration(counterShards * float64(time.Second) / (sim.counter.callsPerRequest * sim.requestRate * float64(sim.gatewayCount)))
+	callTime := time.Duration(counterShards * float64(time.Second) /
+		(sim.counter.callsPerRequest * sim.requestRate * float64(sim.gatewayCount)))
 	if *busyUntil > sim.now+160*ms {
 		fail(2*ms, Rejected)
 		return
@@ -519,7 +532,9 @@
 		sim.totals[action.Name] += action.Delta
 		total := sim.totals[action.Name]
 		if !timesOut {
-			scheduleEvent(sim.counter.delay, func() Event { return CounterReply{Name: action.Name, Outcome: Succeeded, Total: total} })
+			scheduleEvent(sim.counter.delay, func() Event {
+				return CounterReply{Name: action.Name, Outcome: Succeeded, Total: total}
+			})
 		}
 	})
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -32,17 +32,18 @@
 
 // slowStartCase describes the starts, faults and load of a scenario.
 type slowStartCase struct {
-	startPattern        string  // endpoints that start; see slowStartRun.startEndpoints
-	warmFault           string  // fault of the endpoints that stay warm: "", "slow", "full" or "silent"
-	delayedNotification bool    // each gateway is notified at a random time after 1 to 5 s
-	restartPattern      string  // gateways that restart: "", "all" (1 s after the endpoints), "tenths" (a tenth every 0.5 s)
-	offeredLoad         float64 // offered requests, as a share of those that all endpoints answer when warm
-	budgetMultiple      float64 // Settings.SlowStartBudgetMultiple
+	starts         string  // endpoints that start; see slowStartRun.startEndpoints
+	warmFault      string  // fault of the endpoints that stay warm: "", "slow", "full" or "silent"
+	notifiedLate   bool    // each gateway is notified at a random time after 1 to 5 s
+	restarts       string  // gateways that restart: "", "all" (1 s after the endpoints), "tenths" (a tenth every 0.5 s)
+	load           float64 // offered requests, as a share of those that all endpoints answer when warm
+	budgetMultiple float64 // Settings.SlowStartBudgetMultiple
 }
 
 func (scenario slowStartScenario) String() string {
-	return fmt.Sprintf("%d gateways, uneven %v, a subset of %d of %d endpoints of %v a second, %+v", scenario.gatewayCount, scenario.unevenTraffic,
-		cmp.Or(scenario.subsetSize, scenario.endpointCount), scenario.endpointCount, scenario.endpointRate, scenario.slowStartCase)
+	return fmt.Sprintf("%d gateways, uneven %v, a subset of %d of %d endpoints of %v requests per second, %+v",
+		scenario.gatewayCount, scenario.unevenTraffic, cmp.Or(scenario.subsetSize, scenario.endpointCount),
+		scenario.endpointCount, scenario.endpointRate, scenario.slowStartCase)
 }
 
 // slowStartAttempt is an attempt at a modelEndpoint.
@@ -102,8 +103,9 @@
 }
 
 func newSlowStartRun(t *testing.T, scenario slowStartScenario, seed uint64) *slowStartRun {
-	run := &slowStartRun{slowStartScenario: scenario, t: t, settings: testSettings(), rng: rand.New(rand.NewPCG(seed, 11)), seed: seed, now: time.Minute,
-		endpoints: map[EndpointID]*modelEndpoint{}, subsets: map[*testGateway]*endpointSubset{}, dueEvents: map[time.Duration][]slowStartEvent{}, requests: map[RequestID]*slowStartRequest{}}
+	run := &slowStartRun{slowStartScenario: scenario, t: t, settings: testSettings(), rng: rand.New(rand.NewPCG(seed, 11)),
+		seed: seed, now: time.Minute, endpoints: map[EndpointID]*modelEndpoint{}, subsets: map[*testGateway]*endpointSubset{},
+		dueEvents: map[time.Duration][]slowStartEvent{}, requests: map[RequestID]*slowStartRequest{}}
 	for i := range run.settings.Classes {
 		run.settings.Classes[i].LatencyObjective = ticksPerObjective * slowStartStep
 	}
@@ -173,13 +175,15 @@
 			sub.add(endpoint.ID)
 		}
 	}
-	event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), func(endpoint Endpoint) bool { return !sub.Contains(string(endpoint.ID), "") })
+	event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints),
+		func(endpoint Endpoint) bool { return !sub.Contains(string(endpoint.ID), "") })
 	event.GatewaysPerEndpoint = sub.GatewaysPerEndpoint(0, len(sub.ids))
 	return event
 }
 
 func (run *slowStartRun) addEndpoint(id EndpointID, started time.Duration) *modelEndpoint {
-	endpoint := &modelEndpoint{Endpoint: Endpoint{ID: id, State: Serving, StartedAt: started}, slots: max(1, int(run.endpointRate/15))}
+	endpoint := &modelEndpoint{Endpoint: Endpoint{ID: id, State: Serving, StartedAt: started},
+		slots: max(1, int(run.endpointRate/15))}
 	run.endpoints[id] = endpoint
 	return endpoint
 }
@@ -197,7 +201,8 @@
 	if endpoint.StartedAt == 0 {
 		return 1
 	}
-	return min(1, run.settings.SlowStartMinWeight+(1-run.settings.SlowStartMinWeight)*(at-endpoint.StartedAt).Seconds()/run.settings.SlowStartWindow.Seconds())
+	return min(1, run.settings.SlowStartMinWeight+
+		(1-run.settings.SlowStartMinWeight)*(at-endpoint.StartedAt).Seconds()/run.settings.SlowStartWindow.Seconds())
 }
 
 // deliver passes an event to a gateway and performs the actions that it returns.
@@ -268,7 +273,8 @@
 			latency *= 8
 		}
 		endpoint.busySlots++
-		run.schedule(run.now+time.Duration(latency*float64(time.Second)), slowStartEvent{endpoint: endpoint, attempt: attempt, incarnation: endpoint.incarnation})
+		run.schedule(run.now+time.Duration(latency*float64(time.Second)),
+			slowStartEvent{endpoint: endpoint, attempt: attempt, incarnation: endpoint.incarnation})
 	}
 }
 
@@ -279,7 +285,8 @@
 	}
 	attempt.ended = true
 	run.schedule(at, slowStartEvent{gateway: attempt.gateway, attempt: attempt,
-		event: AttemptEnded{ID: attempt.requestID, Attempt: attempt.number, Outcome: outcome, Latency: at - attempt.sentAt, LoadReport: loadReport}})
+		event: AttemptEnded{ID: attempt.requestID, Attempt: attempt.number, Outcome: outcome, Latency: at - attempt.sentAt,
+			LoadReport: loadReport}})
 }
 
 func (run *slowStartRun) handleEvent(event slowStartEvent) {
@@ -310,11 +317,12 @@
 // "quarter" all by a quarter as many. "same half" and "same all" restart that part of the endpoints under the same IDs.
 func (run *slowStartRun) startEndpoints() {
 	endpointCount := run.slowStartScenario.endpointCount
-	n := map[string]int{"half": endpointCount / 2, "all": endpointCount, "few": endpointCount, "quarter": endpointCount, "same half": endpointCount / 2, "same all": endpointCount}[run.startPattern]
+	n := map[string]int{"half": endpointCount / 2, "all": endpointCount, "few": endpointCount, "quarter": endpointCount,
+		"same half": endpointCount / 2, "same all": endpointCount}[run.starts]
 	var changed []Endpoint
 	for i := range n {
 		old := run.endpoints[EndpointID(fmt.Sprintf("old%03d", i))]
-		if strings.HasPrefix(run.startPattern, "same") { // queued attempts are reset
+		if strings.HasPrefix(run.starts, "same") { // queued attempts are reset
 			for _, attempt := range old.queue {
 				run.endAttempt(attempt, Reset, run.now+slowStartStep, nil)
 			}
@@ -324,11 +332,11 @@
 		}
 		old.State = Draining
 		changed = append(changed, old.Endpoint)
-		if !(run.startPattern == "few" && i%2 > 0 || run.startPattern == "quarter" && i%4 > 0) {
+		if !(run.starts == "few" && i%2 > 0 || run.starts == "quarter" && i%4 > 0) {
 			run.startedEndpoints = append(run.startedEndpoints, run.addEndpoint(EndpointID(fmt.Sprintf("new%03d", i)), run.now))
 		}
 	}
-	for i := range map[string]int{"one": 1, "plus": endpointCount}[run.startPattern] {
+	for i := range map[string]int{"one": 1, "plus": endpointCount}[run.starts] {
 		run.startedEndpoints = append(run.startedEndpoints, run.addEndpoint(EndpointID(fmt.Sprintf("new%03d", i)), run.now))
 	}
 	for _, endpoint := range run.endpoints {
@@ -341,7 +349,7 @@
 	}
 	for _, g := range run.gateways {
 		at := run.now + slowStartStep + time.Duration(run.rng.Int64N(int64(100*ms)))
-		if run.delayedNotification {
+		if run.notifiedLate {
 			at = run.now + time.Second + time.Duration(run.rng.Int64N(int64(4*time.Second)))
 		}
 		run.schedule(at, slowStartEvent{gateway: g, event: run.subsetOf(g, EndpointsChanged{Endpoints: changed})})
@@ -353,8 +361,9 @@
 	gatewayCount := len(run.gateways)
 	tenth := int((since - time.Second) / (500 * ms))
 	for i := range run.gateways {
-		restartAll := run.restartPattern == "all" && since == time.Second
-		if restartAll || run.restartPattern == "tenths" && since >= time.Second && (since-time.Second)%(500*ms) == 0 && i*10/gatewayCount == tenth {
+		restartAll := run.restarts == "all" && since == time.Second
+		if restartAll || run.restarts == "tenths" && since >= time.Second && (since-time.Second)%(500*ms) == 0 &&
+			i*10/gatewayCount == tenth {
 			run.gateways[i] = run.startGateway(i)
 		}
 	}
@@ -380,7 +389,8 @@
 			run.handleEvent(event)
 		}
 		delete(run.dueEvents, run.now)
-		for range run.poisson(run.offeredLoad * run.endpointRate * float64(run.slowStartScenario.endpointCount) * slowStartStep.Seconds()) {
+		for range run.poisson(run.load * run.endpointRate * float64(run.slowStartScenario.endpointCount) *
+			slowStartStep.Seconds()) {
 			run.lastID++
 			i := sort.SearchFloat64s(run.trafficShares, run.rng.Float64()*run.trafficShares[len(run.trafficShares)-1])
 			request := &slowStartRequest{deadline: run.now + 2*time.Second}
@@ -412,7 +422,8 @@
 		isOver := false
 		for i, from := range endpoint.sendTimes {
 			to, _ := slices.BinarySearch(endpoint.sendTimes, from+run.settings.SlowStartBudgetSpan)
-			allowance := run.settings.SlowStartBudgetMultiple * run.endpointRate * run.slowStartWeight(endpoint, from) * run.settings.SlowStartBudgetSpan.Seconds()
+			allowance := run.settings.SlowStartBudgetMultiple * run.endpointRate * run.slowStartWeight(endpoint, from) *
+				run.settings.SlowStartBudgetSpan.Seconds()
 			budget := allowance + 2*math.Sqrt(allowance) + 2
 			if excess := float64(to-i) - budget; excess > worstExcess {
 				worstExcess, worst = excess, budgetSpan{endpoint.ID, from - endpoint.StartedAt, to - i, budget, allowance}
@@ -430,23 +441,27 @@
 // number that the settings allow for an endpoint of that age. This holds for 1 to 300 gateways, for even and uneven traffic, and
 // for small and large endpoints, even if few endpoints are warm or the gateways have just restarted.
 func TestSlowStartBudgetHoldsInEachSpanOverAllGateways(t *testing.T) {
-	fleets := []slowStartScenario{{gatewayCount: 1, endpointCount: 4, endpointRate: 20}, {gatewayCount: 4, endpointCount: 10, endpointRate: 20},
-		{gatewayCount: 20, endpointCount: 20, endpointRate: 5}, {gatewayCount: 30, endpointCount: 4, endpointRate: 20},
+	fleets := []slowStartScenario{{gatewayCount: 1, endpointCount: 4, endpointRate: 20},
+		{gatewayCount: 4, endpointCount: 10, endpointRate: 20}, {gatewayCount: 20, endpointCount: 20, endpointRate: 5},
+		{gatewayCount: 30, endpointCount: 4, endpointRate: 20},
 		{gatewayCount: 300, endpointCount: 4, endpointRate: 100}, {gatewayCount: 300, endpointCount: 20, endpointRate: 20}}
-	cases := []slowStartCase{{startPattern: "one"}, {startPattern: "plus"}, {startPattern: "half"}, {startPattern: "half", offeredLoad: 1.05}, {startPattern: "all"},
-		{startPattern: "all", restartPattern: "all"}, {startPattern: "same half"}, {startPattern: "same all"}, {startPattern: "same all", offeredLoad: 1.05},
-		{startPattern: "half", restartPattern: "all"}, {startPattern: "half", restartPattern: "tenths"}, {startPattern: "half", delayedNotification: true},
-		{startPattern: "few"}, {startPattern: "quarter"}, {startPattern: "quarter", restartPattern: "all"}, {startPattern: "quarter", delayedNotification: true},
-		{startPattern: "half", warmFault: "slow"}, {startPattern: "half", warmFault: "full"}, {startPattern: "one", warmFault: "full"},
-		{startPattern: "half", warmFault: "silent"}, {startPattern: "all", budgetMultiple: 1.5}, {startPattern: "all", restartPattern: "all", budgetMultiple: 1.5},
-		{startPattern: "all", budgetMultiple: 2}, {startPattern: "all", restartPattern: "all", budgetMultiple: 2}, {startPattern: "half", delayedNotification: true, budgetMultiple: 2},
-		{startPattern: "quarter", budgetMultiple: 2}, {startPattern: "same half", offeredLoad: 1.05, budgetMultiple: 2},
-		{startPattern: "half", warmFault: "full", budgetMultiple: 2}}
-	scenarios := []slowStartScenario{{gatewayCount: 300, endpointCount: 200, endpointRate: 5, slowStartCase: slowStartCase{startPattern: "quarter"}}}
-	for i, c := range []slowStartCase{{startPattern: "one"}, {startPattern: "quarter"}, {startPattern: "all", restartPattern: "all"}, {startPattern: "same half"},
-		{startPattern: "half", delayedNotification: true}} {
-		scenarios = append(scenarios, slowStartScenario{gatewayCount: 300, endpointCount: 400, endpointRate: []float64{5, 20}[i%2], unevenTraffic: i > 2, subsetSize: 25,
-			slowStartCase: c})
+	cases := []slowStartCase{{starts: "one"}, {starts: "plus"}, {starts: "half"}, {starts: "half", load: 1.05}, {starts: "all"},
+		{starts: "all", restarts: "all"}, {starts: "same half"}, {starts: "same all"}, {starts: "same all", load: 1.05},
+		{starts: "half", restarts: "all"}, {starts: "half", restarts: "tenths"}, {starts: "half", notifiedLate: true},
+		{starts: "few"}, {starts: "quarter"}, {starts: "quarter", restarts: "all"}, {starts: "quarter", notifiedLate: true},
+		{starts: "half", warmFault: "slow"}, {starts: "half", warmFault: "full"}, {starts: "one", warmFault: "full"},
+		{starts: "half", warmFault: "silent"}, {starts: "all", budgetMultiple: 1.5},
+		{starts: "all", restarts: "all", budgetMultiple: 1.5},
+		{starts: "all", budgetMultiple: 2}, {starts: "all", restarts: "all", budgetMultiple: 2},
+		{starts: "half", notifiedLate: true, budgetMultiple: 2}, {starts: "quarter", budgetMultiple: 2},
+		{starts: "same half", load: 1.05, budgetMultiple: 2},
+		{starts: "half", warmFault: "full", budgetMultiple: 2}}
+	scenarios := []slowStartScenario{{gatewayCount: 300, endpointCount: 200, endpointRate: 5,
+		slowStartCase: slowStartCase{starts: "quarter"}}}
+	for i, c := range []slowStartCase{{starts: "one"}, {starts: "quarter"}, {starts: "all", restarts: "all"},
+		{starts: "same half"}, {starts: "half", notifiedLate: true}} {
+		scenarios = append(scenarios, slowStartScenario{gatewayCount: 300, endpointCount: 400,
+			endpointRate: []float64{5, 20}[i%2], unevenTraffic: i > 2, subsetSize: 25, slowStartCase: c})
 	}
 	for i, c := range cases {
 		for _, scenario := range fleets {
@@ -465,11 +480,12 @@
 		}
 	}
 	for _, scenario := range scenarios {
-		scenario.offeredLoad, scenario.budgetMultiple = cmp.Or(scenario.offeredLoad, 0.7), cmp.Or(scenario.budgetMultiple, 4)
+		scenario.load, scenario.budgetMultiple = cmp.Or(scenario.load, 0.7), cmp.Or(scenario.budgetMultiple, 4)
 		run := newSlowStartRun(t, scenario, 1)
 		run.simulate()
 		if worst, overBudget := run.worstSpan(); overBudget > 0 {
-			t.Errorf("%v: got %d of %d endpoints over budget, want none; %s received %d attempts in the span from age %v, with N %.1f and budget %.1f", scenario, overBudget,
+			t.Errorf("%v: got %d of %d endpoints over budget, want none; %s got %d attempts from age %v, N is %.1f, the budget %.1f",
+				scenario, overBudget,
 				len(run.startedEndpoints), worst.endpoint, worst.sendCount, worst.ageAtStart, worst.allowance, worst.budget)
 		}
 	}
@@ -487,7 +503,7 @@
 		{slowStartScenario{gatewayCount: 300, endpointCount: 20, endpointRate: 20}, 0.02},
 	} {
 		sum := 0.0
-		test.scenario.slowStartCase = slowStartCase{startPattern: "half", offeredLoad: 0.7, budgetMultiple: 4}
+		test.scenario.slowStartCase = slowStartCase{starts: "half", load: 0.7, budgetMultiple: 4}
 		for seed := range uint64(2) {
 			run := newSlowStartRun(t, test.scenario, seed+1)
 			run.simulate()
--- a/policy/sparecapacity_test.go
+++ b/policy/sparecapacity_test.go
@@ -130,8 +130,9 @@
 					actual.add(buckets[demand.id].take(2, g.now), demand.plan, 2)
 					delete(undecided, action.ID)
 				}
-				pending = append(pending, delayedEvent{g.now + 30*ms, g, AttemptEnded{ID: action.ID, Endpoint: action.Endpoint, Outcome: Succeeded,
-					Latency: 30 * ms, RequestFinished: true}})
+				pending = append(pending, delayedEvent{g.now + 30*ms, g,
+					AttemptEnded{ID: action.ID, Endpoint: action.Endpoint, Outcome: Succeeded,
+						Latency: 30 * ms, RequestFinished: true}})
 			case Reject:
 				delete(undecided, action.ID)
 			case IncrementCounter:
@@ -191,8 +192,8 @@
 			t.Logf("%d gateways, seed %d: %.3f of the weight inside is admitted, over-quota cost %.3f; reference %.3f", n, seed,
 				actual.insideQuota/served, cost, reference.overQuotaCost/served)
 			if cost > bound || actual.insideQuota < 0.5*served {
-				t.Errorf("%d gateways, seed %d: got over-quota cost %.3f, want at most %.3f; got %.3f of the weight inside, want at least 0.5", n, seed, cost,
-					bound, actual.insideQuota/served)
+				t.Errorf("%d gateways, seed %d: got over-quota cost %.3f, want at most %.3f; got served %.3f, want at least 0.5",
+					n, seed, cost, bound, actual.insideQuota/served)
 			}
 		}
 	}
