--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -312,7 +312,7 @@
 	}
 }
 
-// startEndpoints starts endpoints by the start pattern and notifies the gateways. "one" adds one endpoint, and "plus" as many as
+// startEndpoints starts endpoints according to starts and notifies the gateways. "one" adds one endpoint, and "plus" as many as
 // there are. "half" and "all" replace that part of the old endpoints, which drain. "few" replaces all by half as many, and
 // "quarter" all by a quarter as many. "same half" and "same all" restart that part of the endpoints under the same IDs.
 func (run *slowStartRun) startEndpoints() {
@@ -356,7 +356,7 @@
 	}
 }
 
-// restartGateways replaces gateways by new ones without their state, by the restart pattern.
+// restartGateways replaces gateways by new ones without their state, according to restarts.
 func (run *slowStartRun) restartGateways(since time.Duration) {
 	gatewayCount := len(run.gateways)
 	tenth := int((since - time.Second) / (500 * ms))
