--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -82,7 +82,7 @@
 		maxUnits:     cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 		maxAttempts:  max(cfg.Settings.MaxAttempts, 1),
 		rejection:    busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
-		requests:     newRequestTable(cfg.Connections.MaxOpen, cfg.memoryPart()),
+		requests:     newRequestTable(cfg.Connections.MaxOpenRequests, cfg.memoryPart()),
 		ready:        make(chan struct{}),
 	}
 	for _, class := range cfg.Settings.Classes {
@@ -107,7 +107,7 @@
 		Go:             g.spawn,
 		MaxConnections: g.cfg.maxUpstreamConnections(),
 		ConnectTimeout: g.cfg.Connections.ConnectTimeout,
-		IdleTimeout:    g.cfg.Connections.Idle,
+		IdleTimeout:    g.cfg.Connections.IdleTimeout,
 		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryPart()),
 	})
 }
@@ -121,11 +121,11 @@
 // discoveryConfig returns the configuration of the discovery client.
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
-		Address:  g.cfg.Discovery,
-		Known:    g.cfg.Known,
-		Subset:   g.cfg.Subset,
-		Settings: g.cfg.Settings,
-		Random:   rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+		Address:   g.cfg.Discovery,
+		KnownList: g.cfg.KnownEndpoints,
+		Subset:    g.cfg.Subset,
+		Settings:  g.cfg.Settings,
+		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
 	}
 }
 
@@ -140,11 +140,11 @@
 // Addr returns the address that clients connect to, once Ready has closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// Move goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
+// UpdateAddresses goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
 // of several calls counts. Clients, endpoints and the policy's state are left as they are.
-func (g *Gateway) Move(discoveryAddress, counterAddress string) {
-	g.discovery.Move(discoveryAddress)
-	g.counter.Move(counterAddress)
+func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
+	g.discovery.ChangeAddress(discoveryAddress)
+	g.counter.SetAddress(counterAddress)
 }
 
 // Run serves until ctx ends, then answers what it has admitted and returns.
@@ -155,7 +155,7 @@
 		g.spawned.Wait()
 	}()
 	g.ctx = life
-	knownEndpoints := len(g.cfg.Known.Entries)
+	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
 	g.applyKnownEndpoints()
 	g.startParts()
 	select {
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -55,7 +55,7 @@
 
 // checkAnswerTime reports a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	due := max(r.GiveUpAt, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process is stalled
+	due := max(r.GiveUpAt, g.epoch+g.stalls.LastStallEnd()) // nothing is answered while the process is stalled
 	if g.now > due+maxAnswerDelay {
 		g.observe.violated(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-due).String()+" late")
 	}
@@ -86,7 +86,7 @@
 	switch {
 	case r.final:
 		return errRequestOver
-	case r.ClientGone():
+	case r.ClientDisconnected():
 		return errClientDisconnected
 	case a.deadline <= g.now:
 		return errNoTimeLeft
@@ -149,17 +149,17 @@
 	return false
 }
 
-// BeforeFirstByte implements upstream.Command: it checks the invariants on the goroutine of its connection.
-func (a *attempt) BeforeFirstByte(timeLimit time.Duration) {
+// BeforeWrite implements upstream.Command: it checks the invariants on the goroutine of its connection.
+func (a *attempt) BeforeWrite(timeLimit time.Duration) {
 	g, r := a.gateway, a.request
 	if r.Released() {
 		return
 	}
 	now := g.clock(time.Now())
-	if left := r.ClientGoneAt(); left != 0 && now-left > maxStartAfterDisconnect {
+	if left := r.ClientDisconnectedAt(); left != 0 && now-left > maxStartAfterDisconnect {
 		g.observe.violated(invariantClientConnected, r.Request, now, "the client left "+(now-left).String()+" before")
 	}
-	if stopped := a.endpoint.StoppedAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
+	if stopped := a.endpoint.StoppedServingAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
 		g.observe.violated(invariantDrain, r.Request, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -64,12 +64,12 @@
 // it now.
 func (g *Gateway) pickEndpoint(r *request) *balancer.Endpoint {
 	var buffer [maxTriedOnStack]*balancer.Endpoint
-	query := balancer.Query{Tried: buffer[:0], Scope: r.class.DeduplicationScope}
+	query := balancer.Query{TriedEndpoints: buffer[:0], DeduplicationScope: r.class.DeduplicationScope}
 	for _, a := range r.attempts {
-		query.Tried = append(query.Tried, a.Endpoint)
+		query.TriedEndpoints = append(query.TriedEndpoints, a.Endpoint)
 	}
 	if maybeExecuted := r.firstMaybeExecuted(); maybeExecuted != nil {
-		query.MaybeExecuted = maybeExecuted.Endpoint
+		query.MaybeExecutedAt = maybeExecuted.Endpoint
 	}
 	return g.balancer.Pick(g.now, query)
 }
@@ -97,7 +97,7 @@
 // retried. It returns 0, which means the request's deadline, if the latency of the class is unknown, if the
 // class is non-idempotent, or if hedging is enabled: a hedge leaves the earlier attempt in flight.
 func (g *Gateway) attemptDeadline(r *request) time.Duration {
-	if g.settings.HedgingEnabled || !r.class.latency.Known() || r.class.Idempotency == NonIdempotent {
+	if g.settings.HedgingEnabled || !r.class.latency.HasSamples() || r.class.Idempotency == NonIdempotent {
 		return 0
 	}
 	expected := r.class.latency.Expected(attemptDeadlineDeviations)
@@ -141,7 +141,7 @@
 	switch {
 	case !g.settings.HedgingEnabled, r.attemptsInFlight != 1, !g.retryBudget.allowsRetry():
 		return false
-	case g.now > r.arrivedAt+r.class.LatencyObjective, r.overQuota, !r.class.latency.Known():
+	case g.now > r.arrivedAt+r.class.LatencyObjective, r.overQuota, !r.class.latency.HasSamples():
 		return false
 	default:
 		return !g.saturated()
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -53,7 +53,7 @@
 	queue             queue.Queue[*request]
 	limiter           *limiter.Limiter
 	balancer          *balancer.Balancer
-	latency           *latency.Overall
+	latency           *latency.OverallMean
 	retryBudget       retryBudget
 }
 
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	settings.setMinimums()
-	overall := &latency.Overall{}
+	overall := &latency.OverallMean{}
 	g := &Gateway{
 		settings:     settings,
 		rng:          rand.New(rand.NewPCG(seed, seed^seedMix)),
@@ -104,7 +104,7 @@
 			BudgetSpan:     g.settings.SlowStartBudgetSpan,
 		},
 		MaxLatencyObjective: g.maxLatencyObjective,
-		CapacityInterval:    g.tickInterval,
+		CapacityCacheTTL:    g.tickInterval,
 	}
 }
 
@@ -160,7 +160,7 @@
 		g.watchingEndpoints = false
 		return
 	}
-	hadNoEndpoints := len(g.balancer.Serving()) == 0
+	hadNoEndpoints := len(g.balancer.ServingEndpoints()) == 0
 	g.balancer.Apply(g.now, balancer.Change{
 		Snapshot:            ev.IsSnapshot,
 		Endpoints:           ev.Endpoints,
@@ -180,7 +180,7 @@
 		g.watchingEndpoints = true
 		g.emit(WatchEndpoints{})
 	}
-	g.limiter.EndRoundIfDue(g.now, len(g.balancer.Serving()), g.balancer.GatewaysPerEndpoint())
+	g.limiter.EndRoundIfDue(g.now, len(g.balancer.ServingEndpoints()), g.balancer.GatewaysPerEndpoint())
 	g.requestsByArrival = slices.DeleteFunc(g.requestsByArrival, g.tickRequest)
 	g.quota.Tick()
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -69,7 +69,7 @@
 // endpoint returns the serving endpoint with an id, and fails the test if there is none.
 func (tg *testGateway) endpoint(id EndpointID) *balancer.Endpoint {
 	tg.Helper()
-	for _, e := range tg.gateway.balancer.Serving() {
+	for _, e := range tg.gateway.balancer.ServingEndpoints() {
 		if e.ID == id {
 			return e
 		}
@@ -208,7 +208,7 @@
 	}
 	g := newTestGateway(t, settings, endpoints...)
 	for i := range 12 {
-		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.Serving()[i], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(g.gateway.classes["read"], g.gateway.balancer.ServingEndpoints()[i], limiter.Sample{Outcome: TimedOut})
 		g.advance(time.Second)
 	}
 	if g.gateway.limiter.Window() >= 1 {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -102,7 +102,7 @@
 	}
 	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	g.handle(EndpointsChanged{IsSnapshot: true, Endpoints: []Endpoint{{ID: "u", State: Serving}}})
-	if len(g.gateway.balancer.Serving()) != 1 {
+	if len(g.gateway.balancer.ServingEndpoints()) != 1 {
 		t.Fatal("got an endpoint serving that is missing in the snapshot, want only the other one")
 	}
 }
@@ -263,14 +263,14 @@
 	before := g.gateway.limiter.Window()
 	class := g.gateway.classes["read"]
 	for range 50 {
-		g.gateway.recordSample(class, g.gateway.balancer.Serving()[0], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(class, g.gateway.balancer.ServingEndpoints()[0], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(100 * ms)
 	if g.gateway.limiter.Window() < before {
 		t.Fatal("got a narrower window after late answers of one endpoint, want the same or a wider one")
 	}
 	for i := range 50 {
-		g.gateway.recordSample(class, g.gateway.balancer.Serving()[i%12], limiter.Sample{Outcome: TimedOut})
+		g.gateway.recordSample(class, g.gateway.balancer.ServingEndpoints()[i%12], limiter.Sample{Outcome: TimedOut})
 	}
 	g.advance(2 * time.Second)
 	if g.gateway.limiter.Window() >= before {
@@ -283,7 +283,7 @@
 	g := newTestGateway(t, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 	before := g.gateway.limiter.Window()
 	for i := range 40 {
-		s := g.gateway.balancer.Serving()[i%2]
+		s := g.gateway.balancer.ServingEndpoints()[i%2]
 		g.gateway.recordSample(g.gateway.classes["book"], s, limiter.Sample{Outcome: Succeeded, Latency: 400 * ms})
 		g.gateway.recordSample(g.gateway.classes["read"], s, limiter.Sample{Outcome: Succeeded, Latency: 20 * ms})
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("%d gateways: got %v units in the lease after all requests expired, want half to all of the share of %v",
 				span, tokens, share)
 		}
-		if all := c.LeaseTokens + c.AvailableTokens; !c.Central && all > 8+1e-9 {
+		if all := c.LeaseTokens + c.AvailableTokens; !c.HasCentralBucket && all > 8+1e-9 {
 			t.Errorf("%d gateways: got %v units in lease and token bucket, want at most the burst of 8", span, all)
 		}
 	}
