--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -31,7 +31,7 @@
 func newCache(chosen *subset.Subset, settings policy.Settings, log *slog.Logger) *Cache {
 	if chosen == nil {
 		chosen = subset.New(subset.Config{
-			Index:          settings.Index,
+			Index:          settings.GatewayIndex,
 			GatewayCount:   settings.GatewayCount,
 			Zone:           settings.Zone,
 			CrossZonePrice: settings.CrossZonePrice,
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -62,12 +62,12 @@
 
 // Every gateway caches all of a short list, and all gateways share it.
 func TestCacheHoldsTheWholeOfAShortList(t *testing.T) {
-	for _, settings := range []policy.Settings{manyGateways(), {GatewayCount: 1}, {Index: 299, GatewayCount: 300, Zone: "z0"}} {
+	for _, settings := range []policy.Settings{manyGateways(), {GatewayCount: 1}, {GatewayIndex: 299, GatewayCount: 300, Zone: "z0"}} {
 		cache := NewCache(settings, quiet)
 		_, list, err := cache.decode(json.NewDecoder(longSnapshot(targetCacheSize)), func() {})
 		list = cache.apply(list)
 		if err != nil || len(list.Entries) != targetCacheSize || list.GatewaysPerEndpoint != float64(settings.GatewayCount) {
-			t.Errorf("%d of %d: %d cached, %v gateways per endpoint, %v", settings.Index, settings.GatewayCount,
+			t.Errorf("%d of %d: %d cached, %v gateways per endpoint, %v", settings.GatewayIndex, settings.GatewayCount,
 				len(list.Entries), list.GatewaysPerEndpoint, err)
 		}
 	}
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -24,7 +24,7 @@
 
 // manyGateways are the settings of one of many gateways.
 func manyGateways() policy.Settings {
-	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
+	return policy.Settings{GatewayIndex: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
 // singleGateway are the settings of a gateway that is alone and has an agent.
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -53,7 +53,7 @@
 	go service.Serve(ln) // ended by Close
 	t.Cleanup(func() { service.Close() })
 	cfg := testConfig(ln.Addr().String(), discovery.EndpointList{})
-	cfg.Settings.Index, cfg.Settings.GatewayCount = 4711, 6400
+	cfg.Settings.GatewayIndex, cfg.Settings.GatewayCount = 4711, 6400
 	for i := range cfg.Settings.Classes { // a busy machine decodes the list in its own time, which is not asserted here
 		cfg.Settings.Classes[i].LatencyObjective = time.Hour
 		cfg.Settings.Classes[i].Deadline = time.Hour
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -125,7 +125,7 @@
 		KnownList: g.cfg.KnownEndpoints,
 		Subset:    g.cfg.Subset,
 		Settings:  g.cfg.Settings,
-		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.GatewayIndex))),
 	}
 }
 
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -82,7 +82,7 @@
 	for i := range n {
 		cfg := testConfig("127.0.0.1:1", known)
 		cfg.Seed = uint64(i)
-		cfg.Settings.Index, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, poll
+		cfg.Settings.GatewayIndex, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, poll
 		g, err := New(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/shape_test.go
+++ b/internal/scale/shape_test.go
@@ -28,7 +28,7 @@
 func TestPolicySettingsFollowTheShape(t *testing.T) {
 	shape := fleetShape{Ingresses: 7, Tenants: 50, Rate: 100}
 	settings, err := shape.policySettings(3)
-	if err != nil || settings.Index != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
+	if err != nil || settings.GatewayIndex != 3 || settings.GatewayCount != 7 || len(settings.Plans) != len(plans) ||
 		!settings.HasSharedCounter || settings.PollEndpoints {
 		t.Errorf("settings %+v, %v", settings, err)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -106,7 +106,7 @@
 
 func (o *settingsObject) settings() *policy.Settings {
 	settings := &policy.Settings{
-		Index:                   o.Me,
+		GatewayIndex:            o.Me,
 		GatewayCount:            o.Replicas,
 		Zone:                    o.MyZone,
 		PollEndpoints:           o.RegistryMode == "subscribe",
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,7 +11,7 @@
 // quotaConfig returns the settings that the quota manager needs.
 func (g *Gateway) quotaConfig() quota.Config {
 	return quota.Config{
-		GatewayIndex:        g.settings.Index,
+		GatewayIndex:        g.settings.GatewayIndex,
 		GatewayCount:        g.settings.GatewayCount,
 		MaxUnits:            g.settings.MaxUnits,
 		HasSharedCounter:    g.settings.HasSharedCounter,
@@ -39,10 +39,10 @@
 func (host quotaHost) Saturated() bool { return host.gateway.saturated() }
 
 // MeanLatency implements quota.Host.
-func (host quotaHost) MeanLatency() time.Duration { return host.gateway.meanAnswerTime() }
+func (host quotaHost) MeanLatency() time.Duration { return host.gateway.meanLatency() }
 
-// openCharge creates the charge of a new request, which records its use of quotas, and looks up its plan.
-func (g *Gateway) openCharge(r *request) {
+// newCharge creates the charge of a new request, which records its use of quotas, and looks up its plan.
+func (g *Gateway) newCharge(r *request) {
 	r.charge = g.quota.NewCharge(quota.Request{
 		ID:             r.ID,
 		Customer:       r.Customer,
--- a/policy/cluster_test.go
+++ b/policy/cluster_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	c := &cluster{totals: map[string]float64{}}
 	for i := range n {
-		settings.Index, settings.GatewayCount = i, n
+		settings.GatewayIndex, settings.GatewayCount = i, n
 		gateway, err := New(settings, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,7 +9,7 @@
 
 func Example() {
 	gateway, err := policy.New(policy.Settings{
-		Index: 0, GatewayCount: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, HedgingEnabled: true, MayCancel: true,
+		GatewayIndex: 0, GatewayCount: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, HedgingEnabled: true, MayCancel: true,
 		HasSharedCounter: true, CounterTimeout: 50 * time.Millisecond,
 		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
 			Idempotency: policy.Idempotent}},
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -200,7 +200,7 @@
 	return true
 }
 
-// meanAnswerTime returns the mean latency of answers, at least one tick interval.
-func (g *Gateway) meanAnswerTime() time.Duration {
+// meanLatency returns the mean latency of answers, at least one tick interval.
+func (g *Gateway) meanLatency() time.Duration {
 	return max(g.latency.Duration(), g.tickInterval)
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -13,7 +13,7 @@
 
 // testSettings returns the settings of one of two gateways that share a counter.
 func testSettings() Settings {
-	return Settings{Index: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+	return Settings{GatewayIndex: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 50 * ms,
 		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second,
 		SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
@@ -179,7 +179,7 @@
 		settings.Plans = append(settings.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, OverQuotaCost: 1})
 		totals, sent := map[string]float64{}, 0
 		for i := range 2 * n { // each gateway twice, the second time after a restart
-			settings.Index = i % n
+			settings.GatewayIndex = i % n
 			g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving})
 			actions := g.handle(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
 				Deadline: g.now + time.Second, GatewaySpan: n}})
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -173,7 +173,7 @@
 			Kind: fmt.Sprint("k", i%2), Cell: i % 5, State: Serving, Capacity: 1 + float64(i%3)})
 	}
 	for i := range goldenGateways {
-		settings.Index = i
+		settings.GatewayIndex = i
 		g, err := New(settings, run.rng.Uint64())
 		if err != nil {
 			run.t.Fatal(err)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -184,7 +184,7 @@
 func TestInvalidSettingsReturnAnError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"gateways":  func(s *Settings) { s.GatewayCount = 0 },
-		"index":     func(s *Settings) { s.Index = 2 },
+		"index":     func(s *Settings) { s.GatewayIndex = 2 },
 		"classes":   func(s *Settings) { s.Classes = nil },
 		"objective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"rate":      func(s *Settings) { s.Plans[0].Rate = -1 },
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -13,7 +13,7 @@
 	settings.SlowStartMinWeight, settings.SlowStartWindow = 0.3, 18*time.Second
 	sent := map[bool]int{}
 	for index := range 20 {
-		settings.Index = index
+		settings.GatewayIndex = index
 		g := newTestGateway(t, settings)
 		var endpoints []Endpoint
 		for i := range 20 {
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -274,7 +274,7 @@
 // startGateway starts or restarts the gateway with index i.
 func (sim *quotaSimulation) startGateway(i int) {
 	settings := sim.settings
-	settings.Index = i
+	settings.GatewayIndex = i
 	g, err := New(settings, sim.rng.Uint64())
 	if err != nil {
 		sim.Fatal(err)
--- a/policy/request.go
+++ b/policy/request.go
@@ -57,7 +57,7 @@
 		g.emit(Reject{ID: r.ID, RetryAfter: min(r.class.LatencyObjective, g.settings.MaxRetryAfter)})
 		return
 	}
-	g.openCharge(r)
+	g.newCharge(r)
 	g.requestsByID[r.ID] = r
 	g.requestsByArrival = append(g.requestsByArrival, r)
 	g.applyQuotaDecision(r, g.quota.Admit(&r.charge))
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,8 +9,8 @@
 
 // Settings configure a gateway. They are set once, when it is created.
 type Settings struct {
-	// Index is the index of this gateway among all gateways, from 0.
-	Index int
+	// GatewayIndex is the index of this gateway among all gateways, from 0.
+	GatewayIndex int
 	// GatewayCount is the number of gateways, including this one.
 	GatewayCount int
 	// Zone is the zone of this gateway.
@@ -63,9 +63,9 @@
 
 // validate returns an error if a gateway cannot work with the settings.
 func (s *Settings) validate() error {
-	if s.GatewayCount < 1 || s.Index < 0 || s.Index >= s.GatewayCount {
-		return fmt.Errorf("policy: gateway index %d, gateway count %d, want 0 <= index < count",
-			s.Index, s.GatewayCount)
+	if s.GatewayCount < 1 || s.GatewayIndex < 0 || s.GatewayIndex >= s.GatewayCount {
+		return fmt.Errorf("policy: gateway %d of %d, want an index of at least 0 and less than the count",
+			s.GatewayIndex, s.GatewayCount)
 	}
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("policy: no classes, want at least one")
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -129,7 +129,7 @@
 // startGateway starts a gateway with the current endpoint list.
 func (run *slowStartRun) startGateway(index int) *testGateway {
 	settings := run.settings
-	settings.Index = index
+	settings.GatewayIndex = index
 	run.seed += 1 << 20
 	gateway, err := New(settings, run.seed+uint64(index))
 	if err != nil {
