--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -21,31 +21,31 @@
 
 // policyDriver feeds the policy with events, one after another.
 type policyDriver struct {
-	policy  *policy.Gateway
-	queue   []policy.Event  // not handled yet
-	actions []policy.Action // of the event that is being handled; kept for its memory
+	policy        *policy.Gateway
+	pendingEvents []policy.Event  // not handled yet
+	actions       []policy.Action // of the event that is being handled; kept for its memory
 }
 
-// tell queues an event for the policy; flush hands it over.
-func (d *policyDriver) tell(ev policy.Event) { d.queue = append(d.queue, ev) }
+// enqueue queues an event for the policy; flush hands it over.
+func (d *policyDriver) enqueue(ev policy.Event) { d.pendingEvents = append(d.pendingEvents, ev) }
 
 // run lets the policy handle what is queued; act carries out its actions, which may queue more.
-func (d *policyDriver) run(now time.Duration, act func(policy.Action)) {
-	for i := 0; i < len(d.queue); i++ {
-		d.actions = d.policy.Handle(now, d.queue[i], d.actions[:0])
+func (d *policyDriver) run(now time.Duration, execute func(policy.Action)) {
+	for i := 0; i < len(d.pendingEvents); i++ {
+		d.actions = d.policy.Handle(now, d.pendingEvents[i], d.actions[:0])
 		for _, action := range d.actions {
-			act(action)
+			execute(action)
 		}
 	}
-	clear(d.queue)
-	d.queue = d.queue[:0]
+	clear(d.pendingEvents)
+	d.pendingEvents = d.pendingEvents[:0]
 }
 
-// flush lets the policy handle what is queued.
-func (g *Gateway) flush() { g.policyDriver.run(g.now, g.act) }
+// handlePendingEvents lets the policy handle what is queued.
+func (g *Gateway) handlePendingEvents() { g.policyDriver.run(g.now, g.executeAction) }
 
-// act carries out an action of the policy.
-func (g *Gateway) act(action policy.Action) {
+// executeAction carries out an action of the policy.
+func (g *Gateway) executeAction(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
 		g.send(action)
@@ -56,7 +56,7 @@
 	case policy.Fail:
 		g.fail(action)
 	case policy.SetTimer:
-		g.after(action.After, func() { g.tell(policy.TimerFired{}) })
+		g.scheduleAfter(action.After, func() { g.enqueue(policy.TimerFired{}) })
 	case policy.IncrementCounter:
 		g.incrementCounter(action)
 	case policy.CheckHealth:
@@ -64,7 +64,7 @@
 	case policy.CloseIdleConnections:
 		g.pool.CloseIdle(action.Endpoint)
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list as it stands is the answer
-		g.tell(g.endpointList())
+		g.enqueue(g.endpointList())
 	case policy.Log:
 		g.log.Info(action.Text)
 	default:
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -13,8 +13,8 @@
 
 const (
 	// commandOverhead is room for the parts of a command that are not its body, in bytes: most commands fit without growing.
-	commandOverhead = 192
-	fieldsArgument  = 3 // the place of the fields among a command's arguments
+	commandOverhead     = 192
+	fieldsArgumentIndex = 3 // the place of the fields among a command's arguments
 )
 
 // attempt is an attempt of a request, with what the gateway knows of it. It is the upstream.Command of its upstream.Attempt.
@@ -71,7 +71,7 @@
 		return
 	}
 	g.observe.attemptStarted(a)
-	g.at(a.deadline, func() { g.pool.Abort(a.Attempt, policy.TimedOut) })
+	g.scheduleAt(a.deadline, func() { g.pool.Abort(a.Attempt, policy.TimedOut) })
 	g.pool.Start(a.Attempt)
 }
 
@@ -87,7 +87,7 @@
 	body := r.Args[len(r.Args)-1]
 	frame := redcon.AppendArray(make([]byte, 0, commandOverhead+len(body)), len(r.Args))
 	for i, argument := range r.Args {
-		if i == fieldsArgument {
+		if i == fieldsArgumentIndex {
 			fields := append(make([]byte, 0, len(argument)+8), argument[:r.TimeoutStart]...)
 			fields = strconv.AppendInt(fields, milliseconds, 10)
 			argument = append(fields, argument[r.TimeoutEnd:]...)
@@ -109,14 +109,14 @@
 	}
 	latency := g.now - a.startedAt
 	g.observe.attemptEnded(a, latency)
-	if a.outcome == policy.Succeeded && !r.final {
+	if a.outcome == policy.Succeeded && !r.finished {
 		g.checkAnswerTime(r)
-		r.final = true
+		r.finished = true
 		g.observe.requestEnded(r, requestsServed)
 		r.Respond(redcon.AppendBulk(make([]byte, 0, len(reply.Value)+16), reply.Value))
 	}
 	r.openAttempts--
-	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Outcome: a.outcome, Latency: latency,
-		RequestFinished: r.final, SettledUnits: min(reply.SettledUnits, g.maxUnits), LoadReport: reply.LoadReport})
-	g.requests.removeIfOver(r)
+	g.enqueue(policy.AttemptEnded{ID: r.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Outcome: a.outcome, Latency: latency,
+		RequestFinished: r.finished, SettledUnits: min(reply.SettledUnits, g.maxUnits), LoadReport: reply.LoadReport})
+	g.requests.removeIfDone(r)
 }
--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -104,12 +104,12 @@
 	change := endpointsAt(endpoint.addr)
 	change.Snapshot, change.Entries[0].State = false, "DRAINING"
 	g.updateEndpoints(change)
-	if ev, ok := g.queue[len(g.queue)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.queue) != 2 {
-		t.Fatalf("policy events %v, want the list and then the end of the attempt that was not sent", g.queue)
+	if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.pendingEvents) != 2 {
+		t.Fatalf("policy events %v, want the list and then the end of the attempt that was not sent", g.pendingEvents)
 	}
 	g.pool.HandleEvent(connected)
-	if !a.WaitsForConnection() || len(g.queue) != 2 {
-		t.Fatalf("policy events %v, want no further one, and nothing written to the connection", g.queue)
+	if !a.WaitsForConnection() || len(g.pendingEvents) != 2 {
+		t.Fatalf("policy events %v, want no further one, and nothing written to the connection", g.pendingEvents)
 	}
 }
 
@@ -152,7 +152,7 @@
 	for name, over := range map[string]func(g *Gateway, r *request){
 		"client disconnected": func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
 		"deadline exceeded":   func(g *Gateway, r *request) { g.failOverdue(r) },
-		"other answer":        func(_ *Gateway, r *request) { r.final = true },
+		"other answer":        func(_ *Gateway, r *request) { r.finished = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := startServingEndpoint(t, "a")
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -20,12 +20,12 @@
 		GatewayCount:   g.cfg.Settings.GatewayCount,
 		MaxUnits:       g.maxUnits,
 		MaxConnections: g.cfg.maxClientConnections(),
-		Memory:         g.cfg.memoryPart(),
-		RejectedReply:  g.rejection,
-		Clock:          g.clock,
+		Memory:         g.cfg.memoryShare(),
+		RejectedReply:  g.rejectionReply,
+		Clock:          g.sharedTime,
 		Stalls:         g.stalls,
 		Log:            g.log,
-		LogLimit:       g.observe.anomalies,
+		LogLimit:       g.observe.logLimiter,
 		Counters:       g.observe.clients,
 		Handler:        clientEvents{g},
 		Observer:       clientEvents{g},
@@ -53,8 +53,8 @@
 
 // RequestUnanswered implements listener.Observer.
 func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
-	e.g.observe.violated(invariantFinalAnswer, r, e.g.clock(time.Now()), cause)
+	e.g.observe.reportViolation(invariantFinalAnswer, r, e.g.sharedTime(time.Now()), cause)
 }
 
 // RequestAnsweredTwice implements listener.Observer.
-func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantOneAnswer) }
+func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantSingleAnswer) }
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -17,8 +17,8 @@
 	minSockets      = 128
 	reservedSockets = 32 // descriptors for the counter, discovery, the listener and the runtime
 
-	defaultMemory  = 256 << 20 // bytes
-	memoryFraction = 8         // one part of the memory each for open commands, commands coming in, unread answers, replies coming in
+	defaultMemory = 256 << 20 // bytes
+	memoryDivisor = 8         // one part of the memory each for open commands, commands coming in, unread answers, replies coming in
 
 	defaultConnectTimeout  = 250 * time.Millisecond
 	defaultMaxOpenRequests = 20000
@@ -86,8 +86,8 @@
 	}
 }
 
-// memoryPart is the memory, in bytes, for one of the uses that share it.
-func (cfg *Config) memoryPart() int { return cfg.Memory / memoryFraction }
+// memoryShare is the memory, in bytes, for one of the uses that share it.
+func (cfg *Config) memoryShare() int { return cfg.Memory / memoryDivisor }
 
 // maxUpstreamConnections is the share of the descriptors that may be connections to endpoints.
 func (cfg *Config) maxUpstreamConnections() int { return cfg.Sockets * 3 / 8 }
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -21,8 +21,8 @@
 	call := &counterclient.Call{}
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.TimedOut})
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.Succeeded, Total: 7})
-	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
-		t.Fatalf("policy events %v, want the timeout only", g.queue)
+	if len(g.pendingEvents) != 1 || g.pendingEvents[0].(policy.CounterReply).Outcome != policy.TimedOut {
+		t.Fatalf("policy events %v, want the timeout only", g.pendingEvents)
 	}
 }
 
@@ -50,11 +50,11 @@
 				<-lines
 			}
 			g.now += g.cfg.Settings.CounterTimeout
-			for do := g.timers.popDue(g.now); do != nil && len(g.queue) == 0; do = g.timers.popDue(g.now) {
+			for do := g.timers.popDue(g.now); do != nil && len(g.pendingEvents) == 0; do = g.timers.popDue(g.now) {
 				do()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
-				t.Fatalf("policy events %v, want outcome %v", g.queue, c.want)
+			if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
+				t.Fatalf("policy events %v, want outcome %v", g.pendingEvents, c.want)
 			}
 		})
 	}
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -203,7 +203,7 @@
 func activeAttempts(g *Gateway) (n int) {
 	for _, r := range g.requests.open {
 		for _, a := range r.attempts {
-			if !a.ended && (!a.WaitsForConnection() || !r.final) {
+			if !a.ended && (!a.WaitsForConnection() || !r.finished) {
 				n++
 			}
 		}
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -14,20 +14,20 @@
 	if !list.Snapshot && len(list.Entries) == 0 { // changes of endpoints that are not kept
 		return
 	}
-	changed := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
+	event := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
 	updates := make([]upstream.EndpointUpdate, 0, len(list.Entries))
 	for _, entry := range list.Entries {
 		endpoint := entry.PolicyEndpoint()
-		changed.Endpoints = append(changed.Endpoints, endpoint)
+		event.Endpoints = append(event.Endpoints, endpoint)
 		updates = append(updates, upstream.EndpointUpdate{Endpoint: endpoint, Address: entry.Endpoint})
 	}
-	g.tell(changed) // before the ends of the attempts that the update withdraws
+	g.enqueue(event) // before the ends of the attempts that the update withdraws
 	g.pool.UpdateEndpoints(list.Snapshot, updates)
 }
 
 // applyKnownEndpoints takes over the list that the configuration brought; the policy is told before anything else.
 func (g *Gateway) applyKnownEndpoints() {
-	g.now = g.clock(time.Now())
+	g.now = g.sharedTime(time.Now())
 	g.cfg.KnownEndpoints.Snapshot = true
 	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.KnownEndpoints)})
 	g.cfg.KnownEndpoints.Entries = nil // a long list is not kept twice
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -24,8 +24,8 @@
 type clientDisconnected struct{ unanswered []*listener.Request }
 
 func (ev clientDisconnected) apply(g *Gateway) {
-	for _, unanswered := range ev.unanswered {
-		if r := g.requests.open[unanswered.ID]; r != nil { // else it is over, or was never admitted
+	for _, request := range ev.unanswered {
+		if r := g.requests.open[request.ID]; r != nil { // else it is over, or was never admitted
 			g.clientDisconnected(r)
 		}
 	}
@@ -53,7 +53,7 @@
 
 func (ev shutdownEvent) apply(g *Gateway) {
 	g.shutdownDeadline = ev.deadline
-	g.at(ev.deadline, func() {
+	g.scheduleAt(ev.deadline, func() {
 		for _, r := range g.requests.open {
 			g.failOverdue(r)
 		}
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -88,8 +88,8 @@
 	g.ctx = ctx
 	t.Cleanup(func() {
 		cancel()
-		close(g.stopped)
-		g.spawned.Wait()
+		close(g.loopEnded)
+		g.goroutines.Wait()
 	})
 	g.applyKnownEndpoints()
 	return g
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -39,11 +39,11 @@
 	stalls  *stall.Detector
 
 	// Of the settings; unchanged after New.
-	classes     map[string]policy.Class
-	plans       map[string]bool
-	maxUnits    float64 // of one request
-	maxAttempts int     // of one request
-	rejection   []byte  // the answer to what is not admitted
+	classes        map[string]policy.Class
+	plans          map[string]bool
+	maxUnits       float64 // of one request
+	maxAttempts    int     // of one request
+	rejectionReply []byte  // the answer to what is not admitted
 
 	// Parts.
 	requests  requestTable
@@ -54,9 +54,9 @@
 	gatewaysPerEndpoint float64       // as discovery last told
 	shutdownDeadline    time.Duration // 0: no shutdown has begun
 
-	listen func() (net.Listener, error) // for clients
-	ready  chan struct{}
-	addr   net.Addr // set before ready is closed
+	openListener func() (net.Listener, error) // for clients
+	ready        chan struct{}
+	addr         net.Addr // set before ready is closed
 }
 
 // New checks the configuration and returns an ingress that does not run yet.
@@ -65,25 +65,25 @@
 		return nil, err
 	}
 	cfg.setDefaults()
-	module, err := policy.New(cfg.Settings, cfg.Seed)
+	policyGateway, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("creating the policy: %w", err)
 	}
 	start := time.Now()
 	g := &Gateway{
-		eventLoop:    newEventLoop(start),
-		policyDriver: policyDriver{policy: module},
-		cfg:          cfg,
-		log:          log,
-		observe:      newObserver(log),
-		stalls:       stall.NewDetector(start),
-		classes:      map[string]policy.Class{},
-		plans:        map[string]bool{},
-		maxUnits:     cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
-		maxAttempts:  max(cfg.Settings.MaxAttempts, 1),
-		rejection:    busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
-		requests:     newRequestTable(cfg.Connections.MaxOpen, cfg.memoryPart()),
-		ready:        make(chan struct{}),
+		eventLoop:      newEventLoop(start),
+		policyDriver:   policyDriver{policy: policyGateway},
+		cfg:            cfg,
+		log:            log,
+		observe:        newObserver(log),
+		stalls:         stall.NewDetector(start),
+		classes:        map[string]policy.Class{},
+		plans:          map[string]bool{},
+		maxUnits:       cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
+		maxAttempts:    max(cfg.Settings.MaxAttempts, 1),
+		rejectionReply: busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
+		requests:       newRequestTable(cfg.Connections.MaxOpen, cfg.memoryShare()),
+		ready:          make(chan struct{}),
 	}
 	for _, class := range cfg.Settings.Classes {
 		g.classes[class.Name] = class
@@ -91,7 +91,7 @@
 	for _, plan := range cfg.Settings.Plans {
 		g.plans[plan.Name] = true
 	}
-	g.listen = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
+	g.openListener = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
 	g.pool = g.newPool()
 	g.counter = g.newCounterClient()
 	g.discovery = g.newDiscoveryClient(g.discoveryConfig())
@@ -102,13 +102,13 @@
 func (g *Gateway) newPool() *upstream.Pool {
 	return upstream.NewPool(upstream.Config{
 		Now:            func() time.Duration { return g.now },
-		After:          g.after,
+		After:          g.scheduleAfter,
 		Post:           func(ev upstream.Event) { g.post(upstreamEvent{ev}) },
 		Go:             g.spawn,
 		MaxConnections: g.cfg.maxUpstreamConnections(),
 		ConnectTimeout: g.cfg.Connections.ConnectTimeout,
 		IdleTimeout:    g.cfg.Connections.Idle,
-		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryPart()),
+		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryShare()),
 	})
 }
 
@@ -149,15 +149,15 @@
 
 // Run serves until ctx ends, then answers what it has admitted and returns.
 func (g *Gateway) Run(ctx context.Context) error {
-	life, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer func() {
 		stop()
-		g.spawned.Wait()
+		g.goroutines.Wait()
 	}()
-	g.ctx = life
+	g.ctx = runCtx
 	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
 	g.applyKnownEndpoints()
-	g.startParts()
+	g.startBackgroundGoroutines()
 	select {
 	case <-g.discovery.Ready():
 	case <-time.After(firstListTimeout):
@@ -171,28 +171,28 @@
 	g.log.Info("serving", "listen", g.cfg.Listen, "gateways", g.cfg.Settings.GatewayCount,
 		"known_endpoints", knownEndpoints, "polls_discovery", g.cfg.Settings.PollEndpoints)
 	<-ctx.Done()
-	g.shutDown(life, clients)
+	g.shutDown(runCtx, clients)
 	return nil
 }
 
-// startParts starts all goroutines but those for clients.
-func (g *Gateway) startParts() {
+// startBackgroundGoroutines starts all goroutines but those for clients.
+func (g *Gateway) startBackgroundGoroutines() {
 	g.spawn(g.loop)
 	g.spawn(g.counter.Run)
 	g.spawn(g.discovery.Run)
-	g.spawn(g.observe.run)
+	g.spawn(g.observe.logCountersPeriodically)
 }
 
 // startListener begins to accept clients.
 func (g *Gateway) startListener() (*listener.Server, error) {
-	socket, err := g.listen()
+	ln, err := g.openListener()
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	clients := g.newListener(socket)
+	clients := g.newListener(ln)
 	g.spawn(func(context.Context) { clients.Serve() }) // ends when the socket is closed
 	g.spawn(clients.SweepIdle)
-	g.addr = socket.Addr()
+	g.addr = ln.Addr()
 	close(g.ready)
 	return clients, nil
 }
--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -26,7 +26,7 @@
 		return
 	}
 	check := upstream.NewAttempt(endpoint, &healthCheck{gateway: g, endpoint: id, startedAt: g.now})
-	g.after(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
+	g.scheduleAfter(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
 	g.pool.Start(check)
 }
 
@@ -50,6 +50,6 @@
 // Ended implements upstream.Command.
 func (check *healthCheck) Ended(reply upstream.Result) {
 	g := check.gateway
-	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
+	g.enqueue(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
 		LoadReport: reply.LoadReport})
 }
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -16,20 +16,20 @@
 
 const (
 	invariantFinalAnswer     invariant = iota // a request that was read gets its final answer
-	invariantOneAnswer                        // and only one
+	invariantSingleAnswer                     // and only one
 	invariantAnswerInTime                     // at the latest maxAnswerDelay after its client's deadline
 	invariantStart                            // attempts start only for an open request, within their number, and in parallel only with hedging
 	invariantRetry                            // what may have been executed is retried only where its class allows it
 	invariantClientConnected                  // no attempt starts maxStartAfterDisconnect after its client left
-	invariantDrain                            // none starts maxStartAfterDrain after its endpoint was told to drain
-	invariantDeadline                         // none tells its endpoint more time than its client has left
+	invariantEndpointServing                  // none starts maxStartAfterDrain after its endpoint was told to drain
+	invariantTimeLimit                        // none tells its endpoint more time than its client has left
 )
 
 // Delays that an invariant allows, for events that cross.
 const (
-	maxAnswerDelay          = 500 * time.Millisecond
-	maxStartAfterDisconnect = 100 * time.Millisecond
-	maxStartAfterDrain      = time.Second
+	maxAnswerDelay              = 500 * time.Millisecond
+	maxSendDelayAfterDisconnect = 100 * time.Millisecond
+	maxSendDelayAfterDrain      = time.Second
 )
 
 // newViolations returns the counters of violated invariants; their names are those in the log.
@@ -38,13 +38,13 @@
 		"deadline")
 }
 
-// violated counts a violated invariant and logs what is known of the request.
-func (o *observer) violated(which invariant, r *listener.Request, now time.Duration, reason string) {
-	o.violations.Add(which)
-	if ok, _ := o.anomalies.Allow(time.Now()); !ok {
+// reportViolation counts a violated invariant and logs what is known of the request.
+func (o *observer) reportViolation(violated invariant, r *listener.Request, now time.Duration, reason string) {
+	o.violations.Add(violated)
+	if ok, _ := o.logLimiter.Allow(time.Now()); !ok {
 		return
 	}
-	o.log.Error("invariant violated", "invariant", o.violations.Name(which), "reason", reason, "request", describe(r, now))
+	o.log.Error("invariant violated", "invariant", o.violations.Name(violated), "reason", reason, "request", describe(r, now))
 }
 
 // describe is what is known of a request, for the log.
@@ -55,20 +55,20 @@
 
 // checkAnswerTime reports a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	due := max(r.GiveUpAt, g.epoch+g.stalls.LastEnd()) // nothing is answered while the process is stalled
-	if g.now > due+maxAnswerDelay {
-		g.observe.violated(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-due).String()+" late")
+	dueAt := max(r.GiveUpAt, g.startTime+g.stalls.LastEnd()) // nothing is answered while the process is stalled
+	if g.now > dueAt+maxAnswerDelay {
+		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" late")
 	}
 	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // else it was late when it came
 		g.observe.requests.Add(requestsLate)
-		g.observe.anomaly(r, "answered after the client's deadline", g.now)
+		g.observe.logRequestWarning(r, "answered after the client's deadline", g.now)
 	}
 }
 
 // Reasons for which an attempt may not start now. Those of the first group come up in good order, where an event crosses the
 // policy's decision; those of the second would be faults of the policy.
 var (
-	errRequestOver         = errors.New("the request is over")
+	errRequestFinished     = errors.New("the request is over")
 	errClientDisconnected  = errors.New("the client has disconnected")
 	errNoTimeLeft          = errors.New("no time is left")
 	errEndpointNotServing  = errors.New("the endpoint is draining or removed")
@@ -84,8 +84,8 @@
 func (a *attempt) checkStart() error {
 	g, r := a.gateway, a.request
 	switch {
-	case r.final:
-		return errRequestOver
+	case r.finished:
+		return errRequestFinished
 	case r.ClientGone():
 		return errClientDisconnected
 	case a.deadline <= g.now:
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// brokenInvariant returns the invariant that a reason for not starting would violate, and false where the reason is no fault of the policy.
-func brokenInvariant(reason error) (invariant, bool) {
+// violatedInvariant returns the invariant that a reason for not starting would violate, and false where the reason is no fault of the policy.
+func violatedInvariant(reason error) (invariant, bool) {
 	switch {
 	case errors.Is(reason, errTooManyAttempts), errors.Is(reason, errParallelAttempt):
 		return invariantStart, true
@@ -140,8 +140,8 @@
 		return true
 	}
 	g := a.gateway
-	if which, broken := brokenInvariant(reason); broken {
-		g.observe.violated(which, a.request.Request, g.now, reason.Error())
+	if violated, isViolation := violatedInvariant(reason); isViolation {
+		g.observe.reportViolation(violated, a.request.Request, g.now, reason.Error())
 	}
 	if errors.Is(reason, errClientDisconnected) {
 		g.clientDisconnected(a.request)
@@ -155,14 +155,14 @@
 	if r.Released() {
 		return
 	}
-	now := g.clock(time.Now())
-	if left := r.ClientGoneAt(); left != 0 && now-left > maxStartAfterDisconnect {
-		g.observe.violated(invariantClientConnected, r.Request, now, "the client left "+(now-left).String()+" before")
+	now := g.sharedTime(time.Now())
+	if disconnectedAt := r.ClientGoneAt(); disconnectedAt != 0 && now-disconnectedAt > maxSendDelayAfterDisconnect {
+		g.observe.reportViolation(invariantClientConnected, r.Request, now, "the client left "+(now-disconnectedAt).String()+" before")
 	}
-	if stopped := a.endpoint.StoppedServingAt(); stopped != 0 && now-stopped > maxStartAfterDrain {
-		g.observe.violated(invariantDrain, r.Request, now, "the endpoint stopped serving "+(now-stopped).String()+" before")
+	if stoppedAt := a.endpoint.StoppedServingAt(); stoppedAt != 0 && now-stoppedAt > maxSendDelayAfterDrain {
+		g.observe.reportViolation(invariantEndpointServing, r.Request, now, "the endpoint stopped serving "+(now-stoppedAt).String()+" before")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
-		g.observe.violated(invariantDeadline, r.Request, now, "time limit "+timeLimit.String())
+		g.observe.reportViolation(invariantTimeLimit, r.Request, now, "time limit "+timeLimit.String())
 	}
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -39,7 +39,7 @@
 		fault  bool
 	}{
 		"first":               {"write", nil, nil, 0, nil, false},
-		"ended":               {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
+		"ended":               {"read", func(r *request, _ *attempt) { r.finished = true }, nil, 0, errRequestFinished, false},
 		"client disconnected": {"read", func(r *request, _ *attempt) { r.Request = disconnected }, nil, 0, errClientDisconnected, false},
 		"deadline exceeded":   {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
 		"draining": {"read", func(_ *request, a *attempt) {
@@ -68,7 +68,7 @@
 				c.change(r, a)
 			}
 			got := a.checkStart()
-			if _, fault := brokenInvariant(got); !errors.Is(got, c.want) || fault != c.fault {
+			if _, fault := violatedInvariant(got); !errors.Is(got, c.want) || fault != c.fault {
 				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
 			}
 		})
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -44,7 +44,7 @@
 	first, _ := newClientRequest(t, g, 1, g.requests.maxCommandBytes-1000)
 	second, secondIn := newClientRequest(t, g, 2, g.requests.maxCommandBytes-1000)
 	admitted := admit(g, first)
-	if admitted == nil || admitted.final || admit(g, second) != nil {
+	if admitted == nil || admitted.finished || admit(g, second) != nil {
 		t.Fatalf("first admitted: %v; second too", admitted)
 	}
 	if got := nettest.ReadLine(t, secondIn); got != "-BUSY" {
@@ -52,7 +52,7 @@
 	}
 	g.handle(clientDisconnected{[]*listener.Request{first}})
 	third, _ := newClientRequest(t, g, 3, g.requests.maxCommandBytes-1000)
-	if admitted := admit(g, third); admitted == nil || admitted.final {
+	if admitted := admit(g, third); admitted == nil || admitted.finished {
 		t.Fatal("third not admitted after the first had ended")
 	}
 }
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -87,7 +87,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.listen = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
+		g.openListener = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
 		config := g.discoveryConfig()
 		config.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return pipes.Dial(ctx) }
 		g.discovery = g.newDiscoveryClient(config)
--- a/internal/ingress/requestlog.go
+++ b/internal/ingress/requestlog.go
@@ -8,14 +8,14 @@
 	"lemontack/internal/telemetry"
 )
 
-// requestCount numbers the counters of what became of clients' requests.
-type requestCount int
+// requestCounter numbers the counters of what became of clients' requests.
+type requestCounter int
 
 const (
-	requestsRead      requestCount = iota // whole and well formed
-	requestsExpired                       // had no time left when they were read
-	requestsRejected                      // by the network code: no capacity, shutdown, a connection that is closing
-	requestsDuplicate                     // their id was taken
+	requestsRead      requestCounter = iota // whole and well formed
+	requestsExpired                         // had no time left when they were read
+	requestsRejected                        // by the network code: no capacity, shutdown, a connection that is closing
+	requestsDuplicate                       // their id was taken
 	requestsRejectedByPolicy
 	requestsFailed // by the policy
 	requestsServed
@@ -24,23 +24,23 @@
 	requestsLate      // answered after the client's deadline
 )
 
-func newRequestCounters() *telemetry.Counters[requestCount] {
-	return telemetry.NewCounters[requestCount]("read", "expired", "rejected", "duplicate_id", "rejected_by_policy", "failed",
+func newRequestCounters() *telemetry.Counters[requestCounter] {
+	return telemetry.NewCounters[requestCounter]("read", "expired", "rejected", "duplicate_id", "rejected_by_policy", "failed",
 		"served", "overdue", "abandoned", "late")
 }
 
 // requestRejected counts and traces a request that the network code rejects.
 func (o *observer) requestRejected(r *listener.Request, reason string) {
 	o.requests.Add(requestsRejected)
-	if o.tracing {
+	if o.debugEnabled {
 		o.log.Debug("request rejected", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "reason", reason)
 	}
 }
 
 // requestEnded counts and traces the end of a request.
-func (o *observer) requestEnded(r *request, result requestCount) {
+func (o *observer) requestEnded(r *request, result requestCounter) {
 	o.requests.Add(result)
-	if o.tracing {
+	if o.debugEnabled {
 		o.log.Debug("request ends", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "result", o.requests.Name(result),
 			"attempts", r.attempts)
 	}
@@ -48,7 +48,7 @@
 
 // attemptStarted traces the start of an attempt.
 func (o *observer) attemptStarted(a *attempt) {
-	if o.tracing {
+	if o.debugEnabled {
 		o.log.Debug("attempt starts", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"time_left", a.deadline-a.startedAt)
 	}
@@ -56,16 +56,16 @@
 
 // attemptEnded counts and traces the end of an attempt.
 func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
-	o.outcomes.Add(a.outcome)
-	if o.tracing {
+	o.attemptOutcomes.Add(a.outcome)
+	if o.debugEnabled {
 		o.log.Debug("attempt ends", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"outcome", a.outcome, "latency", latency)
 	}
 }
 
-// anomaly logs what is known of a request with which something went wrong.
-func (o *observer) anomaly(r *request, text string, now time.Duration) {
-	ok, suppressed := o.anomalies.Allow(time.Now())
+// logRequestWarning logs what is known of a request with which something went wrong.
+func (o *observer) logRequestWarning(r *request, message string, now time.Duration) {
+	ok, suppressed := o.logLimiter.Allow(time.Now())
 	if !ok {
 		return
 	}
@@ -73,7 +73,7 @@
 	if suppressed > 0 {
 		attrs = append(attrs, "suppressed", suppressed)
 	}
-	o.log.Warn(text, attrs...)
+	o.log.Warn(message, attrs...)
 }
 
 // String describes an attempt for the log.
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -44,8 +44,8 @@
 	for maxDeadline, kill := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
-		got := timeToLastAnswer([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: maxDeadline}})
-		if got+connectionsGrace >= kill || got < kill/2 || got < shutdownGrace {
+		got := shutdownAnswerPeriod([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: maxDeadline}})
+		if got+connectionCloseTimeout >= kill || got < kill/2 || got < acceptPeriod {
 			t.Errorf("longest deadline %v: last answer after %v, SIGKILL after %v", maxDeadline, got, kill)
 		}
 	}
@@ -111,14 +111,14 @@
 	by := g.now + time.Second
 	g.handle(shutdownEvent{by})
 	second, _ := newClientRequest(t, g, 2, 0)
-	if admitted := admit(g, second); admitted == nil || admitted.final || second.Deadline != by {
+	if admitted := admit(g, second); admitted == nil || admitted.finished || second.Deadline != by {
 		t.Fatalf("not admitted, or with deadline %v, want %v", second.Deadline, by)
 	}
 	g.now = by
 	g.runTimers()
 	third, thirdIn := newClientRequest(t, g, 3, 0)
-	if admitted := admit(g, third); !first.final || admitted != nil {
-		t.Fatalf("first answered: %v; third admitted: %v", first.final, admitted != nil)
+	if admitted := admit(g, third); !first.finished || admitted != nil {
+		t.Fatalf("first answered: %v; third admitted: %v", first.finished, admitted != nil)
 	}
 	if got := nettest.ReadLine(t, thirdIn); got != "-BUSY" {
 		t.Fatalf("third answered %q", got)
--- a/internal/ingress/timers_test.go
+++ b/internal/ingress/timers_test.go
@@ -12,13 +12,13 @@
 	for _, at := range []int{30, 10, 40, 20} {
 		q.add(time.Duration(at), func() { called = append(called, at) })
 	}
-	if at := q.next(); at != 10 {
+	if at := q.earliest(); at != 10 {
 		t.Fatalf("the next is at %d", at)
 	}
 	for do := q.popDue(30); do != nil; do = q.popDue(30) {
 		do()
 	}
-	if !slices.Equal(called, []int{10, 20, 30}) || q.next() != 40 {
-		t.Fatalf("called %v, the next is at %d", called, q.next())
+	if !slices.Equal(called, []int{10, 20, 30}) || q.earliest() != 40 {
+		t.Fatalf("called %v, the next is at %d", called, q.earliest())
 	}
 }
--- a/internal/ingress/violationlog_test.go
+++ b/internal/ingress/violationlog_test.go
@@ -17,11 +17,11 @@
 	for which, want := range map[invariant]string{
 		invariantAnswerInTime:    "invariant=in_time ",
 		invariantClientConnected: "invariant=client_left ",
-		invariantDrain:           "invariant=drain ",
-		invariantDeadline:        "invariant=deadline ",
+		invariantEndpointServing: "invariant=drain ",
+		invariantTimeLimit:       "invariant=deadline ",
 	} {
 		log.Reset()
-		o.violated(which, &listener.Request{}, time.Second, "a reason")
+		o.reportViolation(which, &listener.Request{}, time.Second, "a reason")
 		if got := log.String(); !strings.Contains(got, `msg="invariant violated" `+want) {
 			t.Errorf("logged %q, want it with %q", got, want)
 		}
