--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -101,10 +101,10 @@
 func (a *attempt) Abandoned() bool { return a.request.ClientGone() }
 
 // Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
-func (a *attempt) Ended(reply upstream.Result) {
+func (a *attempt) Ended(result upstream.Result) {
 	g, r := a.gateway, a.request
-	a.ended, a.outcome = true, reply.Outcome
-	if a.outcome == policy.Succeeded && reply.Value == nil { // a form of reply that is none to a request
+	a.ended, a.outcome = true, result.Outcome
+	if a.outcome == policy.Succeeded && result.Value == nil { // a form of reply that is none to a request
 		a.outcome = policy.Failed
 	}
 	latency := g.now - a.startedAt
@@ -113,10 +113,10 @@
 		g.checkAnswerTime(r)
 		r.finished = true
 		g.observe.requestEnded(r, requestsServed)
-		r.Respond(redcon.AppendBulk(make([]byte, 0, len(reply.Value)+16), reply.Value))
+		r.Respond(redcon.AppendBulk(make([]byte, 0, len(result.Value)+16), result.Value))
 	}
 	r.openAttempts--
 	g.enqueue(policy.AttemptEnded{ID: r.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Outcome: a.outcome, Latency: latency,
-		RequestFinished: r.finished, SettledUnits: min(reply.SettledUnits, g.maxUnits), LoadReport: reply.LoadReport})
+		RequestFinished: r.finished, SettledUnits: min(result.SettledUnits, g.maxUnits), LoadReport: result.LoadReport})
 	g.requests.removeIfDone(r)
 }
--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -38,13 +38,13 @@
 	})
 	addr := startIngressFor(t, endpoint)
 	nc, in := nettest.Dial(t, addr)
-	began := time.Now()
+	startedAt := time.Now()
 	io.WriteString(nc, nettest.Ask(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("reply %q, want the rejection of a read that timed out", got)
 	}
-	if took := time.Since(began); took < 900*time.Millisecond {
-		t.Fatalf("rejected after %v of 1 s", took)
+	if elapsed := time.Since(startedAt); elapsed < 900*time.Millisecond {
+		t.Fatalf("rejected after %v of 1 s", elapsed)
 	}
 	io.WriteString(nc, nettest.Ask(2, nettest.ReadFields))
 	nettest.WantValue(t, in)
@@ -116,13 +116,13 @@
 // A host that has vanished neither answers nor resets. Once an attempt times out there, the other idle connections to it are
 // not used again: a new one fails within the connect timeout.
 func TestIdleConnectionsOfSilentEndpointAreClosed(t *testing.T) {
-	var together sync.WaitGroup
-	together.Add(3)
+	var inFlight sync.WaitGroup
+	inFlight.Add(3)
 	endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
 		case n <= 3: // all three are in flight at once, each on its own connection
-			together.Done()
-			together.Wait()
+			inFlight.Done()
+			inFlight.Wait()
 		case n == 4:
 			return ""
 		}
@@ -149,7 +149,7 @@
 
 // A request that has ended is not sent when its connection is established, also where attempts may not be cancelled.
 func TestOverRequestIsNotSent(t *testing.T) {
-	for name, over := range map[string]func(g *Gateway, r *request){
+	for name, finish := range map[string]func(g *Gateway, r *request){
 		"client disconnected": func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
 		"deadline exceeded":   func(g *Gateway, r *request) { g.failOverdue(r) },
 		"other answer":        func(_ *Gateway, r *request) { r.finished = true },
@@ -166,9 +166,9 @@
 			}
 			a := r.attempts[0]
 			connected := awaitConnected(t, g) // handled only after the request has ended
-			over(g, r)
-			if now := name != "other answer"; a.ended != now {
-				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, now)
+			finish(g, r)
+			if endsAtOnce := name != "other answer"; a.ended != endsAtOnce {
+				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, endsAtOnce)
 			}
 			g.handle(upstreamEvent{connected})
 			if !a.ended || !a.WaitsForConnection() {
--- a/internal/ingress/clients_test.go
+++ b/internal/ingress/clients_test.go
@@ -31,7 +31,7 @@
 	cfg := configFor(t, endpoint)
 	cfg.Sockets = 128 // 48 for clients
 	addr, _ := startIngress(t, cfg)
-	began := time.Now()
+	startedAt := time.Now()
 	var silent []net.Conn
 	for i := range 40 {
 		nc, in := nettest.Dial(t, addr)
@@ -49,8 +49,8 @@
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(began); took < 2*time.Second || took > 20*time.Second {
-		t.Fatalf("closed after %v", took)
+	if elapsed := time.Since(startedAt); elapsed < 2*time.Second || elapsed > 20*time.Second {
+		t.Fatalf("closed after %v", elapsed)
 	}
 	for range 200 {
 		nettest.Dial(t, addr)
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -86,14 +86,14 @@
 // Whatever events precede a client's disconnect in the queue of the gateway, no attempt of that client starts.
 func TestNoAttemptStartsWhileTheDisconnectIsQueued(t *testing.T) {
 	for name, c := range map[string]struct {
-		known   bool                               // the endpoint is known from the start
-		before  func(g *Gateway) (pending []event) // what the gateway handles, and what is pending, when the client disconnects
-		pending func(addr string) []event          // events that are handled before the disconnect
+		known            bool                               // the endpoint is known from the start
+		beforeDisconnect func(g *Gateway) (pending []event) // what the gateway handles, and what is pending, when the client disconnects
+		pending          func(addr string) []event          // events that are handled before the disconnect
 	}{
 		"its command": {known: true},
-		"an endpoint list": {before: func(g *Gateway) []event { g.handle(<-g.events); return nil },
+		"an endpoint list": {beforeDisconnect: func(g *Gateway) []event { g.handle(<-g.events); return nil },
 			pending: func(addr string) []event { return []event{endpointsUpdated{endpointsAt(addr)}} }},
-		"a connection": {known: true, before: func(g *Gateway) []event {
+		"a connection": {known: true, beforeDisconnect: func(g *Gateway) []event {
 			g.handle(<-g.events)
 			return []event{<-g.events} // the connection is established
 		}},
@@ -112,8 +112,8 @@
 			io.WriteString(far, nettest.Do(1, nettest.WriteFields))
 			nettest.Eventually(t, "the request is queued", func() bool { return len(g.events) > 0 })
 			var pending []event
-			if c.before != nil {
-				pending = c.before(g)
+			if c.beforeDisconnect != nil {
+				pending = c.beforeDisconnect(g)
 			}
 			far.Close()
 			nettest.Await(t, "the connection's end", done)
@@ -128,7 +128,7 @@
 					t.Fatalf("%T: an attempt starts", ev)
 				}
 			}
-			if c.before == nil && g.requests.lastID != 0 {
+			if c.beforeDisconnect == nil && g.requests.lastID != 0 {
 				t.Fatal("the policy is notified of a request that no client waits for")
 			}
 			if len(g.requests.open) != 0 || g.requests.commandBytes != 0 {
@@ -178,13 +178,13 @@
 		wantAttempts(t, addr, endpoint, 0)
 	})
 	t.Run("waiting for the end of an attempt", func(t *testing.T) {
-		fail, first := make(chan struct{}), make(chan struct{}, 1)
+		reject, firstReceived := make(chan struct{}), make(chan struct{}, 1)
 		endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 			if n > 1 {
 				return valueReply("a")
 			}
-			first <- struct{}{}
-			<-fail
+			firstReceived <- struct{}{}
+			<-reject
 			return "-BUSY\r\n"
 		})
 		cfg := configFor(t, endpoint)
@@ -192,9 +192,9 @@
 		addr, _ := startIngress(t, cfg)
 		nc, in := nettest.Dial(t, addr)
 		io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
-		nettest.Await(t, "the first attempt", first)
+		nettest.Await(t, "the first attempt", firstReceived)
 		closeWrite(t, nc, in)
-		close(fail)
+		close(reject)
 		wantAttempts(t, addr, endpoint, 1)
 	})
 }
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -100,8 +100,8 @@
 	return nc, err
 }
 
-// patientReadFields are the fields of a request of class read whose client waits for an hour, or for twice its class's deadline.
-const patientReadFields = "c=read,t=p,d=3600000,units=1,spread=1,first=0"
+// longTimeoutReadFields are the fields of a request of class read whose client waits for an hour, or for twice its class's deadline.
+const longTimeoutReadFields = "c=read,t=p,d=3600000,units=1,spread=1,first=0"
 
 // awaitServedBy sends requests until one is served with this value. The ingress must have endpoints in the meantime.
 func awaitServedBy(t *testing.T, addr, value string) {
@@ -109,7 +109,7 @@
 	nc, in := nettest.Dial(t, addr)
 	nc.SetReadDeadline(time.Time{})
 	for i := 0; ; i++ {
-		io.WriteString(nc, nettest.Ask(i, patientReadFields))
+		io.WriteString(nc, nettest.Ask(i, longTimeoutReadFields))
 		if got := nettest.ReadLine(t, in); got != "$1" {
 			t.Fatalf("reply %q, want a value", got)
 		}
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -65,7 +65,7 @@
 	nc, in := nettest.Dial(t, addr)
 	nc.SetReadDeadline(time.Time{})
 	for i := 1_000_000; ; i++ { // ids that awaitServedBy has not used
-		io.WriteString(nc, nettest.Ask(i, patientReadFields))
+		io.WriteString(nc, nettest.Ask(i, longTimeoutReadFields))
 		nettest.ReadLine(t, in)
 		if nettest.ReadLine(t, in) == "b" {
 			break
--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -48,8 +48,8 @@
 func (*healthCheck) BeforeWrite(time.Duration) {}
 
 // Ended implements upstream.Command.
-func (check *healthCheck) Ended(reply upstream.Result) {
+func (check *healthCheck) Ended(result upstream.Result) {
 	g := check.gateway
-	g.enqueue(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
-		LoadReport: reply.LoadReport})
+	g.enqueue(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: result.Outcome, Latency: g.now - check.startedAt,
+		LoadReport: result.LoadReport})
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -31,12 +31,12 @@
 	ended := func(o policy.Outcome) earlierAttempt { return earlierAttempt{true, o} }
 	inFlight := earlierAttempt{}
 	for name, c := range map[string]struct {
-		class  string
-		change func(r *request, a *attempt)
-		before []earlierAttempt
-		ago    time.Duration // since they started
-		want   error
-		fault  bool
+		class       string
+		change      func(r *request, a *attempt)
+		earlier     []earlierAttempt
+		earlierAge  time.Duration // since they started
+		want        error
+		isViolation bool
 	}{
 		"first":               {"write", nil, nil, 0, nil, false},
 		"ended":               {"read", func(r *request, _ *attempt) { r.finished = true }, nil, 0, errRequestFinished, false},
@@ -59,17 +59,17 @@
 		t.Run(name, func(t *testing.T) {
 			r := &request{Request: &listener.Request{}}
 			r.Class = c.class
-			for i, b := range c.before {
+			for i, b := range c.earlier {
 				r.attempts = append(r.attempts, &attempt{gateway: g, request: r, number: i, endpoint: g.pool.Endpoint("s0"),
-					startedAt: g.now - c.ago, ended: b.ended, outcome: b.outcome})
+					startedAt: g.now - c.earlierAge, ended: b.ended, outcome: b.outcome})
 			}
 			a := g.newAttempt(r, g.pool.Endpoint("s1"), g.now+time.Minute)
 			if c.change != nil {
 				c.change(r, a)
 			}
 			got := a.checkStart()
-			if _, fault := violatedInvariant(got); !errors.Is(got, c.want) || fault != c.fault {
-				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
+			if _, isViolation := violatedInvariant(got); !errors.Is(got, c.want) || isViolation != c.isViolation {
+				t.Fatalf("%v, a fault: %v; want %v, %v", got, isViolation, c.want, c.isViolation)
 			}
 		})
 	}
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -18,11 +18,11 @@
 
 // longList is a list of n endpoints.
 func longList(n int) discovery.EndpointList {
-	f := discovery.EndpointList{Revision: 1, Snapshot: true}
+	list := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range n {
-		f.Entries = append(f.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
 	}
-	return f
+	return list
 }
 
 // Gateways that all restart at one moment are ready on their known lists, whatever discovery does: 300 of them on a simulated
@@ -30,10 +30,10 @@
 // processor time of a long list is not measured.
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		state    standin.State
-		perCall  time.Duration // time of a call at discovery, which handles them one by one
-		n, known int
+		name                     string
+		state                    standin.State
+		callDuration             time.Duration // time of a call at discovery, which handles them one by one
+		gateways, knownEndpoints int
 	}{
 		{"up", standin.Up, 0, 300, 200},
 		{"slow", standin.Up, 100 * time.Millisecond, 300, 200},
@@ -48,23 +48,23 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					cfg := standin.DiscoveryConfig{}
-					if c.perCall > 0 {
-						cfg.CallsPerSecond = float64(time.Second / c.perCall)
+					if c.callDuration > 0 {
+						cfg.CallsPerSecond = float64(time.Second / c.callDuration)
 					}
 					service := standin.NewDiscovery(cfg)
 					service.SetState(c.state)
-					began := time.Now()
-					gateways, stop := startGateways(t, c.n, poll, longList(c.known), service)
+					startedAt := time.Now()
+					gateways, stop := startGateways(t, c.gateways, poll, longList(c.knownEndpoints), service)
 					defer stop()
 					ready := 0
 					for _, g := range gateways {
 						<-g.Ready()
-						if time.Since(began) <= readyDeadline/10 {
+						if time.Since(startedAt) <= readyDeadline/10 {
 							ready++
 						}
 					}
-					if ready < c.n*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.n, time.Since(began))
+					if ready < c.gateways*9/10 {
+						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.gateways, time.Since(startedAt))
 					}
 				})
 			})
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -41,12 +41,12 @@
 
 // The last answer comes before SIGKILL, which follows the longest deadline of the settings.
 func TestTimeToLastAnswerFollowsTheDeadlines(t *testing.T) {
-	for maxDeadline, kill := range map[time.Duration]time.Duration{
+	for maxDeadline, sigkillAt := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
 		got := shutdownAnswerPeriod([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: maxDeadline}})
-		if got+connectionCloseTimeout >= kill || got < kill/2 || got < acceptPeriod {
-			t.Errorf("longest deadline %v: last answer after %v, SIGKILL after %v", maxDeadline, got, kill)
+		if got+connectionCloseTimeout >= sigkillAt || got < sigkillAt/2 || got < acceptPeriod {
+			t.Errorf("longest deadline %v: last answer after %v, SIGKILL after %v", maxDeadline, got, sigkillAt)
 		}
 	}
 }
@@ -107,14 +107,14 @@
 	g := idleGateway(t, testConfig("", endpointsAt(startEndpoint(t, nil).addr)))
 	firstSent, _ := newClientRequest(t, g, 1, 0)
 	first := admit(g, firstSent)
-	waiting := first.attempts // for a connection
-	by := g.now + time.Second
-	g.handle(shutdownEvent{by})
+	waitingAttempts := first.attempts // for a connection
+	deadline := g.now + time.Second
+	g.handle(shutdownEvent{deadline})
 	second, _ := newClientRequest(t, g, 2, 0)
-	if admitted := admit(g, second); admitted == nil || admitted.finished || second.Deadline != by {
-		t.Fatalf("not admitted, or with deadline %v, want %v", second.Deadline, by)
+	if admitted := admit(g, second); admitted == nil || admitted.finished || second.Deadline != deadline {
+		t.Fatalf("not admitted, or with deadline %v, want %v", second.Deadline, deadline)
 	}
-	g.now = by
+	g.now = deadline
 	g.runTimers()
 	third, thirdIn := newClientRequest(t, g, 3, 0)
 	if admitted := admit(g, third); !first.finished || admitted != nil {
@@ -123,7 +123,7 @@
 	if got := nettest.ReadLine(t, thirdIn); got != "-BUSY" {
 		t.Fatalf("third answered %q", got)
 	}
-	if len(waiting) != 1 || !waiting[0].ended {
-		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waiting))
+	if len(waitingAttempts) != 1 || !waitingAttempts[0].ended {
+		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waitingAttempts))
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -41,9 +41,9 @@
 	abortOutcome policy.Outcome // of an aborted attempt that may have been executed
 	ended        bool
 
-	// claimed is set by whoever decides on the attempt's first byte: the connection, to write it, or the pool, to take it
+	// writeClaimed is set by whoever decides on the attempt's first byte: the connection, to write it, or the pool, to take it
 	// back from there.
-	claimed atomic.Bool
+	writeClaimed atomic.Bool
 }
 
 // NewAttempt returns an attempt that has not started.
@@ -55,12 +55,12 @@
 func (attempt *Attempt) WaitsForConnection() bool { return attempt.connection == nil }
 
 // end reports the end of the attempt, once.
-func (attempt *Attempt) end(reply Result) {
+func (attempt *Attempt) end(result Result) {
 	if attempt.ended {
 		return
 	}
 	attempt.ended = true
-	attempt.command.Ended(reply)
+	attempt.command.Ended(result)
 }
 
 // endWith ends the attempt without a reply.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -15,8 +15,8 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// replyTimeout is for the rest of a reply that has begun: one that never ends would hold its attempt to the deadline.
-	replyTimeout = 200 * time.Millisecond
+	// replyReadTimeout is for the rest of a reply that has begun: one that never ends would hold its attempt to the deadline.
+	replyReadTimeout = 200 * time.Millisecond
 )
 
 // connection is one connection to an endpoint. Its goroutine run owns the socket's reading side.
@@ -25,21 +25,21 @@
 	address     string
 	replyMemory *resp.MemoryBudget
 	assignments chan assignment // room for one, which is enough: the pool gives one attempt at a time
-	readEnded   chan struct{}   // closed when nothing is read any more
+	readerDone  chan struct{}   // closed when nothing is read any more
 
 	// Set before the Connected event is posted.
 	netConn net.Conn
 	rawConn syscall.RawConn // nil where the socket has none
 
-	// writing is held from before a command's first byte until written tells of its last one, so that a reply is matched
+	// writeMu is held from before a command's first byte until written tells of its last one, so that a reply is matched
 	// with the command that it answers.
-	writing sync.Mutex
-	written atomic.Pointer[Attempt] // the last attempt whose last byte was written: it may have been executed
+	writeMu        sync.Mutex
+	writtenAttempt atomic.Pointer[Attempt] // the last attempt whose last byte was written: it may have been executed
 
 	// The rest belongs to the pool's goroutine.
-	current   *Attempt
-	idleSince time.Duration
-	down      bool
+	currentAttempt *Attempt
+	idleSince      time.Duration
+	disconnected   bool
 }
 
 // assignment is an attempt that the pool gives to a connection.
@@ -51,7 +51,7 @@
 // newConnection returns a connection that run opens.
 func newConnection(endpoint *Endpoint, replyMemory *resp.MemoryBudget) *connection {
 	return &connection{endpoint: endpoint, address: endpoint.address, replyMemory: replyMemory,
-		assignments: make(chan assignment, 1), readEnded: make(chan struct{})}
+		assignments: make(chan assignment, 1), readerDone: make(chan struct{})}
 }
 
 // run dials, then reads replies until the connection or ctx ends; it posts Disconnected last. The writing goroutine is its
@@ -67,18 +67,18 @@
 	if tcp, ok := netConn.(*net.TCPConn); ok {
 		c.rawConn, _ = tcp.SyscallConn()
 	}
-	stop := context.AfterFunc(ctx, func() { netConn.Close() })
-	defer stop()
-	writeEnded := make(chan struct{})
+	stopCloseOnCancel := context.AfterFunc(ctx, func() { netConn.Close() })
+	defer stopCloseOnCancel()
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(writeEnded)
+		defer close(writerDone)
 		c.write()
 	}()
 	post(Connected{c})
 	c.read(post)
 	netConn.Close()
-	close(c.readEnded)
-	<-writeEnded
+	close(c.readerDone)
+	<-writerDone
 	post(Disconnected{connection: c, wasConnected: true})
 }
 
@@ -87,7 +87,7 @@
 func (c *connection) read(post func(Event)) {
 	buffer := resp.FrameBuffer{Budget: c.replyMemory}
 	defer buffer.Close()
-	limited := false
+	deadlineSet := false
 	for {
 		frame, err := buffer.Next()
 		if err != nil {
@@ -96,13 +96,13 @@
 		if frame != nil {
 			reply := parseReply(frame)
 			reply.reusable = reply.reusable && !buffer.Partial()
-			post(ReplyReceived{c, c.lastWritten(), reply})
+			post(ReplyReceived{c, c.lastWrittenAttempt(), reply})
 			if !reply.reusable {
 				return
 			}
 			continue
 		}
-		limited = c.limitReply(limited, buffer.Partial())
+		deadlineSet = c.updateReplyDeadline(deadlineSet, buffer.Partial())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
@@ -111,27 +111,27 @@
 	}
 }
 
-// limitReply gives a reply that has begun replyTimeout for its end, counted from its first bytes. It reports whether the limit
+// updateReplyDeadline gives a reply that has begun replyTimeout for its end, counted from its first bytes. It reports whether the limit
 // is in force.
-func (c *connection) limitReply(limited, partial bool) bool {
+func (c *connection) updateReplyDeadline(deadlineSet, replyPartial bool) bool {
 	switch {
-	case partial && !limited:
-		c.netConn.SetReadDeadline(time.Now().Add(replyTimeout))
-	case limited && !partial:
+	case replyPartial && !deadlineSet:
+		c.netConn.SetReadDeadline(time.Now().Add(replyReadTimeout))
+	case deadlineSet && !replyPartial:
 		c.netConn.SetReadDeadline(time.Time{})
 	}
-	return partial
+	return replyPartial
 }
 
-// lastWritten returns the last attempt that was written to its last byte, once a write that is under way has ended.
-func (c *connection) lastWritten() *Attempt {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return c.written.Load()
+// lastWrittenAttempt returns the last attempt that was written to its last byte, once a write that is under way has ended.
+func (c *connection) lastWrittenAttempt() *Attempt {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return c.writtenAttempt.Load()
 }
 
-// isQuiet reports whether the connection is open and nothing has come on it that was not read.
-func (c *connection) isQuiet() bool {
+// isOpenAndDrained reports whether the connection is open and nothing has come on it that was not read.
+func (c *connection) isOpenAndDrained() bool {
 	if c.rawConn == nil {
 		return true
 	}
@@ -147,13 +147,13 @@
 func (c *connection) write() {
 	for {
 		select {
-		case <-c.readEnded:
+		case <-c.readerDone:
 			return
-		case next := <-c.assignments:
-			if !next.attempt.claimed.CompareAndSwap(false, true) {
+		case assigned := <-c.assignments:
+			if !assigned.attempt.writeClaimed.CompareAndSwap(false, true) {
 				continue // the pool has taken it back
 			}
-			if !c.writeAttempt(next) {
+			if !c.writeAttempt(assigned) {
 				c.netConn.Close()
 				return
 			}
@@ -162,18 +162,18 @@
 }
 
 // writeAttempt writes one attempt and reports whether the connection may carry another.
-func (c *connection) writeAttempt(next assignment) bool {
+func (c *connection) writeAttempt(assigned assignment) bool {
 	// The command may have been abandoned since it was assigned. What has not begun was never executed.
-	if next.attempt.command.Abandoned() {
+	if assigned.attempt.command.Abandoned() {
 		return false
 	}
-	next.attempt.command.BeforeWrite(next.TimeLimit)
+	assigned.attempt.command.BeforeWrite(assigned.TimeLimit)
 	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	n, err := c.netConn.Write(next.Frame)
-	if n == len(next.Frame) {
-		c.written.Store(next.attempt)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	n, err := c.netConn.Write(assigned.Frame)
+	if n == len(assigned.Frame) {
+		c.writtenAttempt.Store(assigned.attempt)
 	}
 	return err == nil
 }
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -25,8 +25,8 @@
 // A command that was not written to its last byte was not executed; one that was written completely may have been.
 func TestOnlyWholeCommandsCountAsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		read     int
-		complete bool
+		readBytes int
+		isWritten bool
 	}{"partial": {3, false}, "complete": {9, true}} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
@@ -39,15 +39,15 @@
 				defer close(written)
 				conn.write()
 			}()
-			io.ReadFull(far, make([]byte, c.read))
-			if c.complete {
-				close(conn.readEnded)
+			io.ReadFull(far, make([]byte, c.readBytes))
+			if c.isWritten {
+				close(conn.readerDone)
 			} else {
 				far.Close()
 			}
 			<-written
-			if got := conn.written.Load(); (got == attempt) != c.complete {
-				t.Fatalf("written: %v, want %v", got == attempt, c.complete)
+			if got := conn.writtenAttempt.Load(); (got == attempt) != c.isWritten {
+				t.Fatalf("written: %v, want %v", got == attempt, c.isWritten)
 			}
 		})
 	}
@@ -74,8 +74,8 @@
 					t.Fatal("no capacity for the next command")
 				}
 			}
-			if !attempt.ended || c.current != nil || len(endpoint.idle) != 1 {
-				t.Fatalf("ended %v, the connection has attempt %v", attempt.ended, c.current)
+			if !attempt.ended || c.currentAttempt != nil || len(endpoint.idle) != 1 {
+				t.Fatalf("ended %v, the connection has attempt %v", attempt.ended, c.currentAttempt)
 			}
 			written := make(chan struct{})
 			go func() {
@@ -88,7 +88,7 @@
 			if _, err := io.ReadFull(far, got); err != nil || string(got) != "next" {
 				t.Fatalf("%q is written, %v", got, err)
 			}
-			close(c.readEnded)
+			close(c.readerDone)
 			<-written
 			far.Close()
 		})
@@ -107,7 +107,7 @@
 	if n, err := far.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Fatalf("%d bytes, %v; want EOF", n, err)
 	}
-	if conn.written.Load() != nil {
+	if conn.writtenAttempt.Load() != nil {
 		t.Fatal("counts as written")
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -13,14 +13,14 @@
 type Endpoint struct {
 	policy.Endpoint
 
-	address       string
-	stoppedAt     atomic.Int64  // when its state changed from serving, on the loop's clock; 0: it serves
-	idle          []*connection // in the order in which they became idle
-	waiting       []*Attempt
-	dialing       int
-	awaitingReuse int           // connections that have had a reply less than reuseDelay ago
-	connections   int           // all: dialing, idle, busy and awaiting reuse
-	lastHeardAt   time.Duration // when it last replied or took a connection
+	address        string
+	stoppedAt      atomic.Int64  // when its state changed from serving, on the loop's clock; 0: it serves
+	idle           []*connection // in the order in which they became idle
+	waiting        []*Attempt
+	dialing        int
+	awaitingReuse  int           // connections that have had a reply less than reuseDelay ago
+	connections    int           // all: dialing, idle, busy and awaiting reuse
+	lastActivityAt time.Duration // when it last replied or took a connection
 }
 
 // EndpointUpdate is a new or changed entry of the endpoint list.
@@ -38,14 +38,14 @@
 // update takes over a changed entry.
 func (endpoint *Endpoint) update(update EndpointUpdate, now time.Duration) {
 	endpoint.Endpoint = update.Endpoint
-	endpoint.noteState(now)
+	endpoint.updateStoppedAt(now)
 	if update.State != policy.Removed {
 		endpoint.address = update.Address
 	}
 }
 
-// noteState keeps when the endpoint stopped serving.
-func (endpoint *Endpoint) noteState(now time.Duration) {
+// updateStoppedAt keeps when the endpoint stopped serving.
+func (endpoint *Endpoint) updateStoppedAt(now time.Duration) {
 	if endpoint.State == policy.Serving {
 		endpoint.stoppedAt.Store(0)
 		return
@@ -53,13 +53,13 @@
 	endpoint.stoppedAt.CompareAndSwap(0, int64(now))
 }
 
-// enqueue lets an attempt wait for a connection.
-func (endpoint *Endpoint) enqueue(attempt *Attempt) {
+// addWaiting lets an attempt wait for a connection.
+func (endpoint *Endpoint) addWaiting(attempt *Attempt) {
 	endpoint.waiting = append(endpoint.waiting, attempt)
 }
 
-// dequeue returns the attempt that has waited longest; there must be one.
-func (endpoint *Endpoint) dequeue() *Attempt {
+// popWaiting returns the attempt that has waited longest; there must be one.
+func (endpoint *Endpoint) popWaiting() *Attempt {
 	attempt := endpoint.waiting[0]
 	endpoint.waiting = endpoint.waiting[1:]
 	return attempt
@@ -95,8 +95,8 @@
 	}
 }
 
-// canConnect reports whether there is an attempt that none of the connections to come is for, and room for one more.
-func (endpoint *Endpoint) canConnect() bool {
+// needsConnection reports whether there is an attempt that none of the connections to come is for, and room for one more.
+func (endpoint *Endpoint) needsConnection() bool {
 	return endpoint.dialing+endpoint.awaitingReuse < len(endpoint.waiting) &&
 		endpoint.connections < maxConnectionsPerEndpoint
 }
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -23,7 +23,7 @@
 	if snapshot {
 		for _, endpoint := range pool.endpoints {
 			endpoint.State = policy.Removed
-			endpoint.noteState(now)
+			endpoint.updateStoppedAt(now)
 		}
 	}
 	for _, update := range updates {
@@ -37,15 +37,15 @@
 	pool.CloseUnusableIdle()
 	for _, endpoint := range pool.endpoints {
 		for endpoint.State != policy.Serving && len(endpoint.waiting) > 0 {
-			endpoint.dequeue().endWith(policy.NotSent)
+			endpoint.popWaiting().endWith(policy.NotSent)
 		}
-		pool.forgetRemoved(endpoint)
+		pool.deleteRemovedIfUnused(endpoint)
 	}
 }
 
-// forgetRemoved forgets a removed endpoint once nothing waits for it and no connection is open: ids are not used again, and the
+// deleteRemovedIfUnused forgets a removed endpoint once nothing waits for it and no connection is open: ids are not used again, and the
 // table would grow for good.
-func (pool *Pool) forgetRemoved(endpoint *Endpoint) {
+func (pool *Pool) deleteRemovedIfUnused(endpoint *Endpoint) {
 	unused := endpoint.connections == 0 && len(endpoint.waiting) == 0
 	if endpoint.State == policy.Removed && unused && pool.endpoints[endpoint.ID] == endpoint {
 		delete(pool.endpoints, endpoint.ID)
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -14,9 +14,9 @@
 
 // ReplyReceived tells that a reply was read.
 type ReplyReceived struct {
-	connection *connection
-	written    *Attempt // the last one that had been written when the reply came; nil: none
-	reply      Result
+	connection     *connection
+	writtenAttempt *Attempt // the last one that had been written when the reply came; nil: none
+	result         Result
 }
 
 // Disconnected is the last event of a connection.
@@ -28,24 +28,24 @@
 func (event Connected) apply(pool *Pool) {
 	endpoint := event.connection.endpoint
 	endpoint.dialing--
-	endpoint.lastHeardAt = pool.config.Now()
+	endpoint.lastActivityAt = pool.config.Now()
 	pool.release(event.connection)
 }
 
 func (event ReplyReceived) apply(pool *Pool) {
 	c := event.connection
-	attempt := c.current
-	c.endpoint.lastHeardAt = pool.config.Now()
-	if attempt == nil || event.written != attempt { // nobody asked for it, or its command was not out yet: the order is lost
+	attempt := c.currentAttempt
+	c.endpoint.lastActivityAt = pool.config.Now()
+	if attempt == nil || event.writtenAttempt != attempt { // nobody asked for it, or its command was not out yet: the order is lost
 		c.netConn.Close()
 		return
 	}
-	c.current = nil
-	attempt.end(event.reply)
+	c.currentAttempt = nil
+	attempt.end(event.result)
 	switch {
 	case attempt.aborted: // it is closed already
-	case event.reply.reusable:
-		pool.releaseLater(c)
+	case event.result.reusable:
+		pool.releaseAfterReuseDelay(c)
 	default:
 		c.netConn.Close()
 	}
@@ -54,32 +54,32 @@
 func (event Disconnected) apply(pool *Pool) {
 	c := event.connection
 	endpoint := c.endpoint
-	c.down = true
+	c.disconnected = true
 	endpoint.connections--
 	pool.connections--
 	endpoint.removeIdle(c)
 	if event.wasConnected {
-		c.endCurrent()
+		c.endCurrentAttempt()
 	} else {
 		endpoint.dialing--
-		endpoint.failWaiting()
+		endpoint.failOldestWaiting()
 	}
 	pool.dial(endpoint)
-	pool.dialStarved()
-	pool.forgetRemoved(endpoint)
+	pool.dialAfterLimitReached()
+	pool.deleteRemovedIfUnused(endpoint)
 }
 
-// endCurrent ends the attempt that the connection carried when it broke, if any.
-func (c *connection) endCurrent() {
-	attempt := c.current
+// endCurrentAttempt ends the attempt that the connection carried when it broke, if any.
+func (c *connection) endCurrentAttempt() {
+	attempt := c.currentAttempt
 	if attempt == nil {
 		return
 	}
-	written := c.written.Load() == attempt
+	fullyWritten := c.writtenAttempt.Load() == attempt
 	switch {
-	case !written && attempt.aborted:
+	case !fullyWritten && attempt.aborted:
 		attempt.endWith(policy.NotSent)
-	case !written:
+	case !fullyWritten:
 		attempt.endWith(policy.ConnectFailed)
 	case attempt.aborted:
 		attempt.endWith(attempt.abortOutcome)
@@ -88,10 +88,10 @@
 	}
 }
 
-// failWaiting ends an attempt for which a dial has failed. Where fewer wait than there are connections to come, one that was
+// failOldestWaiting ends an attempt for which a dial has failed. Where fewer wait than there are connections to come, one that was
 // released has taken the attempt.
-func (endpoint *Endpoint) failWaiting() {
+func (endpoint *Endpoint) failOldestWaiting() {
 	if len(endpoint.waiting) > endpoint.dialing+endpoint.awaitingReuse {
-		endpoint.dequeue().endWith(policy.ConnectFailed)
+		endpoint.popWaiting().endWith(policy.ConnectFailed)
 	}
 }
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -63,21 +63,21 @@
 }
 
 type testTimer struct {
-	at time.Duration
-	do func()
+	dueAt    time.Duration
+	callback func()
 }
 
 // advance moves the clock on and calls what is due, in the order of time.
 func (loop *testLoop) advance(d time.Duration) {
 	loop.now += d
 	for {
-		slices.SortStableFunc(loop.timers, func(a, b testTimer) int { return int(a.at - b.at) })
-		if len(loop.timers) == 0 || loop.timers[0].at > loop.now {
+		slices.SortStableFunc(loop.timers, func(a, b testTimer) int { return int(a.dueAt - b.dueAt) })
+		if len(loop.timers) == 0 || loop.timers[0].dueAt > loop.now {
 			return
 		}
 		next := loop.timers[0]
 		loop.timers = loop.timers[1:]
-		next.do()
+		next.callback()
 	}
 }
 
@@ -88,7 +88,7 @@
 )
 
 // newTestPool returns a pool with endpoints s0, s1 and so on at these addresses. change adapts its configuration.
-func newTestPool(t *testing.T, change func(*Config), addresses ...string) (*Pool, *testLoop) {
+func newTestPool(t *testing.T, adapt func(*Config), addresses ...string) (*Pool, *testLoop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -108,8 +108,8 @@
 		ConnectTimeout: testConnectTimeout,
 		IdleTimeout:    testIdleTimeout,
 	}
-	if change != nil {
-		change(&config)
+	if adapt != nil {
+		adapt(&config)
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -133,12 +133,12 @@
 
 // testCommand is a command that records the ends of its attempt.
 type testCommand struct {
-	denied    bool // it may not start
-	abandoned bool
-	ends      []Result
+	mayNotStart bool // it may not start
+	abandoned   bool
+	results     []Result
 }
 
-func (c *testCommand) MayStart() bool { return !c.denied }
+func (c *testCommand) MayStart() bool { return !c.mayNotStart }
 
 func (*testCommand) Encode() EncodedCommand {
 	return EncodedCommand{Frame: []byte("*1\r\n$4\r\nPING\r\n")}
@@ -148,7 +148,7 @@
 
 func (*testCommand) BeforeWrite(time.Duration) {}
 
-func (c *testCommand) Ended(reply Result) { c.ends = append(c.ends, reply) }
+func (c *testCommand) Ended(result Result) { c.results = append(c.results, result) }
 
 // newTestAttempt returns an attempt that has not started, and its command.
 func newTestAttempt(pool *Pool, id policy.EndpointID) (*Attempt, *testCommand) {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -11,13 +11,13 @@
 // CloseUnusableIdle closes the idle connections that are stale or lead to where nothing is to be sent any more.
 func (pool *Pool) CloseUnusableIdle() {
 	for _, endpoint := range pool.endpoints {
-		for len(endpoint.idle) > 0 && pool.mustRetire(endpoint.idle[0]) {
+		for len(endpoint.idle) > 0 && pool.isUnusable(endpoint.idle[0]) {
 			endpoint.closeOldestIdle()
 		}
 	}
 }
 
-func (pool *Pool) mustRetire(c *connection) bool {
+func (pool *Pool) isUnusable(c *connection) bool {
 	return c.endpoint.State != policy.Serving || c.address != c.endpoint.address || pool.isStale(c)
 }
 
@@ -30,18 +30,18 @@
 
 // closeOldestIdle makes room for a new connection. It reports false where no connection is idle.
 func (pool *Pool) closeOldestIdle() bool {
-	var oldest *Endpoint
+	var oldestIdle *Endpoint
 	for _, endpoint := range pool.endpoints {
 		if len(endpoint.idle) == 0 {
 			continue
 		}
-		if oldest == nil || endpoint.idle[0].idleSince < oldest.idle[0].idleSince {
-			oldest = endpoint
+		if oldestIdle == nil || endpoint.idle[0].idleSince < oldestIdle.idle[0].idleSince {
+			oldestIdle = endpoint
 		}
 	}
-	if oldest == nil {
+	if oldestIdle == nil {
 		return false
 	}
-	oldest.closeOldestIdle()
+	oldestIdle.closeOldestIdle()
 	return true
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -31,10 +31,10 @@
 // Pool owns the endpoints, their connections and the attempts that wait for one. All its methods are for the goroutine of the
 // event loop; none of them waits for a peer.
 type Pool struct {
-	config      Config
-	endpoints   map[policy.EndpointID]*Endpoint
-	connections int  // to all endpoints
-	starved     bool // an attempt waits because MaxConnections are open
+	config                 Config
+	endpoints              map[policy.EndpointID]*Endpoint
+	connections            int  // to all endpoints
+	connectionLimitReached bool // an attempt waits because MaxConnections are open
 }
 
 // NewPool returns a pool without endpoints.
@@ -51,20 +51,20 @@
 	for n := len(endpoint.idle); n > 0; n = len(endpoint.idle) {
 		c := endpoint.idle[n-1]
 		endpoint.idle = endpoint.idle[:n-1]
-		if !pool.isStale(c) && c.isQuiet() {
+		if !pool.isStale(c) && c.isOpenAndDrained() {
 			pool.assign(c, attempt)
 			return
 		}
 		c.netConn.Close()
 	}
-	endpoint.enqueue(attempt)
+	endpoint.addWaiting(attempt)
 	pool.dial(endpoint)
-	pool.limitWait(attempt)
+	pool.limitWaitTime(attempt)
 }
 
-// limitWait ends an attempt that waits longer than a dial may take, be it for a dial or for one of the connections that are all
+// limitWaitTime ends an attempt that waits longer than a dial may take, be it for a dial or for one of the connections that are all
 // busy: the policy counts on an attempt being written at about the time of its start.
-func (pool *Pool) limitWait(attempt *Attempt) {
+func (pool *Pool) limitWaitTime(attempt *Attempt) {
 	pool.config.After(pool.config.ConnectTimeout, func() {
 		if attempt.endpoint.removeWaiting(attempt) {
 			attempt.endWith(policy.ConnectFailed)
@@ -85,19 +85,19 @@
 	attempt.aborted, attempt.abortOutcome = true, outcome
 	c := attempt.connection
 	c.netConn.Close()
-	if c.written.Load() == attempt {
-		c.current = nil
+	if c.writtenAttempt.Load() == attempt {
+		c.currentAttempt = nil
 		attempt.endWith(outcome)
 	}
-	pool.closeIdleIfSilent(attempt)
+	pool.closeIdleIfUnresponsive(attempt)
 }
 
-// closeIdleIfSilent closes the idle connections of an endpoint that has said nothing on any connection since the attempt: its
+// closeIdleIfUnresponsive closes the idle connections of an endpoint that has said nothing on any connection since the attempt: its
 // machine may have vanished, and no further request is to wait on them for its whole time.
-func (pool *Pool) closeIdleIfSilent(attempt *Attempt) {
+func (pool *Pool) closeIdleIfUnresponsive(attempt *Attempt) {
 	endpoint := attempt.endpoint
-	silent := endpoint.lastHeardAt <= attempt.assignedAt
-	if silent && pool.config.Now()-attempt.assignedAt >= pool.config.ConnectTimeout {
+	unresponsive := endpoint.lastActivityAt <= attempt.assignedAt
+	if unresponsive && pool.config.Now()-attempt.assignedAt >= pool.config.ConnectTimeout {
 		endpoint.closeAllIdle()
 	}
 }
@@ -109,7 +109,7 @@
 	case attempt.ended:
 	case attempt.connection == nil:
 		pool.cancelWaiting(attempt)
-	case attempt.claimed.CompareAndSwap(false, true):
+	case attempt.writeClaimed.CompareAndSwap(false, true):
 		pool.unassign(attempt)
 	}
 }
@@ -123,7 +123,7 @@
 // assign gives an attempt to a free connection.
 func (pool *Pool) assign(c *connection, attempt *Attempt) {
 	attempt.connection, attempt.assignedAt = c, pool.config.Now()
-	c.current = attempt
+	c.currentAttempt = attempt
 	select {
 	case c.assignments <- assignment{attempt, attempt.command.Encode()}:
 	default: // it has answered what was not written yet: the order is lost, and the loop must not wait
@@ -138,16 +138,16 @@
 	case <-c.assignments:
 	default: // the connection has received it, and drops it
 	}
-	c.current = nil
+	c.currentAttempt = nil
 	attempt.endWith(policy.NotSent)
 	pool.release(c)
 }
 
 // dial opens connections for the attempts that wait, within the limits.
 func (pool *Pool) dial(endpoint *Endpoint) {
-	for endpoint.canConnect() {
+	for endpoint.needsConnection() {
 		if pool.connections >= pool.config.MaxConnections && !pool.closeOldestIdle() {
-			pool.starved = true
+			pool.connectionLimitReached = true
 			return
 		}
 		c := newConnection(endpoint, pool.config.ReplyMemory)
@@ -158,19 +158,19 @@
 	}
 }
 
-// dialStarved dials for those that found all connections in use elsewhere; without it they would wait for good.
-func (pool *Pool) dialStarved() {
-	if !pool.starved {
+// dialAfterLimitReached dials for those that found all connections in use elsewhere; without it they would wait for good.
+func (pool *Pool) dialAfterLimitReached() {
+	if !pool.connectionLimitReached {
 		return
 	}
-	pool.starved = false
+	pool.connectionLimitReached = false
 	for _, endpoint := range pool.endpoints {
 		pool.dial(endpoint)
 	}
 }
 
-// releaseLater releases a connection that has had a reply once no second copy of that is to be expected.
-func (pool *Pool) releaseLater(c *connection) {
+// releaseAfterReuseDelay releases a connection that has had a reply once no second copy of that is to be expected.
+func (pool *Pool) releaseAfterReuseDelay(c *connection) {
 	c.endpoint.awaitingReuse++
 	pool.config.After(reuseDelay, func() {
 		c.endpoint.awaitingReuse--
@@ -182,12 +182,12 @@
 // release takes a connection that carries nothing: for the first attempt that waits, or to the idle ones.
 func (pool *Pool) release(c *connection) {
 	endpoint := c.endpoint
-	if c.down || c.address != endpoint.address || endpoint.State == policy.Removed || !c.isQuiet() {
+	if c.disconnected || c.address != endpoint.address || endpoint.State == policy.Removed || !c.isOpenAndDrained() {
 		c.netConn.Close()
 		return
 	}
 	for len(endpoint.waiting) > 0 {
-		attempt := endpoint.dequeue()
+		attempt := endpoint.popWaiting()
 		// Much may have changed since the attempt began to wait: a drain counts from when it is told, and a request may be
 		// over.
 		if endpoint.State == policy.Serving && attempt.command.MayStart() {
@@ -198,5 +198,5 @@
 	}
 	c.idleSince = pool.config.Now()
 	endpoint.idle = append(endpoint.idle, c)
-	pool.dialStarved()
+	pool.dialAfterLimitReached()
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -17,10 +17,10 @@
 	pool.Abort(attempt, policy.Cancelled)
 	connected := (<-loop.events).(Connected)
 	pool.HandleEvent(connected)
-	if len(command.ends) != 1 || command.ends[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", command.ends)
+	if len(command.results) != 1 || command.results[0].Outcome != policy.NotSent {
+		t.Fatalf("ends %v, want one as not sent", command.results)
 	}
-	if connected.connection.current != nil {
+	if connected.connection.currentAttempt != nil {
 		t.Fatal("the connection has an attempt")
 	}
 }
@@ -50,14 +50,14 @@
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
-	connected.connection.current = attempt
+	connected.connection.currentAttempt = attempt
 	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{connected.connection, nil, reply})
 	if attempt.ended {
 		t.Fatal("served with another's reply")
 	}
 	pool.HandleEvent(<-loop.events)
-	if !attempt.ended || len(command.ends) != 1 {
+	if !attempt.ended || len(command.results) != 1 {
 		t.Fatal("not ended with its connection")
 	}
 }
@@ -101,11 +101,11 @@
 	pool.Start(attempt)
 	pool.HandleEvent(<-loop.events)
 	nettest.Eventually(t, "the command is written", func() bool {
-		return s.received() > 0 && attempt.connection.written.Load() == attempt
+		return s.received() > 0 && attempt.connection.writtenAttempt.Load() == attempt
 	})
 	pool.Abort(attempt, policy.TimedOut)
-	if !attempt.ended || command.ends[0].Outcome != policy.TimedOut {
-		t.Fatalf("ended: %v, with %v", attempt.ended, command.ends)
+	if !attempt.ended || command.results[0].Outcome != policy.TimedOut {
+		t.Fatalf("ended: %v, with %v", attempt.ended, command.results)
 	}
 }
 
@@ -150,9 +150,9 @@
 
 // A connection that the endpoint has closed while it was idle is not used, also if its Disconnected event has not arrived yet.
 func TestConnectionClosedJustBeforeUseIsNotUsed(t *testing.T) {
-	release, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
+	closeConn, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
 	pool, loop := newTestPool(t, nil, nettest.Serve(t, func(conn net.Conn) {
-		<-release
+		<-closeConn
 		conn.Close()
 		closed <- struct{}{}
 	}))
@@ -163,9 +163,9 @@
 	if pool.HandleEvent(connected); len(attempt.endpoint.idle) != 1 {
 		t.Fatal("not idle")
 	}
-	release <- struct{}{}
+	closeConn <- struct{}{}
 	<-closed
-	t.Cleanup(func() { close(release) })
+	t.Cleanup(func() { close(closeConn) })
 	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
 		t.Fatal("written to a connection that is closed")
 	}
@@ -190,14 +190,14 @@
 // A command that may not start any more when its connection is established is not sent; the next waiting one is.
 func TestDeniedCommandIsNotSentAndTheNextIs(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
-	denied, deniedCommand := newTestAttempt(pool, "s0")
+	rejected, rejectedCommand := newTestAttempt(pool, "s0")
 	next, _ := newTestAttempt(pool, "s0")
-	pool.Start(denied)
+	pool.Start(rejected)
 	pool.Start(next)
-	deniedCommand.denied = true
+	rejectedCommand.mayNotStart = true
 	pool.HandleEvent((<-loop.events).(Connected))
-	if len(deniedCommand.ends) != 1 || deniedCommand.ends[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", deniedCommand.ends)
+	if len(rejectedCommand.results) != 1 || rejectedCommand.results[0].Outcome != policy.NotSent {
+		t.Fatalf("ends %v, want one as not sent", rejectedCommand.results)
 	}
 	if next.WaitsForConnection() || next.ended {
 		t.Fatal("the next one was not sent")
@@ -214,14 +214,14 @@
 	updates := endpointUpdates(s.address)
 	updates[0].State = policy.Draining
 	pool.UpdateEndpoints(false, updates)
-	if len(command.ends) != 1 || command.ends[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", command.ends)
+	if len(command.results) != 1 || command.results[0].Outcome != policy.NotSent {
+		t.Fatalf("ends %v, want one as not sent", command.results)
 	}
 	if stopped := attempt.endpoint.StoppedServingAt(); stopped != loop.now {
 		t.Fatalf("stopped at %v, want %v", stopped, loop.now)
 	}
 	pool.HandleEvent(connected)
-	if connected.connection.current != nil || len(command.ends) != 1 {
+	if connected.connection.currentAttempt != nil || len(command.results) != 1 {
 		t.Fatal("sent to a draining endpoint")
 	}
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -9,8 +9,8 @@
 	"lemontack/policy"
 )
 
-// maxLoadFigure is the largest figure of a load report; one beyond is taken for a fault of the endpoint.
-const maxLoadFigure = 1e9
+// maxLoadValue is the largest figure of a load report; one beyond is taken for a fault of the endpoint.
+const maxLoadValue = 1e9
 
 // Result is what became of an attempt: an endpoint's reply, or an outcome without one.
 type Result struct {
@@ -49,37 +49,37 @@
 // parseErrorReply reads an error; its last word may be a load report.
 func parseErrorReply(text string) Result {
 	code, rest, _ := strings.Cut(text, " ")
-	reply := Result{Outcome: policy.Failed, reusable: code == "ERR" || code == "BUSY"}
+	result := Result{Outcome: policy.Failed, reusable: code == "ERR" || code == "BUSY"}
 	if code == "BUSY" {
-		reply.Outcome = policy.Rejected
+		result.Outcome = policy.Rejected
 	}
 	if i := strings.LastIndexByte(rest, ' '); i >= 0 {
 		rest = rest[i+1:]
 	}
-	reply.LoadReport = parseLoadReport(rest)
-	return reply
+	result.LoadReport = parseLoadReport(rest)
+	return result
 }
 
 // parseValueReply reads the reply to a request: the value, the figures on use, the load report. The latter two may be
 // unreadable.
 func parseValueReply(array redcon.RESP) Result {
-	reply := Result{Outcome: policy.Failed}
+	result := Result{Outcome: policy.Failed}
 	i := 0
 	array.ForEach(func(element redcon.RESP) bool {
 		bulk := element.Type == redcon.Bulk
 		switch {
 		case i == 0 && bulk && element.Data != nil:
-			reply.Outcome, reply.reusable = policy.Succeeded, true
-			reply.Value = append(make([]byte, 0, len(element.Data)), element.Data...)
+			result.Outcome, result.reusable = policy.Succeeded, true
+			result.Value = append(make([]byte, 0, len(element.Data)), element.Data...)
 		case i == 1 && bulk:
-			reply.SettledUnits = parseLoadReport(string(element.Data))["cost"]
+			result.SettledUnits = parseLoadReport(string(element.Data))["cost"]
 		case i == 2 && bulk:
-			reply.LoadReport = parseLoadReport(string(element.Data))
+			result.LoadReport = parseLoadReport(string(element.Data))
 		}
 		i++
 		return true
 	})
-	return reply
+	return result
 }
 
 // parseLoadReport reads figures such as inflight=7,queue=2; nil where it is none. One unreadable figure discards them all: the
@@ -88,11 +88,11 @@
 	report := policy.LoadReport{}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, number, _ := strings.Cut(pair, "=")
-		figure, err := strconv.ParseFloat(number, 64)
-		if err != nil || name == "" || !(figure >= 0 && figure <= maxLoadFigure) {
+		value, err := strconv.ParseFloat(number, 64)
+		if err != nil || name == "" || !(value >= 0 && value <= maxLoadValue) {
 			return nil
 		}
-		report[name] = figure
+		report[name] = value
 	}
 	return report
 }
