--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -8,10 +8,11 @@
 	"lemontack/policy"
 )
 
-// failedResponse answers a request that has failed. Responses must not be changed once they are given out.
+// failedResponse is the reply to a request that has failed.
 const failedResponse = "-ERR failed\r\n"
 
-// busyResponse answers a request that is rejected, with the advice to retry after a while; 0: no advice.
+// busyResponse returns the reply to a rejected request. It contains retryAfter in ms, rounded down and at least 1, if retryAfter
+// is positive. The slice must not be modified after it has been passed to Respond.
 func busyResponse(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -19,17 +20,17 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), max(1, retryAfter.Milliseconds()), 10), '\r', '\n')
 }
 
-// policyDriver feeds the policy with events, one after another.
+// policyDriver passes queued events to the policy, one at a time.
 type policyDriver struct {
 	policy        *policy.Gateway
-	pendingEvents []policy.Event  // not handled yet
-	actions       []policy.Action // of the event that is being handled; kept for its memory
+	pendingEvents []policy.Event  // queued and not yet handled
+	actions       []policy.Action // actions of the event that is being handled; reused to save allocations
 }
 
-// enqueue queues an event for the policy; flush hands it over.
+// enqueue queues an event for the policy; run handles it.
 func (d *policyDriver) enqueue(ev policy.Event) { d.pendingEvents = append(d.pendingEvents, ev) }
 
-// run lets the policy handle what is queued; act carries out its actions, which may queue more.
+// run passes the queued events to the policy and calls execute for each action that it returns. execute may queue further events.
 func (d *policyDriver) run(now time.Duration, execute func(policy.Action)) {
 	for i := 0; i < len(d.pendingEvents); i++ {
 		d.actions = d.policy.Handle(now, d.pendingEvents[i], d.actions[:0])
@@ -41,10 +42,10 @@
 	d.pendingEvents = d.pendingEvents[:0]
 }
 
-// handlePendingEvents lets the policy handle what is queued.
+// handlePendingEvents passes the queued events to the policy and executes its actions.
 func (g *Gateway) handlePendingEvents() { g.policyDriver.run(g.now, g.executeAction) }
 
-// executeAction carries out an action of the policy.
+// executeAction executes one action of the policy.
 func (g *Gateway) executeAction(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
@@ -63,11 +64,11 @@
 		g.checkHealth(action.Endpoint)
 	case policy.CloseIdleConnections:
 		g.pool.CloseIdle(action.Endpoint)
-	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list as it stands is the answer
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the gateway watches at all times and replies with its current list
 		g.enqueue(g.endpointList())
 	case policy.Log:
 		g.log.Info(action.Text)
 	default:
-		g.log.Warn("unsupported action", "action", fmt.Sprintf("%T", action))
+		g.log.Warn("unsupported policy action", "action", fmt.Sprintf("%T", action))
 	}
 }
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// commandOverhead is room for the parts of a command that are not its body, in bytes: most commands fit without growing.
+	// commandOverhead is the buffer space, in bytes, for the parts of a command other than its body. Most commands then fit
+	// without reallocation.
 	commandOverhead     = 192
-	fieldsArgumentIndex = 3 // the place of the fields among a command's arguments
+	fieldsArgumentIndex = 3 // index of the fields among the arguments of a command
 )
 
-// attempt is an attempt of a request, with what the gateway knows of it. It is the upstream.Command of its upstream.Attempt.
+// attempt is one attempt of a request. It implements upstream.Command for the upstream.Attempt that it embeds.
 type attempt struct {
 	*upstream.Attempt
 	gateway   *Gateway
 	request   *request
-	number    int // among the request's attempts, from 0
+	number    int // index among the attempts of the request
 	endpoint  *upstream.Endpoint
 	startedAt time.Duration
 	deadline  time.Duration
 	ended     bool
-	outcome   policy.Outcome // once it has ended
+	outcome   policy.Outcome // set when ended is
 }
 
-// newAttempt adds an attempt to a request; it has not started.
+// newAttempt adds an attempt to a request without starting it.
 func (g *Gateway) newAttempt(r *request, endpoint *upstream.Endpoint, deadline time.Duration) *attempt {
 	a := &attempt{gateway: g, request: r, number: len(r.attempts), endpoint: endpoint, startedAt: g.now, deadline: deadline}
 	a.Attempt = upstream.NewAttempt(endpoint, a)
@@ -39,14 +40,14 @@
 	return a
 }
 
-// send carries out the policy's Send action.
+// send executes the policy's Send action.
 func (g *Gateway) send(action policy.Send) {
 	r := g.requests.open[action.ID]
 	if r == nil {
 		return
 	}
 	endpoint := g.pool.Endpoint(action.Endpoint)
-	if endpoint == nil { // removed and forgotten
+	if endpoint == nil { // removed from the list and already deleted from the pool
 		endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{ID: action.Endpoint, State: policy.Removed}}
 	}
 	deadline := r.Deadline
@@ -56,7 +57,7 @@
 	g.startAttempt(g.newAttempt(r, endpoint, deadline))
 }
 
-// cancelAttempt carries out the policy's Cancel action.
+// cancelAttempt executes the policy's Cancel action.
 func (g *Gateway) cancelAttempt(action policy.Cancel) {
 	r := g.requests.open[action.ID]
 	if r != nil && action.Attempt < len(r.attempts) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// startAttempt starts an attempt if it may start; otherwise it ends as not sent.
+// startAttempt starts an attempt, or ends it with the outcome NotSent if it may not start.
 func (g *Gateway) startAttempt(a *attempt) {
 	if !a.MayStart() {
 		g.pool.CancelUnsent(a.Attempt)
@@ -75,14 +76,14 @@
 	g.pool.Start(a.Attempt)
 }
 
-// Encode implements upstream.Command: it is the client's command, with the time that is left for it.
+// Encode implements upstream.Command. It returns the client's command with the remaining time as its timeout.
 func (a *attempt) Encode() upstream.EncodedCommand {
 	milliseconds := max(1, (a.deadline - a.gateway.now).Milliseconds())
 	return upstream.EncodedCommand{Frame: encodeCommand(a.request.Request, milliseconds),
 		TimeLimit: time.Duration(milliseconds) * time.Millisecond}
 }
 
-// encodeCommand returns a client's command with another value in its field of the time-out.
+// encodeCommand returns the RESP encoding of a client's command with its timeout replaced.
 func encodeCommand(r *listener.Request, milliseconds int64) []byte {
 	body := r.Args[len(r.Args)-1]
 	frame := redcon.AppendArray(make([]byte, 0, commandOverhead+len(body)), len(r.Args))
@@ -100,11 +101,11 @@
 // Abandoned implements upstream.Command.
 func (a *attempt) Abandoned() bool { return a.request.ClientGone() }
 
-// Ended implements upstream.Command: it tells the policy how the attempt ended. The first that is served answers the client.
+// Ended implements upstream.Command. It reports the outcome to the policy; the first attempt that succeeds answers the client.
 func (a *attempt) Ended(result upstream.Result) {
 	g, r := a.gateway, a.request
 	a.ended, a.outcome = true, result.Outcome
-	if a.outcome == policy.Succeeded && result.Value == nil { // a form of reply that is none to a request
+	if a.outcome == policy.Succeeded && result.Value == nil { // a valid reply, but not to a request: PONG or a load report
 		a.outcome = policy.Failed
 	}
 	latency := g.now - a.startedAt
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -7,12 +7,12 @@
 	"lemontack/internal/listener"
 )
 
-// newListener returns the server of the clients' connections that come on ln.
+// newListener returns a server for the client connections that ln accepts.
 func (g *Gateway) newListener(ln net.Listener) *listener.Server {
 	return listener.New(ln, g.listenerConfig())
 }
 
-// listenerConfig returns the configuration of the server of the clients' connections.
+// listenerConfig returns the configuration of the server for client connections.
 func (g *Gateway) listenerConfig() listener.Config {
 	return listener.Config{
 		Classes:        g.classes,
@@ -32,7 +32,8 @@
 	}
 }
 
-// clientEvents passes what the listener reports on to the event loop and to the counters.
+// clientEvents implements listener.Handler and listener.Observer. It posts events of the listener to the event loop and
+// counts them.
 type clientEvents struct{ g *Gateway }
 
 // RequestReceived implements listener.Handler.
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -15,10 +15,12 @@
 
 const (
 	minSockets      = 128
-	reservedSockets = 32 // descriptors for the counter, discovery, the listener and the runtime
+	reservedSockets = 32 // file descriptors for the counter, discovery, the listener and the runtime
 
 	defaultMemory = 256 << 20 // bytes
-	memoryDivisor = 8         // one part of the memory each for open commands, commands coming in, unread answers, replies coming in
+	// memoryDivisor is the fraction of the memory for each of four uses: commands of open requests, commands being read, answers
+	// that clients have not read, and replies being read.
+	memoryDivisor = 8
 
 	defaultConnectTimeout  = 250 * time.Millisecond
 	defaultMaxOpenRequests = 20000
@@ -26,7 +28,7 @@
 	defaultCounterTimeout  = 100 * time.Millisecond
 )
 
-// Errors of a configuration that cannot work.
+// Errors of an invalid configuration.
 var (
 	ErrTooFewSockets    = errors.New("sockets are too few")
 	ErrNoCounterAddress = errors.New("the settings name a shared counter, the configuration has no address of it")
@@ -34,17 +36,17 @@
 
 // Config is the configuration of an ingress.
 type Config struct {
-	Listen, Discovery, Counter string // addresses
+	Listen, Discovery, Counter string // host:port addresses
 	Seed                       uint64
-	Sockets                    int // descriptors that it may hold
-	Memory                     int // bytes that it may use; 0: a default
+	Sockets                    int // maximum of open file descriptors
+	Memory                     int // memory for buffers, in bytes; zero selects the default
 	KnownEndpoints             discovery.EndpointList
-	Subset                     *subset.Subset // that KnownEndpoints was decoded with; nil: the widest
+	Subset                     *subset.Subset // subset with which KnownEndpoints was decoded; nil selects the widest subset
 	Settings                   policy.Settings
 	Connections                wire.Connections
 }
 
-// validate reports why the configuration cannot work.
+// validate returns an error if the configuration is invalid.
 func (cfg *Config) validate() error {
 	if cfg.Sockets < minSockets {
 		return fmt.Errorf("%d %w: %d at least", cfg.Sockets, ErrTooFewSockets, minSockets)
@@ -56,7 +58,7 @@
 		checkAddress("counter", cfg.Counter))
 }
 
-// checkAddress reports why an address that is given cannot be one.
+// checkAddress returns an error if an address is neither empty nor of the form host:port.
 func checkAddress(key, address string) error {
 	if address == "" {
 		return nil
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// setDefaults fills in what the configuration leaves open.
+// setDefaults replaces values that are not set by their defaults.
 func (cfg *Config) setDefaults() {
 	if cfg.Connections.ConnectTimeout <= 0 {
 		cfg.Connections.ConnectTimeout = defaultConnectTimeout
@@ -86,13 +88,13 @@
 	}
 }
 
-// memoryShare is the memory, in bytes, for one of the uses that share it.
+// memoryShare returns the memory, in bytes, for each of the uses that memoryDivisor lists.
 func (cfg *Config) memoryShare() int { return cfg.Memory / memoryDivisor }
 
-// maxUpstreamConnections is the share of the descriptors that may be connections to endpoints.
+// maxUpstreamConnections returns the maximum of open connections to endpoints.
 func (cfg *Config) maxUpstreamConnections() int { return cfg.Sockets * 3 / 8 }
 
-// maxClientConnections is what is left of the descriptors.
+// maxClientConnections returns the maximum of client connections: the file descriptors that are not reserved for other uses.
 func (cfg *Config) maxClientConnections() int {
 	return cfg.Sockets - cfg.maxUpstreamConnections() - reservedSockets
 }
--- a/internal/ingress/discoveryfixtures_test.go
+++ b/internal/ingress/discoveryfixtures_test.go
@@ -9,7 +9,8 @@
 	"lemontack/internal/standin"
 )
 
-// startDiscovery starts a discovery service with a list. What is sent to changes becomes watch events, with revisions that count up.
+// startDiscovery starts a discovery service with a list. What is sent to changes becomes watch events, with revisions that
+// count up.
 func startDiscovery(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
 	t.Helper()
 	service := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1})
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -100,7 +100,8 @@
 	return nc, err
 }
 
-// longTimeoutReadFields are the fields of a request of class read whose client waits for an hour, or for twice its class's deadline.
+// longTimeoutReadFields are the fields of a request of class read whose client waits for an hour, or for twice its class's
+// deadline.
 const longTimeoutReadFields = "c=read,t=p,d=3600000,units=1,spread=1,first=0"
 
 // awaitServedBy sends requests until one is served with this value. The ingress must have endpoints in the meantime.
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -8,10 +8,10 @@
 	"lemontack/policy"
 )
 
-// updateEndpoints takes over a list of endpoints, or changes of it.
+// updateEndpoints applies a snapshot of the endpoint list, or changes to it.
 func (g *Gateway) updateEndpoints(list discovery.EndpointList) {
 	g.gatewaysPerEndpoint = list.GatewaysPerEndpoint
-	if !list.Snapshot && len(list.Entries) == 0 { // changes of endpoints that are not kept
+	if !list.Snapshot && len(list.Entries) == 0 { // the changes concern only endpoints outside this gateway's subset
 		return
 	}
 	event := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
@@ -21,19 +21,19 @@
 		event.Endpoints = append(event.Endpoints, endpoint)
 		updates = append(updates, upstream.EndpointUpdate{Endpoint: endpoint, Address: entry.Endpoint})
 	}
-	g.enqueue(event) // before the ends of the attempts that the update withdraws
+	g.enqueue(event) // before the AttemptEnded events of attempts that the update ends
 	g.pool.UpdateEndpoints(list.Snapshot, updates)
 }
 
-// applyKnownEndpoints takes over the list that the configuration brought; the policy is told before anything else.
+// applyKnownEndpoints applies the endpoint list of the configuration. It is the first event that the policy receives.
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.sharedTime(time.Now())
 	g.cfg.KnownEndpoints.Snapshot = true
 	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.KnownEndpoints)})
-	g.cfg.KnownEndpoints.Entries = nil // a long list is not kept twice
+	g.cfg.KnownEndpoints.Entries = nil // release the memory: the pool now holds the list
 }
 
-// endpointList is the list as it stands, for the policy.
+// endpointList returns the current endpoint list as an event for the policy.
 func (g *Gateway) endpointList() policy.EndpointsChanged {
 	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -10,21 +10,21 @@
 
 const (
 	eventQueueLength  = 256
-	maxEventBatch     = 256 // events between two looks at the timers
+	maxEventBatch     = 256 // events handled before the timers are checked again
 	idleCheckInterval = time.Second
 )
 
-// eventLoop is the clock, the timers and the queue of events of a gateway, and the goroutines that post to it. now and timers
-// belong to the loop's goroutine; post, spawn and clock are safe for concurrent use.
+// eventLoop holds the clock, the timers and the event queue of a gateway, and tracks the goroutines that post events. now and
+// timers are used only by the loop's goroutine; post, spawn and sharedTime are safe for concurrent use.
 type eventLoop struct {
 	start     time.Time
-	startTime time.Duration // start on the clock that all gateways share
-	now       time.Duration // on that clock, as of the event that is being handled
+	startTime time.Duration // start as Unix time, the clock that all gateways share
+	now       time.Duration // time of the event being handled, on the shared clock
 	timers    timerQueue
 	events    chan event
-	loopEnded chan struct{} // closed when no event is handled any more
+	loopEnded chan struct{} // closed when the loop has ended and handles no more events
 
-	ctx        context.Context // ends the goroutines that spawn has started; set before the first
+	ctx        context.Context // cancels the goroutines started by spawn; set before the first of them
 	goroutines sync.WaitGroup
 }
 
@@ -38,12 +38,13 @@
 	}
 }
 
-// spawn starts a goroutine that the gateway's end cancels through its context, and that Run waits for.
+// spawn starts a goroutine whose context is cancelled when the gateway ends. Run waits for it.
 func (l *eventLoop) spawn(run func(context.Context)) {
 	l.goroutines.Go(func() { run(l.ctx) })
 }
 
-// post hands an event to the loop's goroutine; after the end of the loop it is dropped.
+// post sends an event to the loop's goroutine, and blocks while the queue is full. Events after the end of the loop are
+// discarded.
 func (l *eventLoop) post(ev event) {
 	select {
 	case l.events <- ev:
@@ -51,16 +52,16 @@
 	}
 }
 
-// sharedTime is a time on the clock that all gateways share, advanced by the monotonic one.
+// sharedTime returns t on the clock that all gateways share: Unix time at start, advanced by the monotonic clock.
 func (l *eventLoop) sharedTime(t time.Time) time.Duration { return l.startTime + t.Sub(l.start) }
 
-// scheduleAt calls a function on the loop's goroutine at a time.
+// scheduleAt calls a function on the loop's goroutine at time t of the shared clock.
 func (l *eventLoop) scheduleAt(t time.Duration, callback func()) { l.timers.add(t, callback) }
 
-// scheduleAfter calls a function on the loop's goroutine after a while.
+// scheduleAfter calls a function on the loop's goroutine after d.
 func (l *eventLoop) scheduleAfter(d time.Duration, callback func()) { l.scheduleAt(l.now+d, callback) }
 
-// loop handles events and timers until ctx ends. Its goroutine owns the gateway's state and never waits for a peer.
+// loop handles events and timers until ctx is cancelled. Its goroutine owns the gateway's state and never waits for a peer.
 func (g *Gateway) loop(ctx context.Context) {
 	defer close(g.loopEnded)
 	g.scheduleAfter(idleCheckInterval, g.closeUnusableIdle)
@@ -82,7 +83,7 @@
 	}
 }
 
-// handleQueued handles events that are there already, up to a number.
+// handleQueued handles at most limit events that are already queued.
 func (g *Gateway) handleQueued(limit int) {
 	for range limit {
 		if len(g.events) == 0 {
@@ -94,13 +95,13 @@
 	}
 }
 
-// handle applies an event, and what the policy makes of it.
+// handle applies an event and then the policy's reaction to it.
 func (g *Gateway) handle(ev event) {
 	ev.apply(g)
 	g.handlePendingEvents()
 }
 
-// updateTime takes the time from the clock, and notices where the process was stalled.
+// updateTime sets now to the current time and reports a stall of the process if there was one.
 func (g *Gateway) updateTime() {
 	now := time.Now()
 	g.now = g.sharedTime(now)
@@ -109,7 +110,7 @@
 	}
 }
 
-// runTimers calls what is due.
+// runTimers calls the callbacks of all timers that are due.
 func (g *Gateway) runTimers() {
 	for callback := g.timers.popDue(g.now); callback != nil; callback = g.timers.popDue(g.now) {
 		callback()
@@ -117,7 +118,7 @@
 	}
 }
 
-// closeUnusableIdle retires idle connections, again and again.
+// closeUnusableIdle closes unusable idle connections, and schedules itself to run again after idleCheckInterval.
 func (g *Gateway) closeUnusableIdle() {
 	g.pool.CloseUnusableIdle()
 	g.scheduleAfter(idleCheckInterval, g.closeUnusableIdle)
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -1,5 +1,5 @@
-// Package ingress connects the policy with sockets: it turns what comes on them into the policy's events and carries out the
-// policy's actions. It decides nothing itself.
+// Package ingress connects the policy with the network. It converts input from sockets to policy events and executes the
+// policy's actions. Routing and admission decisions are the policy's.
 package ingress
 
 import (
@@ -22,13 +22,13 @@
 )
 
 const (
-	defaultRetryAfter = 250 * time.Millisecond // advice to clients that are rejected here, where the settings allow as much
-	// firstListTimeout is what a start waits for discovery before it serves from the known list.
+	defaultRetryAfter = 250 * time.Millisecond // upper bound of the retry advice in rejectionReply
+	// firstListTimeout is how long a starting gateway waits for discovery's list before it serves from the known list.
 	firstListTimeout = 300 * time.Millisecond
 )
 
-// Gateway is one ingress. Its event loop owns the policy and the table of requests; the parts beside it have goroutines of
-// their own and post events.
+// Gateway is one ingress. Its event loop owns the policy, the request table and the connection pool. The listener, the counter
+// client, the discovery client and the connections have their own goroutines and post events to the loop.
 type Gateway struct {
 	eventLoop
 	policyDriver
@@ -38,28 +38,28 @@
 	observe *observer
 	stalls  *stall.Detector
 
-	// Of the settings; unchanged after New.
+	// Values derived from the settings; read-only after New, so safe for concurrent use.
 	classes        map[string]policy.Class
 	plans          map[string]bool
 	maxUnits       float64 // of one request
 	maxAttempts    int     // of one request
-	rejectionReply []byte  // the answer to what is not admitted
+	rejectionReply []byte  // reply to a request that is not admitted
 
-	// Parts.
+	// Used by the event loop; Run and UpdateAddresses also use counter and discovery.
 	requests  requestTable
 	pool      *upstream.Pool
 	counter   *counterclient.Client
 	discovery *discovery.Client
 
-	gatewaysPerEndpoint float64       // as discovery last told
-	shutdownDeadline    time.Duration // 0: no shutdown has begun
+	gatewaysPerEndpoint float64       // as last reported by discovery
+	shutdownDeadline    time.Duration // zero until a shutdown begins
 
-	openListener func() (net.Listener, error) // for clients
+	openListener func() (net.Listener, error) // opens the client listener; replaced in tests
 	ready        chan struct{}
 	addr         net.Addr // set before ready is closed
 }
 
-// New checks the configuration and returns an ingress that does not run yet.
+// New validates the configuration and returns a gateway that has not started.
 func New(cfg Config, log *slog.Logger) (*Gateway, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	return g, nil
 }
 
-// newPool returns the pool of the connections to endpoints; it runs on the event loop.
+// newPool returns the pool of endpoint connections. All its methods are called on the event loop.
 func (g *Gateway) newPool() *upstream.Pool {
 	return upstream.NewPool(upstream.Config{
 		Now:            func() time.Duration { return g.now },
@@ -112,7 +112,7 @@
 	})
 }
 
-// newCounterClient returns a client of the shared counter that posts the ends of its calls to the event loop.
+// newCounterClient returns a client of the shared counter that posts the results of its calls to the event loop.
 func (g *Gateway) newCounterClient() *counterclient.Client {
 	return counterclient.New(g.cfg.Counter, g.cfg.Settings.CounterTimeout,
 		func(result counterclient.Result) { g.post(counterCallEnded{result}) })
@@ -129,25 +129,25 @@
 	}
 }
 
-// newDiscoveryClient returns a discovery client that posts its lists to the event loop.
+// newDiscoveryClient returns a discovery client that posts endpoint lists to the event loop.
 func (g *Gateway) newDiscoveryClient(config discovery.Config) *discovery.Client {
 	return discovery.NewClient(config, func(list discovery.EndpointList) { g.post(endpointsUpdated{list}) }, g.log)
 }
 
-// Ready returns a channel that closes when clients are accepted.
+// Ready returns a channel that is closed once the gateway accepts clients.
 func (g *Gateway) Ready() <-chan struct{} { return g.ready }
 
-// Addr returns the address that clients connect to, once Ready has closed.
+// Addr returns the address of the client listener. It must not be called before Ready is closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// UpdateAddresses goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
-// of several calls counts. Clients, endpoints and the policy's state are left as they are.
+// UpdateAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
+// call takes effect. Client connections, endpoint connections and the policy's state are unchanged.
 func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
 	g.discovery.Move(discoveryAddress)
 	g.counter.Move(counterAddress)
 }
 
-// Run serves until ctx ends, then answers what it has admitted and returns.
+// Run serves until ctx is cancelled. It then answers the admitted requests and returns.
 func (g *Gateway) Run(ctx context.Context) error {
 	runCtx, stop := context.WithCancel(context.Background())
 	defer func() {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// startBackgroundGoroutines starts all goroutines but those for clients.
+// startBackgroundGoroutines starts the event loop, the counter and discovery clients, and the logging of counters.
 func (g *Gateway) startBackgroundGoroutines() {
 	g.spawn(g.loop)
 	g.spawn(g.counter.Run)
@@ -183,14 +183,14 @@
 	g.spawn(g.observe.logCountersPeriodically)
 }
 
-// startListener begins to accept clients.
+// startListener starts accepting clients and closes the ready channel.
 func (g *Gateway) startListener() (*listener.Server, error) {
 	ln, err := g.openListener()
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
 	clients := g.newListener(ln)
-	g.spawn(func(context.Context) { clients.Serve() }) // ends when the socket is closed
+	g.spawn(func(context.Context) { clients.Serve() }) // ends when ln is closed
 	g.spawn(clients.SweepIdle)
 	g.addr = ln.Addr()
 	close(g.ready)
--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -12,14 +12,14 @@
 // healthCheckTimeout limits a health check, which has no request whose deadline could end it.
 const healthCheckTimeout = 250 * time.Millisecond
 
-// healthCheck is the upstream.Command that asks an endpoint for its load.
+// healthCheck is the upstream.Command that requests an endpoint's load report.
 type healthCheck struct {
 	gateway   *Gateway
 	endpoint  policy.EndpointID
 	startedAt time.Duration
 }
 
-// checkHealth carries out the policy's CheckHealth action.
+// checkHealth executes the policy's CheckHealth action.
 func (g *Gateway) checkHealth(id policy.EndpointID) {
 	endpoint := g.pool.Endpoint(id)
 	if endpoint == nil {
@@ -41,7 +41,7 @@
 	return upstream.EncodedCommand{Frame: frame}
 }
 
-// Abandoned implements upstream.Command: a health check has no client.
+// Abandoned implements upstream.Command. A health check has no client that could disconnect.
 func (*healthCheck) Abandoned() bool { return false }
 
 // BeforeWrite implements upstream.Command.
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -11,34 +11,34 @@
 	"lemontack/policy"
 )
 
-// invariant numbers the invariants that the program checks while it runs. A count other than 0 is a fault of the program.
+// invariant identifies an invariant that is checked at run time. Every counted violation is a fault of the program.
 type invariant int
 
 const (
-	invariantFinalAnswer     invariant = iota // a request that was read gets its final answer
-	invariantSingleAnswer                     // and only one
-	invariantAnswerInTime                     // at the latest maxAnswerDelay after its client's deadline
-	invariantStart                            // attempts start only for an open request, within their number, and in parallel only with hedging
-	invariantRetry                            // what may have been executed is retried only where its class allows it
-	invariantClientConnected                  // no attempt starts maxStartAfterDisconnect after its client left
-	invariantEndpointServing                  // none starts maxStartAfterDrain after its endpoint was told to drain
-	invariantTimeLimit                        // none tells its endpoint more time than its client has left
+	invariantFinalAnswer     invariant = iota // every request that was read receives a final answer
+	invariantSingleAnswer                     // every request receives at most one answer
+	invariantAnswerInTime                     // every answer is given within maxAnswerDelay after the client's deadline
+	invariantStart                            // no request exceeds its maximum of attempts, or has parallel attempts without hedging
+	invariantRetry                            // a command that may have been executed is retried only if its class allows it
+	invariantClientConnected                  // no attempt is written over maxSendDelayAfterDisconnect after its client disconnected
+	invariantEndpointServing                  // no attempt is written over maxSendDelayAfterDrain after its endpoint stopped serving
+	invariantTimeLimit                        // no endpoint is granted more time than the client has left plus stall.MaxStall
 )
 
-// Delays that an invariant allows, for events that cross.
+// Delays that the invariants allow, because the event that forbids an action may arrive while the action is under way.
 const (
 	maxAnswerDelay              = 500 * time.Millisecond
 	maxSendDelayAfterDisconnect = 100 * time.Millisecond
 	maxSendDelayAfterDrain      = time.Second
 )
 
-// newViolations returns the counters of violated invariants; their names are those in the log.
+// newViolations returns the counters of violated invariants. Their names appear in the log, and tools match them.
 func newViolations() *telemetry.Counters[invariant] {
 	return telemetry.NewCounters[invariant]("final_answer", "one_answer", "in_time", "start", "retry", "client_left", "drain",
 		"deadline")
 }
 
-// reportViolation counts a violated invariant and logs what is known of the request.
+// reportViolation counts a violated invariant and logs it with the details of the request. It is safe for concurrent use.
 func (o *observer) reportViolation(violated invariant, r *listener.Request, now time.Duration, reason string) {
 	o.violations.Add(violated)
 	if ok, _ := o.logLimiter.Allow(time.Now()); !ok {
@@ -47,40 +47,41 @@
 	o.log.Error("invariant violated", "invariant", o.violations.Name(violated), "reason", reason, "request", describe(r, now))
 }
 
-// describe is what is known of a request, for the log.
+// describe returns the details of a request as a log value.
 func describe(r *listener.Request, now time.Duration) slog.Value {
-	return slog.GroupValue(slog.String("request_id", r.ExternalIDString()), slog.String("client", r.RemoteAddr()), slog.String("class", r.Class),
-		slog.String("customer", r.Customer), slog.Duration("age", now-r.ReadAt), slog.Duration("timeout", r.GiveUpAt-r.ReadAt))
+	return slog.GroupValue(slog.String("request_id", r.ExternalIDString()), slog.String("client", r.RemoteAddr()),
+		slog.String("class", r.Class), slog.String("customer", r.Customer), slog.Duration("age", now-r.ReadAt),
+		slog.Duration("timeout", r.GiveUpAt-r.ReadAt))
 }
 
-// checkAnswerTime reports a final answer that is given after the client's deadline.
+// checkAnswerTime counts and logs a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	dueAt := max(r.GiveUpAt, g.startTime+g.stalls.LastEnd()) // nothing is answered while the process is stalled
+	dueAt := max(r.GiveUpAt, g.startTime+g.stalls.LastEnd()) // a stalled process cannot answer
 	if g.now > dueAt+maxAnswerDelay {
-		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" late")
+		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" after the deadline")
 	}
-	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // else it was late when it came
+	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // otherwise the deadline had passed before the request was read
 		g.observe.requests.Add(requestsLate)
 		g.observe.logRequestWarning(r, "answered after the client's deadline", g.now)
 	}
 }
 
-// Reasons for which an attempt may not start now. Those of the first group come up in good order, where an event crosses the
-// policy's decision; those of the second would be faults of the policy.
+// Reasons for which an attempt may not start. Those of the first group are expected when an event arrives after the policy's
+// decision; those of the second group are faults of the policy.
 var (
-	errRequestFinished     = errors.New("the request is over")
+	errRequestFinished     = errors.New("the request has finished")
 	errClientDisconnected  = errors.New("the client has disconnected")
-	errNoTimeLeft          = errors.New("no time is left")
+	errNoTimeLeft          = errors.New("the attempt's deadline has passed")
 	errEndpointNotServing  = errors.New("the endpoint is draining or removed")
-	errDeduplicationWindow = errors.New("the deduplication window is over")
+	errDeduplicationWindow = errors.New("the deduplication window has ended")
 
-	errTooManyAttempts = errors.New("the request has had all its attempts")
+	errTooManyAttempts = errors.New("the request has reached its maximum of attempts")
 	errParallelAttempt = errors.New("another attempt is open, and hedging is off")
 	errMayBeExecuted   = errors.New("an earlier attempt may have been executed")
 )
 
-// checkStart returns nil, or one of the reasons above. It is asked when the policy sends an attempt, and again when the attempt
-// is given to a connection.
+// checkStart returns nil if the attempt may start, or one of the errors above. It is called when the policy sends an attempt, and
+// again when an attempt that had to wait is assigned to a connection.
 func (a *attempt) checkStart() error {
 	g, r := a.gateway, a.request
 	switch {
@@ -98,7 +99,7 @@
 	return a.checkRetry()
 }
 
-// checkRetry checks an attempt against those before it that are open or may have been executed.
+// checkRetry checks an attempt against other attempts of its request that are open or may have been executed.
 func (a *attempt) checkRetry() error {
 	g := a.gateway
 	class := g.classes[a.request.Class]
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// violatedInvariant returns the invariant that a reason for not starting would violate, and false where the reason is no fault of the policy.
+// violatedInvariant returns the invariant that starting an attempt would violate, given the error of checkStart. It returns false
+// if the error is not a fault of the policy.
 func violatedInvariant(reason error) (invariant, bool) {
 	switch {
 	case errors.Is(reason, errTooManyAttempts), errors.Is(reason, errParallelAttempt):
@@ -132,8 +134,7 @@
 	return 0, false
 }
 
-// MayStart implements upstream.Command. It reports what would be a fault of the policy, and ends the request of a client that
-// has left.
+// MayStart implements upstream.Command. It reports violated invariants, and ends the request if its client has disconnected.
 func (a *attempt) MayStart() bool {
 	reason := a.checkStart()
 	if reason == nil {
@@ -149,7 +150,8 @@
 	return false
 }
 
-// BeforeWrite implements upstream.Command: it checks the invariants on the goroutine of its connection.
+// BeforeWrite implements upstream.Command. It checks, on the writing goroutine of the connection, the invariants that
+// depend on the time of the write.
 func (a *attempt) BeforeWrite(timeLimit time.Duration) {
 	g, r := a.gateway, a.request
 	if r.Released() {
@@ -157,12 +159,15 @@
 	}
 	now := g.sharedTime(time.Now())
 	if disconnectedAt := r.ClientGoneAt(); disconnectedAt != 0 && now-disconnectedAt > maxSendDelayAfterDisconnect {
-		g.observe.reportViolation(invariantClientConnected, r.Request, now, "the client left "+(now-disconnectedAt).String()+" before")
+		g.observe.reportViolation(invariantClientConnected, r.Request, now,
+			"the client disconnected "+(now-disconnectedAt).String()+" earlier")
 	}
 	if stoppedAt := a.endpoint.StoppedServingAt(); stoppedAt != 0 && now-stoppedAt > maxSendDelayAfterDrain {
-		g.observe.reportViolation(invariantEndpointServing, r.Request, now, "the endpoint stopped serving "+(now-stoppedAt).String()+" before")
+		g.observe.reportViolation(invariantEndpointServing, r.Request, now,
+			"the endpoint stopped serving "+(now-stoppedAt).String()+" earlier")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
-		g.observe.reportViolation(invariantTimeLimit, r.Request, now, "time limit "+timeLimit.String())
+		g.observe.reportViolation(invariantTimeLimit, r.Request, now,
+			"the time limit of "+timeLimit.String()+" exceeds the client's remaining time")
 	}
 }
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	countersInterval = 10 * time.Second // between two records of the counters: a trend shows, and the log stays short
+	countersInterval = 10 * time.Second // between two log records of the counters
 
-	// maxLogRecordsPerPeriod bounds the records of single requests in anomalyPeriod: a fault that hits all requests must not
-	// fill the log.
+	// maxLogRecordsPerPeriod bounds the log records on single requests and stalls in each logLimitPeriod, because a fault
+	// may affect all requests.
 	maxLogRecordsPerPeriod = 20
 	logLimitPeriod         = time.Second
 )
 
-// observer is the log and the counters of one ingress. The counters are written to the log every countersInterval and at the end;
-// single steps of requests and connections are records of level debug.
+// observer holds the log and the counters of one ingress. The counters are logged every countersInterval if they have
+// changed, and at shutdown. Events of single requests and attempts are logged at level debug.
 type observer struct {
 	log             *slog.Logger
-	debugEnabled    bool // records of level debug are written
+	debugEnabled    bool // whether the log writes records of level debug
 	requests        *telemetry.Counters[requestCounter]
-	clients         *listener.Counters
+	clients         *listener.Counters // faults and closes of client connections
 	attemptOutcomes *telemetry.Counters[policy.Outcome]
-	stalls          atomic.Int64 // of the process
+	stalls          atomic.Int64 // number of stalls of the process
 	violations      *telemetry.Counters[invariant]
-	logLimiter      *telemetry.Limiter
+	logLimiter      *telemetry.Limiter // of warnings and errors on single requests, and of stall warnings
 }
 
 func newObserver(log *slog.Logger) *observer {
@@ -45,7 +45,7 @@
 		logLimiter:      telemetry.NewLimiter(maxLogRecordsPerPeriod, logLimitPeriod)}
 }
 
-// logCountersPeriodically writes the counters from time to time until ctx ends.
+// logCountersPeriodically logs the counters every countersInterval until ctx is cancelled. It skips intervals without a change.
 func (o *observer) logCountersPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(countersInterval)
 	defer ticker.Stop()
@@ -67,7 +67,7 @@
 		"stalls", o.stalls.Load(), "violations", o.violations)
 }
 
-// processStalled counts and logs that the process did not run for a while.
+// processStalled counts and logs a stall of the process.
 func (o *observer) processStalled(duration time.Duration) {
 	o.stalls.Add(1)
 	if ok, _ := o.logLimiter.Allow(time.Now()); ok {
--- a/internal/ingress/requestlog.go
+++ b/internal/ingress/requestlog.go
@@ -8,19 +8,19 @@
 	"lemontack/internal/telemetry"
 )
 
-// requestCounter numbers the counters of what became of clients' requests.
+// requestCounter identifies a counter of requests: those read, and their results.
 type requestCounter int
 
 const (
-	requestsRead      requestCounter = iota // whole and well formed
-	requestsExpired                         // had no time left when they were read
-	requestsRejected                        // by the network code: no capacity, shutdown, a connection that is closing
-	requestsDuplicate                       // their id was taken
+	requestsRead      requestCounter = iota // complete and well formed
+	requestsExpired                         // deadline passed before admission
+	requestsRejected                        // by the network code: no capacity, shutdown, or a connection that is closing
+	requestsDuplicate                       // external ID already in use
 	requestsRejectedByPolicy
 	requestsFailed // by the policy
 	requestsServed
-	requestsOverdue   // left unanswered by the policy until their deadline
-	requestsAbandoned // their client left before the answer
+	requestsOverdue   // not answered by the policy until their deadline
+	requestsAbandoned // client disconnected before the answer
 	requestsLate      // answered after the client's deadline
 )
 
@@ -29,7 +29,7 @@
 		"served", "overdue", "abandoned", "late")
 }
 
-// requestRejected counts and traces a request that the network code rejects.
+// requestRejected counts and logs a request that the network code rejects.
 func (o *observer) requestRejected(r *listener.Request, reason string) {
 	o.requests.Add(requestsRejected)
 	if o.debugEnabled {
@@ -37,33 +37,33 @@
 	}
 }
 
-// requestEnded counts and traces the end of a request.
+// requestEnded counts and logs the end of a request.
 func (o *observer) requestEnded(r *request, result requestCounter) {
 	o.requests.Add(result)
 	if o.debugEnabled {
-		o.log.Debug("request ends", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "result", o.requests.Name(result),
-			"attempts", r.attempts)
+		o.log.Debug("request ended", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "result",
+			o.requests.Name(result), "attempts", r.attempts)
 	}
 }
 
-// attemptStarted traces the start of an attempt.
+// attemptStarted logs the start of an attempt.
 func (o *observer) attemptStarted(a *attempt) {
 	if o.debugEnabled {
-		o.log.Debug("attempt starts", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
+		o.log.Debug("attempt started", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"time_left", a.deadline-a.startedAt)
 	}
 }
 
-// attemptEnded counts and traces the end of an attempt.
+// attemptEnded counts and logs the end of an attempt.
 func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
 	o.attemptOutcomes.Add(a.outcome)
 	if o.debugEnabled {
-		o.log.Debug("attempt ends", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
+		o.log.Debug("attempt ended", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"outcome", a.outcome, "latency", latency)
 	}
 }
 
-// logRequestWarning logs what is known of a request with which something went wrong.
+// logRequestWarning logs a warning with the details of a request. logLimiter limits the rate.
 func (o *observer) logRequestWarning(r *request, message string, now time.Duration) {
 	ok, suppressed := o.logLimiter.Allow(time.Now())
 	if !ok {
@@ -76,7 +76,7 @@
 	o.log.Warn(message, attrs...)
 }
 
-// String describes an attempt for the log.
+// String returns the endpoint, the start relative to the time the request was read, and the state of an attempt, for the log.
 func (a *attempt) String() string {
 	state := "open"
 	switch {
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -7,24 +7,24 @@
 	"lemontack/policy"
 )
 
-// overdueDelay is how long after its deadline a request is failed that the policy has not answered; it is a part of
-// answerMargin.
+// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not
+// answered it. It is a part of the listener's answerMargin, so that the answer can still reach the client.
 const overdueDelay = 8 * time.Millisecond
 
-// request is a client's request that was admitted, with its attempts.
+// request is an admitted request of a client, with its attempts.
 type request struct {
 	*listener.Request
 	attempts     []*attempt
-	openAttempts int  // that have not ended
-	finished     bool // it has had its final answer, or its client has left
+	openAttempts int  // number of attempts that have not ended
+	finished     bool // it has its final answer, or its client has disconnected
 }
 
-// requestTable holds the requests that are admitted and not over: without a final answer, or with open attempts.
+// requestTable holds the admitted requests that have not finished or that have open attempts.
 type requestTable struct {
 	open             map[policy.RequestID]*request
-	externalIDsInUse map[uint64]bool // the clients' ids of requests whose time is not up, be they over or not
+	externalIDsInUse map[uint64]bool // external IDs of requests whose deadline has not passed, including finished requests
 	lastID           policy.RequestID
-	commandBytes     int // of the open requests
+	commandBytes     int // total size of the commands of open requests
 	maxOpen          int
 	maxCommandBytes  int
 }
@@ -34,13 +34,12 @@
 		maxCommandBytes: maxCommandBytes}
 }
 
-// hasCapacity reports whether a request with a command of that size can be added: many clients with large bodies must not fill the
-// memory.
+// hasCapacity reports whether a request whose command has size bytes can be added within the limits of requests and memory.
 func (t *requestTable) hasCapacity(size int) bool {
 	return len(t.open) < t.maxOpen && t.commandBytes+size <= t.maxCommandBytes
 }
 
-// add adds a request under a new id.
+// add assigns a new ID to a request and adds it.
 func (t *requestTable) add(r *listener.Request) *request {
 	t.lastID++
 	r.ID = t.lastID
@@ -51,18 +50,18 @@
 	return added
 }
 
-// removeIfDone removes a request that is over.
+// removeIfDone removes a request that has finished and has no open attempts.
 func (t *requestTable) removeIfDone(r *request) {
 	if !r.finished || r.openAttempts > 0 || t.open[r.ID] != r {
 		return
 	}
 	t.commandBytes -= r.Size
 	delete(t.open, r.ID)
-	r.Release() // its timer may keep it for seconds more
+	r.Release() // release the command: the deadline timer may still hold the request for seconds
 	r.attempts = nil
 }
 
-// admit admits a request, or rejects it.
+// admit passes a request to the policy, or rejects it if there is no capacity or its external ID is in use.
 func (g *Gateway) admit(r *listener.Request) {
 	if r.ClientGone() {
 		return
@@ -72,7 +71,7 @@
 		r.Respond(g.rejectionReply)
 		return
 	}
-	if g.requests.externalIDsInUse[r.ExternalID] { // the one who asked first has its answer, and nobody else
+	if g.requests.externalIDsInUse[r.ExternalID] { // only the first request with an ID is served
 		g.observe.requests.Add(requestsDuplicate)
 		r.RespondDuplicate()
 		return
@@ -91,12 +90,13 @@
 	})
 }
 
-// shutdownDeadlinePassed reports whether the time for answers in a shutdown is over. Clients may go on sending on what is still open.
+// shutdownDeadlinePassed reports whether a shutdown has passed its deadline for answers. Clients may still send requests on open
+// connections after it.
 func (g *Gateway) shutdownDeadlinePassed() bool {
 	return g.shutdownDeadline > 0 && g.now >= g.shutdownDeadline
 }
 
-// reject carries out the policy's Reject action.
+// reject executes the policy's Reject action.
 func (g *Gateway) reject(action policy.Reject) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
 		g.observe.requestEnded(r, requestsRejectedByPolicy)
@@ -104,7 +104,7 @@
 	}
 }
 
-// fail carries out the policy's Fail action.
+// fail executes the policy's Fail action.
 func (g *Gateway) fail(action policy.Fail) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
 		g.observe.requestEnded(r, requestsFailed)
@@ -112,22 +112,23 @@
 	}
 }
 
-// failOverdue fails a request that the policy has left unanswered until the last moment.
+// failOverdue ends a request that the policy has not answered in time. The reply is an error, or a rejection if no attempt
+// was made.
 func (g *Gateway) failOverdue(r *request) {
 	if r.finished {
 		return
 	}
 	g.observe.requests.Add(requestsOverdue)
-	g.observe.logRequestWarning(r, "no answer from the policy in time", g.now)
+	g.observe.logRequestWarning(r, "the policy did not answer the request before its deadline", g.now)
 	response := []byte(failedResponse)
-	if len(r.attempts) == 0 { // it was never executed
+	if len(r.attempts) == 0 { // the request was never executed
 		response = g.rejectionReply
 	}
 	g.enqueue(policy.ClientDisconnected{ID: r.ID})
 	g.answer(r, response)
 }
 
-// clientDisconnected ends a request whose client has gone.
+// clientDisconnected ends a request whose client has disconnected.
 func (g *Gateway) clientDisconnected(r *request) {
 	if r.finished {
 		return
@@ -139,7 +140,7 @@
 	g.requests.removeIfDone(r)
 }
 
-// answer gives the final answer, once.
+// answer sends the final answer unless the request has finished already.
 func (g *Gateway) answer(r *request, response []byte) {
 	if r.finished {
 		return
@@ -151,8 +152,8 @@
 	g.requests.removeIfDone(r)
 }
 
-// cancelUnsentAttempts ends the attempts of a request that is over whose first byte is not written: they must not be sent any more,
-// also where the settings don't allow to cancel those that are.
+// cancelUnsentAttempts ends the attempts of a finished request of which no byte has been written. It applies even if the settings
+// do not allow cancelling attempts, because these were never sent.
 func (g *Gateway) cancelUnsentAttempts(r *request) {
 	for _, a := range r.attempts {
 		g.pool.CancelUnsent(a.Attempt)
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -8,18 +8,19 @@
 	"lemontack/policy"
 )
 
-// A shutdown begins with SIGTERM and has to be over before SIGKILL. New connections are accepted for shutdownGrace, and those that
-// wait to be accepted for backlogTime more; open ones are served until the last answer, and end within connectionsGrace.
+// A shutdown begins with SIGTERM and must complete before SIGKILL. New connections are accepted for acceptPeriod, and
+// connections in the accept queue for backlogAcceptPeriod after it. Open connections are served until their last answer,
+// and are closed within connectionCloseTimeout after the deadline for answers.
 const (
-	acceptPeriod           = 500 * time.Millisecond // for new connections: clients may not know of the shutdown yet
-	backlogAcceptPeriod    = 50 * time.Millisecond  // then, for those that came and were not accepted yet
-	sigkillDelay           = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline
-	maxSigkillDeadline     = 3 * time.Second        // that deadline counts as this where it is longer
-	sigkillMargin          = 250 * time.Millisecond // before SIGKILL: everything has its answer, and connections end
-	connectionCloseTimeout = 150 * time.Millisecond // for the end of the connections then
+	acceptPeriod           = 500 * time.Millisecond // clients may not know of the shutdown yet
+	backlogAcceptPeriod    = 50 * time.Millisecond  // after acceptPeriod, for connections in the accept queue
+	sigkillDelay           = 700 * time.Millisecond // SIGKILL follows SIGTERM after this and the longest deadline
+	maxSigkillDeadline     = 3 * time.Second        // upper bound of that deadline
+	sigkillMargin          = 250 * time.Millisecond // time between the last answer and SIGKILL, in which connections are closed
+	connectionCloseTimeout = 150 * time.Millisecond // for closing connections after the last answer
 )
 
-// shutdownAnswerPeriod is how long after SIGTERM the last answer is given: SIGKILL follows the longest deadline of the settings.
+// shutdownAnswerPeriod returns the time from SIGTERM within which all requests must be answered.
 func shutdownAnswerPeriod(classes []policy.Class) time.Duration {
 	maxDeadline := time.Duration(0)
 	for _, class := range classes {
@@ -28,7 +29,7 @@
 	return max(min(maxDeadline, maxSigkillDeadline)+sigkillDelay-sigkillMargin, acceptPeriod)
 }
 
-// shutDown answers what was admitted and ends the clients' connections. life is the context of the gateway's goroutines.
+// shutDown answers the admitted requests and closes the client connections. runCtx is the context of the gateway's goroutines.
 func (g *Gateway) shutDown(runCtx context.Context, clients *listener.Server) {
 	g.log.Info("shutting down")
 	answerPeriod := shutdownAnswerPeriod(g.cfg.Settings.Classes)
