--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -95,7 +95,7 @@
 
 // A drain takes effect with its watch event: an attempt that waits for a connection then is not written any more. The policy
 // is notified at once, after the list, and not only when the connection is established.
-func TestDrainWithdrawsWaitingAttempt(t *testing.T) {
+func TestDrainEndsWaitingAttemptAsNotSent(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	g := idleGateway(t, testConfig("", endpointsAt(endpoint.addr)))
 	a := newWaitingAttempt(g, "s0")
@@ -148,7 +148,7 @@
 }
 
 // A request that has ended is not sent when its connection is established, also where attempts may not be cancelled.
-func TestOverRequestIsNotSent(t *testing.T) {
+func TestFinishedRequestIsNotSent(t *testing.T) {
 	for name, finish := range map[string]func(g *Gateway, r *request){
 		"client disconnected": func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
 		"deadline exceeded":   func(g *Gateway, r *request) { g.failOverdue(r) },
@@ -206,7 +206,7 @@
 }
 
 // Settings without a maximum of attempts allow one.
-func TestSettingsWithoutMaxAttemptsMeanOne(t *testing.T) {
+func TestUnsetMaxAttemptsAllowsOneAttempt(t *testing.T) {
 	endpoint := startServingEndpoint(t, "a")
 	cfg := configFor(t, endpoint)
 	cfg.Settings.MaxAttempts = 0
@@ -220,7 +220,7 @@
 
 // Attempts that wait for a connection to an endpoint as it starts draining are sent to another one, also non-idempotent ones,
 // since they were never executed.
-func TestDrainWhileConnectingSendsElsewhere(t *testing.T) {
+func TestDrainWhileConnectingRetriesOnAnotherEndpoint(t *testing.T) {
 	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
 	cfg := testConfig("", endpointsAt(a.addr))
 	cfg.Settings.MaxAttempts = 2
@@ -242,11 +242,11 @@
 }
 
 // An endpoint receives the client's command with the time left in place of the client's timeout, and at least 1 ms.
-func TestForwardedCommandHasTheTimeLeft(t *testing.T) {
+func TestEncodedCommandHasRemainingTime(t *testing.T) {
 	fields := "c=read,d=50000,units=1"
 	for _, c := range []struct {
-		left  time.Duration
-		frame string
+		remaining time.Duration
+		frame     string
 	}{
 		{1500 * time.Millisecond, nettest.Command("Q.ASK", "customer", "id", "c=read,d=1500,units=1", "body")},
 		{2 * time.Microsecond, nettest.Command("Q.ASK", "customer", "id", "c=read,d=1,units=1", "body")},
@@ -255,10 +255,10 @@
 		for _, argument := range []string{"Q.ASK", "customer", "id", fields, "body"} {
 			r.Args = append(r.Args, []byte(argument))
 		}
-		a := &attempt{gateway: &Gateway{}, request: r, deadline: c.left}
+		a := &attempt{gateway: &Gateway{}, request: r, deadline: c.remaining}
 		encoded := a.Encode()
-		if string(encoded.Frame) != c.frame || encoded.TimeLimit != max(c.left, time.Millisecond) {
-			t.Errorf("%v left: %q with limit %v, want %q", c.left, encoded.Frame, encoded.TimeLimit, c.frame)
+		if string(encoded.Frame) != c.frame || encoded.TimeLimit != max(c.remaining, time.Millisecond) {
+			t.Errorf("%v left: %q with limit %v, want %q", c.remaining, encoded.Frame, encoded.TimeLimit, c.frame)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 
 // Bytes after a reply close the connection of their attempt, so that no later request gets them as its reply. Once a
 // duplicate was served to the next request.
-func TestEachCommandGetsItsOwnReply(t *testing.T) {
+func TestDataAfterReplyIsNotTakenForNextReply(t *testing.T) {
 	value := func(args []string) string {
 		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
 	}
--- a/internal/ingress/clients_test.go
+++ b/internal/ingress/clients_test.go
@@ -10,7 +10,7 @@
 )
 
 // With all descriptors for clients in use, an idle connection is closed for a new one.
-func TestIdleConnectionIsClosedForANewClient(t *testing.T) {
+func TestIdleClientIsDisconnectedForNewClient(t *testing.T) {
 	endpoint := startEndpoint(t, nil)
 	cfg := configFor(t, endpoint)
 	cfg.Sockets = 128 // 16 for clients
--- a/internal/ingress/commands_test.go
+++ b/internal/ingress/commands_test.go
@@ -12,7 +12,7 @@
 )
 
 // The command, customer, id, key and body are forwarded unchanged; d becomes the time left of it.
-func TestCommandIsForwardedWithTheTimeLeft(t *testing.T) {
+func TestCommandIsForwardedWithRemainingTime(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
 	nc, in := nettest.Dial(t, addr)
@@ -20,12 +20,12 @@
 		"c=keyed,t=p,d=9000,k=5c0f,units=2,spread=1,first=0,r=1", "BODY\r\n"))
 	nettest.WantValue(t, in)
 	got := endpoint.received()[0]
-	var left int
-	if _, err := fmt.Sscanf(got[3], "c=keyed,t=p,d=%d,k=5c0f,units=2,spread=1,first=0,r=1", &left); err != nil {
+	var remaining int
+	if _, err := fmt.Sscanf(got[3], "c=keyed,t=p,d=%d,k=5c0f,units=2,spread=1,first=0,r=1", &remaining); err != nil {
 		t.Fatalf("fields %q: %v", got[3], err)
 	}
-	if left < 1 || left > 9000 {
-		t.Fatalf("d=%d, want what is left of 9000", left)
+	if remaining < 1 || remaining > 9000 {
+		t.Fatalf("d=%d, want what is left of 9000", remaining)
 	}
 	got[3] = ""
 	if fmt.Sprint(got) != fmt.Sprint([]string{"Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "", "BODY\r\n"}) {
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -18,7 +18,7 @@
 	reservedSockets = 32 // file descriptors for the counter, discovery, the listener and the runtime
 
 	defaultMemory = 256 << 20 // bytes
-	// memoryDivisor is the fraction of the memory for each of four uses: commands of open requests, commands being read, answers
+	// memoryDivisor divides the memory into the share of each of four uses: commands of open requests, commands being read, answers
 	// that clients have not read, and replies being read.
 	memoryDivisor = 8
 
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -16,7 +16,7 @@
 )
 
 // The attempt of a client that disconnects is abandoned: its connection to the endpoint is closed.
-func TestDisconnectAbandonsTheAttempt(t *testing.T) {
+func TestDisconnectEndsAttempt(t *testing.T) {
 	abandoned := make(chan struct{}, 1)
 	endpoint := startSilentEndpoint(t, abandoned)
 	addr := startIngressFor(t, endpoint)
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -76,7 +76,7 @@
 	}})
 	ln := nettest.Listen(t)
 	e.addr = ln.Addr().String()
-	go backend.Serve(&countedListener{ln, &e.conns}) // ended by Close
+	go backend.Serve(&countingListener{ln, &e.conns}) // ended by Close
 	t.Cleanup(func() {
 		backend.Close()
 		if n := backend.Stats().Malformed; n > 0 {
@@ -86,13 +86,13 @@
 	return e
 }
 
-// countedListener counts the connections that it accepts.
-type countedListener struct {
+// countingListener counts the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	conns *atomic.Int32
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
 		l.conns.Add(1)
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -12,7 +12,7 @@
 )
 
 // The client polls, and spreads its first calls, as the settings and the known list of the configuration say.
-func TestDiscoveryClientIsConfiguredAsTheGateway(t *testing.T) {
+func TestDiscoveryClientUsesGatewaySettings(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1", endpointsAt("127.0.0.1:2"))
 	cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = 9, true
 	g, err := New(cfg, discardLog)
@@ -75,7 +75,7 @@
 
 // After a change of discovery's address the list is polled at the new one at once, the watch goes on there, and no client
 // or endpoint notices.
-func TestDiscoveryAddressChangeIsNotNoticedByClients(t *testing.T) {
+func TestDiscoveryAddressChangeKeepsClients(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	list := endpointsAt(endpoint.addr)
 	list.Revision = 2
@@ -89,7 +89,7 @@
 }
 
 // A new process follows the list of discovery as soon as it has it: the known list may be old.
-func TestListOfDiscoveryReplacesTheKnownOneAtStart(t *testing.T) {
+func TestDiscoveryListReplacesKnownListAtStart(t *testing.T) {
 	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
 	list := endpointsAt(a.addr, b.addr)
 	list.Revision, list.Entries[0].State = 2, "DRAINING"
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -24,8 +24,8 @@
 type clientDisconnected struct{ unanswered []*listener.Request }
 
 func (ev clientDisconnected) apply(g *Gateway) {
-	for _, request := range ev.unanswered {
-		if r := g.requests.open[request.ID]; r != nil { // otherwise it has finished or was never admitted
+	for _, received := range ev.unanswered {
+		if r := g.requests.open[received.ID]; r != nil { // otherwise it has finished or was never admitted
 			g.clientDisconnected(r)
 		}
 	}
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -41,8 +41,8 @@
 	// Values derived from the settings; read-only after New, so safe for concurrent use.
 	classes        map[string]policy.Class
 	plans          map[string]bool
-	maxUnits       float64 // of one request
-	maxAttempts    int     // of one request
+	maxUnits       float64 // per request
+	maxAttempts    int     // per request
 	rejectionReply []byte  // reply to a request that is not admitted
 
 	// Used by the event loop; Run and UpdateAddresses also use counter and discovery.
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -168,6 +168,6 @@
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
 		g.observe.reportViolation(invariantTimeLimit, r.Request, now,
-			"the time limit of "+timeLimit.String()+" exceeds the client's remaining time")
+			"time limit longer than the client's remaining time: "+timeLimit.String())
 	}
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -12,7 +12,7 @@
 )
 
 // checkStart gives the reason why an attempt may not start; brokenRule says whether that is a fault of the policy.
-func TestCheckStartGivesTheReason(t *testing.T) {
+func TestCheckStartReturnsReason(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", endpointsAt("127.0.0.1:1", "127.0.0.1:2"))
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -30,10 +30,10 @@
 // processor time of a long list is not measured.
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		name                     string
-		state                    standin.State
-		callDuration             time.Duration // time of a call at discovery, which handles them one by one
-		gateways, knownEndpoints int
+		name                         string
+		state                        standin.State
+		callDuration                 time.Duration // time of a call at discovery, which handles them one by one
+		gatewayCount, knownEndpoints int
 	}{
 		{"up", standin.Up, 0, 300, 200},
 		{"slow", standin.Up, 100 * time.Millisecond, 300, 200},
@@ -54,7 +54,7 @@
 					service := standin.NewDiscovery(cfg)
 					service.SetState(c.state)
 					startedAt := time.Now()
-					gateways, stop := startGateways(t, c.gateways, poll, longList(c.knownEndpoints), service)
+					gateways, stop := startGateways(t, c.gatewayCount, poll, longList(c.knownEndpoints), service)
 					defer stop()
 					ready := 0
 					for _, g := range gateways {
@@ -63,8 +63,8 @@
 							ready++
 						}
 					}
-					if ready < c.gateways*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.gateways, time.Since(startedAt))
+					if ready < c.gatewayCount*9/10 {
+						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.gatewayCount, time.Since(startedAt))
 					}
 				})
 			})
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -40,7 +40,7 @@
 }
 
 // The last answer comes before SIGKILL, which follows the longest deadline of the settings.
-func TestTimeToLastAnswerFollowsTheDeadlines(t *testing.T) {
+func TestShutdownAnswerPeriodFollowsLongestDeadline(t *testing.T) {
 	for maxDeadline, sigkillAt := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
@@ -103,7 +103,7 @@
 }
 
 // At the end of a shutdown arrivals are rejected at once, and earlier requests are answered by then.
-func TestArrivalsAtTheEndOfAShutdownAreRejected(t *testing.T) {
+func TestRequestsAfterShutdownDeadlineAreRejected(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt(startEndpoint(t, nil).addr)))
 	firstSent, _ := newClientRequest(t, g, 1, 0)
 	first := admit(g, firstSent)
--- a/internal/ingress/timers_test.go
+++ b/internal/ingress/timers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestTimersAreCalledInTheOrderOfTime(t *testing.T) {
+func TestTimersAreCalledInOrderOfDueTime(t *testing.T) {
 	q := newTimerQueue()
 	var called []int
 	for _, at := range []int{30, 10, 40, 20} {
--- a/internal/ingress/violationlog_test.go
+++ b/internal/ingress/violationlog_test.go
@@ -11,17 +11,17 @@
 )
 
 // The fault soak finds violated invariants by this text in the logs of ingresses (internal/soak/processlog.go).
-func TestViolationIsLoggedInTheFormThatTheSoakLooksFor(t *testing.T) {
+func TestViolationLogMatchesSoakPatterns(t *testing.T) {
 	var log bytes.Buffer
 	o := newObserver(slog.New(slog.NewTextHandler(&log, nil)))
-	for which, want := range map[invariant]string{
+	for violated, want := range map[invariant]string{
 		invariantAnswerInTime:    "invariant=in_time ",
 		invariantClientConnected: "invariant=client_left ",
 		invariantEndpointServing: "invariant=drain ",
 		invariantTimeLimit:       "invariant=deadline ",
 	} {
 		log.Reset()
-		o.reportViolation(which, &listener.Request{}, time.Second, "a reason")
+		o.reportViolation(violated, &listener.Request{}, time.Second, "a reason")
 		if got := log.String(); !strings.Contains(got, `msg="invariant violated" `+want) {
 			t.Errorf("logged %q, want it with %q", got, want)
 		}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -7,42 +7,42 @@
 	"lemontack/policy"
 )
 
-// Command is what an attempt sends, and what hears of the attempt's course. Its methods are called on the pool's goroutine
-// unless said otherwise.
+// Command provides the bytes that an attempt sends, and is notified of the attempt's progress. Its methods are called on the
+// pool's goroutine unless stated otherwise.
 type Command interface {
-	// MayStart reports whether the attempt may still be sent. It is asked once a connection is there for an attempt that had
-	// to wait for one; the attempt ends as not sent where it returns false.
+	// MayStart reports whether the attempt may still be sent. It is called when a connection becomes available to an attempt
+	// that has waited for one. If it returns false, the attempt ends with the outcome NotSent.
 	MayStart() bool
-	// Encode returns what is written. It is called when the attempt is given to a connection.
+	// Encode returns the bytes to write. It is called when the attempt is assigned to a connection.
 	Encode() EncodedCommand
-	// Abandoned reports whether nobody waits for the reply any more. It is safe for concurrent use.
+	// Abandoned reports whether the reply is no longer needed. It is safe for concurrent use.
 	Abandoned() bool
-	// BeforeWrite is called on a goroutine of the connection, just before it writes. timeLimit is that of the
-	// EncodedCommand.
+	// BeforeWrite is called on the connection's writing goroutine, just before the first byte is written. timeLimit is the
+	// TimeLimit of the EncodedCommand.
 	BeforeWrite(timeLimit time.Duration)
-	// Ended is called once, at the end of the attempt.
+	// Ended is called exactly once, when the attempt ends.
 	Ended(reply Result)
 }
 
-// EncodedCommand is a command in the form in which it is written.
+// EncodedCommand is a command as it is written to the connection.
 type EncodedCommand struct {
 	Frame     []byte
-	TimeLimit time.Duration // that the command gives the endpoint; 0: none
+	TimeLimit time.Duration // time that the command grants the endpoint; zero means no limit
 }
 
-// Attempt is one try to have an endpoint execute a command.
+// Attempt is one attempt to have an endpoint execute a command.
 type Attempt struct {
 	endpoint *Endpoint
 	command  Command
 
-	connection   *connection    // carries it; nil while it waits for one
-	assignedAt   time.Duration  // when it was given to the connection
-	aborted      bool           // the pool was told to give it up
-	abortOutcome policy.Outcome // of an aborted attempt that may have been executed
+	connection   *connection    // assigned connection; nil while the attempt waits for one
+	assignedAt   time.Duration  // time of the assignment to the connection
+	aborted      bool           // Abort was called after the assignment
+	abortOutcome policy.Outcome // outcome of an aborted attempt if it was written completely
 	ended        bool
 
-	// writeClaimed is set by whoever decides on the attempt's first byte: the connection, to write it, or the pool, to take it
-	// back from there.
+	// writeClaimed is set by the connection before it writes the first byte, or by the pool to cancel the attempt before that.
+	// Whichever sets it first decides whether the attempt is written.
 	writeClaimed atomic.Bool
 }
 
@@ -51,10 +51,10 @@
 	return &Attempt{endpoint: endpoint, command: command}
 }
 
-// WaitsForConnection reports whether no connection has been given the attempt so far.
+// WaitsForConnection reports whether the attempt has not been assigned to a connection yet.
 func (attempt *Attempt) WaitsForConnection() bool { return attempt.connection == nil }
 
-// end reports the end of the attempt, once.
+// end calls Command.Ended unless the attempt has ended already.
 func (attempt *Attempt) end(result Result) {
 	if attempt.ended {
 		return
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -15,47 +15,49 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// replyReadTimeout is for the rest of a reply that has begun: one that never ends would hold its attempt to the deadline.
+	// replyReadTimeout limits the time from the first byte of a reply to its last. Without it a reply that is never
+	// completed would keep its attempt open until the deadline.
 	replyReadTimeout = 200 * time.Millisecond
 )
 
-// connection is one connection to an endpoint. Its goroutine run owns the socket's reading side.
+// connection is one connection to an endpoint. The goroutine that executes run reads from the socket, and one started by
+// run writes.
 type connection struct {
 	endpoint    *Endpoint
 	address     string
 	replyMemory *resp.MemoryBudget
-	assignments chan assignment // room for one, which is enough: the pool gives one attempt at a time
-	readerDone  chan struct{}   // closed when nothing is read any more
+	assignments chan assignment // capacity 1: the pool assigns one attempt at a time
+	readerDone  chan struct{}   // closed when reading has ended
 
 	// Set before the Connected event is posted.
 	netConn net.Conn
-	rawConn syscall.RawConn // nil where the socket has none
+	rawConn syscall.RawConn // nil if the connection is not a TCP connection
 
-	// writeMu is held from before a command's first byte until written tells of its last one, so that a reply is matched
-	// with the command that it answers.
+	// writeMu is held from before a command's first byte is written until writtenAttempt is set, so that a reply is matched with
+	// the command that it answers.
 	writeMu        sync.Mutex
-	writtenAttempt atomic.Pointer[Attempt] // the last attempt whose last byte was written: it may have been executed
+	writtenAttempt atomic.Pointer[Attempt] // latest completely written attempt, which may have been executed
 
-	// The rest belongs to the pool's goroutine.
+	// The fields below are used only on the pool's goroutine.
 	currentAttempt *Attempt
 	idleSince      time.Duration
 	disconnected   bool
 }
 
-// assignment is an attempt that the pool gives to a connection.
+// assignment is an attempt that the pool assigns to a connection.
 type assignment struct {
 	attempt *Attempt
 	EncodedCommand
 }
 
-// newConnection returns a connection that run opens.
+// newConnection returns a connection that is not open; run dials it.
 func newConnection(endpoint *Endpoint, replyMemory *resp.MemoryBudget) *connection {
 	return &connection{endpoint: endpoint, address: endpoint.address, replyMemory: replyMemory,
 		assignments: make(chan assignment, 1), readerDone: make(chan struct{})}
 }
 
-// run dials, then reads replies until the connection or ctx ends; it posts Disconnected last. The writing goroutine is its
-// own: run waits for it, and the end of reading ends it.
+// run dials, then reads replies until the connection ends or ctx is cancelled. Its last event is Disconnected. It starts the
+// writing goroutine, stops it by closing readerDone, and waits for it.
 func (c *connection) run(ctx context.Context, timeout time.Duration, post func(Event)) {
 	dialer := net.Dialer{Timeout: timeout}
 	netConn, err := dialer.DialContext(ctx, "tcp", c.address)
@@ -82,8 +84,8 @@
 	post(Disconnected{connection: c, wasConnected: true})
 }
 
-// read posts replies until the connection ends or is of no further use: bytes behind a reply may be a second copy of it, which
-// must never be taken for the reply to the next command.
+// read posts replies until the connection ends or must not be reused. A connection with further bytes after a reply is not
+// reused, because they may be a duplicate that would be taken for the reply to the next command.
 func (c *connection) read(post func(Event)) {
 	buffer := resp.FrameBuffer{Budget: c.replyMemory}
 	defer buffer.Close()
@@ -111,8 +113,8 @@
 	}
 }
 
-// updateReplyDeadline gives a reply that has begun replyTimeout for its end, counted from its first bytes. It reports whether the limit
-// is in force.
+// updateReplyDeadline sets a read deadline of replyReadTimeout when a partial reply has been read, and clears it when none is
+// pending. It reports whether the deadline is set.
 func (c *connection) updateReplyDeadline(deadlineSet, replyPartial bool) bool {
 	switch {
 	case replyPartial && !deadlineSet:
@@ -123,15 +125,16 @@
 	return replyPartial
 }
 
-// lastWrittenAttempt returns the last attempt that was written to its last byte, once a write that is under way has ended.
+// lastWrittenAttempt returns the latest completely written attempt. It waits for a write in progress.
 func (c *connection) lastWrittenAttempt() *Attempt {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.writtenAttempt.Load()
 }
 
-// isOpenAndDrained reports whether the connection is open and nothing has come on it that was not read.
-func (c *connection) isOpenAndDrained() bool {
+// isOpenWithoutUnreadData reports whether the connection is open and has no unread data. It returns true if the connection
+// gives no access to its socket.
+func (c *connection) isOpenWithoutUnreadData() bool {
 	if c.rawConn == nil {
 		return true
 	}
@@ -143,7 +146,7 @@
 	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// write writes the attempts that it is given until reading has ended or a write fails.
+// write writes the assigned attempts until reading has ended, a write fails, or an attempt has been abandoned.
 func (c *connection) write() {
 	for {
 		select {
@@ -151,7 +154,7 @@
 			return
 		case assigned := <-c.assignments:
 			if !assigned.attempt.writeClaimed.CompareAndSwap(false, true) {
-				continue // the pool has taken it back
+				continue // the pool has cancelled the attempt
 			}
 			if !c.writeAttempt(assigned) {
 				c.netConn.Close()
@@ -161,9 +164,9 @@
 	}
 }
 
-// writeAttempt writes one attempt and reports whether the connection may carry another.
+// writeAttempt writes one attempt and reports whether the connection can be used for another.
 func (c *connection) writeAttempt(assigned assignment) bool {
-	// The command may have been abandoned since it was assigned. What has not begun was never executed.
+	// The command may have been abandoned since its assignment. Without a written byte it is certain not to be executed.
 	if assigned.attempt.command.Abandoned() {
 		return false
 	}
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -7,7 +7,7 @@
 )
 
 // A connection whose queue is full does not block the event loop; it is closed.
-func TestFullConnectionDoesNotBlockTheLoop(t *testing.T) {
+func TestConnectionWithFullQueueIsClosedWithoutBlocking(t *testing.T) {
 	pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
 	near, far := net.Pipe()
 	defer far.Close()
@@ -23,7 +23,7 @@
 }
 
 // A command that was not written to its last byte was not executed; one that was written completely may have been.
-func TestOnlyWholeCommandsCountAsWritten(t *testing.T) {
+func TestOnlyCompleteCommandsCountAsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		readBytes int
 		isWritten bool
@@ -55,7 +55,7 @@
 
 // An attempt that a connection has been given and has not begun to write is withdrawn, also where the connection has received
 // it: nothing of it was sent, and the connection serves the next one.
-func TestWithdrawnCommandIsNotSent(t *testing.T) {
+func TestCancelledUnsentCommandIsNotWritten(t *testing.T) {
 	for name, received := range map[string]bool{"assigned": false, "received": true} {
 		t.Run(name, func(t *testing.T) {
 			pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,7 +1,7 @@
-// Package upstream keeps the connections to endpoints and carries out the attempts on them: it dials, writes commands, reads
-// replies and reports what became of each attempt. It knows nothing of clients and requests.
+// Package upstream manages the connections to endpoints and executes attempts on them: it dials, writes commands, reads replies
+// and reports the result of each attempt. It does not depend on clients or requests.
 //
-// A Pool belongs to the goroutine of one event loop, and so does everything in it that is not said to be otherwise. Each
-// connection has a goroutine that reads and one that writes; they post Events, which the loop gives to Pool.HandleEvent. A
-// connection carries one attempt at a time, so that giving one up affects no other.
+// A Pool and its data are used only on the goroutine of one event loop unless stated otherwise. Each connection has a reading and
+// a writing goroutine, which post Events that the loop passes to Pool.HandleEvent. A connection carries one attempt at a time, so
+// that aborting an attempt affects no other.
 package upstream
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -8,34 +8,34 @@
 	"lemontack/policy"
 )
 
-// Endpoint is an entry of the endpoint list, with its connections and the attempts that wait for one. It belongs to the loop's
-// goroutine, but for StoppedServingAt.
+// Endpoint is an entry of the endpoint list, with its connections and the attempts that wait for one. Except for StoppedServingAt
+// it is used only on the loop's goroutine.
 type Endpoint struct {
 	policy.Endpoint
 
 	address        string
-	stoppedAt      atomic.Int64  // when its state changed from serving, on the loop's clock; 0: it serves
-	idle           []*connection // in the order in which they became idle
-	waiting        []*Attempt
-	dialing        int
-	awaitingReuse  int           // connections that have had a reply less than reuseDelay ago
-	connections    int           // all: dialing, idle, busy and awaiting reuse
-	lastActivityAt time.Duration // when it last replied or took a connection
+	stoppedAt      atomic.Int64  // time.Duration on the loop's clock; zero while the endpoint is serving
+	idle           []*connection // in the order in which they became idle, oldest first
+	waiting        []*Attempt    // in the order of arrival
+	dialing        int           // number of connections being opened
+	awaitingReuse  int           // number of connections that received a reply less than reuseDelay ago
+	connections    int           // number of all connections: dialing, idle, busy and awaiting reuse
+	lastActivityAt time.Duration // time of the last reply or accepted connection, on the loop's clock
 }
 
 // EndpointUpdate is a new or changed entry of the endpoint list.
 type EndpointUpdate struct {
 	policy.Endpoint
-	Address string // ignored for an endpoint that is removed
+	Address string // host:port; ignored for a removed endpoint
 }
 
-// StoppedServingAt returns when the endpoint's state changed from serving, on the loop's clock, or 0 while it serves. It is safe for
-// concurrent use.
+// StoppedServingAt returns the time on the loop's clock at which the endpoint stopped serving, or zero while it is serving. It is
+// safe for concurrent use.
 func (endpoint *Endpoint) StoppedServingAt() time.Duration {
 	return time.Duration(endpoint.stoppedAt.Load())
 }
 
-// update takes over a changed entry.
+// update applies a new or changed entry. A removed endpoint keeps its address.
 func (endpoint *Endpoint) update(update EndpointUpdate, now time.Duration) {
 	endpoint.Endpoint = update.Endpoint
 	endpoint.updateStoppedAt(now)
@@ -44,7 +44,8 @@
 	}
 }
 
-// updateStoppedAt keeps when the endpoint stopped serving.
+// updateStoppedAt sets or clears stoppedAt after a change of the state. It keeps the time at which the endpoint first
+// stopped serving.
 func (endpoint *Endpoint) updateStoppedAt(now time.Duration) {
 	if endpoint.State == policy.Serving {
 		endpoint.stoppedAt.Store(0)
@@ -53,19 +54,19 @@
 	endpoint.stoppedAt.CompareAndSwap(0, int64(now))
 }
 
-// addWaiting lets an attempt wait for a connection.
+// addWaiting appends an attempt to those that wait for a connection.
 func (endpoint *Endpoint) addWaiting(attempt *Attempt) {
 	endpoint.waiting = append(endpoint.waiting, attempt)
 }
 
-// popWaiting returns the attempt that has waited longest; there must be one.
+// popWaiting removes and returns the attempt that has waited longest. There must be one.
 func (endpoint *Endpoint) popWaiting() *Attempt {
 	attempt := endpoint.waiting[0]
 	endpoint.waiting = endpoint.waiting[1:]
 	return attempt
 }
 
-// removeWaiting takes an attempt out of those that wait, and reports whether it was there.
+// removeWaiting removes an attempt from those that wait for a connection, and reports whether it was one of them.
 func (endpoint *Endpoint) removeWaiting(attempt *Attempt) bool {
 	i := slices.Index(endpoint.waiting, attempt)
 	if i < 0 {
@@ -75,14 +76,15 @@
 	return true
 }
 
-// removeIdle takes a connection out of the idle ones, if it is there.
+// removeIdle removes a connection from the idle connections if it is one of them.
 func (endpoint *Endpoint) removeIdle(c *connection) {
 	if i := slices.Index(endpoint.idle, c); i >= 0 {
 		endpoint.idle = slices.Delete(endpoint.idle, i, i+1)
 	}
 }
 
-// closeOldestIdle closes the connection that has been idle for longest. The pool counts it until its Disconnected event.
+// closeOldestIdle closes the connection that has been idle longest. There must be one. The pool counts it until its Disconnected
+// event.
 func (endpoint *Endpoint) closeOldestIdle() {
 	endpoint.idle[0].netConn.Close()
 	endpoint.idle = endpoint.idle[1:]
@@ -95,7 +97,8 @@
 	}
 }
 
-// needsConnection reports whether there is an attempt that none of the connections to come is for, and room for one more.
+// needsConnection reports whether more attempts wait than connections are about to become available, and the limit of connections
+// per endpoint allows one more.
 func (endpoint *Endpoint) needsConnection() bool {
 	return endpoint.dialing+endpoint.awaitingReuse < len(endpoint.waiting) &&
 		endpoint.connections < maxConnectionsPerEndpoint
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -2,10 +2,10 @@
 
 import "lemontack/policy"
 
-// Endpoint returns the endpoint of that id, or nil.
+// Endpoint returns the endpoint with the given ID, or nil.
 func (pool *Pool) Endpoint(id policy.EndpointID) *Endpoint { return pool.endpoints[id] }
 
-// Endpoints returns the list as it stands, without the endpoints that are removed.
+// Endpoints returns the current list, without removed endpoints.
 func (pool *Pool) Endpoints() []policy.Endpoint {
 	var list []policy.Endpoint
 	for _, endpoint := range pool.endpoints {
@@ -16,8 +16,8 @@
 	return list
 }
 
-// UpdateEndpoints takes over the entries of the list that are new or changed; with snapshot the list is these, and all others
-// are removed. Attempts that wait for an endpoint which takes nothing new end as not sent.
+// UpdateEndpoints applies new and changed entries of the list. If snapshot is true, updates is the whole list, and all other
+// endpoints are removed. Attempts that wait for an endpoint that is no longer serving end with the outcome NotSent.
 func (pool *Pool) UpdateEndpoints(snapshot bool, updates []EndpointUpdate) {
 	now := pool.config.Now()
 	if snapshot {
@@ -43,8 +43,8 @@
 	}
 }
 
-// deleteRemovedIfUnused forgets a removed endpoint once nothing waits for it and no connection is open: ids are not used again, and the
-// table would grow for good.
+// deleteRemovedIfUnused deletes a removed endpoint that has no connection and no waiting attempt. IDs are not reused, so
+// the table would otherwise grow without bound.
 func (pool *Pool) deleteRemovedIfUnused(endpoint *Endpoint) {
 	unused := endpoint.connections == 0 && len(endpoint.waiting) == 0
 	if endpoint.State == policy.Removed && unused && pool.endpoints[endpoint.ID] == endpoint {
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -2,27 +2,27 @@
 
 import "lemontack/policy"
 
-// Event is what a connection's goroutine tells the pool through Config.Post. The loop gives it to Pool.HandleEvent.
+// Event is a message of a connection's goroutine to the pool, sent by Config.Post. The loop passes it to Pool.HandleEvent.
 type Event interface {
 	apply(pool *Pool)
 }
 
-// Connected tells that a connection is open.
+// Connected reports that a connection has been opened.
 type Connected struct {
 	connection *connection
 }
 
-// ReplyReceived tells that a reply was read.
+// ReplyReceived reports that a reply was read.
 type ReplyReceived struct {
 	connection     *connection
-	writtenAttempt *Attempt // the last one that had been written when the reply came; nil: none
+	writtenAttempt *Attempt // latest attempt that was completely written when the reply was read; nil if there was none
 	result         Result
 }
 
-// Disconnected is the last event of a connection.
+// Disconnected reports the end of a connection or a failed dial. It is the last event of a connection.
 type Disconnected struct {
 	connection   *connection
-	wasConnected bool // false: it could not be opened
+	wasConnected bool // false if the connection could not be opened
 }
 
 func (event Connected) apply(pool *Pool) {
@@ -36,14 +36,14 @@
 	c := event.connection
 	attempt := c.currentAttempt
 	c.endpoint.lastActivityAt = pool.config.Now()
-	if attempt == nil || event.writtenAttempt != attempt { // nobody asked for it, or its command was not out yet: the order is lost
+	if attempt == nil || event.writtenAttempt != attempt { // the reply does not belong to a written command
 		c.netConn.Close()
 		return
 	}
 	c.currentAttempt = nil
 	attempt.end(event.result)
 	switch {
-	case attempt.aborted: // it is closed already
+	case attempt.aborted: // Abort has closed the connection
 	case event.result.reusable:
 		pool.releaseAfterReuseDelay(c)
 	default:
@@ -69,7 +69,8 @@
 	pool.deleteRemovedIfUnused(endpoint)
 }
 
-// endCurrentAttempt ends the attempt that the connection carried when it broke, if any.
+// endCurrentAttempt ends the attempt that the connection carried when it disconnected, if any. Only a completely written attempt
+// may have been executed.
 func (c *connection) endCurrentAttempt() {
 	attempt := c.currentAttempt
 	if attempt == nil {
@@ -88,8 +89,8 @@
 	}
 }
 
-// failOldestWaiting ends an attempt for which a dial has failed. Where fewer wait than there are connections to come, one that was
-// released has taken the attempt.
+// failOldestWaiting ends the attempt that has waited longest, after a failed dial. It does nothing if the remaining dials and the
+// connections awaiting reuse suffice for the waiting attempts: a released connection then has served the attempt of this dial.
 func (endpoint *Endpoint) failOldestWaiting() {
 	if len(endpoint.waiting) > endpoint.dialing+endpoint.awaitingReuse {
 		endpoint.popWaiting().endWith(policy.ConnectFailed)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -2,13 +2,13 @@
 
 import "lemontack/policy"
 
-// isStale reports whether the endpoint is about to close an idle connection: a command that crossed that would be a reset, and
-// may not be sent again.
+// isStale reports whether an idle connection is close to the endpoint's idle timeout. A command sent while the endpoint
+// closes the connection would end as a reset, and might not be allowed to be retried.
 func (pool *Pool) isStale(c *connection) bool {
 	return pool.config.Now()-c.idleSince > pool.config.IdleTimeout*2/3
 }
 
-// CloseUnusableIdle closes the idle connections that are stale or lead to where nothing is to be sent any more.
+// CloseUnusableIdle closes the idle connections that are stale, or whose endpoint is not serving or has changed its address.
 func (pool *Pool) CloseUnusableIdle() {
 	for _, endpoint := range pool.endpoints {
 		for len(endpoint.idle) > 0 && pool.isUnusable(endpoint.idle[0]) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// closeOldestIdle makes room for a new connection. It reports false where no connection is idle.
+// closeOldestIdle closes the connection that has been idle longest among all endpoints, to make room for a new one. It returns
+// false if no connection is idle.
 func (pool *Pool) closeOldestIdle() bool {
 	var oldestIdle *Endpoint
 	for _, endpoint := range pool.endpoints {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,31 +10,31 @@
 
 const (
 	maxConnectionsPerEndpoint = 48
-	// reuseDelay is the pause of a connection between two commands: a second copy of a reply comes that much later, and must
-	// not be taken for the reply to the next command.
+	// reuseDelay is the time between a reply and the reuse of its connection. A duplicate of the reply may arrive within
+	// it, and must not be taken for the reply to the next command.
 	reuseDelay = 20 * time.Millisecond
 )
 
-// Config is what a pool needs of its event loop, and its limits.
+// Config configures a Pool: the functions of its event loop, and its limits.
 type Config struct {
-	Now   func() time.Duration            // the loop's clock
-	After func(time.Duration, func())     // calls the function on the loop's goroutine so much later
-	Post  func(Event)                     // brings an event to HandleEvent; safe for concurrent use
-	Go    func(run func(context.Context)) // starts a goroutine that the loop's end cancels and waits for
+	Now   func() time.Duration            // returns the time on the loop's clock
+	After func(time.Duration, func())     // calls a function on the loop's goroutine after a delay
+	Post  func(Event)                     // passes an event to HandleEvent; safe for concurrent use
+	Go    func(run func(context.Context)) // starts a goroutine that is cancelled and awaited when the loop ends
 
-	MaxConnections int // to all endpoints together
+	MaxConnections int // limit for all endpoints together
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // for which the endpoints keep an idle connection open
-	ReplyMemory    *resp.MemoryBudget
+	IdleTimeout    time.Duration      // time after which the endpoints close an idle connection
+	ReplyMemory    *resp.MemoryBudget // shared by the read buffers of all connections
 }
 
-// Pool owns the endpoints, their connections and the attempts that wait for one. All its methods are for the goroutine of the
-// event loop; none of them waits for a peer.
+// Pool owns the endpoints, their connections and the attempts that wait for one. Its methods must be called on the
+// goroutine of the event loop; none of them waits for a peer.
 type Pool struct {
 	config                 Config
 	endpoints              map[policy.EndpointID]*Endpoint
-	connections            int  // to all endpoints
-	connectionLimitReached bool // an attempt waits because MaxConnections are open
+	connections            int  // number of connections to all endpoints
+	connectionLimitReached bool // a dial was skipped because MaxConnections were open and none was idle
 }
 
 // NewPool returns a pool without endpoints.
@@ -42,16 +42,17 @@
 	return &Pool{config: config, endpoints: map[policy.EndpointID]*Endpoint{}}
 }
 
-// HandleEvent applies what a connection's goroutine has told.
+// HandleEvent applies an event that a connection's goroutine has posted.
 func (pool *Pool) HandleEvent(event Event) { event.apply(pool) }
 
-// Start gives an attempt the connection that became idle last, or lets it wait for one.
+// Start assigns an attempt to the most recently used idle connection of its endpoint. If no idle connection is usable, the
+// attempt waits for one.
 func (pool *Pool) Start(attempt *Attempt) {
 	endpoint := attempt.endpoint
 	for n := len(endpoint.idle); n > 0; n = len(endpoint.idle) {
 		c := endpoint.idle[n-1]
 		endpoint.idle = endpoint.idle[:n-1]
-		if !pool.isStale(c) && c.isOpenAndDrained() {
+		if !pool.isStale(c) && c.isOpenWithoutUnreadData() {
 			pool.assign(c, attempt)
 			return
 		}
@@ -62,8 +63,8 @@
 	pool.limitWaitTime(attempt)
 }
 
-// limitWaitTime ends an attempt that waits longer than a dial may take, be it for a dial or for one of the connections that are all
-// busy: the policy counts on an attempt being written at about the time of its start.
+// limitWaitTime ends an attempt that waits longer than ConnectTimeout for a connection, whether for a dial or because all
+// connections are busy. The policy assumes that an attempt is written shortly after its start.
 func (pool *Pool) limitWaitTime(attempt *Attempt) {
 	pool.config.After(pool.config.ConnectTimeout, func() {
 		if attempt.endpoint.removeWaiting(attempt) {
@@ -72,8 +73,9 @@
 	})
 }
 
-// Abort gives an attempt up. One that waits was never sent, one that is written ends at once with the outcome. Of one in
-// between only the connection knows: it is closed, and its Disconnected event tells.
+// Abort cancels an attempt and closes its connection. A waiting attempt ends at once as NotSent, and a completely written
+// one ends at once with the given outcome. Otherwise the attempt ends with the Disconnected event, when it is known whether
+// it was written.
 func (pool *Pool) Abort(attempt *Attempt, outcome policy.Outcome) {
 	if attempt.ended || attempt.aborted {
 		return
@@ -92,8 +94,9 @@
 	pool.closeIdleIfUnresponsive(attempt)
 }
 
-// closeIdleIfUnresponsive closes the idle connections of an endpoint that has said nothing on any connection since the attempt: its
-// machine may have vanished, and no further request is to wait on them for its whole time.
+// closeIdleIfUnresponsive closes the idle connections of an endpoint without activity on any connection since the attempt
+// was assigned, if that was at least ConnectTimeout ago. Its host may be down, and later attempts on these connections
+// would wait until their deadlines.
 func (pool *Pool) closeIdleIfUnresponsive(attempt *Attempt) {
 	endpoint := attempt.endpoint
 	unresponsive := endpoint.lastActivityAt <= attempt.assignedAt
@@ -102,8 +105,8 @@
 	}
 }
 
-// CancelUnsent ends an attempt whose first byte has not been written, and leaves any other as it is. The connection that it was
-// given to stays open.
+// CancelUnsent ends an attempt as NotSent if the write of it has not begun, and otherwise does nothing. Its connection
+// stays open.
 func (pool *Pool) CancelUnsent(attempt *Attempt) {
 	switch {
 	case attempt.ended:
@@ -114,36 +117,36 @@
 	}
 }
 
-// cancelWaiting ends an attempt that no connection was given.
+// cancelWaiting ends an attempt that waits for a connection.
 func (pool *Pool) cancelWaiting(attempt *Attempt) {
 	attempt.endpoint.removeWaiting(attempt)
 	attempt.endWith(policy.NotSent)
 }
 
-// assign gives an attempt to a free connection.
+// assign assigns an attempt to a free connection.
 func (pool *Pool) assign(c *connection, attempt *Attempt) {
 	attempt.connection, attempt.assignedAt = c, pool.config.Now()
 	c.currentAttempt = attempt
 	select {
 	case c.assignments <- assignment{attempt, attempt.command.Encode()}:
-	default: // it has answered what was not written yet: the order is lost, and the loop must not wait
+	default: // the connection has replied before it received its last assignment; the loop must not block
 		c.netConn.Close()
 	}
 }
 
-// unassign ends a claimed attempt that its connection will not write, and frees the connection.
+// unassign ends an attempt that the pool has claimed before its connection wrote it, and releases the connection.
 func (pool *Pool) unassign(attempt *Attempt) {
 	c := attempt.connection
 	select {
 	case <-c.assignments:
-	default: // the connection has received it, and drops it
+	default: // the connection has received the assignment and will discard it
 	}
 	c.currentAttempt = nil
 	attempt.endWith(policy.NotSent)
 	pool.release(c)
 }
 
-// dial opens connections for the attempts that wait, within the limits.
+// dial opens connections for the waiting attempts, within the limits.
 func (pool *Pool) dial(endpoint *Endpoint) {
 	for endpoint.needsConnection() {
 		if pool.connections >= pool.config.MaxConnections && !pool.closeOldestIdle() {
@@ -158,7 +161,8 @@
 	}
 }
 
-// dialAfterLimitReached dials for those that found all connections in use elsewhere; without it they would wait for good.
+// dialAfterLimitReached dials for attempts that could not have a connection because of MaxConnections. It is called when a
+// connection may have become available.
 func (pool *Pool) dialAfterLimitReached() {
 	if !pool.connectionLimitReached {
 		return
@@ -169,7 +173,7 @@
 	}
 }
 
-// releaseAfterReuseDelay releases a connection that has had a reply once no second copy of that is to be expected.
+// releaseAfterReuseDelay releases a connection after reuseDelay, when no duplicate of its reply is expected any more.
 func (pool *Pool) releaseAfterReuseDelay(c *connection) {
 	c.endpoint.awaitingReuse++
 	pool.config.After(reuseDelay, func() {
@@ -179,17 +183,17 @@
 	})
 }
 
-// release takes a connection that carries nothing: for the first attempt that waits, or to the idle ones.
+// release assigns a connection without an attempt to the first waiting attempt that may start, or adds it to the idle
+// connections. It closes a connection that cannot be reused.
 func (pool *Pool) release(c *connection) {
 	endpoint := c.endpoint
-	if c.disconnected || c.address != endpoint.address || endpoint.State == policy.Removed || !c.isOpenAndDrained() {
+	if c.disconnected || c.address != endpoint.address || endpoint.State == policy.Removed || !c.isOpenWithoutUnreadData() {
 		c.netConn.Close()
 		return
 	}
 	for len(endpoint.waiting) > 0 {
 		attempt := endpoint.popWaiting()
-		// Much may have changed since the attempt began to wait: a drain counts from when it is told, and a request may be
-		// over.
+		// Since the attempt began to wait, the endpoint may have begun to drain, and the request may have finished.
 		if endpoint.State == policy.Serving && attempt.command.MayStart() {
 			pool.assign(c, attempt)
 			return
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -10,7 +10,7 @@
 )
 
 // An attempt that is cancelled while it waits for a connection was not sent, and is not written later.
-func TestCancelledWhileWaitingIsNotSent(t *testing.T) {
+func TestAttemptAbortedWhileWaitingIsNotSent(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
@@ -26,7 +26,7 @@
 }
 
 // An idle connection is closed before the endpoint closes it: a command that crossed the close would be reset.
-func TestStaleIdleConnectionIsRetired(t *testing.T) {
+func TestStaleIdleConnectionIsClosed(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	endpoint := pool.Endpoint("s0")
 	endpoint.waiting = append(endpoint.waiting, nil)
@@ -39,13 +39,13 @@
 	}
 	loop.now += testIdleTimeout - time.Second
 	pool.CloseUnusableIdle()
-	if down := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !down.wasConnected {
+	if event := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !event.wasConnected {
 		t.Fatal("a stale connection was not retired")
 	}
 }
 
 // A reply that arrived before its command was written is another command's: the attempt was not executed.
-func TestReplyBeforeItsCommandIsIgnored(t *testing.T) {
+func TestReplyBeforeItsCommandIsDiscarded(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
@@ -64,7 +64,7 @@
 
 // With all connections in use at other endpoints, the next one that becomes idle is closed for a new one: an attempt at another
 // endpoint once waited for ever.
-func TestFreedConnectionMakesRoomForAnotherEndpoint(t *testing.T) {
+func TestIdleConnectionIsClosedForAnotherEndpoint(t *testing.T) {
 	a, b := startEndpoint(t, nil), startEndpoint(t, nil)
 	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 1 }, a.address, b.address)
 	first, _ := newTestAttempt(pool, "s0")
@@ -188,7 +188,7 @@
 }
 
 // A command that may not start any more when its connection is established is not sent; the next waiting one is.
-func TestDeniedCommandIsNotSentAndTheNextIs(t *testing.T) {
+func TestCommandThatMayNotStartIsSkipped(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	rejected, rejectedCommand := newTestAttempt(pool, "s0")
 	next, _ := newTestAttempt(pool, "s0")
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -9,22 +9,22 @@
 	"lemontack/policy"
 )
 
-// maxLoadValue is the largest figure of a load report; one beyond is taken for a fault of the endpoint.
+// maxLoadValue is the largest accepted value in a load report. A larger one is treated as a fault of the endpoint.
 const maxLoadValue = 1e9
 
-// Result is what became of an attempt: an endpoint's reply, or an outcome without one.
+// Result is the result of an attempt: the endpoint's reply, or an outcome without a reply.
 type Result struct {
 	Outcome      policy.Outcome
-	Value        []byte            // nil: none
-	SettledUnits float64           // the units that the request has cost, where the reply tells; else 0
-	LoadReport   policy.LoadReport // nil: none
+	Value        []byte            // nil if there is none
+	SettledUnits float64           // units that the request has cost according to the reply; zero if not reported
+	LoadReport   policy.LoadReport // nil if there is none
 
-	// reusable reports that the reply is of a known form and nothing stands behind it: the connection is in order.
+	// reusable reports whether the connection may be reused: the reply has a known form, and no further data follows it.
 	reusable bool
 }
 
-// parseReply reads a whole frame from an endpoint. Whatever is not of a known form has failed and may have been executed, and
-// the connection that brought it is not trusted any further.
+// parseReply parses a complete RESP frame from an endpoint. A reply of unknown form has the outcome Failed, so that its
+// command may have been executed, and its connection is not reused.
 func parseReply(frame []byte) Result {
 	_, value := redcon.ReadNextRESP(frame)
 	switch value.Type {
@@ -46,7 +46,7 @@
 	return Result{Outcome: policy.Failed}
 }
 
-// parseErrorReply reads an error; its last word may be a load report.
+// parseErrorReply parses an error reply, whose last word may be a load report.
 func parseErrorReply(text string) Result {
 	code, rest, _ := strings.Cut(text, " ")
 	result := Result{Outcome: policy.Failed, reusable: code == "ERR" || code == "BUSY"}
@@ -60,8 +60,8 @@
 	return result
 }
 
-// parseValueReply reads the reply to a request: the value, the figures on use, the load report. The latter two may be
-// unreadable.
+// parseValueReply parses the reply to a request: the value, the usage figures and the load report. Invalid usage figures and load
+// reports are ignored.
 func parseValueReply(array redcon.RESP) Result {
 	result := Result{Outcome: policy.Failed}
 	i := 0
@@ -82,17 +82,17 @@
 	return result
 }
 
-// parseLoadReport reads figures such as inflight=7,queue=2; nil where it is none. One unreadable figure discards them all: the
-// policy averages what it is told, and would not forget a figure that is no number.
+// parseLoadReport parses a list such as inflight=7,queue=2. It returns nil if any entry is invalid, because the policy
+// averages the values, and a single NaN or infinity would spoil the average permanently.
 func parseLoadReport(text string) policy.LoadReport {
 	report := policy.LoadReport{}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, number, _ := strings.Cut(pair, "=")
-		value, err := strconv.ParseFloat(number, 64)
-		if err != nil || name == "" || !(value >= 0 && value <= maxLoadValue) {
+		loadValue, err := strconv.ParseFloat(number, 64)
+		if err != nil || name == "" || !(loadValue >= 0 && loadValue <= maxLoadValue) {
 			return nil
 		}
-		report[name] = value
+		report[name] = loadValue
 	}
 	return report
 }
