--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -14,7 +14,7 @@
 	"lemontack/policy"
 )
 
-// An answered attempt returns its connection to the pool: once all answered attempts counted as abandoned.
+// An answered attempt returns its connection to the pool.
 func TestConnectionIsReused(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
@@ -24,11 +24,12 @@
 		nettest.WantValue(t, in)
 	}
 	if n := endpoint.conns.Load(); n != 1 {
-		t.Fatalf("%d connections for requests one after another, want 1", n)
+		t.Fatalf("%d connections for sequential requests, want 1", n)
 	}
 }
 
-// An attempt at a silent endpoint ends at the request's deadline, before the client disconnects, and its connection is closed.
+// An attempt at an endpoint that does not reply ends at the request's deadline, before the client gives up. Its connection
+// is closed.
 func TestSilentEndpointIsTimedOut(t *testing.T) {
 	endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
@@ -44,17 +45,17 @@
 		t.Fatalf("reply %q, want the rejection of a read that timed out", got)
 	}
 	if elapsed := time.Since(startedAt); elapsed < 900*time.Millisecond {
-		t.Fatalf("rejected after %v of 1 s", elapsed)
+		t.Fatalf("rejected after %v, want at least 900 ms of the timeout of 1 s", elapsed)
 	}
 	io.WriteString(nc, nettest.Ask(2, nettest.ReadFields))
 	nettest.WantValue(t, in)
 	if n := endpoint.conns.Load(); n != 2 {
-		t.Fatalf("%d connections, want a new one after the one that timed out", n)
+		t.Fatalf("%d connections, want 2: a new one after the timeout", n)
 	}
 }
 
-// The outcome of its attempt decides the reply to a non-idempotent request: -BUSY, which invites a retry, only where the
-// command was not executed.
+// A non-idempotent request is sent at most once. The reply is -BUSY, after which clients may retry, only if the command was not
+// executed.
 func TestNonIdempotentRequestIsSentOnceAndAnsweredByItsOutcome(t *testing.T) {
 	refused := nettest.RefusedAddress(t)
 	for name, c := range map[string]struct {
@@ -87,14 +88,14 @@
 				t.Fatalf("reply %q, want %s", got, c.want)
 			}
 			if n := len(endpoint.received()); n > 1 {
-				t.Fatalf("sent %d times", n)
+				t.Fatalf("sent %d times, want at most once", n)
 			}
 		})
 	}
 }
 
-// A drain takes effect with its watch event: an attempt that waits for a connection then is not written any more. The policy
-// is notified at once, after the list, and not only when the connection is established.
+// A drain ends the attempts that wait for a connection. The policy is notified at once, after the list, and not only when the
+// connection is established.
 func TestDrainEndsWaitingAttemptAsNotSent(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	g := idleGateway(t, testConfig("", endpointsAt(endpoint.addr)))
@@ -113,14 +114,14 @@
 	}
 }
 
-// A host that has vanished neither answers nor resets. Once an attempt times out there, the other idle connections to it are
-// not used again: a new one fails within the connect timeout.
+// A host that is down neither replies nor resets connections. After an attempt has timed out, the other idle connections to its
+// endpoint are not used again, because a new connection fails within the connect timeout.
 func TestIdleConnectionsOfSilentEndpointAreClosed(t *testing.T) {
 	var inFlight sync.WaitGroup
 	inFlight.Add(3)
 	endpoint := startEndpoint(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
-		case n <= 3: // all three are in flight at once, each on its own connection
+		case n <= 3: // the three requests are in flight at the same time, each on its own connection
 			inFlight.Done()
 			inFlight.Wait()
 		case n == 4:
@@ -138,16 +139,16 @@
 	}
 	io.WriteString(nc, nettest.Ask(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-BUSY") {
-		t.Fatalf("reply %q", got)
+		t.Fatalf("reply %q, want -BUSY", got)
 	}
 	io.WriteString(nc, nettest.Ask(5, nettest.ReadFields))
 	nettest.WantValue(t, in)
 	if n := endpoint.conns.Load(); n != 4 {
-		t.Fatalf("%d connections, want a new one after the timeout", n)
+		t.Fatalf("%d connections, want 4: a new one after the timeout", n)
 	}
 }
 
-// A request that has ended is not sent when its connection is established, also where attempts may not be cancelled.
+// A finished request is not sent when its connection is established, even if the settings do not allow cancelling attempts.
 func TestFinishedRequestIsNotSent(t *testing.T) {
 	for name, finish := range map[string]func(g *Gateway, r *request){
 		"client disconnected": func(g *Gateway, r *request) { g.handle(clientDisconnected{[]*listener.Request{r.Request}}) },
@@ -168,20 +169,20 @@
 			connected := awaitConnected(t, g) // handled only after the request has ended
 			finish(g, r)
 			if endsAtOnce := name != "other answer"; a.ended != endsAtOnce {
-				t.Fatalf("the attempt has ended: %v, want it at once: %v", a.ended, endsAtOnce)
+				t.Fatalf("the attempt has ended: got %v, want %v", a.ended, endsAtOnce)
 			}
 			g.handle(upstreamEvent{connected})
 			if !a.ended || !a.WaitsForConnection() {
-				t.Fatalf("ended %v, written to the connection: %v", a.ended, !a.WaitsForConnection())
+				t.Fatalf("ended %v, assigned to the connection %v; want true, false", a.ended, !a.WaitsForConnection())
 			}
 			if g.requests.commandBytes != 0 || len(g.requests.open) != 0 {
-				t.Fatalf("%d bytes and %d requests remain", g.requests.commandBytes, len(g.requests.open))
+				t.Fatalf("%d bytes and %d requests remain, want none", g.requests.commandBytes, len(g.requests.open))
 			}
 		})
 	}
 }
 
-// A connection that the endpoint closed while it was idle is not used; the request is sent on another.
+// A connection that the endpoint closed while it was idle is not used. The request is sent on a new connection.
 func TestRequestAvoidsConnectionClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	endpoint := startEndpoint(t, func(n int, _ []string, nc net.Conn) string {
@@ -201,11 +202,11 @@
 	io.WriteString(nc, nettest.Do(2, nettest.WriteFields))
 	nettest.WantValue(t, in)
 	if n := len(endpoint.received()); n != 2 {
-		t.Fatalf("%d commands, want each sent once", n)
+		t.Fatalf("%d commands, want 2: each sent once", n)
 	}
 }
 
-// Settings without a maximum of attempts allow one.
+// Settings without a maximum of attempts allow one attempt per request.
 func TestUnsetMaxAttemptsAllowsOneAttempt(t *testing.T) {
 	endpoint := startServingEndpoint(t, "a")
 	cfg := configFor(t, endpoint)
@@ -214,12 +215,12 @@
 	nc, in := nettest.Dial(t, addr)
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields))
 	if got := nettest.ReadLine(t, in); got != "$1" {
-		t.Fatalf("reply %q", got)
+		t.Fatalf("reply %q, want a value", got)
 	}
 }
 
-// Attempts that wait for a connection to an endpoint as it starts draining are sent to another one, also non-idempotent ones,
-// since they were never executed.
+// A request whose attempt waits for a connection to an endpoint that begins to drain is sent to another endpoint. This includes
+// non-idempotent requests, because the attempt was never executed.
 func TestDrainWhileConnectingRetriesOnAnotherEndpoint(t *testing.T) {
 	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
 	cfg := testConfig("", endpointsAt(a.addr))
@@ -233,15 +234,15 @@
 	list.Entries[0].State = "DRAINING"
 	g.handle(endpointsUpdated{list})
 	if len(r.attempts) != 2 || !r.attempts[0].ended || r.attempts[1].endpoint.ID != "s1" {
-		t.Fatalf("%d attempts, want a second one elsewhere at once", len(r.attempts))
+		t.Fatalf("%d attempts, want a second one at endpoint s1", len(r.attempts))
 	}
 	g.handle(upstreamEvent{connected})
 	if !r.attempts[0].WaitsForConnection() {
-		t.Fatal("sent to a draining endpoint")
+		t.Fatal("the first attempt was sent to a draining endpoint")
 	}
 }
 
-// An endpoint receives the client's command with the time left in place of the client's timeout, and at least 1 ms.
+// The timeout in a forwarded command is replaced by the remaining time, which is at least 1 ms.
 func TestEncodedCommandHasRemainingTime(t *testing.T) {
 	fields := "c=read,d=50000,units=1"
 	for _, c := range []struct {
@@ -258,25 +259,24 @@
 		a := &attempt{gateway: &Gateway{}, request: r, deadline: c.remaining}
 		encoded := a.Encode()
 		if string(encoded.Frame) != c.frame || encoded.TimeLimit != max(c.remaining, time.Millisecond) {
-			t.Errorf("%v left: %q with limit %v, want %q", c.remaining, encoded.Frame, encoded.TimeLimit, c.frame)
+			t.Errorf("%v remaining: got %q with limit %v, want %q", c.remaining, encoded.Frame, encoded.TimeLimit, c.frame)
 		}
 	}
 }
 
-// A health check is the command that returns a load report.
+// A health check sends the command INFO load, which requests a load report.
 func TestHealthCheckRequestsTheLoadReport(t *testing.T) {
 	if got := string((&healthCheck{}).Encode().Frame); got != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
-		t.Fatalf("%q", got)
+		t.Fatalf("got %q, want INFO load", got)
 	}
 }
 
-// Bytes after a reply close the connection of their attempt, so that no later request gets them as its reply. Once a
-// duplicate was served to the next request.
+// Data after a reply closes the connection, so that no later request receives a duplicate as its reply.
 func TestDataAfterReplyIsNotTakenForNextReply(t *testing.T) {
 	value := func(args []string) string {
 		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
 	}
-	sent := make(chan struct{}, 1) // the duplicate has been written too
+	sent := make(chan struct{}, 1) // signals that the duplicate has been written
 	for name, reply := range map[string]func(n int, args []string, nc net.Conn) string{
 		"duplicate": func(_ int, args []string, _ net.Conn) string { return value(args) + value(args) },
 		"noise":     func(_ int, args []string, _ net.Conn) string { return value(args) + "\x00\xff" },
@@ -294,14 +294,14 @@
 			for i := range 20 {
 				io.WriteString(nc, nettest.Ask(i, nettest.ReadFields))
 				if a, b := nettest.ReadLine(t, in), nettest.ReadLine(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
-					t.Fatalf("request %d: reply %q %q", i, a, b)
+					t.Fatalf("request %d: reply %q %q, want its own ID", i, a, b)
 				}
 				if name == "duplicate in a write of its own" {
 					<-sent
 				}
 			}
 			if n := endpoint.conns.Load(); n != 20 {
-				t.Fatalf("%d connections, want a new one each time", n)
+				t.Fatalf("%d connections, want 20: a new one for each request", n)
 			}
 		})
 	}
--- a/internal/ingress/clients_test.go
+++ b/internal/ingress/clients_test.go
@@ -9,7 +9,7 @@
 	"lemontack/internal/nettest"
 )
 
-// With all descriptors for clients in use, an idle connection is closed for a new one.
+// When all file descriptors for clients are in use, an idle connection is closed to accept a new client.
 func TestIdleClientIsDisconnectedForNewClient(t *testing.T) {
 	endpoint := startEndpoint(t, nil)
 	cfg := configFor(t, endpoint)
@@ -19,13 +19,13 @@
 		nc, in := nettest.Dial(t, addr)
 		io.WriteString(nc, nettest.Command("PING"))
 		if got := nettest.ReadLine(t, in); got != "+PONG" {
-			t.Fatal(got)
+			t.Fatalf("reply %q, want +PONG", got)
 		}
 	}
 }
 
-// Clients that send nothing or an incomplete command are disconnected within 3 s, those that are idle after a command shortly
-// after 2 s. While hundreds of them are connected, other clients are still served.
+// Clients that send nothing or an incomplete command are disconnected within 3 s, and clients that are idle after a command
+// shortly after 2 s. Other clients are served while hundreds of silent ones connect.
 func TestSilentClientsAreDisconnectedAndOthersServed(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	cfg := configFor(t, endpoint)
@@ -50,7 +50,7 @@
 		}
 	}
 	if elapsed := time.Since(startedAt); elapsed < 2*time.Second || elapsed > 20*time.Second {
-		t.Fatalf("closed after %v", elapsed)
+		t.Fatalf("closed after %v, want 2 s to 20 s", elapsed)
 	}
 	for range 200 {
 		nettest.Dial(t, addr)
--- a/internal/ingress/commands_test.go
+++ b/internal/ingress/commands_test.go
@@ -11,7 +11,7 @@
 	"lemontack/internal/resp"
 )
 
-// The command, customer, id, key and body are forwarded unchanged; d becomes the time left of it.
+// The command, customer, ID, fields and body are forwarded unchanged, except that d becomes the remaining time.
 func TestCommandIsForwardedWithRemainingTime(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
@@ -25,15 +25,15 @@
 		t.Fatalf("fields %q: %v", got[3], err)
 	}
 	if remaining < 1 || remaining > 9000 {
-		t.Fatalf("d=%d, want what is left of 9000", remaining)
+		t.Fatalf("d=%d, want 1 to 9000", remaining)
 	}
 	got[3] = ""
 	if fmt.Sprint(got) != fmt.Sprint([]string{"Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "", "BODY\r\n"}) {
-		t.Fatalf("command %q", got)
+		t.Fatalf("command %q, want the client's command", got)
 	}
 }
 
-// An invalid command gets one error line and reaches no endpoint. The connection remains open unless its framing is lost.
+// An invalid command gets one error line and is not forwarded. The connection remains open unless its framing is lost.
 func TestInvalidCommandGetsOneErrorAndReachesNoEndpoint(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
@@ -77,31 +77,31 @@
 			nc, in := nettest.Dial(t, addr)
 			go io.WriteString(nc, c.in)
 			if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-ERR ") {
-				t.Fatalf("reply %q", got)
+				t.Fatalf("reply %q, want -ERR", got)
 			}
 			if c.closed {
 				if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-					t.Fatalf("after the error: %q, %v", rest, err)
+					t.Fatalf("after the error: %q, %v; want the end of the connection", rest, err)
 				}
 				return
 			}
 			io.WriteString(nc, nettest.Command("PING"))
 			if got := nettest.ReadLine(t, in); got != "+PONG" {
-				t.Fatalf("PING after the error: %q", got)
+				t.Fatalf("reply %q to PING after the error, want +PONG", got)
 			}
 		})
 	}
 	if got := endpoint.received(); len(got) > 0 {
-		t.Fatalf("sent to the endpoint: %q", got)
+		t.Fatalf("sent to the endpoint: %q, want nothing", got)
 	}
 }
 
-// Replies are written in the order of the commands, whichever the endpoints answer first.
+// Replies are written in the order of the commands, even if the endpoints reply in another order.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	second := make(chan struct{})
 	endpoint := startEndpoint(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasSuffix(args[2], "1") {
-			<-second // the first is answered last
+			<-second // the first command is answered last
 		} else {
 			close(second)
 		}
@@ -112,12 +112,12 @@
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)+nettest.Ask(2, nettest.ReadFields)+nettest.Command("PING"))
 	for _, want := range []string{"$1", "1", "$1", "2", "+PONG"} {
 		if got := nettest.ReadLine(t, in); got != want {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("reply line %q, want %q", got, want)
 		}
 	}
 }
 
-// A request's id stays in use until its deadline, also once it has been answered: a request that copies it is not served.
+// A request's ID remains in use until its deadline, even after the answer. Another request with the same ID is not served.
 func TestDuplicateRequestIDGetsAnError(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	addr := startIngressFor(t, endpoint)
@@ -127,6 +127,6 @@
 	other, otherIn := nettest.Dial(t, addr)
 	io.WriteString(other, nettest.Ask(1, nettest.ReadFields))
 	if got := nettest.ReadLine(t, otherIn); !strings.HasPrefix(got, "-ERR") {
-		t.Fatalf("reply %q", got)
+		t.Fatalf("reply %q, want -ERR", got)
 	}
 }
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -12,7 +12,7 @@
 	"lemontack/policy"
 )
 
-// The policy is notified of the end of each call once: an answer after the timeout is dropped.
+// The policy receives one result of each counter call. A reply after the timeout is discarded.
 func TestCounterCallIsReportedOnce(t *testing.T) {
 	g, err := New(testConfig("", discovery.EndpointList{}), discardLog)
 	if err != nil {
@@ -26,7 +26,8 @@
 	}
 }
 
-// A call to a silent counter times out; one that was never written is known to have added nothing.
+// A call to a counter that does not reply times out. A call that was never written ends as ConnectFailed, because it added
+// nothing.
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		written bool
@@ -39,7 +40,7 @@
 				in := bufio.NewReader(conn)
 				line, _ := in.ReadString('\n')
 				lines <- line
-				in.ReadString('\n') // silent until it is closed
+				in.ReadString('\n') // sends no reply until the connection is closed
 			})
 			g.counter = counterclient.New(address, time.Minute, func(r counterclient.Result) { g.post(counterCallEnded{r}) })
 			if c.written {
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -15,7 +15,7 @@
 	"lemontack/policy"
 )
 
-// The attempt of a client that disconnects is abandoned: its connection to the endpoint is closed.
+// When a client disconnects, the endpoint connection of its attempt is closed.
 func TestDisconnectEndsAttempt(t *testing.T) {
 	abandoned := make(chan struct{}, 1)
 	endpoint := startSilentEndpoint(t, abandoned)
@@ -27,8 +27,8 @@
 	nettest.Await(t, "the attempt is abandoned", abandoned)
 }
 
-// A disconnect is noticed also while no further command is read: behind more commands than may be pipelined, and behind an
-// invalid one after which the framing is lost.
+// A disconnect is detected while the listener reads no further command: after more commands than may be pipelined, and after an
+// invalid command that loses the framing.
 func TestDisconnectIsNoticedWhileCommandsAreNotRead(t *testing.T) {
 	for name, unread := range map[string]string{
 		"pipelined commands": func() string {
@@ -54,8 +54,8 @@
 	}
 }
 
-// The queued requests of a client that disconnects are not sent, though its abandoned attempts free capacity: the next
-// request of the queue is another client's.
+// Queued requests of a disconnected client are not sent when its ended attempts free capacity. The next request that is sent is
+// another client's.
 func TestQueuedRequestsOfADisconnectedClientAreNotSent(t *testing.T) {
 	const requests = 10
 	endpoint := startEndpoint(t, func(_ int, args []string, _ net.Conn) string {
@@ -79,23 +79,23 @@
 	io.WriteString(remaining, nettest.Ask(2, nettest.ReadFields))
 	nettest.WantValue(t, in)
 	if n := len(endpoint.received()) - 2; n >= requests || n < 1 {
-		t.Fatalf("%d of %d commands of the disconnected client were sent", n, requests)
+		t.Fatalf("%d of %d commands of the disconnected client were sent, want fewer and at least one", n, requests)
 	}
 }
 
-// Whatever events precede a client's disconnect in the queue of the gateway, no attempt of that client starts.
+// No attempt of a disconnected client starts, even if other events precede the disconnect in the gateway's queue.
 func TestNoAttemptStartsWhileTheDisconnectIsQueued(t *testing.T) {
 	for name, c := range map[string]struct {
-		known            bool                               // the endpoint is known from the start
-		beforeDisconnect func(g *Gateway) (pending []event) // what the gateway handles, and what is pending, when the client disconnects
-		pending          func(addr string) []event          // events that are handled before the disconnect
+		known            bool                               // whether the endpoint is known from the start
+		beforeDisconnect func(g *Gateway) (pending []event) // handles events before the disconnect, returns those still pending
+		pending          func(addr string) []event          // events that precede the disconnect in the queue
 	}{
 		"its command": {known: true},
 		"an endpoint list": {beforeDisconnect: func(g *Gateway) []event { g.handle(<-g.events); return nil },
 			pending: func(addr string) []event { return []event{endpointsUpdated{endpointsAt(addr)}} }},
 		"a connection": {known: true, beforeDisconnect: func(g *Gateway) []event {
 			g.handle(<-g.events)
-			return []event{<-g.events} // the connection is established
+			return []event{<-g.events} // the endpoint connection is established
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,21 +125,20 @@
 			}
 			for _, ev := range pending {
 				if g.handle(ev); activeAttempts(g) > 0 {
-					t.Fatalf("%T: an attempt starts", ev)
+					t.Fatalf("after event %T: an attempt is active, want none", ev)
 				}
 			}
 			if c.beforeDisconnect == nil && g.requests.lastID != 0 {
-				t.Fatal("the policy is notified of a request that no client waits for")
+				t.Fatal("the request of a disconnected client was admitted")
 			}
 			if len(g.requests.open) != 0 || g.requests.commandBytes != 0 {
-				t.Fatalf("%d requests of %d bytes remain", len(g.requests.open), g.requests.commandBytes)
+				t.Fatalf("%d requests of %d bytes remain, want none", len(g.requests.open), g.requests.commandBytes)
 			}
 		})
 	}
 }
 
-// Once the connection of a disconnected client has ended, none of its attempts starts, though what its request waited for
-// arrives then.
+// After a client has disconnected, none of its attempts starts when the event arrives that its request waited for.
 func TestNoAttemptStartsAfterTheDisconnect(t *testing.T) {
 	t.Run("waiting for the counter", func(t *testing.T) {
 		called, answer := make(chan struct{}, 16), make(chan struct{})
@@ -199,7 +198,8 @@
 	})
 }
 
-// activeAttempts counts the attempts that are on a connection, or wait for one for a request without a final answer.
+// activeAttempts counts the open attempts that are assigned to a connection, or wait for one while their request has not
+// finished.
 func activeAttempts(g *Gateway) (n int) {
 	for _, r := range g.requests.open {
 		for _, a := range r.attempts {
@@ -211,23 +211,23 @@
 	return n
 }
 
-// closeWrite closes a client's side of its connection and returns once the ingress has closed the other.
+// closeWrite closes the client's sending side of a connection and returns once the ingress has closed the connection.
 func closeWrite(t *testing.T, nc net.Conn, in *bufio.Reader) {
 	t.Helper()
 	nc.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-		t.Fatalf("reply %q, %v; want the end of the connection", rest, err)
+		t.Fatalf("reply %q, error %v; want the end of the connection", rest, err)
 	}
 }
 
-// wantAttempts serves requests of another client and then checks the number of attempts of request 1 at the endpoint.
+// wantAttempts sends requests of another client and then checks the number of attempts of request 1 at the endpoint.
 func wantAttempts(t *testing.T, addr string, endpoint *testEndpoint, want int) {
 	t.Helper()
 	nc, in := nettest.Dial(t, addr)
 	for i := range 5 {
 		io.WriteString(nc, nettest.Command("Q.ASK", "00000000b4d65522", fmt.Sprintf("%016x", 100+i), nettest.ReadFields))
 		if got := nettest.ReadLine(t, in); got != "$1" {
-			t.Fatalf("reply %q", got)
+			t.Fatalf("reply %q, want a value", got)
 		}
 		nettest.ReadLine(t, in)
 	}
@@ -242,7 +242,8 @@
 	}
 }
 
-// startSilentEndpoint starts an endpoint that never replies and signals when a connection with a command is closed.
+// startSilentEndpoint starts an endpoint that never replies. It sends to closed when a connection on which it has received
+// a command is closed.
 func startSilentEndpoint(t *testing.T, closed chan<- struct{}) *testEndpoint {
 	t.Helper()
 	return startEndpoint(t, func(_ int, _ []string, nc net.Conn) string {
--- a/internal/ingress/discoveryfixtures_test.go
+++ b/internal/ingress/discoveryfixtures_test.go
@@ -9,8 +9,7 @@
 	"lemontack/internal/standin"
 )
 
-// startDiscovery starts a discovery service with a list. What is sent to changes becomes watch events, with revisions that
-// count up.
+// startDiscovery starts a discovery service with a list. Lists sent to changes become watch events with increasing revisions.
 func startDiscovery(t *testing.T, list discovery.EndpointList, changes <-chan discovery.EndpointList) string {
 	t.Helper()
 	service := standin.NewDiscovery(standin.DiscoveryConfig{InitialRevision: list.Revision - 1})
@@ -38,7 +37,7 @@
 	return ln.Addr().String()
 }
 
-// standinTargets are the entries of a list in the form of the stand-in.
+// standinTargets converts the entries of a list to targets of the stand-in discovery service.
 func standinTargets(list discovery.EndpointList) []standin.Target {
 	targets := make([]standin.Target, len(list.Entries))
 	for i, entry := range list.Entries {
@@ -47,7 +46,7 @@
 	return targets
 }
 
-// endpointsAt is a list of serving endpoints s0, s1 and so on at these addresses.
+// endpointsAt returns a list of serving endpoints s0, s1 and so on at the given addresses.
 func endpointsAt(addrs ...string) discovery.EndpointList {
 	list := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i, addr := range addrs {
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -15,16 +15,17 @@
 	"lemontack/internal/standin"
 )
 
-// testEndpoint is an endpoint that records the commands that it receives.
+// testEndpoint is an endpoint that records the commands it receives.
 type testEndpoint struct {
 	addr  string
-	conns atomic.Int32 // accepted so far
+	conns atomic.Int32 // connections accepted so far
 
 	mu       sync.Mutex
 	commands [][]string // guarded by mu
 }
 
-// startEndpoint starts an endpoint that writes what reply returns for the n-th command; "" and a nil reply are silence.
+// startEndpoint starts an endpoint that writes the result of reply for the n-th command. It sends no reply if the result is "" or
+// reply is nil.
 func startEndpoint(t *testing.T, reply func(n int, args []string, nc net.Conn) string) *testEndpoint {
 	t.Helper()
 	e := &testEndpoint{}
@@ -52,19 +53,19 @@
 	return e
 }
 
-// received returns the commands that have come by now.
+// received returns the commands received so far.
 func (e *testEndpoint) received() [][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.commands
 }
 
-// valueReply is an endpoint's reply with a value.
+// valueReply returns an endpoint's reply with a value.
 func valueReply(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// startServingEndpoint starts an endpoint that serves every request with a value. A malformed command fails the test.
+// startServingEndpoint starts an endpoint that replies to every request with a value. A malformed command fails the test.
 func startServingEndpoint(t *testing.T, value string) *testEndpoint {
 	t.Helper()
 	e := &testEndpoint{}
@@ -86,7 +87,7 @@
 	return e
 }
 
-// countingListener counts the connections that it accepts.
+// countingListener counts the connections it accepts.
 type countingListener struct {
 	net.Listener
 	conns *atomic.Int32
@@ -100,11 +101,11 @@
 	return nc, err
 }
 
-// longTimeoutReadFields are the fields of a request of class read whose client waits for an hour, or for twice its class's
-// deadline.
+// longTimeoutReadFields are the fields of a request of class read with a timeout of one hour, which the listener limits to twice
+// the deadline of the class.
 const longTimeoutReadFields = "c=read,t=p,d=3600000,units=1,spread=1,first=0"
 
-// awaitServedBy sends requests until one is served with this value. The ingress must have endpoints in the meantime.
+// awaitServedBy sends requests until one is served with the given value. The ingress must have a serving endpoint throughout.
 func awaitServedBy(t *testing.T, addr, value string) {
 	t.Helper()
 	nc, in := nettest.Dial(t, addr)
@@ -126,14 +127,14 @@
 	nettest.Eventually(t, fmt.Sprint(n, " commands at the endpoint"), func() bool { return len(e.received()) >= n })
 }
 
-// configFor returns the configuration of an ingress whose known list and discovery have this endpoint only.
+// configFor returns the configuration of an ingress whose known list and discovery contain only the given endpoint.
 func configFor(t *testing.T, endpoint *testEndpoint) Config {
 	t.Helper()
 	list := endpointsAt(endpoint.addr)
 	return testConfig(startDiscovery(t, list, nil), list)
 }
 
-// startIngressFor runs an ingress with this endpoint only and returns its address.
+// startIngressFor runs an ingress with only the given endpoint and returns its address.
 func startIngressFor(t *testing.T, endpoint *testEndpoint) (addr string) {
 	t.Helper()
 	addr, _ = startIngress(t, configFor(t, endpoint))
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -11,7 +11,7 @@
 	"lemontack/internal/standin"
 )
 
-// The client polls, and spreads its first calls, as the settings and the known list of the configuration say.
+// The discovery client is configured with the address, the settings and the known list of the gateway.
 func TestDiscoveryClientUsesGatewaySettings(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1", endpointsAt("127.0.0.1:2"))
 	cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = 9, true
@@ -22,11 +22,11 @@
 	got := g.discoveryConfig()
 	if got.Address != cfg.Discovery || got.Known.Revision != 1 || len(got.Known.Entries) != 1 ||
 		got.Settings.GatewayCount != 9 || !got.Settings.PollEndpoints {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want the address, known list and settings of %+v", got, cfg)
 	}
 }
 
-// The list that the policy fetches has the estimate of how many gateways share each endpoint, as the latest change had.
+// The list that the policy fetches contains the latest estimate of the number of gateways per endpoint.
 func TestFetchedListHasTheLatestGatewaysPerEndpoint(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt(startServingEndpoint(t, "a").addr)))
 	list := endpointsAt("127.0.0.1:9")
@@ -37,7 +37,7 @@
 	}
 }
 
-// A gateway of a large deployment decodes a list of 200,000 endpoints, serves from it, and follows its changes.
+// A gateway of a large deployment decodes a list of 200,000 endpoints, serves from it, and applies its changes.
 func TestGatewayServesFromALongList(t *testing.T) {
 	a := startServingEndpoint(t, "a")
 	service := standin.NewDiscovery(standin.DiscoveryConfig{})
@@ -54,7 +54,7 @@
 	t.Cleanup(func() { service.Close() })
 	cfg := testConfig(ln.Addr().String(), discovery.EndpointList{})
 	cfg.Settings.Index, cfg.Settings.GatewayCount = 4711, 6400
-	for i := range cfg.Settings.Classes { // a busy machine decodes the list in its own time, which is not asserted here
+	for i := range cfg.Settings.Classes { // the time to decode the list is not checked
 		cfg.Settings.Classes[i].LatencyObjective = time.Hour
 		cfg.Settings.Classes[i].Deadline = time.Hour
 	}
@@ -64,7 +64,7 @@
 	service.SetList(list(200_000, b.addr))
 	nc, in := nettest.Dial(t, addr)
 	nc.SetReadDeadline(time.Time{})
-	for i := 1_000_000; ; i++ { // ids that awaitServedBy has not used
+	for i := 1_000_000; ; i++ { // IDs that awaitServedBy has not used
 		io.WriteString(nc, nettest.Ask(i, longTimeoutReadFields))
 		nettest.ReadLine(t, in)
 		if nettest.ReadLine(t, in) == "b" {
@@ -73,8 +73,7 @@
 	}
 }
 
-// After a change of discovery's address the list is polled at the new one at once, the watch goes on there, and no client
-// or endpoint notices.
+// After a change of discovery's address the list is polled at once at the new address, and client connections remain open.
 func TestDiscoveryAddressChangeKeepsClients(t *testing.T) {
 	endpoint := startServingEndpoint(t, "value")
 	list := endpointsAt(endpoint.addr)
@@ -88,7 +87,7 @@
 	nettest.WantValue(t, in)
 }
 
-// A new process follows the list of discovery as soon as it has it: the known list may be old.
+// A new process uses the list of discovery as soon as it has received it, because the known list may be outdated.
 func TestDiscoveryListReplacesKnownListAtStart(t *testing.T) {
 	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
 	list := endpointsAt(a.addr, b.addr)
@@ -103,6 +102,6 @@
 		nettest.ReadLine(t, in)
 	}
 	if n := len(a.received()); n != before {
-		t.Fatalf("%d commands to a draining endpoint", n-before)
+		t.Fatalf("%d commands to a draining endpoint, want none", n-before)
 	}
 }
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -14,7 +14,7 @@
 	"lemontack/policy"
 )
 
-// testConfig is the configuration of a gateway that is alone, with a class of each idempotency.
+// testConfig returns the configuration of a single gateway, with one class of each idempotency.
 func testConfig(discoveryAddr string, known discovery.EndpointList) Config {
 	return Config{Listen: "127.0.0.1:0", Discovery: discoveryAddr, Sockets: 256, KnownEndpoints: known,
 		Settings: policy.Settings{GatewayCount: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
@@ -26,7 +26,7 @@
 		Connections: wire.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
 
-// startIngress runs an ingress. stop shuts it down and returns the result of Run; the end of the test does so at the latest.
+// startIngress runs an ingress. stop shuts it down and returns the result of Run; the cleanup of the test calls it too.
 func startIngress(t *testing.T, cfg Config) (addr string, stop func() error) {
 	t.Helper()
 	g, stop := runIngress(t, cfg)
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- g.Run(ctx) }() // ended and waited for by stop
+	go func() { done <- g.Run(ctx) }() // ended by cancel; stop waits for it
 	stop = sync.OnceValue(func() error {
 		cancel()
 		return <-done
@@ -59,15 +59,15 @@
 	case <-g.Ready():
 	case err := <-done:
 		done <- err
-		t.Fatal("the ingress ended: ", err)
+		t.Fatal("the ingress ended before it was ready: ", err)
 	}
 	return g, stop
 }
 
-// discardLog is a logger whose output no test reads.
+// discardLog is a logger that discards its records.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// serveClient serves a client's connection until its end, which closes the channel.
+// serveClient serves a client connection. The returned channel is closed when the connection has ended.
 func serveClient(g *Gateway, nc net.Conn) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -77,7 +77,7 @@
 	return done
 }
 
-// idleGateway returns a gateway whose event loop does not run: the test hands it the events.
+// idleGateway returns a gateway whose event loop does not run. The test passes events to it.
 func idleGateway(t *testing.T, cfg Config) *Gateway {
 	t.Helper()
 	g, err := New(cfg, discardLog)
@@ -95,12 +95,12 @@
 	return g
 }
 
-// awaitConnected returns the next event, which must be a new connection to an endpoint.
+// awaitConnected returns the next event, which must be upstream.Connected.
 func awaitConnected(t *testing.T, g *Gateway) upstream.Connected {
 	t.Helper()
 	connected, ok := (<-g.events).(upstreamEvent).event.(upstream.Connected)
 	if !ok {
-		t.Fatal("the next event is not a new connection")
+		t.Fatal("the next event is not upstream.Connected")
 	}
 	return connected
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -11,7 +11,7 @@
 	"lemontack/policy"
 )
 
-// checkStart gives the reason why an attempt may not start; brokenRule says whether that is a fault of the policy.
+// checkStart returns the reason why an attempt may not start, and violatedInvariant whether that is a fault of the policy.
 func TestCheckStartReturnsReason(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", endpointsAt("127.0.0.1:1", "127.0.0.1:2"))
@@ -34,7 +34,7 @@
 		class       string
 		change      func(r *request, a *attempt)
 		earlier     []earlierAttempt
-		earlierAge  time.Duration // since they started
+		earlierAge  time.Duration // time since the earlier attempts started
 		want        error
 		isViolation bool
 	}{
@@ -69,13 +69,13 @@
 			}
 			got := a.checkStart()
 			if _, isViolation := violatedInvariant(got); !errors.Is(got, c.want) || isViolation != c.isViolation {
-				t.Fatalf("%v, a fault: %v; want %v, %v", got, isViolation, c.want, c.isViolation)
+				t.Fatalf("got %v, violation %v; want %v, %v", got, isViolation, c.want, c.isViolation)
 			}
 		})
 	}
 }
 
-// Without hedging a request has one attempt in flight at a time.
+// Without hedging, a second attempt is denied while the first is in flight.
 func TestParallelAttemptIsDeniedWithoutHedging(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
@@ -84,11 +84,11 @@
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
 	if err := second.checkStart(); !errors.Is(err, errParallelAttempt) {
-		t.Fatal(err)
+		t.Fatalf("got %v, want %v", err, errParallelAttempt)
 	}
 }
 
-// A retry that is denied as a fault of the policy is counted, and the attempt ends as not sent.
+// A retry that would violate an invariant is counted, and its attempt ends as not sent.
 func TestDeniedRetryIsNotSentAndCounted(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
@@ -98,9 +98,9 @@
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
-		t.Fatal("a request that may have been executed is retried")
+		t.Fatalf("ended %v with %v, %d events; want an end as not sent, and no events", second.ended, second.outcome, len(g.events))
 	}
 	if n := g.observe.violations.Value(invariantRetry); n != 1 {
-		t.Fatalf("%d violations counted", n)
+		t.Fatalf("%d violations counted, want 1", n)
 	}
 }
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -9,8 +9,8 @@
 	"lemontack/internal/nettest"
 )
 
-// A request beyond the open requests that the settings allow is rejected at once. The rejection says when to retry only where
-// the settings allow that, and names no longer time than they do.
+// A request beyond the maximum of open requests is rejected at once. The rejection contains retry advice only if the
+// settings allow it, and at most their MaxRetryAfter.
 func TestRequestBeyondMaxOpenIsRejected(t *testing.T) {
 	for maxRetryAfter, want := range map[time.Duration]string{
 		0:                      "-BUSY",
@@ -38,21 +38,22 @@
 	}
 }
 
-// A request whose command would exceed the memory for commands is rejected, until another request has ended.
+// A request whose command exceeds the remaining memory for commands is rejected. Memory becomes available when another
+// request ends.
 func TestRequestBeyondCommandMemoryIsRejected(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt(startEndpoint(t, nil).addr)))
 	first, _ := newClientRequest(t, g, 1, g.requests.maxCommandBytes-1000)
 	second, secondIn := newClientRequest(t, g, 2, g.requests.maxCommandBytes-1000)
 	admitted := admit(g, first)
 	if admitted == nil || admitted.finished || admit(g, second) != nil {
-		t.Fatalf("first admitted: %v; second too", admitted)
+		t.Fatalf("first request %+v, or the second was admitted; want the first open and the second rejected", admitted)
 	}
 	if got := nettest.ReadLine(t, secondIn); got != "-BUSY" {
-		t.Fatalf("second answered %q", got)
+		t.Fatalf("second request: reply %q, want -BUSY", got)
 	}
 	g.handle(clientDisconnected{[]*listener.Request{first}})
 	third, _ := newClientRequest(t, g, 3, g.requests.maxCommandBytes-1000)
 	if admitted := admit(g, third); admitted == nil || admitted.finished {
-		t.Fatal("third not admitted after the first had ended")
+		t.Fatal("third request rejected after the end of the first, want it admitted")
 	}
 }
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -13,10 +13,10 @@
 	"lemontack/internal/standin"
 )
 
-// readyDeadline is the time within which nine in ten restarted processes have to be ready.
+// readyDeadline is the time within which nine of ten restarted processes must be ready.
 const readyDeadline = 10 * time.Second
 
-// longList is a list of n endpoints.
+// longList returns a list of n endpoints.
 func longList(n int) discovery.EndpointList {
 	list := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range n {
@@ -25,14 +25,13 @@
 	return list
 }
 
-// Gateways that all restart at one moment are ready on their known lists, whatever discovery does: 300 of them on a simulated
-// clock, with a discovery service that is up, slow, silent or down, by watch and by poll, with lists of any length. The
-// processor time of a long list is not measured.
+// Gateways that restart at the same time are ready with their known lists, whether discovery is up, slow, silent or down.
+// The test uses a simulated clock, so the processor time for a long list is not measured.
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
 		state                        standin.State
-		callDuration                 time.Duration // time of a call at discovery, which handles them one by one
+		callDuration                 time.Duration // duration of a call; discovery handles calls one at a time
 		gatewayCount, knownEndpoints int
 	}{
 		{"up", standin.Up, 0, 300, 200},
@@ -64,7 +63,7 @@
 						}
 					}
 					if ready < c.gatewayCount*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.gatewayCount, time.Since(startedAt))
+						t.Errorf("%d of %d ready within a tenth of the deadline, want 9 of 10; the last after %v", ready, c.gatewayCount, time.Since(startedAt))
 					}
 				})
 			})
@@ -72,7 +71,7 @@
 	}
 }
 
-// startGateways runs n gateways that reach discovery over pipes in memory; stop ends them all and waits.
+// startGateways runs n gateways that connect to discovery over in-memory pipes. stop ends all of them and waits.
 func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/ingress/requestfixtures_test.go
+++ b/internal/ingress/requestfixtures_test.go
@@ -12,7 +12,7 @@
 	"lemontack/policy"
 )
 
-// requestSource is a handler that gives the requests of a client's connection to the test in place of the gateway.
+// requestSource is a listener.Handler that passes the requests of a client connection to the test instead of the gateway.
 type requestSource struct {
 	clientEvents
 	received chan *listener.Request
@@ -24,7 +24,7 @@
 // ClientDisconnected implements listener.Handler.
 func (requestSource) ClientDisconnected([]*listener.Request) {}
 
-// sendRequest sends a request on a connection of its own and returns it as the listener received it, and the client's reader.
+// sendRequest sends a request on a new connection. It returns the request as parsed by the listener, and the client's reader.
 // disconnect closes the client's end and returns once the connection has ended.
 func sendRequest(t *testing.T, g *Gateway, id int) (r *listener.Request, in *bufio.Reader, disconnect func()) {
 	t.Helper()
@@ -49,7 +49,7 @@
 	return <-source.received, bufio.NewReader(far), disconnect
 }
 
-// newClientRequest returns a request whose command has this size, and the reader of its client.
+// newClientRequest returns a request whose Size is set to size, and the reader of its client.
 func newClientRequest(t *testing.T, g *Gateway, id, size int) (r *listener.Request, in *bufio.Reader) {
 	t.Helper()
 	r, in, _ = sendRequest(t, g, id)
@@ -57,7 +57,7 @@
 	return r, in
 }
 
-// requestOfDisconnectedClient returns a request whose client has disconnected since.
+// requestOfDisconnectedClient returns a request whose client has disconnected.
 func requestOfDisconnectedClient(t *testing.T, g *Gateway) *listener.Request {
 	t.Helper()
 	r, _, disconnect := sendRequest(t, g, 1)
@@ -65,13 +65,13 @@
 	return r
 }
 
-// admit hands a request to the gateway and returns it as the gateway keeps it, or nil if it was rejected at once.
+// admit passes a request to the gateway and returns its entry in the request table, or nil if it was rejected at once.
 func admit(g *Gateway, r *listener.Request) *request {
 	g.handle(requestReceived{r})
 	return g.requests.open[r.ID]
 }
 
-// newWaitingAttempt returns an attempt that has not started, of a request that is not in the request table.
+// newWaitingAttempt returns an attempt that has not started. Its request is not in the request table.
 func newWaitingAttempt(g *Gateway, id policy.EndpointID) *attempt {
 	r := &request{Request: &listener.Request{Args: [][]byte{nil, nil, nil, nil}}}
 	return g.newAttempt(r, g.pool.Endpoint(id), g.now+time.Hour)
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -12,7 +12,7 @@
 	"lemontack/policy"
 )
 
-// A shutdown answers the open requests, and those that still arrive on an open connection, before it closes the connection.
+// A shutdown answers the open requests, and requests that still arrive on an open connection, before it closes the connection.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	received, release := make(chan struct{}, 2), make(chan struct{})
 	endpoint := startEndpoint(t, func(int, []string, net.Conn) string {
@@ -39,20 +39,20 @@
 	}
 }
 
-// The last answer comes before SIGKILL, which follows the longest deadline of the settings.
+// The last answer is sent before SIGKILL, whose time depends on the longest deadline of the settings.
 func TestShutdownAnswerPeriodFollowsLongestDeadline(t *testing.T) {
 	for maxDeadline, sigkillAt := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 800 * time.Millisecond, 900 * time.Millisecond: 1600 * time.Millisecond,
 		2500 * time.Millisecond: 3200 * time.Millisecond, time.Minute: 3700 * time.Millisecond} {
 		got := shutdownAnswerPeriod([]policy.Class{{Deadline: 50 * time.Millisecond}, {Deadline: maxDeadline}})
 		if got+connectionCloseTimeout >= sigkillAt || got < sigkillAt/2 || got < acceptPeriod {
-			t.Errorf("longest deadline %v: last answer after %v, SIGKILL after %v", maxDeadline, got, sigkillAt)
+			t.Errorf("longest deadline %v: last answer after %v, want it before SIGKILL after %v", maxDeadline, got, sigkillAt)
 		}
 	}
 }
 
-// A shutdown with requests in flight at a silent endpoint, queued, and partly read, while a client goes on sending: each
-// request that was read has one complete answer, and the connections are closed between requests.
+// A shutdown answers every request that was read exactly once, and closes connections between requests. Requests are in
+// flight at a silent endpoint, queued and partly read, and a client continues to send.
 func TestShutdownUnderLoadAnswersEachRequest(t *testing.T) {
 	endpoint := startEndpoint(t, nil)
 	cfg := configFor(t, endpoint)
@@ -75,7 +75,7 @@
 				return
 			}
 			sent.Add(1)
-			time.Sleep(time.Millisecond) // pace: not waited on
+			time.Sleep(time.Millisecond) // sets the rate of requests; no condition depends on it
 		}
 	}()
 	endpoint.awaitCommands(t, 3)
@@ -94,7 +94,7 @@
 		}
 		for _, l := range lines {
 			if !strings.HasPrefix(l, "-BUSY") && !strings.HasPrefix(l, "-ERR") {
-				t.Errorf("%s: reply %q", name, l)
+				t.Errorf("%s: reply %q, want -BUSY or -ERR", name, l)
 			}
 		}
 	}
@@ -102,28 +102,28 @@
 	nettest.Await(t, "the sender ends", ended)
 }
 
-// At the end of a shutdown arrivals are rejected at once, and earlier requests are answered by then.
+// After the deadline of a shutdown new requests are rejected at once. Earlier requests have been answered by then.
 func TestRequestsAfterShutdownDeadlineAreRejected(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt(startEndpoint(t, nil).addr)))
 	firstSent, _ := newClientRequest(t, g, 1, 0)
 	first := admit(g, firstSent)
-	waitingAttempts := first.attempts // for a connection
+	waitingAttempts := first.attempts // attempts that wait for a connection
 	deadline := g.now + time.Second
 	g.handle(shutdownEvent{deadline})
 	second, _ := newClientRequest(t, g, 2, 0)
 	if admitted := admit(g, second); admitted == nil || admitted.finished || second.Deadline != deadline {
-		t.Fatalf("not admitted, or with deadline %v, want %v", second.Deadline, deadline)
+		t.Fatalf("second request: %+v with deadline %v, want it admitted with deadline %v", admitted, second.Deadline, deadline)
 	}
 	g.now = deadline
 	g.runTimers()
 	third, thirdIn := newClientRequest(t, g, 3, 0)
 	if admitted := admit(g, third); !first.finished || admitted != nil {
-		t.Fatalf("first answered: %v; third admitted: %v", first.finished, admitted != nil)
+		t.Fatalf("first answered %v, third admitted %v; want true, false", first.finished, admitted != nil)
 	}
 	if got := nettest.ReadLine(t, thirdIn); got != "-BUSY" {
-		t.Fatalf("third answered %q", got)
+		t.Fatalf("third request: reply %q, want -BUSY", got)
 	}
 	if len(waitingAttempts) != 1 || !waitingAttempts[0].ended {
-		t.Fatalf("%d attempts waited for a connection, want one, that has ended", len(waitingAttempts))
+		t.Fatalf("%d attempts waited for a connection, want one, which has ended", len(waitingAttempts))
 	}
 }
--- a/internal/ingress/timers_test.go
+++ b/internal/ingress/timers_test.go
@@ -13,12 +13,12 @@
 		q.add(time.Duration(at), func() { called = append(called, at) })
 	}
 	if at := q.earliest(); at != 10 {
-		t.Fatalf("the next is at %d", at)
+		t.Fatalf("earliest timer at %d, want 10", at)
 	}
 	for do := q.popDue(30); do != nil; do = q.popDue(30) {
 		do()
 	}
 	if !slices.Equal(called, []int{10, 20, 30}) || q.earliest() != 40 {
-		t.Fatalf("called %v, the next is at %d", called, q.earliest())
+		t.Fatalf("called %v, earliest timer at %d; want [10 20 30], 40", called, q.earliest())
 	}
 }
--- a/internal/ingress/violationlog_test.go
+++ b/internal/ingress/violationlog_test.go
@@ -10,7 +10,7 @@
 	"lemontack/internal/listener"
 )
 
-// The fault soak finds violated invariants by this text in the logs of ingresses (internal/soak/processlog.go).
+// The fault soak matches this text in the logs of ingresses to find violated invariants (internal/soak/processlog.go).
 func TestViolationLogMatchesSoakPatterns(t *testing.T) {
 	var log bytes.Buffer
 	o := newObserver(slog.New(slog.NewTextHandler(&log, nil)))
@@ -23,7 +23,7 @@
 		log.Reset()
 		o.reportViolation(violated, &listener.Request{}, time.Second, "a reason")
 		if got := log.String(); !strings.Contains(got, `msg="invariant violated" `+want) {
-			t.Errorf("logged %q, want it with %q", got, want)
+			t.Errorf("logged %q, want it to contain %q", got, want)
 		}
 	}
 }
--- a/internal/ingress/watch_test.go
+++ b/internal/ingress/watch_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// However a watch fails, the endpoints follow the next watch event that can be decoded, and until then the cached list is
-// used. Once an object on several lines broke each watch; an endless one would fill the memory.
+// After a failed watch the cached list remains in use until the next watch event that can be decoded. An endless object must not
+// fill the memory.
 func TestEndpointsAreUpdatedAfterAFailedWatch(t *testing.T) {
 	text := func(s string) func(http.ResponseWriter, <-chan struct{}) {
 		return func(w http.ResponseWriter, _ <-chan struct{}) { io.WriteString(w, s) }
@@ -20,7 +20,7 @@
 		"invalid JSON": text("{\"rev\":what}\n"),
 		"no targets":   text("{\"rev\":9,\"all\":true}\n"),
 		"truncated":    text(`{"rev":2,"all":true,"targets":[`),
-		"too long":     text("{" + strings.Repeat(" ", 2<<20)), // twice the maximum between entries
+		"too long":     text("{" + strings.Repeat(" ", 2<<20)), // twice the maximum of bytes between entries
 		"old revision": text(`{"rev":0,"all":true,"targets":[]}`),
 		"no response":  func(_ http.ResponseWriter, ended <-chan struct{}) { <-ended },
 		"error status": func(w http.ResponseWriter, _ <-chan struct{}) { w.WriteHeader(http.StatusBadGateway) },
@@ -43,7 +43,7 @@
 	}
 }
 
-// A watch event on several lines, in several writes and between empty lines, is decoded without a new watch.
+// A watch event that spans several lines and writes, with empty lines around it, is decoded without a new watch.
 func TestIndentedWatchEventIsReadOnTheSameWatch(t *testing.T) {
 	n := awaitUpdateByWatch(t, func(_ int32, w http.ResponseWriter, event string, ended <-chan struct{}) {
 		for _, part := range strings.SplitAfter("\n"+strings.ReplaceAll(event, ",", ",\n  ")+"\n\n", "e") {
@@ -53,11 +53,11 @@
 		<-ended
 	})
 	if n != 1 {
-		t.Fatalf("%d watches, want one", n)
+		t.Fatalf("%d watches, want 1", n)
 	}
 }
 
-// A watch that has fallen silent is reopened, and the new one delivers the missed event.
+// A watch without traffic is reopened, and the new watch delivers the missed event.
 func TestSilentWatchIsReopened(t *testing.T) {
 	n := awaitUpdateByWatch(t, func(n int32, w http.ResponseWriter, event string, ended <-chan struct{}) {
 		io.WriteString(w, "\n")
@@ -68,12 +68,12 @@
 		<-ended
 	})
 	if n < 2 {
-		t.Fatalf("%d watches, want a second one", n)
+		t.Fatalf("%d watches, want at least 2", n)
 	}
 }
 
-// awaitUpdateByWatch runs an ingress whose watches watch answers, and waits until it sends requests to the new endpoint of the
-// event that watch has to write. It returns the number of watches by then.
+// awaitUpdateByWatch runs an ingress whose watch requests are handled by watch, the n-th with n, and waits until the
+// ingress sends requests to the endpoint that event adds. It returns the number of watches opened so far.
 func awaitUpdateByWatch(t *testing.T, watch func(n int32, w http.ResponseWriter, event string, ended <-chan struct{})) int32 {
 	t.Helper()
 	a, b := startServingEndpoint(t, "a"), startServingEndpoint(t, "b")
@@ -82,7 +82,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path != "/registry/instances":
-			t.Errorf("polled at %s", r.URL)
+			t.Errorf("request for %s, want /registry/instances", r.URL)
 		case r.URL.Query().Get("follow") == "":
 			fmt.Fprintf(w, `{"rev":1,"all":true,"targets":[{"uid":"s0","endpoint":%q,"state":"SERVING"}]}`, a.addr)
 		default:
@@ -91,13 +91,13 @@
 	}))
 	t.Cleanup(server.Close)
 	cfg := testConfig(strings.TrimPrefix(server.URL, "http://"), list)
-	cfg.Settings.MaxAttempts = 3 // one may be in flight to the endpoint as it drains
+	cfg.Settings.MaxAttempts = 3 // an attempt may be in flight to the endpoint that begins to drain
 	addr, _ := startIngress(t, cfg)
 	awaitServedBy(t, addr, "b")
 	return watches.Load()
 }
 
-// replacementEvent is a watch event that drains endpoint s0 at one address and adds s1 at the other.
+// replacementEvent returns a watch event that drains endpoint s0 at from and adds s1 at to.
 func replacementEvent(from, to string) string {
 	return fmt.Sprintf(`{"rev":2,"all":false,"targets":[{"uid":"s0","endpoint":%q,"state":"DRAINING"},
 		{"uid":"s1","endpoint":%q,"state":"SERVING"}]}`, from, to)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A connection whose queue is full does not block the event loop; it is closed.
+// Assigning an attempt to a connection whose queue is full closes the connection and does not block the event loop.
 func TestConnectionWithFullQueueIsClosedWithoutBlocking(t *testing.T) {
 	pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
 	near, far := net.Pipe()
@@ -18,11 +18,11 @@
 		pool.assign(c, attempt)
 	}
 	if _, err := near.Write(nil); err == nil {
-		t.Fatal("the connection is open")
+		t.Fatal("the connection is open, want it closed")
 	}
 }
 
-// A command that was not written to its last byte was not executed; one that was written completely may have been.
+// Only a command whose last byte was written may have been executed, and counts as written.
 func TestOnlyCompleteCommandsCountAsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		readBytes int
@@ -53,8 +53,8 @@
 	}
 }
 
-// An attempt that a connection has been given and has not begun to write is withdrawn, also where the connection has received
-// it: nothing of it was sent, and the connection serves the next one.
+// CancelUnsent ends an attempt that its connection has not begun to write, even if the connection has received the
+// assignment. The connection then writes the next attempt.
 func TestCancelledUnsentCommandIsNotWritten(t *testing.T) {
 	for name, received := range map[string]bool{"assigned": false, "received": true} {
 		t.Run(name, func(t *testing.T) {
@@ -71,11 +71,12 @@
 				c.assignments <- next
 			} else {
 				if pool.CancelUnsent(attempt); len(c.assignments) != 0 {
-					t.Fatal("no capacity for the next command")
+					t.Fatalf("%d assignments are queued, want none", len(c.assignments))
 				}
 			}
 			if !attempt.ended || c.currentAttempt != nil || len(endpoint.idle) != 1 {
-				t.Fatalf("ended %v, the connection has attempt %v", attempt.ended, c.currentAttempt)
+				t.Fatalf("ended %v, current attempt %v, %d idle connections; want an ended attempt and an idle connection",
+					attempt.ended, c.currentAttempt, len(endpoint.idle))
 			}
 			written := make(chan struct{})
 			go func() {
@@ -86,7 +87,7 @@
 			c.assignments <- assignment{next, EncodedCommand{Frame: []byte("next")}}
 			got := make([]byte, 4)
 			if _, err := io.ReadFull(far, got); err != nil || string(got) != "next" {
-				t.Fatalf("%q is written, %v", got, err)
+				t.Fatalf("written %q, error %v; want %q", got, err, "next")
 			}
 			close(c.readerDone)
 			<-written
@@ -95,7 +96,7 @@
 	}
 }
 
-// A command that is abandoned before its first byte is not written, and the connection is closed.
+// A command that is abandoned before its first byte is not written, and its connection is closed.
 func TestAbandonedCommandIsNotWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -105,9 +106,9 @@
 	conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
 	conn.write()
 	if n, err := far.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Fatalf("%d bytes, %v; want EOF", n, err)
+		t.Fatalf("read %d bytes, error %v; want 0 and EOF", n, err)
 	}
 	if conn.writtenAttempt.Load() != nil {
-		t.Fatal("counts as written")
+		t.Fatal("the abandoned command counts as written")
 	}
 }
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -26,7 +26,8 @@
 	commands int // guarded by mu
 }
 
-// startEndpoint starts an endpoint that writes what reply returns for the n-th command; "" and a nil reply are silence.
+// startEndpoint starts an endpoint that writes the result of reply for the n-th command. It sends no reply if the result is "" or
+// reply is nil.
 func startEndpoint(t *testing.T, reply func(n int) string) *testEndpoint {
 	t.Helper()
 	e := &testEndpoint{}
@@ -48,14 +49,14 @@
 	return e
 }
 
-// received returns the number of commands that have come by now.
+// received returns the number of commands received so far.
 func (e *testEndpoint) received() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.commands
 }
 
-// testLoop is an event loop that the test steps, on a simulated clock.
+// testLoop is an event loop with a simulated clock. The test advances it and takes the events from its channel.
 type testLoop struct {
 	now    time.Duration
 	timers []testTimer
@@ -67,7 +68,7 @@
 	callback func()
 }
 
-// advance moves the clock on and calls what is due, in the order of time.
+// advance advances the clock and calls the timers that are due, in order of time.
 func (loop *testLoop) advance(d time.Duration) {
 	loop.now += d
 	for {
@@ -87,7 +88,7 @@
 	testConnectTimeout = 5 * time.Second
 )
 
-// newTestPool returns a pool with endpoints s0, s1 and so on at these addresses. change adapts its configuration.
+// newTestPool returns a pool with endpoints s0, s1 and so on at the given addresses. adapt may change its configuration.
 func newTestPool(t *testing.T, adapt func(*Config), addresses ...string) (*Pool, *testLoop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,7 +122,7 @@
 	return pool, loop
 }
 
-// endpointUpdates are serving endpoints s0, s1 and so on.
+// endpointUpdates returns updates for serving endpoints s0, s1 and so on at the given addresses.
 func endpointUpdates(addresses ...string) []EndpointUpdate {
 	var updates []EndpointUpdate
 	for i, address := range addresses {
@@ -131,9 +132,9 @@
 	return updates
 }
 
-// testCommand is a command that records the ends of its attempt.
+// testCommand is a Command that records the results of its attempt.
 type testCommand struct {
-	mayNotStart bool // it may not start
+	mayNotStart bool // result of MayStart, inverted
 	abandoned   bool
 	results     []Result
 }
@@ -150,7 +151,7 @@
 
 func (c *testCommand) Ended(result Result) { c.results = append(c.results, result) }
 
-// newTestAttempt returns an attempt that has not started, and its command.
+// newTestAttempt returns an attempt that has not started, with its command.
 func newTestAttempt(pool *Pool, id policy.EndpointID) (*Attempt, *testCommand) {
 	command := &testCommand{}
 	return NewAttempt(pool.Endpoint(id), command), command
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,7 +9,7 @@
 	"lemontack/policy"
 )
 
-// An attempt that is cancelled while it waits for a connection was not sent, and is not written later.
+// An attempt that is aborted while it waits for a connection ends as not sent, and is not written later.
 func TestAttemptAbortedWhileWaitingIsNotSent(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
@@ -21,11 +21,11 @@
 		t.Fatalf("ends %v, want one as not sent", command.results)
 	}
 	if connected.connection.currentAttempt != nil {
-		t.Fatal("the connection has an attempt")
+		t.Fatal("the connection has an attempt, want none")
 	}
 }
 
-// An idle connection is closed before the endpoint closes it: a command that crossed the close would be reset.
+// An idle connection is closed before the endpoint closes it. A command sent while the endpoint closes it would be reset.
 func TestStaleIdleConnectionIsClosed(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	endpoint := pool.Endpoint("s0")
@@ -35,16 +35,16 @@
 	pool.HandleEvent((<-loop.events).(Connected))
 	pool.CloseUnusableIdle()
 	if len(endpoint.idle) != 1 {
-		t.Fatal("a fresh connection was retired")
+		t.Fatal("a fresh connection was closed")
 	}
 	loop.now += testIdleTimeout - time.Second
 	pool.CloseUnusableIdle()
 	if event := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !event.wasConnected {
-		t.Fatal("a stale connection was not retired")
+		t.Fatal("a stale connection was not closed")
 	}
 }
 
-// A reply that arrived before its command was written is another command's: the attempt was not executed.
+// A reply that arrives before the current command was written belongs to another command and does not end the attempt.
 func TestReplyBeforeItsCommandIsDiscarded(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, command := newTestAttempt(pool, "s0")
@@ -54,16 +54,16 @@
 	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{connected.connection, nil, reply})
 	if attempt.ended {
-		t.Fatal("served with another's reply")
+		t.Fatal("the attempt ended with the reply to another command")
 	}
 	pool.HandleEvent(<-loop.events)
 	if !attempt.ended || len(command.results) != 1 {
-		t.Fatal("not ended with its connection")
+		t.Fatalf("ended %v with %d results, want one at the end of its connection", attempt.ended, len(command.results))
 	}
 }
 
-// With all connections in use at other endpoints, the next one that becomes idle is closed for a new one: an attempt at another
-// endpoint once waited for ever.
+// If all connections are in use at other endpoints, the next one that becomes idle is closed to make room. Otherwise an
+// attempt at another endpoint would wait indefinitely.
 func TestIdleConnectionIsClosedForAnotherEndpoint(t *testing.T) {
 	a, b := startEndpoint(t, nil), startEndpoint(t, nil)
 	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 1 }, a.address, b.address)
@@ -80,7 +80,7 @@
 	}
 }
 
-// An attempt does not wait for a connection for longer than the connect timeout. A retry may be sent only within the
+// An attempt does not wait for a connection longer than the connect timeout: a retry must reach the endpoint within the
 // deduplication window, of which the policy leaves 10% for the transit.
 func TestWaitForConnectionEndsAfterConnectTimeout(t *testing.T) {
 	pool, loop := newTestPool(t, func(c *Config) { c.MaxConnections = 0 }, startEndpoint(t, nil).address)
@@ -92,8 +92,8 @@
 	}
 }
 
-// An attempt that is known to be written completely ends the moment it is aborted: a busy event loop once failed the request
-// before the event of the connection arrived.
+// An attempt that was written completely ends as soon as it is aborted. It must not wait for the event of its connection,
+// because a busy event loop might fail the request first.
 func TestAbortedWrittenAttemptEndsAtOnce(t *testing.T) {
 	s := startEndpoint(t, nil)
 	pool, loop := newTestPool(t, nil, s.address)
@@ -105,12 +105,12 @@
 	})
 	pool.Abort(attempt, policy.TimedOut)
 	if !attempt.ended || command.results[0].Outcome != policy.TimedOut {
-		t.Fatalf("ended: %v, with %v", attempt.ended, command.results)
+		t.Fatalf("ended %v with %v, want an end with %v", attempt.ended, command.results, policy.TimedOut)
 	}
 }
 
-// A removed endpoint is deleted with its last connection, also if another has its address by then: restarted endpoints have
-// new ids.
+// A removed endpoint is deleted with its last connection, even if another endpoint already has its address. Restarted
+// endpoints have new IDs.
 func TestRemovedEndpointIsDeleted(t *testing.T) {
 	s := startEndpoint(t, func(int) string { return valueReply })
 	pool, loop := newTestPool(t, nil, s.address)
@@ -127,12 +127,12 @@
 	loop.advance(reuseDelay)
 	pool.HandleEvent(<-loop.events) // the connection's end
 	if pool.connections != 0 || len(pool.endpoints) != 1 || pool.Endpoint("s1") == nil {
-		t.Fatalf("%d connections, endpoints %v", pool.connections, pool.endpoints)
+		t.Fatalf("%d connections, endpoints %v; want none and s1 only", pool.connections, pool.endpoints)
 	}
 }
 
-// A duplicate reply may arrive some milliseconds after the first. The connection is not reused before, or the next request
-// would get the value of another.
+// A duplicate reply may arrive some milliseconds after the first. The connection is not reused until then, or the next
+// request would receive the value of another.
 func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	attempt, _ := newTestAttempt(pool, "s0")
@@ -141,16 +141,16 @@
 	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{attempt.connection, attempt, reply})
 	if loop.advance(10 * time.Millisecond); len(attempt.endpoint.idle) != 0 {
-		t.Fatal("idle again at once")
+		t.Fatal("the connection is idle before reuseDelay has passed")
 	}
 	if loop.advance(reuseDelay); len(attempt.endpoint.idle) != 1 {
-		t.Fatal("not idle again")
+		t.Fatal("the connection is not idle after reuseDelay")
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is not used, also if its Disconnected event has not arrived yet.
+// A connection that the endpoint closed while it was idle is not used, even before its Disconnected event has arrived.
 func TestConnectionClosedJustBeforeUseIsNotUsed(t *testing.T) {
-	closeConn, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second one
+	closeConn, closed := make(chan struct{}), make(chan struct{}, 2) // the attempt dials a second connection
 	pool, loop := newTestPool(t, nil, nettest.Serve(t, func(conn net.Conn) {
 		<-closeConn
 		conn.Close()
@@ -161,18 +161,17 @@
 	connected := (<-loop.events).(Connected)
 	attempt.endpoint.removeWaiting(attempt)
 	if pool.HandleEvent(connected); len(attempt.endpoint.idle) != 1 {
-		t.Fatal("not idle")
+		t.Fatal("the connection is not idle")
 	}
 	closeConn <- struct{}{}
 	<-closed
 	t.Cleanup(func() { close(closeConn) })
 	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
-		t.Fatal("written to a connection that is closed")
+		t.Fatal("the attempt was assigned to a closed connection")
 	}
 }
 
-// A connection that has been idle for too long is not used, also if the idle timeout is shorter than the time between two calls
-// of CloseUnusableIdle.
+// A connection that has been idle too long is not used, even if CloseUnusableIdle has not been called since it became stale.
 func TestStaleIdleConnectionIsNotUsed(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
 	pool, loop := newTestPool(t, func(c *Config) { c.IdleTimeout = idleTimeout }, startEndpoint(t, nil).address)
@@ -183,11 +182,11 @@
 	pool.HandleEvent(connected)
 	loop.now += 250 * time.Millisecond
 	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
-		t.Fatal("written to a connection that the endpoint is about to close")
+		t.Fatal("the attempt was assigned to a stale connection")
 	}
 }
 
-// A command that may not start any more when its connection is established is not sent; the next waiting one is.
+// A command that may no longer start when its connection is established is not sent. The next waiting command is sent instead.
 func TestCommandThatMayNotStartIsSkipped(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	rejected, rejectedCommand := newTestAttempt(pool, "s0")
@@ -200,11 +199,11 @@
 		t.Fatalf("ends %v, want one as not sent", rejectedCommand.results)
 	}
 	if next.WaitsForConnection() || next.ended {
-		t.Fatal("the next one was not sent")
+		t.Fatal("the next command was not sent")
 	}
 }
 
-// Attempts that wait for a connection to an endpoint that begins to drain end as not sent at once.
+// Attempts that wait for a connection end as not sent as soon as their endpoint begins to drain.
 func TestDrainEndsWaitingAttempts(t *testing.T) {
 	s := startEndpoint(t, nil)
 	pool, loop := newTestPool(t, nil, s.address)
@@ -222,6 +221,6 @@
 	}
 	pool.HandleEvent(connected)
 	if connected.connection.currentAttempt != nil || len(command.results) != 1 {
-		t.Fatal("sent to a draining endpoint")
+		t.Fatal("an attempt was sent to a draining endpoint")
 	}
 }
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -29,12 +29,13 @@
 		"$6\r\nqps=-1\r\n":                                {Outcome: policy.Succeeded, reusable: true},
 	} {
 		if got := parseReply([]byte(in)); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %+v, want %+v", in, got, want)
+			t.Errorf("%q: got %+v, want %+v", in, got, want)
 		}
 	}
 }
 
-// The usage figures of a reply give the settled units of its request. Invalid ones are ignored, and the reply remains valid.
+// The usage figures of a reply contain the settled units of its request. Invalid figures are ignored, and the reply remains
+// valid.
 func TestParseReplySettledUnits(t *testing.T) {
 	for _, c := range []struct {
 		use  string
