--- a/internal/ingress/clients_test.go
+++ b/internal/ingress/clients_test.go
@@ -13,7 +13,7 @@
 func TestIdleClientIsDisconnectedForNewClient(t *testing.T) {
 	endpoint := startEndpoint(t, nil)
 	cfg := configFor(t, endpoint)
-	cfg.Sockets = 128 // 16 for clients
+	cfg.Sockets = 128 // 48 for clients
 	addr, _ := startIngress(t, cfg)
 	for range 22 {
 		nc, in := nettest.Dial(t, addr)
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -17,12 +17,12 @@
 // eventLoop holds the clock, the timers and the event queue of a gateway, and tracks the goroutines that post events. now and
 // timers are used only by the loop's goroutine; post, spawn and sharedTime are safe for concurrent use.
 type eventLoop struct {
-	start     time.Time
-	startTime time.Duration // start as Unix time, the clock that all gateways share
-	now       time.Duration // time of the event being handled, on the shared clock
-	timers    timerQueue
-	events    chan event
-	loopEnded chan struct{} // closed when the loop has ended and handles no more events
+	start              time.Time
+	startOnSharedClock time.Duration // start as Unix time, the clock that all gateways share
+	now                time.Duration // time of the event being handled, on the shared clock
+	timers             timerQueue
+	events             chan event
+	loopEnded          chan struct{} // closed when the loop has ended and handles no more events
 
 	ctx        context.Context // cancels the goroutines started by spawn; set before the first of them
 	goroutines sync.WaitGroup
@@ -30,11 +30,11 @@
 
 func newEventLoop(start time.Time) eventLoop {
 	return eventLoop{
-		start:     start,
-		startTime: time.Duration(start.UnixNano()),
-		timers:    newTimerQueue(),
-		events:    make(chan event, eventQueueLength),
-		loopEnded: make(chan struct{}),
+		start:              start,
+		startOnSharedClock: time.Duration(start.UnixNano()),
+		timers:             newTimerQueue(),
+		events:             make(chan event, eventQueueLength),
+		loopEnded:          make(chan struct{}),
 	}
 }
 
@@ -53,7 +53,9 @@
 }
 
 // sharedTime returns t on the clock that all gateways share: Unix time at start, advanced by the monotonic clock.
-func (l *eventLoop) sharedTime(t time.Time) time.Duration { return l.startTime + t.Sub(l.start) }
+func (l *eventLoop) sharedTime(t time.Time) time.Duration {
+	return l.startOnSharedClock + t.Sub(l.start)
+}
 
 // scheduleAt calls a function on the loop's goroutine at time t of the shared clock.
 func (l *eventLoop) scheduleAt(t time.Duration, callback func()) { l.timers.add(t, callback) }
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -20,8 +20,8 @@
 	invariantAnswerInTime                     // every answer is given within maxAnswerDelay after the client's deadline
 	invariantStart                            // no request exceeds its maximum of attempts, or has parallel attempts without hedging
 	invariantRetry                            // a command that may have been executed is retried only if its class allows it
-	invariantClientConnected                  // no attempt is written over maxSendDelayAfterDisconnect after its client disconnected
-	invariantEndpointServing                  // no attempt is written over maxSendDelayAfterDrain after its endpoint stopped serving
+	invariantClientConnected                  // no attempt is written more than maxSendDelayAfterDisconnect after its client disconnected
+	invariantEndpointServing                  // no attempt is written more than maxSendDelayAfterDrain after its endpoint stopped serving
 	invariantTimeLimit                        // no endpoint is granted more time than the client has left plus stall.MaxStall
 )
 
@@ -56,7 +56,7 @@
 
 // checkAnswerTime counts and logs a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	dueAt := max(r.GiveUpAt, g.startTime+g.stalls.LastEnd()) // a stalled process cannot answer
+	dueAt := max(r.GiveUpAt, g.startOnSharedClock+g.stalls.LastEnd()) // a stalled process cannot answer
 	if g.now > dueAt+maxAnswerDelay {
 		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" after the deadline")
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,7 +18,7 @@
 	connected := (<-loop.events).(Connected)
 	pool.HandleEvent(connected)
 	if len(command.results) != 1 || command.results[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", command.results)
+		t.Fatalf("results %v, want one with NotSent", command.results)
 	}
 	if connected.connection.currentAttempt != nil {
 		t.Fatal("the connection has an attempt, want none")
@@ -196,7 +196,7 @@
 	rejectedCommand.mayNotStart = true
 	pool.HandleEvent((<-loop.events).(Connected))
 	if len(rejectedCommand.results) != 1 || rejectedCommand.results[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", rejectedCommand.results)
+		t.Fatalf("results %v, want one with NotSent", rejectedCommand.results)
 	}
 	if next.WaitsForConnection() || next.ended {
 		t.Fatal("the next command was not sent")
@@ -214,7 +214,7 @@
 	updates[0].State = policy.Draining
 	pool.UpdateEndpoints(false, updates)
 	if len(command.results) != 1 || command.results[0].Outcome != policy.NotSent {
-		t.Fatalf("ends %v, want one as not sent", command.results)
+		t.Fatalf("results %v, want one with NotSent", command.results)
 	}
 	if stopped := attempt.endpoint.StoppedServingAt(); stopped != loop.now {
 		t.Fatalf("stopped at %v, want %v", stopped, loop.now)
