--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -105,7 +105,8 @@
 	change := endpointsAt(endpoint.addr)
 	change.Snapshot, change.Entries[0].State = false, "DRAINING"
 	g.updateEndpoints(change)
-	if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent || len(g.pendingEvents) != 2 {
+	if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent ||
+		len(g.pendingEvents) != 2 {
 		t.Fatalf("policy events %v, want the list and then the end of the attempt that was not sent", g.pendingEvents)
 	}
 	g.pool.HandleEvent(connected)
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -20,8 +20,8 @@
 	invariantAnswerInTime                     // every answer is given within maxAnswerDelay after the client's deadline
 	invariantStart                            // no request exceeds its maximum of attempts, or has parallel attempts without hedging
 	invariantRetry                            // a command that may have been executed is retried only if its class allows it
-	invariantClientConnected                  // no attempt is written more than maxSendDelayAfterDisconnect after its client disconnected
-	invariantEndpointServing                  // no attempt is written more than maxSendDelayAfterDrain after its endpoint stopped serving
+	invariantClientConnected                  // no write later than maxSendDelayAfterDisconnect after the client disconnected
+	invariantEndpointServing                  // no write later than maxSendDelayAfterDrain after the endpoint stopped serving
 	invariantTimeLimit                        // no endpoint is granted more time than the client has left plus stall.MaxStall
 )
 
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -63,7 +63,8 @@
 						}
 					}
 					if ready < c.gatewayCount*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the deadline, want 9 of 10; the last after %v", ready, c.gatewayCount, time.Since(startedAt))
+						t.Errorf("%d of %d ready within a tenth of the deadline, want 9 of 10; the last after %v",
+							ready, c.gatewayCount, time.Since(startedAt))
 					}
 				})
 			})
@@ -72,7 +73,8 @@
 }
 
 // startGateways runs n gateways that connect to discovery over in-memory pipes. stop ends all of them and waits.
-func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (all []*Gateway, stop func()) {
+func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (
+	all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	pipes := standin.NewPipeListener()
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -12,7 +12,7 @@
 // connections in the accept queue for backlogAcceptPeriod after it. Open connections are served until their last answer,
 // and are closed within connectionCloseTimeout after the deadline for answers.
 const (
-	acceptPeriod           = 500 * time.Millisecond // clients may not know of the shutdown yet
+	acceptPeriod           = 500 * time.Millisecond // for new connections: clients may not know of the shutdown yet
 	backlogAcceptPeriod    = 50 * time.Millisecond  // after acceptPeriod, for connections in the accept queue
 	sigkillDelay           = 700 * time.Millisecond // SIGKILL follows SIGTERM after this and the longest deadline
 	maxSigkillDeadline     = 3 * time.Second        // upper bound of that deadline
