--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -57,7 +57,7 @@
 	case policy.Fail:
 		g.fail(action)
 	case policy.SetTimer:
-		g.scheduleAfter(action.After, func() { g.enqueue(policy.TimerFired{}) })
+		g.scheduleAfter(action.Delay, func() { g.enqueue(policy.TimerFired{}) })
 	case policy.IncrementCounter:
 		g.incrementCounter(action)
 	case policy.CheckHealth:
@@ -67,7 +67,7 @@
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the gateway watches at all times and replies with its current list
 		g.enqueue(g.endpointList())
 	case policy.Log:
-		g.log.Info(action.Text)
+		g.log.Info(action.Message)
 	default:
 		g.log.Warn("unsupported policy action", "action", fmt.Sprintf("%T", action))
 	}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -99,7 +99,7 @@
 }
 
 // Abandoned implements upstream.Command.
-func (a *attempt) Abandoned() bool { return a.request.ClientGone() }
+func (a *attempt) Abandoned() bool { return a.request.ClientDisconnected() }
 
 // Ended implements upstream.Command. It reports the outcome to the policy; the first attempt that succeeds answers the client.
 func (a *attempt) Ended(result upstream.Result) {
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -25,7 +25,7 @@
 		Clock:          g.sharedTime,
 		Stalls:         g.stalls,
 		Log:            g.log,
-		LogLimit:       g.observe.logLimiter,
+		LogLimiter:     g.observe.logLimiter,
 		Counters:       g.observe.clients,
 		Handler:        clientEvents{g},
 		Observer:       clientEvents{g},
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -43,7 +43,7 @@
 	KnownEndpoints             discovery.EndpointList
 	Subset                     *subset.Subset // subset with which KnownEndpoints was decoded; nil selects the widest subset
 	Settings                   policy.Settings
-	Connections                wire.Connections
+	Connections                wire.ConnectionSettings
 }
 
 // validate returns an error if the configuration is invalid.
@@ -51,7 +51,7 @@
 	if cfg.Sockets < minSockets {
 		return fmt.Errorf("%d %w: %d at least", cfg.Sockets, ErrTooFewSockets, minSockets)
 	}
-	if cfg.Settings.SharedCounter && cfg.Counter == "" {
+	if cfg.Settings.HasSharedCounter && cfg.Counter == "" {
 		return ErrNoCounterAddress
 	}
 	return cmp.Or(checkAddress("listen", cfg.Listen), checkAddress("discovery", cfg.Discovery),
@@ -74,13 +74,13 @@
 	if cfg.Connections.ConnectTimeout <= 0 {
 		cfg.Connections.ConnectTimeout = defaultConnectTimeout
 	}
-	if cfg.Connections.MaxOpen <= 0 {
-		cfg.Connections.MaxOpen = defaultMaxOpenRequests
+	if cfg.Connections.MaxOpenRequests <= 0 {
+		cfg.Connections.MaxOpenRequests = defaultMaxOpenRequests
 	}
-	if cfg.Connections.Idle <= 0 {
-		cfg.Connections.Idle = defaultIdleTimeout
+	if cfg.Connections.IdleTimeout <= 0 {
+		cfg.Connections.IdleTimeout = defaultIdleTimeout
 	}
-	if cfg.Settings.SharedCounter && cfg.Settings.CounterTimeout <= 0 {
+	if cfg.Settings.HasSharedCounter && cfg.Settings.CounterTimeout <= 0 {
 		cfg.Settings.CounterTimeout = defaultCounterTimeout
 	}
 	if cfg.Memory <= 0 {
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -14,7 +14,7 @@
 	if !list.Snapshot && len(list.Entries) == 0 { // the changes concern only endpoints outside this gateway's subset
 		return
 	}
-	event := policy.EndpointsChanged{Snapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
+	event := policy.EndpointsChanged{IsSnapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
 	updates := make([]upstream.EndpointUpdate, 0, len(list.Entries))
 	for _, entry := range list.Entries {
 		endpoint := entry.PolicyEndpoint()
@@ -29,11 +29,11 @@
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.sharedTime(time.Now())
 	g.cfg.KnownEndpoints.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnown(g.cfg.KnownEndpoints)})
+	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownEndpoints)})
 	g.cfg.KnownEndpoints.Entries = nil // release the memory: the pool now holds the list
 }
 
 // endpointList returns the current endpoint list as an event for the policy.
 func (g *Gateway) endpointList() policy.EndpointsChanged {
-	return policy.EndpointsChanged{Snapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
+	return policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: g.gatewaysPerEndpoint, Endpoints: g.pool.Endpoints()}
 }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -82,7 +82,7 @@
 		maxUnits:       cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 		maxAttempts:    max(cfg.Settings.MaxAttempts, 1),
 		rejectionReply: busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
-		requests:       newRequestTable(cfg.Connections.MaxOpen, cfg.memoryShare()),
+		requests:       newRequestTable(cfg.Connections.MaxOpenRequests, cfg.memoryShare()),
 		ready:          make(chan struct{}),
 	}
 	for _, class := range cfg.Settings.Classes {
@@ -107,7 +107,7 @@
 		Go:             g.spawn,
 		MaxConnections: g.cfg.maxUpstreamConnections(),
 		ConnectTimeout: g.cfg.Connections.ConnectTimeout,
-		IdleTimeout:    g.cfg.Connections.Idle,
+		IdleTimeout:    g.cfg.Connections.IdleTimeout,
 		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryShare()),
 	})
 }
@@ -121,11 +121,11 @@
 // discoveryConfig returns the configuration of the discovery client.
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
-		Address:  g.cfg.Discovery,
-		Known:    g.cfg.KnownEndpoints,
-		Subset:   g.cfg.Subset,
-		Settings: g.cfg.Settings,
-		Random:   rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+		Address:   g.cfg.Discovery,
+		KnownList: g.cfg.KnownEndpoints,
+		Subset:    g.cfg.Subset,
+		Settings:  g.cfg.Settings,
+		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
 	}
 }
 
@@ -143,8 +143,8 @@
 // UpdateAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
 // call takes effect. Client connections, endpoint connections and the policy's state are unchanged.
 func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
-	g.discovery.Move(discoveryAddress)
-	g.counter.Move(counterAddress)
+	g.discovery.ChangeAddress(discoveryAddress)
+	g.counter.SetAddress(counterAddress)
 }
 
 // Run serves until ctx is cancelled. It then answers the admitted requests and returns.
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -56,7 +56,7 @@
 
 // checkAnswerTime counts and logs a final answer that is given after the client's deadline.
 func (g *Gateway) checkAnswerTime(r *request) {
-	dueAt := max(r.GiveUpAt, g.startOnSharedClock+g.stalls.LastEnd()) // a stalled process cannot answer
+	dueAt := max(r.GiveUpAt, g.startOnSharedClock+g.stalls.LastStallEnd()) // a stalled process cannot answer
 	if g.now > dueAt+maxAnswerDelay {
 		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" after the deadline")
 	}
@@ -87,7 +87,7 @@
 	switch {
 	case r.finished:
 		return errRequestFinished
-	case r.ClientGone():
+	case r.ClientDisconnected():
 		return errClientDisconnected
 	case a.deadline <= g.now:
 		return errNoTimeLeft
@@ -108,7 +108,7 @@
 			continue
 		}
 		switch {
-		case !earlier.ended && !g.cfg.Settings.Hedging:
+		case !earlier.ended && !g.cfg.Settings.HedgingEnabled:
 			return errParallelAttempt
 		case class.Idempotency == policy.Idempotent:
 		case class.Idempotency == policy.NonIdempotent:
@@ -158,7 +158,7 @@
 		return
 	}
 	now := g.sharedTime(time.Now())
-	if disconnectedAt := r.ClientGoneAt(); disconnectedAt != 0 && now-disconnectedAt > maxSendDelayAfterDisconnect {
+	if disconnectedAt := r.ClientDisconnectedAt(); disconnectedAt != 0 && now-disconnectedAt > maxSendDelayAfterDisconnect {
 		g.observe.reportViolation(invariantClientConnected, r.Request, now,
 			"the client disconnected "+(now-disconnectedAt).String()+" earlier")
 	}
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -30,7 +30,7 @@
 	attemptOutcomes *telemetry.Counters[policy.Outcome]
 	stalls          atomic.Int64 // number of stalls of the process
 	violations      *telemetry.Counters[invariant]
-	logLimiter      *telemetry.Limiter // of warnings and errors on single requests, and of stall warnings
+	logLimiter      *telemetry.LogLimiter // of warnings and errors on single requests, and of stall warnings
 }
 
 func newObserver(log *slog.Logger) *observer {
@@ -42,7 +42,7 @@
 		requests: newRequestCounters(), clients: listener.NewCounters(),
 		violations:      newViolations(),
 		attemptOutcomes: telemetry.NewCounters[policy.Outcome](outcomes...),
-		logLimiter:      telemetry.NewLimiter(maxLogRecordsPerPeriod, logLimitPeriod)}
+		logLimiter:      telemetry.NewLogLimiter(maxLogRecordsPerPeriod, logLimitPeriod)}
 }
 
 // logCountersPeriodically logs the counters every countersInterval until ctx is cancelled. It skips intervals without a change.
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -63,7 +63,7 @@
 
 // admit passes a request to the policy, or rejects it if there is no capacity or its external ID is in use.
 func (g *Gateway) admit(r *listener.Request) {
-	if r.ClientGone() {
+	if r.ClientDisconnected() {
 		return
 	}
 	if !g.requests.hasCapacity(r.Size) || g.shutdownDeadlinePassed() {
@@ -73,7 +73,7 @@
 	}
 	if g.requests.externalIDsInUse[r.ExternalID] { // only the first request with an ID is served
 		g.observe.requests.Add(requestsDuplicate)
-		r.RespondDuplicate()
+		r.RejectDuplicate()
 		return
 	}
 	admitted := g.requests.add(r)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -97,14 +97,14 @@
 		}
 		if frame != nil {
 			reply := parseReply(frame)
-			reply.reusable = reply.reusable && !buffer.Partial()
+			reply.reusable = reply.reusable && !buffer.HasPartialFrame()
 			post(ReplyReceived{c, c.lastWrittenAttempt(), reply})
 			if !reply.reusable {
 				return
 			}
 			continue
 		}
-		deadlineSet = c.updateReplyDeadline(deadlineSet, buffer.Partial())
+		deadlineSet = c.updateReplyDeadline(deadlineSet, buffer.HasPartialFrame())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -7,94 +7,100 @@
 )
 
 const (
-	// overfillTolerance is the share of the burst that a bucket may seem to hold in excess before its total
-	// is corrected.
+	// overfillTolerance is the excess of the computed level over the burst, as a share of the burst, above
+	// which the total on the counter is corrected.
 	overfillTolerance = 0.5
-	// negligibleTokens is the rounding error of the counter's totals, which have seven digits, in units.
-	negligibleTokens = 1e-6
+	// totalRoundingError is the rounding error of the counter's totals, which have seven digits, in units.
+	totalRoundingError = 1e-6
 )
 
-// centralBucket is what this gateway knows of a central token bucket.
+// centralBucket is this gateway's state of a customer's central token bucket.
 type centralBucket struct {
-	window         time.Duration // length of the windows of its name on the counter
-	initialCredit  float64       // units that the local bucket gets when it is used first
-	reserved       float64       // units claimed ahead, for a client's retry
-	reservedFrom   time.Duration // the reservation has been refilled by then
-	exhaustedUntil time.Duration // the bucket holds too little until then
+	windowLength       time.Duration // length of the windows in its names on the counter
+	initialTokens      float64       // units added to the local bucket at its first use
+	reservedTokens     float64       // units claimed in advance for a client's retry
+	reservationReadyAt time.Duration // time by which the reserved units are refilled
+	exhaustedUntil     time.Duration // time until which the bucket holds too few tokens
 }
 
-// initCentralBucket prepares a customer with a central bucket. Its local bucket starts with a random part of
-// the largest request, so that from the start all gateways together admit their shares.
+// initCentralBucket initializes the central bucket of a new customer. The local bucket starts with a random
+// fraction of the largest request, so that the gateways together admit requests at the customer's rate from
+// the start.
 func (m *Manager) initCentralBucket(c *customer) {
-	c.lease.counterSilent = true
-	c.unreported = 0
-	c.bucket.window = counterWindowLength
+	c.lease.counterUnresponsive = true
+	c.unreportedUnits = 0
+	c.bucket.windowLength = counterWindowLength
 	if c.hasCeiling() {
-		c.bucket.window = seconds(c.plan.Burst / c.plan.Rate)
+		c.bucket.windowLength = seconds(c.plan.Burst / c.plan.Rate)
 	}
-	c.bucket.initialCredit = m.rng.Float64() * max(1, m.config.MaxUnits)
-	if !m.config.SharedCounter {
-		// Nothing else is granted at once: up to two of the smallest requests, with the first lease.
-		c.bucket.initialCredit = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
+	c.bucket.initialTokens = m.rng.Float64() * max(1, m.config.MaxUnits)
+	if !m.config.HasSharedCounter {
+		// Without a counter nothing else is granted at the start: the local bucket, including the first
+		// lease, starts with up to two units or the largest request.
+		c.bucket.initialTokens = max(0, m.rng.Float64()*max(2, m.config.MaxUnits)-c.lease.tokens)
 	}
 }
 
-// admitByBucket decides on a new request of a customer with a central bucket, or claims its units there.
-func (m *Manager) admitByBucket(charge *Charge) Decision {
+// admitByCentralBucket decides on a new request of a customer with a central bucket, or calls the counter
+// to claim its units.
+func (m *Manager) admitByCentralBucket(charge *Charge) Decision {
 	c, now := charge.customer, m.host.Now()
 	switch {
-	case c.bucket.reserved >= charge.units && now >= c.bucket.reservedFrom:
-		c.bucket.reserved -= charge.units
+	case c.bucket.reservedTokens >= charge.units && now >= c.bucket.reservationReadyAt:
+		c.bucket.reservedTokens -= charge.units
 		charge.claimCharged = true
 		return m.resolve(charge, true)
 	case now < c.bucket.exhaustedUntil:
 		return m.resolve(charge, false)
-	case c.hasCeiling() && m.throttle.counterIsHealthy(), m.shouldCallForTokens(charge):
+	case c.hasCeiling() && m.throttle.counterIsHealthy(), m.shouldClaimTokens(charge):
 		m.claimTokens(charge)
 		return pending
 	}
 	return m.resolve(charge, m.chargeLocalBucket(charge))
 }
 
-// chargeLocalBucket decides without the counter: by the share of such requests that it has granted, and by
-// the local bucket.
+// chargeLocalBucket decides on a request without the counter: by the share of similar requests that the
+// counter has granted, and by the local bucket. It reports whether the local bucket was charged.
 func (m *Manager) chargeLocalBucket(charge *Charge) bool {
 	c := charge.customer
-	c.lease.tokens += c.bucket.initialCredit
-	c.bucket.initialCredit = 0
-	hasEstimate := (m.config.SharedCounter || charge.isRetry) && !c.hasCeiling()
-	if hasEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
+	c.lease.tokens += c.bucket.initialTokens
+	c.bucket.initialTokens = 0
+	usesGrantEstimate := (m.config.HasSharedCounter || charge.isRetry) && !c.hasCeiling()
+	if usesGrantEstimate && !worthAdmitting(charge, *charge.plan.bucketGrants.grantProbability(charge)) {
 		return false
 	}
 	return m.chargeLease(charge)
 }
 
-// claimTokens calls the counter for the units of a request, and reports what is unreported.
+// claimTokens calls the counter to claim the units of a request. Except for a customer with a ceiling, the
+// call also adds the unreported units.
 func (m *Manager) claimTokens(charge *Charge) {
 	c := charge.customer
 	call := pendingCall{charge: charge, claim: charge.units}
 	if !c.hasCeiling() {
-		call.adjustment = c.unreported
-		c.unreported = 0
+		call.adjustment = c.unreportedUnits
+		c.unreportedUnits = 0
 	}
-	m.callBucket(c, call)
+	m.callCounterForBucket(c, call)
 }
 
-// callBucket calls the counter by the name of the customer's bucket in the present window.
-func (m *Manager) callBucket(c *customer, call pendingCall) {
-	c.counterWindow = c.windowAt(m.host.Now(), c.bucket.window)
+// callCounterForBucket calls the counter with the name of the customer's central bucket in the current
+// window.
+func (m *Manager) callCounterForBucket(c *customer, call pendingCall) {
+	c.usageWindow = c.windowAt(m.host.Now(), c.bucket.windowLength)
 	call.name = c.bucketName()
-	m.call(c, call, c.bucket.window)
+	m.callCounter(c, call, c.bucket.windowLength)
 }
 
-// reportUsage calls the counter with the units used, settled or refunded since the last call.
+// reportUsage calls the counter to add the unreported units: those used, settled or refunded since the last
+// call.
 func (m *Manager) reportUsage(c *customer) {
-	adjustment := c.unreported
-	c.unreported = 0
-	m.callBucket(c, pendingCall{adjustment: adjustment})
+	adjustment := c.unreportedUnits
+	c.unreportedUnits = 0
+	m.callCounterForBucket(c, pendingCall{adjustment: adjustment})
 }
 
-// handleBucketReply takes the reply to a call by the name of a central bucket.
+// handleBucketReply handles the reply to a call for a central bucket.
 func (m *Manager) handleBucketReply(c *customer, call pendingCall, reply Reply) Decision {
 	c.restoreAdjustment(call, reply.Outcome)
 	if call.charge != nil {
@@ -106,19 +112,19 @@
 	return pending
 }
 
-// restoreAdjustment keeps the units of a failed call for the next one, as far as they are known not to be in
-// the total.
+// restoreAdjustment updates the unreported units after a failed call. If the call was not executed, its
+// adjustment is added by the next call.
 func (c *customer) restoreAdjustment(call pendingCall, outcome model.Outcome) {
 	switch {
 	case outcome.NotExecuted():
-		c.unreported += call.adjustment
+		c.unreportedUnits += call.adjustment
 	case outcome != model.Succeeded && !c.hasCeiling():
-		// The claim was added, in all likelihood, but the request is now decided locally.
-		c.unreported -= call.claim
+		// The claim was probably added to the total, but the request is now decided locally.
+		c.unreportedUnits -= call.claim
 	}
 }
 
-// handleClaimReply decides on a request by the reply to the claim of its units.
+// handleClaimReply decides on a request from the reply to the claim of its units.
 func (m *Manager) handleClaimReply(call pendingCall, reply Reply) Decision {
 	charge := call.charge
 	c := charge.customer
@@ -139,9 +145,9 @@
 	return m.resolve(charge, charge.claimCharged)
 }
 
-// grantWithinCeiling reports whether a claim of a customer with a ceiling is granted: a window grants one
-// burst, and at most half of the ceiling's, since the end of one window and the start of the next may come
-// together.
+// grantWithinCeiling reports whether a claim of a customer with a ceiling is granted. A window grants at
+// most one burst, and at most half of the ceiling's burst, since the grants at the end of one window and at
+// the start of the next may be close in time.
 func (m *Manager) grantWithinCeiling(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
@@ -152,14 +158,14 @@
 	case granted:
 		c.lease.tokens = max(0, c.lease.tokens-charge.units)
 	case call.name == c.bucketName() && total > limit+charge.units:
-		windowEnd := time.Duration(c.counterWindow+1)*c.bucket.window - c.windowOffset
+		windowEnd := time.Duration(c.usageWindow+1)*c.bucket.windowLength - c.windowOffset
 		c.bucket.exhaustedUntil = windowEnd
 	}
 	return granted
 }
 
-// bucketCovers reports whether the bucket held the units of a claim, and corrects its total on the counter
-// where it is wrong or the claim is not kept as a reservation.
+// bucketCovers reports whether the bucket held the units of a claim. It corrects the total on the counter
+// if the total is wrong or if a claim that was not covered is not kept as a reservation.
 func (m *Manager) bucketCovers(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
@@ -169,27 +175,27 @@
 	if !covered {
 		missing := charge.units - c.lease.estimatedTokens
 		c.bucket.exhaustedUntil = m.host.Now() + seconds(missing/c.plan.Rate)
-		if !m.keepReservation(c, call) {
+		if !m.reserveClaim(c, call) {
 			correction -= call.claim
 		}
 	}
 	if correction != 0 {
-		corrective := pendingCall{name: call.name, adjustment: correction, correctedTotal: total}
-		m.call(c, corrective, c.bucket.window)
+		correctionCall := pendingCall{name: call.name, adjustment: correction, totalBeforeCorrection: total}
+		m.callCounter(c, correctionCall, c.bucket.windowLength)
 	}
 	return covered
 }
 
-// levelBeforeClaim returns the level of the bucket before a claim, by the total that the claim has returned,
-// and what has to be added to that total: where the window has just begun or the bucket has overflowed, the
-// total is below the usage that stands for a full bucket.
+// levelBeforeClaim returns the level of the bucket before a claim, computed from the total that the claim
+// returned, and the correction to add to that total. The usage of a full bucket equals the units refilled
+// since the window began; the total is lower if the window has just begun or the bucket has overflowed.
 func (m *Manager) levelBeforeClaim(call pendingCall, total float64) (level, correction float64) {
 	c := call.charge.customer
-	window := c.windowAt(call.sentAt, c.bucket.window)
+	window := c.windowAt(call.sentAt, c.bucket.windowLength)
 	refilled := m.refilledTokens(c, window)
 	usedBefore := total - call.claim
-	if usedBefore-call.adjustment < negligibleTokens {
-		// It is the first claim of the window, or the counter has lost its numbers.
+	if usedBefore-call.adjustment < totalRoundingError {
+		// This is the first claim of the window, or the counter has lost its data.
 		m.readPreviousWindow(c, window)
 		return c.plan.Burst, refilled
 	}
@@ -200,7 +206,8 @@
 	return level, 0
 }
 
-// refilledTokens returns the units that the rate has refilled since a window of a central bucket began.
+// refilledTokens returns the units refilled by the rate since a window of a central bucket began.
 func (m *Manager) refilledTokens(c *customer, window int64) float64 {
-	return c.plan.Rate * (m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.window).Seconds()
+	return c.plan.Rate *
+		(m.host.Now() + c.windowOffset - time.Duration(window)*c.bucket.windowLength).Seconds()
 }
