--- a/internal/listener/state_test.go
+++ b/internal/listener/state_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// Every event in every state leads where the table of connState says, and nowhere else.
+// Every event in every state leads to the state in the table of connState.
 func TestConnectionStateFollowsTheTable(t *testing.T) {
 	states := []connState{stateNew, stateActive, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded}
 	for event, want := range map[connEvent][]connState{
-		commandTaken: {stateActive, stateActive, stateActive, stateDraining, stateConfirming, stateFaulted, stateEnded},
-		allAnswered:  {stateNew, stateIdle, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded},
+		commandAccepted: {stateActive, stateActive, stateActive, stateDraining, stateConfirming, stateFaulted, stateEnded},
+		allAnswered:     {stateNew, stateIdle, stateIdle, stateDraining, stateConfirming, stateFaulted, stateEnded},
 		closeRequested: {stateDraining, stateDraining, stateDraining, stateDraining, stateConfirming, stateFaulted,
 			stateEnded},
 		endProposed: {stateNew, stateActive, stateIdle, stateConfirming, stateConfirming, stateFaulted, stateEnded},
@@ -18,7 +18,7 @@
 	} {
 		for i, from := range states {
 			if got := from.next(event); got != want[i] {
-				t.Errorf("event %d in state %d leads to %d, want %d", event, from, got, want[i])
+				t.Errorf("event %d in state %d: got state %d, want %d", event, from, got, want[i])
 			}
 		}
 	}
