--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -13,27 +13,26 @@
 	"lemontack/internal/standin"
 )
 
-// readyDeadline is the time within which nine in ten restarted processes have to be ready.
+// readyDeadline is the time within which nine of ten restarted processes must be ready.
 const readyDeadline = 10 * time.Second
 
-// longList is a list of n endpoints.
+// longList returns a list of n endpoints.
 func longList(n int) discovery.EndpointList {
-	f := discovery.EndpointList{Revision: 1, Snapshot: true}
+	list := discovery.EndpointList{Revision: 1, Snapshot: true}
 	for i := range n {
-		f.Entries = append(f.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
 	}
-	return f
+	return list
 }
 
-// Gateways that all restart at one moment are ready on their known lists, whatever discovery does: 300 of them on a simulated
-// clock, with a discovery service that is up, slow, silent or down, by watch and by poll, with lists of any length. The
-// processor time of a long list is not measured.
+// Gateways that restart at the same time are ready with their known lists, whether discovery is up, slow, silent or down.
+// The test uses a simulated clock, so the processor time for a long list is not measured.
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		state    standin.State
-		perCall  time.Duration // time of a call at discovery, which handles them one by one
-		n, known int
+		name                         string
+		state                        standin.State
+		callDuration                 time.Duration // duration of a call; discovery handles calls one at a time
+		gatewayCount, knownEndpoints int
 	}{
 		{"up", standin.Up, 0, 300, 200},
 		{"slow", standin.Up, 100 * time.Millisecond, 300, 200},
@@ -48,23 +47,24 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					cfg := standin.DiscoveryConfig{}
-					if c.perCall > 0 {
-						cfg.CallsPerSecond = float64(time.Second / c.perCall)
+					if c.callDuration > 0 {
+						cfg.CallsPerSecond = float64(time.Second / c.callDuration)
 					}
 					service := standin.NewDiscovery(cfg)
 					service.SetState(c.state)
-					began := time.Now()
-					gateways, stop := startGateways(t, c.n, poll, longList(c.known), service)
+					startedAt := time.Now()
+					gateways, stop := startGateways(t, c.gatewayCount, poll, longList(c.knownEndpoints), service)
 					defer stop()
 					ready := 0
 					for _, g := range gateways {
 						<-g.Ready()
-						if time.Since(began) <= readyDeadline/10 {
+						if time.Since(startedAt) <= readyDeadline/10 {
 							ready++
 						}
 					}
-					if ready < c.n*9/10 {
-						t.Errorf("%d of %d ready within a tenth of the deadline, the last after %v", ready, c.n, time.Since(began))
+					if ready < c.gatewayCount*9/10 {
+						t.Errorf("%d of %d ready within a tenth of the deadline, want 9 of 10; the last after %v",
+							ready, c.gatewayCount, time.Since(startedAt))
 					}
 				})
 			})
@@ -72,8 +72,9 @@
 	}
 }
 
-// startGateways runs n gateways that reach discovery over pipes in memory; stop ends them all and waits.
-func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (all []*Gateway, stop func()) {
+// startGateways runs n gateways that connect to discovery over in-memory pipes. stop ends all of them and waits.
+func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (
+	all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	pipes := standin.NewPipeListener()
@@ -87,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.listen = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
+		g.openListener = func() (net.Listener, error) { return standin.NewPipeListener(), nil }
 		config := g.discoveryConfig()
 		config.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return pipes.Dial(ctx) }
 		g.discovery = g.newDiscoveryClient(config)
--- a/internal/ingress/requestlog.go
+++ b/internal/ingress/requestlog.go
@@ -8,64 +8,64 @@
 	"lemontack/internal/telemetry"
 )
 
-// requestCount numbers the counters of what became of clients' requests.
-type requestCount int
+// requestCounter identifies a counter of requests: those read, and their results.
+type requestCounter int
 
 const (
-	requestsRead      requestCount = iota // whole and well formed
-	requestsExpired                       // had no time left when they were read
-	requestsRejected                      // by the network code: no capacity, shutdown, a connection that is closing
-	requestsDuplicate                     // their id was taken
+	requestsRead      requestCounter = iota // complete and well formed
+	requestsExpired                         // deadline passed before admission
+	requestsRejected                        // by the network code: no capacity, shutdown, or a connection that is closing
+	requestsDuplicate                       // external ID already in use
 	requestsRejectedByPolicy
 	requestsFailed // by the policy
 	requestsServed
-	requestsOverdue   // left unanswered by the policy until their deadline
-	requestsAbandoned // their client left before the answer
+	requestsOverdue   // not answered by the policy until their deadline
+	requestsAbandoned // client disconnected before the answer
 	requestsLate      // answered after the client's deadline
 )
 
-func newRequestCounters() *telemetry.Counters[requestCount] {
-	return telemetry.NewCounters[requestCount]("read", "expired", "rejected", "duplicate_id", "rejected_by_policy", "failed",
+func newRequestCounters() *telemetry.Counters[requestCounter] {
+	return telemetry.NewCounters[requestCounter]("read", "expired", "rejected", "duplicate_id", "rejected_by_policy", "failed",
 		"served", "overdue", "abandoned", "late")
 }
 
-// requestRejected counts and traces a request that the network code rejects.
+// requestRejected counts and logs a request that the network code rejects.
 func (o *observer) requestRejected(r *listener.Request, reason string) {
 	o.requests.Add(requestsRejected)
-	if o.tracing {
+	if o.debugEnabled {
 		o.log.Debug("request rejected", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "reason", reason)
 	}
 }
 
-// requestEnded counts and traces the end of a request.
-func (o *observer) requestEnded(r *request, result requestCount) {
+// requestEnded counts and logs the end of a request.
+func (o *observer) requestEnded(r *request, result requestCounter) {
 	o.requests.Add(result)
-	if o.tracing {
-		o.log.Debug("request ends", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "result", o.requests.Name(result),
-			"attempts", r.attempts)
+	if o.debugEnabled {
+		o.log.Debug("request ended", "request_id", r.ExternalIDString(), "client", r.RemoteAddr(), "result",
+			o.requests.Name(result), "attempts", r.attempts)
 	}
 }
 
-// attemptStarted traces the start of an attempt.
+// attemptStarted logs the start of an attempt.
 func (o *observer) attemptStarted(a *attempt) {
-	if o.tracing {
-		o.log.Debug("attempt starts", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
+	if o.debugEnabled {
+		o.log.Debug("attempt started", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"time_left", a.deadline-a.startedAt)
 	}
 }
 
-// attemptEnded counts and traces the end of an attempt.
+// attemptEnded counts and logs the end of an attempt.
 func (o *observer) attemptEnded(a *attempt, latency time.Duration) {
-	o.outcomes.Add(a.outcome)
-	if o.tracing {
-		o.log.Debug("attempt ends", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
+	o.attemptOutcomes.Add(a.outcome)
+	if o.debugEnabled {
+		o.log.Debug("attempt ended", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
 			"outcome", a.outcome, "latency", latency)
 	}
 }
 
-// anomaly logs what is known of a request with which something went wrong.
-func (o *observer) anomaly(r *request, text string, now time.Duration) {
-	ok, suppressed := o.anomalies.Allow(time.Now())
+// logRequestWarning logs a warning with the details of a request. logLimiter limits the rate.
+func (o *observer) logRequestWarning(r *request, message string, now time.Duration) {
+	ok, suppressed := o.logLimiter.Allow(time.Now())
 	if !ok {
 		return
 	}
@@ -73,10 +73,10 @@
 	if suppressed > 0 {
 		attrs = append(attrs, "suppressed", suppressed)
 	}
-	o.log.Warn(text, attrs...)
+	o.log.Warn(message, attrs...)
 }
 
-// String describes an attempt for the log.
+// String returns the endpoint, the start relative to the time the request was read, and the state of an attempt, for the log.
 func (a *attempt) String() string {
 	state := "open"
 	switch {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -15,47 +15,49 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// replyTimeout is for the rest of a reply that has begun: one that never ends would hold its attempt to the deadline.
-	replyTimeout = 200 * time.Millisecond
+	// replyReadTimeout limits the time from the first byte of a reply to its last. Without it a reply that is never
+	// completed would keep its attempt open until the deadline.
+	replyReadTimeout = 200 * time.Millisecond
 )
 
-// connection is one connection to an endpoint. Its goroutine run owns the socket's reading side.
+// connection is one connection to an endpoint. The goroutine that executes run reads from the socket, and one started by
+// run writes.
 type connection struct {
 	endpoint    *Endpoint
 	address     string
 	replyMemory *resp.MemoryBudget
-	assignments chan assignment // room for one, which is enough: the pool gives one attempt at a time
-	readEnded   chan struct{}   // closed when nothing is read any more
+	assignments chan assignment // capacity 1: the pool assigns one attempt at a time
+	readerDone  chan struct{}   // closed when reading has ended
 
 	// Set before the Connected event is posted.
 	netConn net.Conn
-	rawConn syscall.RawConn // nil where the socket has none
+	rawConn syscall.RawConn // nil if the connection is not a TCP connection
 
-	// writing is held from before a command's first byte until written tells of its last one, so that a reply is matched
-	// with the command that it answers.
-	writing sync.Mutex
-	written atomic.Pointer[Attempt] // the last attempt whose last byte was written: it may have been executed
+	// writeMu is held from before a command's first byte is written until writtenAttempt is set, so that a reply is matched with
+	// the command that it answers.
+	writeMu        sync.Mutex
+	writtenAttempt atomic.Pointer[Attempt] // latest completely written attempt, which may have been executed
 
-	// The rest belongs to the pool's goroutine.
-	current   *Attempt
-	idleSince time.Duration
-	down      bool
+	// The fields below are used only on the pool's goroutine.
+	currentAttempt *Attempt
+	idleSince      time.Duration
+	disconnected   bool
 }
 
-// assignment is an attempt that the pool gives to a connection.
+// assignment is an attempt that the pool assigns to a connection.
 type assignment struct {
 	attempt *Attempt
 	EncodedCommand
 }
 
-// newConnection returns a connection that run opens.
+// newConnection returns a connection that is not open; run dials it.
 func newConnection(endpoint *Endpoint, replyMemory *resp.MemoryBudget) *connection {
 	return &connection{endpoint: endpoint, address: endpoint.address, replyMemory: replyMemory,
-		assignments: make(chan assignment, 1), readEnded: make(chan struct{})}
+		assignments: make(chan assignment, 1), readerDone: make(chan struct{})}
 }
 
-// run dials, then reads replies until the connection or ctx ends; it posts Disconnected last. The writing goroutine is its
-// own: run waits for it, and the end of reading ends it.
+// run dials, then reads replies until the connection ends or ctx is cancelled. Its last event is Disconnected. It starts the
+// writing goroutine, stops it by closing readerDone, and waits for it.
 func (c *connection) run(ctx context.Context, timeout time.Duration, post func(Event)) {
 	dialer := net.Dialer{Timeout: timeout}
 	netConn, err := dialer.DialContext(ctx, "tcp", c.address)
@@ -67,27 +69,27 @@
 	if tcp, ok := netConn.(*net.TCPConn); ok {
 		c.rawConn, _ = tcp.SyscallConn()
 	}
-	stop := context.AfterFunc(ctx, func() { netConn.Close() })
-	defer stop()
-	writeEnded := make(chan struct{})
+	stopCloseOnCancel := context.AfterFunc(ctx, func() { netConn.Close() })
+	defer stopCloseOnCancel()
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(writeEnded)
+		defer close(writerDone)
 		c.write()
 	}()
 	post(Connected{c})
 	c.read(post)
 	netConn.Close()
-	close(c.readEnded)
-	<-writeEnded
+	close(c.readerDone)
+	<-writerDone
 	post(Disconnected{connection: c, wasConnected: true})
 }
 
-// read posts replies until the connection ends or is of no further use: bytes behind a reply may be a second copy of it, which
-// must never be taken for the reply to the next command.
+// read posts replies until the connection ends or must not be reused. A connection with further bytes after a reply is not
+// reused, because they may be a duplicate that would be taken for the reply to the next command.
 func (c *connection) read(post func(Event)) {
 	buffer := resp.FrameBuffer{Budget: c.replyMemory}
 	defer buffer.Close()
-	limited := false
+	deadlineSet := false
 	for {
 		frame, err := buffer.Next()
 		if err != nil {
@@ -96,13 +98,13 @@
 		if frame != nil {
 			reply := parseReply(frame)
 			reply.reusable = reply.reusable && !buffer.HasPartialFrame()
-			post(ReplyReceived{c, c.lastWritten(), reply})
+			post(ReplyReceived{c, c.lastWrittenAttempt(), reply})
 			if !reply.reusable {
 				return
 			}
 			continue
 		}
-		limited = c.limitReply(limited, buffer.HasPartialFrame())
+		deadlineSet = c.updateReplyDeadline(deadlineSet, buffer.HasPartialFrame())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
@@ -111,27 +113,28 @@
 	}
 }
 
-// limitReply gives a reply that has begun replyTimeout for its end, counted from its first bytes. It reports whether the limit
-// is in force.
-func (c *connection) limitReply(limited, partial bool) bool {
+// updateReplyDeadline sets a read deadline of replyReadTimeout when a partial reply has been read, and clears it when none is
+// pending. It reports whether the deadline is set.
+func (c *connection) updateReplyDeadline(deadlineSet, replyPartial bool) bool {
 	switch {
-	case partial && !limited:
-		c.netConn.SetReadDeadline(time.Now().Add(replyTimeout))
-	case limited && !partial:
+	case replyPartial && !deadlineSet:
+		c.netConn.SetReadDeadline(time.Now().Add(replyReadTimeout))
+	case deadlineSet && !replyPartial:
 		c.netConn.SetReadDeadline(time.Time{})
 	}
-	return partial
+	return replyPartial
 }
 
-// lastWritten returns the last attempt that was written to its last byte, once a write that is under way has ended.
-func (c *connection) lastWritten() *Attempt {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return c.written.Load()
+// lastWrittenAttempt returns the latest completely written attempt. It waits for a write in progress.
+func (c *connection) lastWrittenAttempt() *Attempt {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return c.writtenAttempt.Load()
 }
 
-// isQuiet reports whether the connection is open and nothing has come on it that was not read.
-func (c *connection) isQuiet() bool {
+// isOpenWithoutUnreadData reports whether the connection is open and has no unread data. It returns true if the connection
+// gives no access to its socket.
+func (c *connection) isOpenWithoutUnreadData() bool {
 	if c.rawConn == nil {
 		return true
 	}
@@ -143,17 +146,17 @@
 	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// write writes the attempts that it is given until reading has ended or a write fails.
+// write writes the assigned attempts until reading has ended, a write fails, or an attempt has been abandoned.
 func (c *connection) write() {
 	for {
 		select {
-		case <-c.readEnded:
+		case <-c.readerDone:
 			return
-		case next := <-c.assignments:
-			if !next.attempt.claimed.CompareAndSwap(false, true) {
-				continue // the pool has taken it back
+		case assigned := <-c.assignments:
+			if !assigned.attempt.writeClaimed.CompareAndSwap(false, true) {
+				continue // the pool has cancelled the attempt
 			}
-			if !c.writeAttempt(next) {
+			if !c.writeAttempt(assigned) {
 				c.netConn.Close()
 				return
 			}
@@ -161,19 +164,19 @@
 	}
 }
 
-// writeAttempt writes one attempt and reports whether the connection may carry another.
-func (c *connection) writeAttempt(next assignment) bool {
-	// The command may have been abandoned since it was assigned. What has not begun was never executed.
-	if next.attempt.command.Abandoned() {
+// writeAttempt writes one attempt and reports whether the connection can be used for another.
+func (c *connection) writeAttempt(assigned assignment) bool {
+	// The command may have been abandoned since its assignment. Without a written byte it is certain not to be executed.
+	if assigned.attempt.command.Abandoned() {
 		return false
 	}
-	next.attempt.command.BeforeWrite(next.TimeLimit)
+	assigned.attempt.command.BeforeWrite(assigned.TimeLimit)
 	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	n, err := c.netConn.Write(next.Frame)
-	if n == len(next.Frame) {
-		c.written.Store(next.attempt)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	n, err := c.netConn.Write(assigned.Frame)
+	if n == len(assigned.Frame) {
+		c.writtenAttempt.Store(assigned.attempt)
 	}
 	return err == nil
 }
