--- a/internal/ingress/healthcheck.go
+++ b/internal/ingress/healthcheck.go
@@ -12,21 +12,21 @@
 // healthCheckTimeout limits a health check, which has no request whose deadline could end it.
 const healthCheckTimeout = 250 * time.Millisecond
 
-// healthCheck is the upstream.Command that asks an endpoint for its load.
+// healthCheck is the upstream.Command that requests an endpoint's load report.
 type healthCheck struct {
 	gateway   *Gateway
 	endpoint  policy.EndpointID
 	startedAt time.Duration
 }
 
-// checkHealth carries out the policy's CheckHealth action.
+// checkHealth executes the policy's CheckHealth action.
 func (g *Gateway) checkHealth(id policy.EndpointID) {
 	endpoint := g.pool.Endpoint(id)
 	if endpoint == nil {
 		return
 	}
 	check := upstream.NewAttempt(endpoint, &healthCheck{gateway: g, endpoint: id, startedAt: g.now})
-	g.after(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
+	g.scheduleAfter(healthCheckTimeout, func() { g.pool.Abort(check, policy.TimedOut) })
 	g.pool.Start(check)
 }
 
@@ -41,15 +41,15 @@
 	return upstream.EncodedCommand{Frame: frame}
 }
 
-// Abandoned implements upstream.Command: a health check has no client.
+// Abandoned implements upstream.Command. A health check has no client that could disconnect.
 func (*healthCheck) Abandoned() bool { return false }
 
 // BeforeWrite implements upstream.Command.
 func (*healthCheck) BeforeWrite(time.Duration) {}
 
 // Ended implements upstream.Command.
-func (check *healthCheck) Ended(reply upstream.Result) {
+func (check *healthCheck) Ended(result upstream.Result) {
 	g := check.gateway
-	g.tell(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: reply.Outcome, Latency: g.now - check.startedAt,
-		LoadReport: reply.LoadReport})
+	g.enqueue(policy.HealthCheckEnded{Endpoint: check.endpoint, Outcome: result.Outcome, Latency: g.now - check.startedAt,
+		LoadReport: result.LoadReport})
 }
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -26,7 +26,8 @@
 	commands int // guarded by mu
 }
 
-// startEndpoint starts an endpoint that writes what reply returns for the n-th command; "" and a nil reply are silence.
+// startEndpoint starts an endpoint that writes the result of reply for the n-th command. It sends no reply if the result is "" or
+// reply is nil.
 func startEndpoint(t *testing.T, reply func(n int) string) *testEndpoint {
 	t.Helper()
 	e := &testEndpoint{}
@@ -48,14 +49,14 @@
 	return e
 }
 
-// received returns the number of commands that have come by now.
+// received returns the number of commands received so far.
 func (e *testEndpoint) received() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.commands
 }
 
-// testLoop is an event loop that the test steps, on a simulated clock.
+// testLoop is an event loop with a simulated clock. The test advances it and takes the events from its channel.
 type testLoop struct {
 	now    time.Duration
 	timers []testTimer
@@ -63,21 +64,21 @@
 }
 
 type testTimer struct {
-	at time.Duration
-	do func()
+	dueAt    time.Duration
+	callback func()
 }
 
-// advance moves the clock on and calls what is due, in the order of time.
+// advance advances the clock and calls the timers that are due, in order of time.
 func (loop *testLoop) advance(d time.Duration) {
 	loop.now += d
 	for {
-		slices.SortStableFunc(loop.timers, func(a, b testTimer) int { return int(a.at - b.at) })
-		if len(loop.timers) == 0 || loop.timers[0].at > loop.now {
+		slices.SortStableFunc(loop.timers, func(a, b testTimer) int { return int(a.dueAt - b.dueAt) })
+		if len(loop.timers) == 0 || loop.timers[0].dueAt > loop.now {
 			return
 		}
 		next := loop.timers[0]
 		loop.timers = loop.timers[1:]
-		next.do()
+		next.callback()
 	}
 }
 
@@ -87,8 +88,8 @@
 	testConnectTimeout = 5 * time.Second
 )
 
-// newTestPool returns a pool with endpoints s0, s1 and so on at these addresses. change adapts its configuration.
-func newTestPool(t *testing.T, change func(*Config), addresses ...string) (*Pool, *testLoop) {
+// newTestPool returns a pool with endpoints s0, s1 and so on at the given addresses. adapt may change its configuration.
+func newTestPool(t *testing.T, adapt func(*Config), addresses ...string) (*Pool, *testLoop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -108,8 +109,8 @@
 		ConnectTimeout: testConnectTimeout,
 		IdleTimeout:    testIdleTimeout,
 	}
-	if change != nil {
-		change(&config)
+	if adapt != nil {
+		adapt(&config)
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -121,7 +122,7 @@
 	return pool, loop
 }
 
-// endpointUpdates are serving endpoints s0, s1 and so on.
+// endpointUpdates returns updates for serving endpoints s0, s1 and so on at the given addresses.
 func endpointUpdates(addresses ...string) []EndpointUpdate {
 	var updates []EndpointUpdate
 	for i, address := range addresses {
@@ -131,14 +132,14 @@
 	return updates
 }
 
-// testCommand is a command that records the ends of its attempt.
+// testCommand is a Command that records the results of its attempt.
 type testCommand struct {
-	denied    bool // it may not start
-	abandoned bool
-	ends      []Result
+	mayNotStart bool // result of MayStart, inverted
+	abandoned   bool
+	results     []Result
 }
 
-func (c *testCommand) MayStart() bool { return !c.denied }
+func (c *testCommand) MayStart() bool { return !c.mayNotStart }
 
 func (*testCommand) Encode() EncodedCommand {
 	return EncodedCommand{Frame: []byte("*1\r\n$4\r\nPING\r\n")}
@@ -148,9 +149,9 @@
 
 func (*testCommand) BeforeWrite(time.Duration) {}
 
-func (c *testCommand) Ended(reply Result) { c.ends = append(c.ends, reply) }
+func (c *testCommand) Ended(result Result) { c.results = append(c.results, result) }
 
-// newTestAttempt returns an attempt that has not started, and its command.
+// newTestAttempt returns an attempt that has not started, with its command.
 func newTestAttempt(pool *Pool, id policy.EndpointID) (*Attempt, *testCommand) {
 	command := &testCommand{}
 	return NewAttempt(pool.Endpoint(id), command), command
