--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -53,7 +53,7 @@
 	go service.Serve(ln) // ended by Close
 	t.Cleanup(func() { service.Close() })
 	cfg := testConfig(ln.Addr().String(), discovery.EndpointList{})
-	cfg.Settings.Index, cfg.Settings.GatewayCount = 4711, 6400
+	cfg.Settings.GatewayIndex, cfg.Settings.GatewayCount = 4711, 6400
 	for i := range cfg.Settings.Classes { // the time to decode the list is not checked
 		cfg.Settings.Classes[i].LatencyObjective = time.Hour
 		cfg.Settings.Classes[i].Deadline = time.Hour
