--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -31,7 +31,7 @@
 func newCache(gatewaySubset *subset.Subset, settings policy.Settings, log *slog.Logger) *Cache {
 	if gatewaySubset == nil {
 		gatewaySubset = subset.New(subset.Config{
-			Index:          settings.Index,
+			Index:          settings.GatewayIndex,
 			GatewayCount:   settings.GatewayCount,
 			Zone:           settings.Zone,
 			CrossZonePrice: settings.CrossZonePrice,
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -64,13 +64,13 @@
 // Every gateway caches the whole of a short list, so all gateways share each endpoint.
 func TestShortListIsCachedWhole(t *testing.T) {
 	for _, settings := range []policy.Settings{oneOfManyGateways(), {GatewayCount: 1},
-		{Index: 299, GatewayCount: 300, Zone: "z0"}} {
+		{GatewayIndex: 299, GatewayCount: 300, Zone: "z0"}} {
 		cache := NewCache(settings, discardLog)
 		_, list, err := cache.decode(json.NewDecoder(streamSnapshot(targetCacheSize)), func() {})
 		list = cache.applyDecoded(list)
 		if err != nil || len(list.Entries) != targetCacheSize || list.GatewaysPerEndpoint != float64(settings.GatewayCount) {
 			t.Errorf("gateway %d of %d: got %d entries, %v gateways per endpoint, error %v; want %d entries, all gateways",
-				settings.Index, settings.GatewayCount, len(list.Entries), list.GatewaysPerEndpoint, err, targetCacheSize)
+				settings.GatewayIndex, settings.GatewayCount, len(list.Entries), list.GatewaysPerEndpoint, err, targetCacheSize)
 		}
 	}
 }
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -24,7 +24,7 @@
 
 // oneOfManyGateways returns the settings of one gateway of a large fleet.
 func oneOfManyGateways() policy.Settings {
-	return policy.Settings{Index: 4711, GatewayCount: 6400, Zone: "z3"}
+	return policy.Settings{GatewayIndex: 4711, GatewayCount: 6400, Zone: "z3"}
 }
 
 // singleGateway returns the settings of the only gateway of a fleet, to which an agent pushes the lists.
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -12,7 +12,7 @@
 	"lemontack/policy"
 )
 
-// The policy is notified of the end of each call once: an answer after the timeout is dropped.
+// The policy receives one result of each counter call. A reply after the timeout is discarded.
 func TestCounterCallIsReportedOnce(t *testing.T) {
 	g, err := New(testConfig("", discovery.EndpointList{}), discardLog)
 	if err != nil {
@@ -21,12 +21,13 @@
 	call := &counterclient.Call{}
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.TimedOut})
 	g.endCounterCall(counterclient.Result{Call: call, Outcome: policy.Succeeded, Total: 7})
-	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
-		t.Fatalf("policy events %v, want the timeout only", g.queue)
+	if len(g.pendingEvents) != 1 || g.pendingEvents[0].(policy.CounterReply).Outcome != policy.TimedOut {
+		t.Fatalf("policy events %v, want the timeout only", g.pendingEvents)
 	}
 }
 
-// A call to a silent counter times out; one that was never written is known to have added nothing.
+// A call to a counter that does not reply times out. A call that was never written ends as ConnectFailed, because it added
+// nothing.
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		written bool
@@ -39,7 +40,7 @@
 				in := bufio.NewReader(conn)
 				line, _ := in.ReadString('\n')
 				lines <- line
-				in.ReadString('\n') // silent until it is closed
+				in.ReadString('\n') // sends no reply until the connection is closed
 			})
 			g.counter = counterclient.New(address, time.Minute, func(r counterclient.Result) { g.post(counterCallEnded{r}) })
 			if c.written {
@@ -50,11 +51,11 @@
 				<-lines
 			}
 			g.now += g.cfg.Settings.CounterTimeout
-			for do := g.timers.popDue(g.now); do != nil && len(g.queue) == 0; do = g.timers.popDue(g.now) {
+			for do := g.timers.popDue(g.now); do != nil && len(g.pendingEvents) == 0; do = g.timers.popDue(g.now) {
 				do()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
-				t.Fatalf("policy events %v, want outcome %v", g.queue, c.want)
+			if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
+				t.Fatalf("policy events %v, want outcome %v", g.pendingEvents, c.want)
 			}
 		})
 	}
--- a/internal/ingress/violationlog_test.go
+++ b/internal/ingress/violationlog_test.go
@@ -10,20 +10,20 @@
 	"lemontack/internal/listener"
 )
 
-// The fault soak finds violated invariants by this text in the logs of ingresses (internal/soak/processlog.go).
-func TestViolationIsLoggedInTheFormThatTheSoakLooksFor(t *testing.T) {
+// The fault soak matches this text in the logs of ingresses to find violated invariants (internal/soak/processlog.go).
+func TestViolationLogMatchesSoakPatterns(t *testing.T) {
 	var log bytes.Buffer
 	o := newObserver(slog.New(slog.NewTextHandler(&log, nil)))
-	for which, want := range map[invariant]string{
+	for violated, want := range map[invariant]string{
 		invariantAnswerInTime:    "invariant=in_time ",
 		invariantClientConnected: "invariant=client_left ",
-		invariantDrain:           "invariant=drain ",
-		invariantDeadline:        "invariant=deadline ",
+		invariantEndpointServing: "invariant=drain ",
+		invariantTimeLimit:       "invariant=deadline ",
 	} {
 		log.Reset()
-		o.violated(which, &listener.Request{}, time.Second, "a reason")
+		o.reportViolation(violated, &listener.Request{}, time.Second, "a reason")
 		if got := log.String(); !strings.Contains(got, `msg="invariant violated" `+want) {
-			t.Errorf("logged %q, want it with %q", got, want)
+			t.Errorf("logged %q, want it to contain %q", got, want)
 		}
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -106,7 +106,7 @@
 
 func (o *settingsObject) settings() *policy.Settings {
 	settings := &policy.Settings{
-		Index:                   o.GatewayIndex,
+		GatewayIndex:            o.GatewayIndex,
 		GatewayCount:            o.GatewayCount,
 		Zone:                    o.Zone,
 		PollEndpoints:           o.RegistryMode == "subscribe",
