--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -7,96 +7,96 @@
 	"strings"
 )
 
-// Errors of objects that are no list.
+// Errors of objects that are not an endpoint list.
 var (
 	errUnexpectedToken = errors.New("unexpected JSON token")
-	errEntriesNoArray  = errors.New("targets are not an array")
+	errEntriesNotArray = errors.New("targets is not an array")
 )
 
-// header is what an object of discovery says besides its entries.
-type header struct {
+// listHeader holds the members of a list or change other than its entries.
+type listHeader struct {
 	Revision   *int64
 	Snapshot   bool
-	hasEntries bool // it has an array of entries, which may be empty
+	hasEntries bool // the object has an array of entries, possibly empty
 }
 
-// isComplete reports whether the object is a list: it has a revision and entries.
-func (h header) isComplete() bool { return h.Revision != nil && h.hasEntries }
+// isComplete reports whether the object has both a revision and an array of entries.
+func (h listHeader) isComplete() bool { return h.Revision != nil && h.hasEntries }
 
-// entryHandlers are called while a list is decoded.
+// entryHandlers holds the functions that decodeList calls for each entry.
 type entryHandlers struct {
-	before func()      // each entry
-	take   func(Entry) // each entry, decoded
+	beforeEntry func()      // called before each entry
+	onEntry     func(Entry) // called with each decoded entry
 }
 
-// decodeList decodes one list or change as a stream, so that its length costs no memory. It calls the handlers for every
-// entry in the order of the object, also where the header stands behind the entries. An error may come after some entries.
-func decodeList(objects *json.Decoder, handlers entryHandlers) (header, error) {
-	var h header
-	if err := expectDelimiter(objects, '{'); err != nil {
-		return h, err
+// decodeList decodes one list or change as a stream, so that memory does not grow with its length. It calls the handlers for
+// each entry in order, even if the header follows the entries. Handlers may have been called before it returns an error.
+func decodeList(decoder *json.Decoder, handlers entryHandlers) (listHeader, error) {
+	var header listHeader
+	if err := expectDelimiter(decoder, '{'); err != nil {
+		return header, err
 	}
-	for objects.More() {
-		if err := h.decodeMember(objects, handlers); err != nil {
-			return h, fmt.Errorf("decoding an endpoint list: %w", err)
+	for decoder.More() {
+		if err := header.decodeMember(decoder, handlers); err != nil {
+			return header, fmt.Errorf("decoding an endpoint list: %w", err)
 		}
 	}
-	if _, err := objects.Token(); err != nil {
-		return h, fmt.Errorf("decoding an endpoint list: %w", err)
+	if _, err := decoder.Token(); err != nil {
+		return header, fmt.Errorf("decoding an endpoint list: %w", err)
 	}
-	return h, nil
+	return header, nil
 }
 
 // decodeMember decodes one key of the object and its value. Unknown keys are ignored.
-func (h *header) decodeMember(objects *json.Decoder, handlers entryHandlers) error {
-	token, err := objects.Token()
+func (h *listHeader) decodeMember(decoder *json.Decoder, handlers entryHandlers) error {
+	token, err := decoder.Token()
 	if err != nil {
 		return err
 	}
 	key, _ := token.(string)
 	switch {
 	case strings.EqualFold(key, "rev"):
-		return objects.Decode(&h.Revision)
+		return decoder.Decode(&h.Revision)
 	case strings.EqualFold(key, "all"):
-		return objects.Decode(&h.Snapshot)
+		return decoder.Decode(&h.Snapshot)
 	case strings.EqualFold(key, "targets"):
-		h.hasEntries, err = decodeEntries(objects, handlers)
+		h.hasEntries, err = decodeEntries(decoder, handlers)
 		return err
 	}
-	return objects.Decode(new(json.RawMessage))
+	return decoder.Decode(new(json.RawMessage))
 }
 
-// expectDelimiter reads the beginning of an object or array.
-func expectDelimiter(objects *json.Decoder, want json.Delim) error {
-	got, err := objects.Token()
+// expectDelimiter reads a token that has to be the given delimiter.
+func expectDelimiter(decoder *json.Decoder, want json.Delim) error {
+	got, err := decoder.Token()
 	if err != nil {
 		return fmt.Errorf("decoding an endpoint list: %w", err)
 	}
 	if got != want {
-		return fmt.Errorf("decoding an endpoint list: %w: %v in place of %v", errUnexpectedToken, got, want)
+		return fmt.Errorf("decoding an endpoint list: %w: got %v, want %v", errUnexpectedToken, got, want)
 	}
 	return nil
 }
 
-// decodeEntries decodes the entries of a list. It reports whether there is an array of them; null is none.
-func decodeEntries(objects *json.Decoder, handlers entryHandlers) (isArray bool, err error) {
-	begin, err := objects.Token()
+// decodeEntries decodes the entries of a list, and reports whether the value is an array. The value null is not an error.
+func decodeEntries(decoder *json.Decoder, handlers entryHandlers) (isArray bool, err error) {
+	start, err := decoder.Token()
 	switch {
 	case err != nil:
 		return false, err
-	case begin == nil: // null
+	case start == nil: // null
 		return false, nil
-	case begin != json.Delim('['):
-		return false, errEntriesNoArray
+	case start != json.Delim('['):
+		return false, errEntriesNotArray
 	}
-	for objects.More() {
-		handlers.before()
+	for decoder.More() {
+		handlers.beforeEntry()
 		var entry Entry
-		if err := objects.Decode(&entry); err != nil {
+		if err := decoder.Decode(&entry); err != nil {
 			return false, err
 		}
-		handlers.take(entry)
+		handlers.onEntry(entry)
 	}
-	_, err = objects.Token()
+	_, err = decoder.Token()
 	return err == nil, err
 }
