--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -15,12 +15,12 @@
 type Mode int
 
 const (
-	// Pass forwards everything.
-	Pass Mode = iota
+	// Forwarding forwards everything.
+	Forwarding Mode = iota
 	// Silent accepts connections and forwards nothing, as if the machine behind it had vanished.
 	Silent
-	// Refuse resets the connections that are open, and those that come.
-	Refuse
+	// Refusing resets the connections that are open, and those that come.
+	Refusing
 )
 
 const (
@@ -84,7 +84,7 @@
 		if mode == Silent {
 			c.silenced = true
 		}
-		if mode == Refuse || mode == Pass && c.silenced {
+		if mode == Refusing || mode == Forwarding && c.silenced {
 			c.reset()
 		}
 	}
@@ -114,7 +114,7 @@
 	p.closed = true
 	p.mu.Unlock()
 	p.listener.Close()
-	p.SetMode(Refuse)
+	p.SetMode(Refusing)
 	p.ResetConnections()
 	p.tasks.Wait()
 }
@@ -174,14 +174,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.upstream = upstream
-	return err == nil && !p.closed && p.mode != Refuse
+	return err == nil && !p.closed && p.mode != Refusing
 }
 
 // add returns false, and resets the connection, where the proxy refuses connections.
 func (p *Proxy) add(c *proxiedConnection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.mode == Refuse {
+	if p.closed || p.mode == Refusing {
 		c.reset()
 		return false
 	}
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -63,7 +63,7 @@
 	wantEcho(t, nc)
 	p.SetMode(Silent)
 	io.WriteString(nc, "lost\n")
-	p.SetMode(Pass)
+	p.SetMode(Forwarding)
 	wantReset(t, nc)
 	again, err := net.Dial("tcp", p.Addr())
 	if err != nil {
@@ -80,7 +80,7 @@
 		t.Fatalf("%d connections cut", n)
 	}
 	wantReset(t, nc)
-	p.SetMode(Refuse)
+	p.SetMode(Refusing)
 	refused, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		return
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -28,7 +28,7 @@
 func (fi *faultInjector) faults() []fault {
 	return []fault{
 		{"backend silent", fi.proxyMode(faults.Silent)},
-		{"backend down", fi.proxyMode(faults.Refuse)},
+		{"backend down", fi.proxyMode(faults.Refusing)},
 		{"backend connections reset", fi.resetConnections},
 		{"backend slow to reach", fi.delayBackend},
 		{"backend hangs", fi.backendMode(modeHanging)},
@@ -67,7 +67,7 @@
 // setProxyMode puts a proxy into a mode for a while.
 func (fi *faultInjector) setProxyMode(ctx context.Context, segment, i int, duration time.Duration, mode faults.Mode) {
 	fi.delayProxy(ctx, segment, i, duration,
-		func(p *faults.Proxy) { p.SetMode(mode) }, func(p *faults.Proxy) { p.SetMode(faults.Pass) })
+		func(p *faults.Proxy) { p.SetMode(mode) }, func(p *faults.Proxy) { p.SetMode(faults.Forwarding) })
 }
 
 func (fi *faultInjector) proxyMode(mode faults.Mode) func(context.Context, *rand.Rand, time.Duration) {
