--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestProxyForwardsAlsoWhenThrottled(t *testing.T) {
+func TestProxyForwardsDataAndEndOfStreamAlsoWhenThrottled(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetThrottle(time.Millisecond, 1)
@@ -58,19 +58,19 @@
 }
 
 // What was silent is of no use when the network is back; new connections are.
-func TestSilencedConnectionIsResetAndNewOnesWork(t *testing.T) {
+func TestSilencedConnectionIsResetWhenForwardingResumes(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetMode(Silent)
 	io.WriteString(nc, "lost\n")
 	p.SetMode(Forwarding)
 	wantReset(t, nc)
-	again, err := net.Dial("tcp", p.Addr())
+	reconnected, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	wantEcho(t, again)
+	defer reconnected.Close()
+	wantEcho(t, reconnected)
 }
 
 func TestProxyResetsConnectionsAndRefusesNewOnes(t *testing.T) {
--- a/internal/loopback/reservation_test.go
+++ b/internal/loopback/reservation_test.go
@@ -27,7 +27,7 @@
 	conn.Close()
 }
 
-func TestReservationsAreOfDifferentPorts(t *testing.T) {
+func TestReservationsHaveDifferentPorts(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		reservation, err := Reserve()
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -24,19 +24,19 @@
 func Serve(t testing.TB, handle func(net.Conn)) (address string) {
 	t.Helper()
 	listener := Listen(t)
-	var serving sync.WaitGroup
+	var goroutines sync.WaitGroup
 	var mu sync.Mutex // guards open
-	var open []net.Conn
-	serving.Go(func() {
+	var conns []net.Conn
+	goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			open = append(open, conn)
+			conns = append(conns, conn)
 			mu.Unlock()
-			serving.Go(func() {
+			goroutines.Go(func() {
 				defer conn.Close()
 				handle(conn)
 			})
@@ -45,11 +45,11 @@
 	t.Cleanup(func() {
 		listener.Close()
 		mu.Lock()
-		for _, conn := range open {
+		for _, conn := range conns {
 			conn.Close()
 		}
 		mu.Unlock()
-		serving.Wait()
+		goroutines.Wait()
 	})
 	return listener.Addr().String()
 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -23,41 +23,41 @@
 	modeFailing                    // it replies with errors, resets connections, corrupts replies
 )
 
-// reaction is what a backend does with one command.
-type reaction int
+// backendAction is what a backend does with one command.
+type backendAction int
 
 const (
-	reactServe           reaction = iota
-	reactReject                   // as not executed
-	reactError                    // reply with an error
-	reactReset                    // reset the connection, after the work
-	reactCorruptReply             // reply with bytes that are no reply
-	reactDuplicateReply           // send the same reply twice
-	reactIncompleteReply          // begin a reply and never end it
-	reactNoReply
+	actionServe           backendAction = iota
+	actionReject                        // as not executed
+	actionError                         // reply with an error
+	actionReset                         // reset the connection, after the work
+	actionCorruptReply                  // reply with bytes that are no reply
+	actionDuplicateReply                // send the same reply twice
+	actionIncompleteReply               // begin a reply and never end it
+	actionNoReply
 )
 
-// reactions of a backend that serves: each happens if the uniform draw is below its limit and not below the one before.
-var reactions = []struct {
-	limit    float64
-	reaction reaction
+// servingActions of a backend that serves: each happens if the uniform draw is below its limit and not below the one before.
+var servingActions = []struct {
+	cumulativeShare float64
+	action          backendAction
 }{
-	{0.03, reactReject}, {0.05, reactError}, {0.07, reactReset}, {0.08, reactCorruptReply}, {0.09, reactDuplicateReply},
-	{0.1, reactIncompleteReply}, {0.12, reactNoReply}, {1, reactServe},
+	{0.03, actionReject}, {0.05, actionError}, {0.07, actionReset}, {0.08, actionCorruptReply}, {0.09, actionDuplicateReply},
+	{0.1, actionIncompleteReply}, {0.12, actionNoReply}, {1, actionServe},
 }
 
 const (
-	maxWork             = 60 * time.Millisecond // of one command
-	failingScale        = 0.3                   // of the draw of a failing backend: four commands in ten go wrong
+	maxWorkTime         = 60 * time.Millisecond // of one command
+	failingDrawScale    = 0.3                   // of the draw of a failing backend: four commands in ten go wrong
 	drainingRejectShare = 0.8                   // of commands that a draining backend rejects; it executes the others, for the checks
 )
 
 // backend serves commands and reports them to the checker.
 type backend struct {
-	checker *checker
-	index   int
-	ln      net.Listener
-	serving sync.WaitGroup // the goroutines that accept and serve connections; close ends them
+	checker    *checker
+	index      int
+	ln         net.Listener
+	goroutines sync.WaitGroup // the goroutines that accept and serve connections; close ends them
 
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	b := &backend{checker: c, index: index, ln: ln, rng: rng, conns: map[net.Conn]struct{}{}}
-	b.serving.Go(b.accept) // close ends it and waits for it
+	b.goroutines.Go(b.acceptConns) // close ends it and waits for it
 	return b, nil
 }
 
@@ -88,7 +88,7 @@
 		nc.Close()
 	}
 	b.mu.Unlock()
-	b.serving.Wait()
+	b.goroutines.Wait()
 }
 
 // setDraining makes the backend reject new commands, or serve them again.
@@ -107,25 +107,25 @@
 	b.mode = m
 }
 
-func (b *backend) accept() {
+func (b *backend) acceptConns() {
 	for {
 		nc, err := b.ln.Accept()
 		if err != nil {
 			return
 		}
-		if !b.add(nc) {
+		if !b.addConn(nc) {
 			nc.Close()
 			return
 		}
-		b.serving.Go(func() { // close closes the connection, which ends it, and waits for it
-			defer b.remove(nc)
-			b.handle(nc)
+		b.goroutines.Go(func() { // close closes the connection, which ends it, and waits for it
+			defer b.removeConn(nc)
+			b.serveConn(nc)
 		})
 	}
 }
 
-// add reports whether a new connection is served, which it is not after close.
-func (b *backend) add(nc net.Conn) bool {
+// addConn reports whether a new connection is served, which it is not after close.
+func (b *backend) addConn(nc net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -135,7 +135,7 @@
 	return true
 }
 
-func (b *backend) remove(nc net.Conn) {
+func (b *backend) removeConn(nc net.Conn) {
 	b.mu.Lock()
 	delete(b.conns, nc)
 	b.mu.Unlock()
@@ -157,7 +157,7 @@
 	return n, err
 }
 
-func (b *backend) handle(nc net.Conn) {
+func (b *backend) serveConn(nc net.Conn) {
 	conn := &firstByteConn{Conn: nc}
 	for in := redcon.NewReader(bufio.NewReader(conn)); ; {
 		cmd, err := in.ReadCommand()
@@ -179,62 +179,62 @@
 	}
 	id, err := strconv.ParseUint(string(args[2]), 16, 64)
 	if err != nil {
-		b.checker.violations.report(WrongReply, noIngress, "a command with the id %q at backend %d", args[2], b.index)
+		b.checker.violations.record(WrongReply, noIngress, "a command with the id %q at backend %d", args[2], b.index)
 		return false
 	}
-	what, work, drainingSince := b.react()
-	if what != reactReject {
-		a := attempt{firstByteAt, timeLeftOf(string(args[3])), b.checker.disruptions.undelayed(b.index)}
-		b.checker.attempted(id, a, drainingSince, b.index)
+	action, workTime, drainingSince := b.drawAction()
+	if action != actionReject {
+		received := attempt{firstByteAt, timeLeftOf(string(args[3])), b.checker.disruptions.isUndelayed(b.index)}
+		b.checker.recordAttempt(id, received, drainingSince, b.index)
 	}
-	return carryOut(nc, what, id, work)
+	return perform(nc, action, id, workTime)
 }
 
-// react draws what happens to a command and how long it takes.
-func (b *backend) react() (what reaction, work time.Duration, drainingSince time.Time) {
+// drawAction draws what happens to a command and how long it takes.
+func (b *backend) drawAction() (action backendAction, workTime time.Duration, drainingSince time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	work = time.Duration(b.rng.Int64N(int64(maxWork)))
+	workTime = time.Duration(b.rng.Int64N(int64(maxWorkTime)))
 	draw := b.rng.Float64()
 	switch {
 	case !b.drainingSince.IsZero() && draw < drainingRejectShare:
-		return reactReject, 0, b.drainingSince
+		return actionReject, 0, b.drainingSince
 	case b.mode == modeHanging:
-		return reactNoReply, 0, b.drainingSince
+		return actionNoReply, 0, b.drainingSince
 	case b.mode == modeFailing:
-		draw *= failingScale
+		draw *= failingDrawScale
 	}
-	for _, r := range reactions {
-		if draw < r.limit {
-			return r.reaction, work, b.drainingSince
+	for _, a := range servingActions {
+		if draw < a.cumulativeShare {
+			return a.action, workTime, b.drainingSince
 		}
 	}
-	return reactServe, work, b.drainingSince
+	return actionServe, workTime, b.drainingSince
 }
 
-// carryOut does what was drawn; it reports whether the connection stays open.
-func carryOut(nc net.Conn, what reaction, id uint64, work time.Duration) bool {
+// perform does what was drawn; it reports whether the connection stays open.
+func perform(nc net.Conn, action backendAction, id uint64, workTime time.Duration) bool {
 	value := valueOf(id)
 	reply := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
-	switch what {
-	case reactReject:
+	switch action {
+	case actionReject:
 		reply = "-BUSY\r\n"
-	case reactError:
+	case actionError:
 		reply = "-ERR failed\r\n"
-	case reactReset:
-		time.Sleep(work)
+	case actionReset:
+		time.Sleep(workTime)
 		nc.(*net.TCPConn).SetLinger(0)
 		return false
-	case reactCorruptReply:
+	case actionCorruptReply:
 		reply = "\x00\xffnoise\r\n"
-	case reactDuplicateReply:
+	case actionDuplicateReply:
 		reply += reply
-	case reactIncompleteReply:
+	case actionIncompleteReply:
 		reply = reply[:len(reply)/2]
-	case reactNoReply:
+	case actionNoReply:
 		return true
 	}
-	time.Sleep(work)
+	time.Sleep(workTime)
 	_, err := io.WriteString(nc, reply)
 	return err == nil
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -10,7 +10,7 @@
 	maxDeadlineExtension   = 150 * time.Millisecond // of the time left that a backend is told, over what the client has
 	maxStall               = 150 * time.Millisecond // for which the protocol lets a machine not run an ingress
 	measurementError       = 50 * time.Millisecond  // that the protocol grants to what is measured on sockets
-	maxCrossing            = 250 * time.Millisecond // for which a request may be under way when its connection is closed
+	closeRaceWindow        = 250 * time.Millisecond // for which a request may be under way when its connection is closed
 )
 
 // checker checks what is observed against the rules of the protocol. It is safe for concurrent use.
@@ -27,41 +27,41 @@
 		stalls: newStallDetector(), disruptions: &disruptions{}}
 }
 
-// replied records a request's final reply and checks what it says.
-func (c *checker) replied(r *request, prevReplyAt time.Time, kind ReplyKind, text string) {
-	at := c.history.replied(r, prevReplyAt, kind)
+// recordReply records a request's final reply and checks what it says.
+func (c *checker) recordReply(r *request, prevReplyAt time.Time, kind ReplyKind, text string) {
+	at := c.history.recordReply(r, prevReplyAt, kind)
 	switch {
 	case kind == ReplyInvalid:
-		c.violations.add(WrongReply, r.ingress, r.id, at, "%q", text)
+		c.violations.recordForRequest(WrongReply, r.ingress, r.id, at, "%q", text)
 	case kind == ReplyValue && text != valueOf(r.id):
-		c.violations.add(WrongReply, r.ingress, r.id, at, "the value is %q", text)
+		c.violations.recordForRequest(WrongReply, r.ingress, r.id, at, "the value is %q", text)
 	}
 }
 
-// attempted records an attempt at a backend and checks whether it was allowed to begin then. drainingSince is when the
+// recordAttempt records an attempt at a backend and checks whether it was allowed to begin then. drainingSince is when the
 // backend began to drain; zero: it does not.
-func (c *checker) attempted(id uint64, a attempt, drainingSince time.Time, backend int) {
-	r, ok := c.history.attempted(id, a)
+func (c *checker) recordAttempt(id uint64, a attempt, drainingSince time.Time, backend int) {
+	r, ok := c.history.recordAttempt(id, a)
 	if !ok {
-		c.violations.add(WrongReply, noIngress, id, a.startedAt, "a request that no client sent is at backend %d", backend)
+		c.violations.recordForRequest(WrongReply, noIngress, id, a.startedAt, "a request that no client sent is at backend %d", backend)
 		return
 	}
 	if !c.checkTiming || !a.undelayed {
 		return
 	}
-	slack := maxStall + measurementError + c.stalls.slack(r.ingress, a.startedAt.Add(-delaySettleTime), time.Now())
-	if !r.disconnected.IsZero() && a.startedAt.Sub(r.disconnected) > maxSendAfterDisconnect+slack {
-		c.violations.add(SentAfterDisconnect, r.ingress, id, a.startedAt, "%v after", a.startedAt.Sub(r.disconnected))
+	tolerance := maxStall + measurementError + c.stalls.pausedTime(r.ingress, a.startedAt.Add(-delaySettleTime), time.Now())
+	if !r.disconnectedAt.IsZero() && a.startedAt.Sub(r.disconnectedAt) > maxSendAfterDisconnect+tolerance {
+		c.violations.recordForRequest(SentAfterDisconnect, r.ingress, id, a.startedAt, "%v after", a.startedAt.Sub(r.disconnectedAt))
 	}
 	timeLeft := r.timeout - a.startedAt.Sub(r.sentAt)
-	if excess := a.timeLeft - timeLeft; excess > maxDeadlineExtension+slack {
-		c.violations.add(DeadlineExtended, r.ingress, id, a.startedAt, "told %v, which is %v too much", a.timeLeft, excess)
+	if excess := a.timeLeft - timeLeft; excess > maxDeadlineExtension+tolerance {
+		c.violations.recordForRequest(DeadlineExtended, r.ingress, id, a.startedAt, "told %v, which is %v too much", a.timeLeft, excess)
 	}
 	if drainingSince.IsZero() {
 		return
 	}
-	if delay := a.startedAt.Sub(c.disruptions.notifiedAt(r.ingress, drainingSince)); delay > maxSendAfterDrain+slack {
-		c.violations.add(SentToDraining, r.ingress, id, a.startedAt, "%v after the notification, backend %d", delay, backend)
+	if delay := a.startedAt.Sub(c.disruptions.notificationDeadline(r.ingress, drainingSince)); delay > maxSendAfterDrain+tolerance {
+		c.violations.recordForRequest(SentToDraining, r.ingress, id, a.startedAt, "%v after the notification, backend %d", delay, backend)
 	}
 }
 
@@ -78,16 +78,16 @@
 	switch {
 	case !r.repliedAt.IsZero():
 		c.checkReplyTime(r)
-	case !r.disconnected.IsZero(), r.excuse != "":
+	case !r.disconnectedAt.IsZero(), r.exemption != "":
 	case !r.closedAt.IsZero() && len(r.attempts) > 0:
-		c.violations.add(NoReply, r.ingress, r.id, r.closedAt, "forwarded, and its connection was closed without a reply")
+		c.violations.recordForRequest(NoReply, r.ingress, r.id, r.closedAt, "forwarded, and its connection was closed without a reply")
 	case !r.closedAt.IsZero():
 		age := r.closedAt.Sub(r.sentAt)
-		if c.checkTiming && age > maxCrossing+c.stalls.slack(r.ingress, r.sentAt, r.closedAt) {
-			c.violations.add(NoReply, r.ingress, r.id, r.closedAt, "its connection was closed without a reply %v after it was sent", age)
+		if c.checkTiming && age > closeRaceWindow+c.stalls.pausedTime(r.ingress, r.sentAt, r.closedAt) {
+			c.violations.recordForRequest(NoReply, r.ingress, r.id, r.closedAt, "its connection was closed without a reply %v after it was sent", age)
 		}
 	default:
-		c.violations.add(NoReply, r.ingress, r.id, r.sentAt, "sent with a timeout of %v, never answered", r.timeout)
+		c.violations.recordForRequest(NoReply, r.ingress, r.id, r.sentAt, "sent with a timeout of %v, never answered", r.timeout)
 	}
 }
 
@@ -97,8 +97,8 @@
 		due = r.prevReplyAt
 	}
 	delay := r.repliedAt.Sub(due)
-	if c.checkTiming && delay > maxReplyDelay+measurementError+c.stalls.slack(r.ingress, r.sentAt, r.repliedAt) {
-		c.violations.add(LateReply, r.ingress, r.id, r.repliedAt, "%v after its timeout of %v", delay, r.timeout)
+	if c.checkTiming && delay > maxReplyDelay+measurementError+c.stalls.pausedTime(r.ingress, r.sentAt, r.repliedAt) {
+		c.violations.recordForRequest(LateReply, r.ingress, r.id, r.repliedAt, "%v after its timeout of %v", delay, r.timeout)
 	}
 }
 
@@ -112,16 +112,16 @@
 	switch r.class.idempotency {
 	case nonIdempotent:
 		if n > 1 {
-			c.violations.add(ExecutedTwice, r.ingress, r.id, last.startedAt, "%d times", n)
+			c.violations.recordForRequest(ExecutedTwice, r.ingress, r.id, last.startedAt, "%d times", n)
 		}
 		if r.reply == ReplyBusy {
-			c.violations.add(RejectedAfterExecution, r.ingress, r.id, r.repliedAt, "after %d attempts", n)
+			c.violations.recordForRequest(RejectedAfterExecution, r.ingress, r.id, r.repliedAt, "after %d attempts", n)
 		}
 	case idempotencyKey:
 		span := last.startedAt.Sub(first.startedAt)
-		slack := maxStall + c.stalls.slack(r.ingress, first.startedAt, last.startedAt)
-		if c.checkTiming && last.undelayed && n > 1 && span > deduplicationWindow+slack {
-			c.violations.add(ExecutedTwice, r.ingress, r.id, last.startedAt, "%v after the first, beyond the window", span)
+		tolerance := maxStall + c.stalls.pausedTime(r.ingress, first.startedAt, last.startedAt)
+		if c.checkTiming && last.undelayed && n > 1 && span > deduplicationWindow+tolerance {
+			c.violations.recordForRequest(ExecutedTwice, r.ingress, r.id, last.startedAt, "%v after the first, beyond the window", span)
 		}
 	}
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -15,7 +15,7 @@
 func wantViolation(t *testing.T, c *checker, want ViolationKind) {
 	t.Helper()
 	var got ViolationKind
-	for _, v := range c.violations.all() {
+	for _, v := range c.violations.snapshot() {
 		got += v.Kind
 	}
 	if got != want {
@@ -24,35 +24,35 @@
 }
 
 // Each violation in a history is found, and what resembles it and is allowed is not.
-func TestCheckHistoryFindsViolations(t *testing.T) {
+func TestCheckHistoryReportsOnlyViolations(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	now := time.Now()
-	at := func(after time.Duration) time.Time { return now.Add(after) }
+	after := func(after time.Duration) time.Time { return now.Add(after) }
 	for name, c := range map[string]struct {
 		request  request
 		attempts []time.Duration // after the request was sent
 		want     ViolationKind   // "": none
 	}{
-		"answered":                  {request{class: idempotentClass, repliedAt: at(timeout), reply: ReplyValue}, nil, ""},
+		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), reply: ReplyValue}, nil, ""},
 		"never answered":            {request{class: idempotentClass}, nil, NoReply},
-		"excused":                   {request{class: idempotentClass, excuse: "killed"}, nil, ""},
-		"client disconnected":       {request{class: idempotentClass, disconnected: at(0)}, nil, ""},
-		"crossed the close":         {request{class: idempotentClass, closedAt: at(20 * time.Millisecond)}, nil, ""},
-		"closed after it was read":  {request{class: idempotentClass, closedAt: at(2 * time.Second)}, nil, NoReply},
-		"closed after forwarding":   {request{class: idempotentClass, closedAt: at(time.Millisecond)}, []time.Duration{0}, NoReply},
-		"answered late":             {request{class: idempotentClass, repliedAt: at(2 * time.Second)}, nil, LateReply},
-		"late, behind another":      {request{class: idempotentClass, repliedAt: at(2 * time.Second), prevReplyAt: at(1900 * time.Millisecond)}, nil, ""},
-		"idempotent, twice":         {request{class: idempotentClass, repliedAt: at(0)}, []time.Duration{0, 1}, ""},
-		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: at(0)}, []time.Duration{0, 1}, ExecutedTwice},
-		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: at(0), reply: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
-		"key, twice within window":  {request{class: keyedClass, repliedAt: at(0)}, []time.Duration{0, deduplicationWindow}, ""},
-		"key, again after a window": {request{class: keyedClass, repliedAt: at(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
+		"excused":                   {request{class: idempotentClass, exemption: "killed"}, nil, ""},
+		"client disconnected":       {request{class: idempotentClass, disconnectedAt: after(0)}, nil, ""},
+		"crossed the close":         {request{class: idempotentClass, closedAt: after(20 * time.Millisecond)}, nil, ""},
+		"closed after it was read":  {request{class: idempotentClass, closedAt: after(2 * time.Second)}, nil, NoReply},
+		"closed after forwarding":   {request{class: idempotentClass, closedAt: after(time.Millisecond)}, []time.Duration{0}, NoReply},
+		"answered late":             {request{class: idempotentClass, repliedAt: after(2 * time.Second)}, nil, LateReply},
+		"late, behind another":      {request{class: idempotentClass, repliedAt: after(2 * time.Second), prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
+		"idempotent, twice":         {request{class: idempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ""},
+		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ExecutedTwice},
+		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: after(0), reply: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
+		"key, twice within window":  {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
+		"key, again after a window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
 			c.request.id, c.request.sentAt, c.request.timeout = 1, now, timeout
-			for _, after := range c.attempts {
-				c.request.attempts = append(c.request.attempts, attempt{at(after), 10 * time.Millisecond, true})
+			for _, delay := range c.attempts {
+				c.request.attempts = append(c.request.attempts, attempt{after(delay), 10 * time.Millisecond, true})
 			}
 			checker.history.requests[1] = &c.request
 			checker.checkHistory()
@@ -62,13 +62,13 @@
 }
 
 // An attempt that must not begin is found as it arrives at a backend.
-func TestAttemptedFindsViolations(t *testing.T) {
+func TestRecordAttemptReportsOnlyViolations(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		disconnected, draining time.Duration // before the attempt; 0: not
-		timeLeft               time.Duration
-		undelayed              bool
-		want                   ViolationKind
+		disconnectedFor, drainingFor time.Duration // before the attempt; 0: not
+		timeLeft                     time.Duration
+		undelayed                    bool
+		want                         ViolationKind
 	}{
 		"in order":                   {0, 0, 400 * time.Millisecond, true, ""},
 		"deadline extended":          {0, 0, time.Second, true, DeadlineExtended},
@@ -81,21 +81,21 @@
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
 			r := &request{id: 1, sentAt: now.Add(-100 * time.Millisecond), timeout: 500 * time.Millisecond}
-			if c.disconnected > 0 {
-				r.disconnected = now.Add(-c.disconnected)
+			if c.disconnectedFor > 0 {
+				r.disconnectedAt = now.Add(-c.disconnectedFor)
 			}
 			drainingSince := time.Time{}
-			if c.draining > 0 {
-				drainingSince = now.Add(-c.draining)
+			if c.drainingFor > 0 {
+				drainingSince = now.Add(-c.drainingFor)
 			}
 			checker.history.requests[1] = r
-			checker.attempted(1, attempt{now, c.timeLeft, c.undelayed}, drainingSince, 0)
+			checker.recordAttempt(1, attempt{now, c.timeLeft, c.undelayed}, drainingSince, 0)
 			wantViolation(t, checker, c.want)
 		})
 	}
 }
 
-func TestRepliedFindsWrongReplies(t *testing.T) {
+func TestRecordReplyReportsWrongReplies(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind ReplyKind
 		text string
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
-			checker.replied(&request{id: 1}, time.Time{}, c.kind, c.text)
+			checker.recordReply(&request{id: 1}, time.Time{}, c.kind, c.text)
 			wantViolation(t, checker, c.want)
 		})
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -39,25 +39,25 @@
 			sleep(ctx, redialInterval)
 			continue
 		}
-		ended := make(chan struct{})
+		readDone := make(chan struct{})
 		go func() { // waited for below; the end of the connection ends it
-			defer close(ended)
-			c.read()
+			defer close(readDone)
+			c.readReplies()
 		}()
-		pc.sendRequests(ctx, c, ended)
+		pc.sendRequests(ctx, c, readDone)
 		if ctx.Err() != nil { // the last replies
 			select {
-			case <-ended:
+			case <-readDone:
 			case <-time.After(replyTimeout):
 			}
 		}
 		c.nc.Close()
-		<-ended
+		<-readDone
 	}
 }
 
 // sendRequests sends requests on a connection until it or ctx ends.
-func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, ended <-chan struct{}) {
+func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, readDone <-chan struct{}) {
 	rng := pc.workload.rng
 	for {
 		var rejected *request
@@ -65,7 +65,7 @@
 		case <-ctx.Done():
 			c.closeWhenIdle()
 			return
-		case <-ended:
+		case <-readDone:
 			return
 		case rejected = <-c.retries:
 		case <-time.After(time.Duration(rng.ExpFloat64() / pc.rate * float64(time.Second))):
@@ -74,15 +74,15 @@
 		switch draw := rng.Float64(); {
 		case rejected != nil:
 			timeLeft := time.Until(rejected.sentAt.Add(rejected.timeout)).Truncate(time.Millisecond)
-			err = c.send(pc.workload.request(rejected.class, max(timeLeft, 0)))
+			err = c.send(pc.workload.newRequest(rejected.class, max(timeLeft, 0)))
 		case draw < unknownCommandShare:
 			err = c.sendUnknownCommand()
 		case draw < unknownCommandShare+disconnectShare:
-			c.send(pc.workload.next())
+			c.send(pc.workload.nextRequest())
 			c.disconnect()
 			return
 		default:
-			err = c.send(pc.workload.next())
+			err = c.send(pc.workload.nextRequest())
 		}
 		if err != nil {
 			return
@@ -92,10 +92,10 @@
 
 // shortLivedClient opens a connection for each request.
 type shortLivedClient struct {
-	target   *ingressProcess
-	checker  *checker
-	workload workload
-	conns    *sync.WaitGroup // the goroutines of its connections, which end at the latest with the ingress
+	target         *ingressProcess
+	checker        *checker
+	workload       workload
+	connGoroutines *sync.WaitGroup // the goroutines of its connections, which end at the latest with the ingress
 }
 
 // run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
@@ -110,12 +110,12 @@
 		if rng.Float64() < slowWriterShare {
 			c.chunkDelay = time.Duration(rng.IntN(maxChunkDelayMS+1)) * time.Millisecond
 		}
-		sc.conns.Go(func() {
+		sc.connGoroutines.Go(func() {
 			defer c.nc.Close()
-			c.read()
+			c.readReplies()
 		})
-		c.send(sc.workload.next())
-		sc.conns.Go(func() {
+		c.send(sc.workload.nextRequest())
+		sc.connGoroutines.Go(func() {
 			defer c.nc.Close()
 			c.closeWhenIdle()
 		})
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -42,7 +42,7 @@
 	counter      *standin.Counter
 	counterAddrs [addressCount]string
 	closers      []func()       // called in reverse order by close
-	serving      sync.WaitGroup // of discovery and the counter; the closers end it
+	goroutines   sync.WaitGroup // of discovery and the counter; the closers end it
 
 	mu     sync.Mutex // guards states
 	states []string   // of the backends, as discovery lists them
@@ -117,7 +117,7 @@
 		}
 		addrs[i] = ln.Addr().String()
 		// close waits for this goroutine; the service's closer ends it. That it then returns an error is of no interest.
-		cl.serving.Go(func() { serve(ln) })
+		cl.goroutines.Go(func() { serve(ln) })
 	}
 	return addrs, nil
 }
@@ -127,7 +127,7 @@
 	for i := len(cl.closers) - 1; i >= 0; i-- {
 		cl.closers[i]()
 	}
-	cl.serving.Wait()
+	cl.goroutines.Wait()
 }
 
 // endpoint returns a backend's entry in the list of one segment. Two backends each are in one group.
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -25,14 +25,14 @@
 
 // ingressConfig is the configuration file of an ingress.
 type ingressConfig struct {
-	Name      string         `json:"name"`
-	Listen    string         `json:"listen"`
-	Discovery string         `json:"discovery"`
-	Counter   string         `json:"counter"`
-	Seed      string         `json:"seed"`
-	Limits    configLimits   `json:"limits"`
-	Known     configList     `json:"known"`
-	Settings  configSettings `json:"settings"`
+	Name      string             `json:"name"`
+	Listen    string             `json:"listen"`
+	Discovery string             `json:"discovery"`
+	Counter   string             `json:"counter"`
+	Seed      string             `json:"seed"`
+	Limits    configLimits       `json:"limits"`
+	Known     configEndpointList `json:"known"`
+	Settings  configSettings     `json:"settings"`
 }
 
 type configLimits struct {
@@ -41,8 +41,8 @@
 	Descriptors int `json:"sockets"`
 }
 
-// configList is the list of endpoints as last known.
-type configList struct {
+// configEndpointList is the list of endpoints as last known.
+type configEndpointList struct {
 	Revision  int64            `json:"rev"`
 	Complete  bool             `json:"all"`
 	Endpoints []standin.Target `json:"targets"`
@@ -106,15 +106,15 @@
 
 // config returns the present configuration of the process.
 func (p *ingressProcess) config() ingressConfig {
-	discovery, address := p.cluster.discovery[p.segment], p.reloads%addressCount
+	discovery, addrIndex := p.cluster.discovery[p.segment], p.reloads%addressCount
 	return ingressConfig{
 		Name:      fmt.Sprint("n", p.index),
 		Listen:    p.listenAddr,
-		Discovery: discovery.addrs[address],
-		Counter:   p.cluster.counterAddrs[address],
+		Discovery: discovery.addrs[addrIndex],
+		Counter:   p.cluster.counterAddrs[addrIndex],
 		Seed:      fmt.Sprintf("%x", p.options.Seed+uint64(p.index)),
 		Limits:    configLimits{Cores: cpuCores, MemoryMB: memoryMB, Descriptors: maxDescriptors},
-		Known:     configList{Complete: true, Endpoints: p.cluster.currentEndpoints(p.segment)},
+		Known:     configEndpointList{Complete: true, Endpoints: p.cluster.currentEndpoints(p.segment)},
 		Settings:  newSettings(p.index, p.options.Processes),
 	}
 }
@@ -158,9 +158,9 @@
 
 // replaceFile writes a file so that a reader finds either its old content or its new one.
 func replaceFile(path string, content []byte) error {
-	temporary := path + ".new"
-	if err := os.WriteFile(temporary, content, 0o600); err != nil {
+	tempPath := path + ".new"
+	if err := os.WriteFile(tempPath, content, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(temporary, path)
+	return os.Rename(tempPath, path)
 }
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	replyTimeout      = 10 * time.Second // for the last replies, once nothing more is sent
-	chunkSize         = 30               // bytes of a command that is written slowly
-	maxPendingRetries = 64               // of one connection; rejected requests beyond are not retried
-	retryTenths       = 7                // of ten rejected requests are retried at once, with what is left of their time
-	unknownCommand    = "*1\r\n$5\r\nHELLO\r\n"
+	replyTimeout     = 10 * time.Second // for the last replies, once nothing more is sent
+	chunkBytes       = 30               // bytes of a command that is written slowly
+	retryQueueLength = 64               // of one connection; rejected requests beyond are not retried
+	retryTenths      = 7                // of ten rejected requests are retried at once, with what is left of their time
+	unknownCommand   = "*1\r\n$5\r\nHELLO\r\n"
 )
 
 // clientConn is one connection of a client, on which commands are pipelined.
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	return &clientConn{nc: nc, checker: c, target: target, incarnation: target.currentIncarnation(), dialledAt: time.Now(),
-		retries: make(chan *request, maxPendingRetries)}, nil
+		retries: make(chan *request, retryQueueLength)}, nil
 }
 
 // sendUnknownCommand sends a command that no ingress knows.
@@ -51,15 +51,15 @@
 	if !c.addPending(r) {
 		return net.ErrClosed
 	}
-	for c.chunkDelay > 0 && len(command) > chunkSize {
-		if _, err := c.nc.Write(command[:chunkSize]); err != nil {
+	for c.chunkDelay > 0 && len(command) > chunkBytes {
+		if _, err := c.nc.Write(command[:chunkBytes]); err != nil {
 			break // the write of the last chunk returns the error; an incomplete command needs no reply
 		}
-		command = command[chunkSize:]
+		command = command[chunkBytes:]
 		time.Sleep(c.chunkDelay)
 	}
 	if r != nil {
-		c.checker.history.sent(r)
+		c.checker.history.recordSent(r)
 	}
 	_, err := c.nc.Write(command)
 	return err
@@ -80,7 +80,7 @@
 func (c *clientConn) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checker.history.clientDisconnected(c.openRequests())
+	c.checker.history.recordDisconnect(c.openRequests())
 	c.pending, c.closed = nil, true
 	c.nc.Close()
 }
@@ -88,9 +88,9 @@
 // closeWhenIdle waits for the replies to all commands and closes the connection. After replyTimeout it returns and leaves the
 // connection open.
 func (c *clientConn) closeWhenIdle() {
-	const interval = 5 * time.Millisecond
+	const pollInterval = 5 * time.Millisecond
 	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !c.isIdle(); {
-		time.Sleep(interval)
+		time.Sleep(pollInterval)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,29 +116,29 @@
 	return open
 }
 
-// read reads replies until the connection ends.
-func (c *clientConn) read() {
+// readReplies reads replies until the connection ends.
+func (c *clientConn) readReplies() {
 	in := bufio.NewReader(c.nc)
 	for prevReplyAt := (time.Time{}); ; prevReplyAt = time.Now() {
 		kind, text, err := readReply(in)
 		if err != nil {
-			c.ended(err)
+			c.handleReadError(err)
 			return
 		}
 		r, state := c.takePending()
 		switch {
 		case state == nothingPending:
-			c.checker.violations.report(WrongReply, c.target.index, "%q answers no command", text)
+			c.checker.violations.record(WrongReply, c.target.index, "%q answers no command", text)
 			c.nc.Close()
 			return
 		case state == connClosed:
 			return
 		case r == nil:
 			if kind != ReplyError {
-				c.checker.violations.report(WrongReply, c.target.index, "%q answers an unknown command", text)
+				c.checker.violations.record(WrongReply, c.target.index, "%q answers an unknown command", text)
 			}
 		default:
-			c.checker.replied(r, prevReplyAt, kind, text)
+			c.checker.recordReply(r, prevReplyAt, kind, text)
 			c.retry(r, kind)
 		}
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-// ended records or reports the end of the connection as the requests without a reply explain it.
-func (c *clientConn) ended(err error) {
+// handleReadError records or reports the end of the connection as the requests without a reply explain it.
+func (c *clientConn) handleReadError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	open, closed := c.openRequests(), c.closed
@@ -189,13 +189,13 @@
 		return
 	}
 	switch {
-	case c.target.stoppedAccepting(c.dialledAt):
-		c.checker.history.excuse(open, "the connection was opened as the ingress stopped accepting")
+	case c.target.hadStoppedAccepting(c.dialledAt):
+		c.checker.history.exempt(open, "the connection was opened as the ingress stopped accepting")
 	case c.target.wasKilled(c.incarnation):
-		c.checker.history.excuse(open, "the ingress was killed")
+		c.checker.history.exempt(open, "the ingress was killed")
 	case errors.Is(err, io.EOF):
-		c.checker.history.connectionClosed(open)
+		c.checker.history.recordClose(open)
 	case errors.Is(err, syscall.ECONNRESET):
-		c.checker.violations.report(NoReply, c.target.index, "a connection with %d open requests was reset", len(open))
+		c.checker.violations.record(NoReply, c.target.index, "a connection with %d open requests was reset", len(open))
 	}
 }
--- a/internal/soak/disruptions.go
+++ b/internal/soak/disruptions.go
@@ -13,43 +13,43 @@
 // disruptions records which parts of the cluster were disrupted when, so that the effects of a disruption are not taken for
 // violations. It is safe for concurrent use.
 type disruptions struct {
-	mu        sync.Mutex                            // guards the fields below
-	delays    [segmentCount][backendCount]time.Time // when the proxy of a backend last delayed what it forwards
-	discovery [segmentCount]time.Time               // when discovery was last disrupted
+	mu                   sync.Mutex                            // guards the fields below
+	delayedAt            [segmentCount][backendCount]time.Time // when the proxy of a backend last delayed what it forwards
+	discoveryDisruptedAt [segmentCount]time.Time               // when discovery was last disrupted
 }
 
-// delayed records that the proxy of a backend delays what it forwards, now.
-func (d *disruptions) delayed(segment, backend int) {
+// recordDelay records that the proxy of a backend delays what it forwards, now.
+func (d *disruptions) recordDelay(segment, backend int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delays[segment][backend] = time.Now()
+	d.delayedAt[segment][backend] = time.Now()
 }
 
-// discoveryDisrupted records that a segment's discovery is disrupted, now.
-func (d *disruptions) discoveryDisrupted(segment int) {
+// recordDiscoveryDisruption records that a segment's discovery is disrupted, now.
+func (d *disruptions) recordDiscoveryDisruption(segment int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.discovery[segment] = time.Now()
+	d.discoveryDisruptedAt[segment] = time.Now()
 }
 
-// undelayed reports whether no proxy has delayed a backend's traffic within delaySettleTime.
-func (d *disruptions) undelayed(backend int) bool {
+// isUndelayed reports whether no proxy has delayed a backend's traffic within delaySettleTime.
+func (d *disruptions) isUndelayed(backend int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for segment := range segmentCount {
-		if time.Since(d.delays[segment][backend]) < delaySettleTime {
+		if time.Since(d.delayedAt[segment][backend]) < delaySettleTime {
 			return false
 		}
 	}
 	return true
 }
 
-// notifiedAt returns when an ingress has to know of a change in discovery: at once, or notificationTimeout after the last
+// notificationDeadline returns when an ingress has to know of a change in discovery: at once, or notificationTimeout after the last
 // disruption, if that came after the change or so shortly before it that a watch may not have been opened again.
-func (d *disruptions) notifiedAt(ingress int, changedAt time.Time) time.Time {
+func (d *disruptions) notificationDeadline(ingress int, changedAt time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	disrupted := d.discovery[segmentOf(ingress)]
+	disrupted := d.discoveryDisruptedAt[segmentOf(ingress)]
 	switch {
 	case disrupted.Before(changedAt.Add(-notificationTimeout)):
 		return changedAt
--- a/internal/soak/disruptions_test.go
+++ b/internal/soak/disruptions_test.go
@@ -6,7 +6,7 @@
 )
 
 // An ingress has to know of a change at once, or in time after a disruption of its own segment's discovery.
-func TestNotifiedAtAllowsForDisruptions(t *testing.T) {
+func TestNotificationDeadlineIsExtendedByDisruptions(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct{ disrupted, want time.Duration }{
 		"no disruption":  {-time.Hour, 0},
@@ -16,11 +16,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &disruptions{}
-			d.discovery[1] = now.Add(c.disrupted)
-			if got := d.notifiedAt(3, now).Sub(now); got != c.want {
+			d.discoveryDisruptedAt[1] = now.Add(c.disrupted)
+			if got := d.notificationDeadline(3, now).Sub(now); got != c.want {
 				t.Fatalf("notified after %v, want %v", got, c.want)
 			}
-			if got := d.notifiedAt(2, now); !got.Equal(now) {
+			if got := d.notificationDeadline(2, now); !got.Equal(now) {
 				t.Fatal("the other segment's discovery was not disrupted")
 			}
 		})
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -14,19 +14,19 @@
 	class   requestClass
 	timeout time.Duration // from sentAt until the client's deadline
 
-	sentAt       time.Time // its last byte was written
-	disconnected time.Time // the client closed its connection; zero: it did not
-	excuse       string    // a fault that frees the ingress from replying; "": none
-	closedAt     time.Time // the ingress closed the connection in good order without a reply; zero: it did not
-	repliedAt    time.Time // zero: no reply yet
-	prevReplyAt  time.Time // when the reply before it on the connection had come
-	reply        ReplyKind
-	attempts     []attempt
+	sentAt         time.Time // its last byte was written
+	disconnectedAt time.Time // the client closed its connection; zero: it did not
+	exemption      string    // a fault that frees the ingress from replying; "": none
+	closedAt       time.Time // the ingress closed the connection in good order without a reply; zero: it did not
+	repliedAt      time.Time // zero: no reply yet
+	prevReplyAt    time.Time // when the reply before it on the connection had come
+	reply          ReplyKind
+	attempts       []attempt
 }
 
 // isOpen reports whether the request still waits for a reply.
 func (r *request) isOpen() bool {
-	return r.repliedAt.IsZero() && r.disconnected.IsZero() && r.closedAt.IsZero() && r.excuse == ""
+	return r.repliedAt.IsZero() && r.disconnectedAt.IsZero() && r.closedAt.IsZero() && r.exemption == ""
 }
 
 // attempt is a complete command that arrived at a backend and was not rejected there.
@@ -48,16 +48,16 @@
 	return &history{requests: map[uint64]*request{}, replies: map[ReplyKind]int{}}
 }
 
-// sent records a request as its last byte is about to be written.
-func (h *history) sent(r *request) {
+// recordSent records a request as its last byte is about to be written.
+func (h *history) recordSent(r *request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.sentAt = time.Now()
 	h.requests[r.id] = r
 }
 
-// replied records a request's final reply, and when the reply before it on the connection had come.
-func (h *history) replied(r *request, prevReplyAt time.Time, kind ReplyKind) (at time.Time) {
+// recordReply records a request's final reply, and when the reply before it on the connection had come.
+func (h *history) recordReply(r *request, prevReplyAt time.Time, kind ReplyKind) (at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.repliedAt, r.prevReplyAt, r.reply = time.Now(), prevReplyAt, kind
@@ -65,51 +65,51 @@
 	return r.repliedAt
 }
 
-// clientDisconnected records that the client closes the connection of open requests.
-func (h *history) clientDisconnected(open []*request) {
+// recordDisconnect records that the client closes the connection of open requests.
+func (h *history) recordDisconnect(requests []*request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range open {
-		r.disconnected = time.Now()
+	for _, r := range requests {
+		r.disconnectedAt = time.Now()
 	}
 }
 
-// excuse records a fault that frees the ingress from replying to open requests.
-func (h *history) excuse(open []*request, reason string) {
+// exempt records a fault that frees the ingress from replying to open requests.
+func (h *history) exempt(requests []*request, reason string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range open {
-		r.excuse = reason
+	for _, r := range requests {
+		r.exemption = reason
 	}
 }
 
-// connectionClosed records that the ingress closed the connection of open requests in good order.
-func (h *history) connectionClosed(open []*request) {
+// recordClose records that the ingress closed the connection of open requests in good order.
+func (h *history) recordClose(requests []*request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range open {
+	for _, r := range requests {
 		r.closedAt = time.Now()
 	}
 }
 
-// attempted records an attempt and returns a copy of its request as it is then; ok is false if no client sent it.
-func (h *history) attempted(id uint64, a attempt) (r request, ok bool) {
+// recordAttempt records an attempt and returns a copy of its request as it is then; ok is false if no client sent it.
+func (h *history) recordAttempt(id uint64, a attempt) (r request, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.attempts++
-	known := h.requests[id]
-	if known == nil {
+	original := h.requests[id]
+	if original == nil {
 		return request{}, false
 	}
-	known.attempts = append(known.attempts, a)
-	return *known, true
+	original.attempts = append(original.attempts, a)
+	return *original, true
 }
 
 // awaitReplies waits until no request is open, but not for longer than timeout.
 func (h *history) awaitReplies(timeout time.Duration) {
-	const interval = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	for deadline := time.Now().Add(timeout); h.anyOpen() && time.Now().Before(deadline); {
-		time.Sleep(interval)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/internal/soak/misbehaving.go
+++ b/internal/soak/misbehaving.go
@@ -15,25 +15,25 @@
 const (
 	misbehaviorInterval = 100 * time.Millisecond // mean time between two misbehaving connections, for each ingress
 	errorReplyTimeout   = 3 * time.Second        // within which a misbehaving client has to get an error or a close
-	manyUnknownCommands = 300
+	unknownCommandCount = 300
 )
 
 // misbehavingClient sends what no client may send.
 type misbehavingClient struct {
-	target    *ingressProcess
-	checker   *checker
-	processes int // ingresses of the run
-	rng       *rand.Rand
-	conns     *sync.WaitGroup // the goroutines of its connections, which end after twice errorReplyTimeout or with the ingress
+	target         *ingressProcess
+	checker        *checker
+	processes      int // ingresses of the run
+	rng            *rand.Rand
+	connGoroutines *sync.WaitGroup // the goroutines of its connections, which end after twice errorReplyTimeout or with the ingress
 }
 
 // run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
 func (mc *misbehavingClient) run(ctx context.Context) {
-	misbehaviors := []func(io.Writer){
+	invalidInputs := []func(io.Writer){
 		func(w io.Writer) { io.WriteString(w, "GET / HTTP/1.1\r\n\r\n") },
 		func(w io.Writer) { io.WriteString(w, "*5\r\n$4\r\nQ.DO\r\n$60000000\r\n") },
 		func(w io.Writer) { io.WriteString(w, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000") },
-		func(w io.Writer) { io.WriteString(w, strings.Repeat(unknownCommand, manyUnknownCommands)) },
+		func(w io.Writer) { io.WriteString(w, strings.Repeat(unknownCommand, unknownCommandCount)) },
 		func(w io.Writer) { io.WriteString(w, "*4\r\n$5\r\nQ.ASK\r\n$1\r\nx\r\n$1\r\ny\r\n$1\r\nz\r\n") },
 		mc.sendIncompleteRequest,
 	}
@@ -45,8 +45,8 @@
 		}
 		incarnation := mc.target.currentIncarnation()
 		startedAt := time.Now()
-		misbehaviors[mc.rng.IntN(len(misbehaviors))](nc)
-		mc.conns.Go(func() { mc.awaitError(nc, incarnation, startedAt) })
+		invalidInputs[mc.rng.IntN(len(invalidInputs))](nc)
+		mc.connGoroutines.Go(func() { mc.checkErrorReply(nc, incarnation, startedAt) })
 	}
 }
 
@@ -57,19 +57,19 @@
 	fmt.Fprintf(w, "$%d\r\n%s\r\n", len(fields)+1, fields) // a byte short
 }
 
-// awaitError checks that the connection gets an error or a close in time.
-func (mc *misbehavingClient) awaitError(nc net.Conn, incarnation int, startedAt time.Time) {
+// checkErrorReply checks that the connection gets an error or a close in time.
+func (mc *misbehavingClient) checkErrorReply(nc net.Conn, incarnation int, startedAt time.Time) {
 	defer nc.Close()
 	nc.SetReadDeadline(startedAt.Add(2 * errorReplyTimeout))
 	line, err := bufio.NewReader(nc).ReadString('\n')
 	elapsed := time.Since(startedAt)
 	switch {
 	case err == nil && !strings.HasPrefix(line, "-"):
-		mc.checker.violations.report(WrongReply, mc.target.index, "a misbehaving client is answered %q", line)
+		mc.checker.violations.record(WrongReply, mc.target.index, "a misbehaving client is answered %q", line)
 	case mc.target.wasKilled(incarnation):
 	case mc.checker.checkTiming && elapsed > errorReplyTimeout+maxStall+measurementError+
-		mc.checker.stalls.slack(mc.target.index, startedAt, time.Now()):
-		mc.checker.violations.report(LateReply, mc.target.index,
+		mc.checker.stalls.pausedTime(mc.target.index, startedAt, time.Now()):
+		mc.checker.violations.record(LateReply, mc.target.index,
 			"a misbehaving client waited %v for an error or a close: %v", elapsed, err)
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	shutdownTimeout   = maxTimeout + 700*time.Millisecond // from SIGTERM until SIGKILL
-	acceptingTime     = 400 * time.Millisecond            // after SIGTERM, for which clients may open new connections
-	readyTimeout      = 30 * time.Second
-	readyPollInterval = 5 * time.Millisecond
-	dialTimeout       = time.Second
-	pingTimeout       = time.Second
+	shutdownTimeout        = maxTimeout + 700*time.Millisecond // from SIGTERM until SIGKILL
+	acceptTimeAfterSIGTERM = 400 * time.Millisecond            // after SIGTERM, for which clients may open new connections
+	readyTimeout           = 30 * time.Second
+	readyPollInterval      = 5 * time.Millisecond
+	dialTimeout            = time.Second
+	pingTimeout            = time.Second
 )
 
 // configEnv names the environment variable by which an ingress finds its configuration file.
@@ -48,13 +48,13 @@
 	lifecycle sync.Mutex // held by whoever stops, starts or reconfigures the process; guards reloads
 	reloads   int        // selects the addresses of discovery and the counter in the configuration
 
-	mu                sync.Mutex // guards the fields below
-	cmd               *exec.Cmd  // nil after shutdown
-	ended             chan struct{}
-	incarnation       int
-	killedIncarnation int       // the last one that was ended by SIGKILL; -1: none
-	terminating       bool      // this incarnation got SIGTERM
-	terminatedAt      time.Time // when one last got SIGTERM
+	mu                    sync.Mutex // guards the fields below
+	cmd                   *exec.Cmd  // nil after shutdown
+	exited                chan struct{}
+	incarnation           int
+	lastKilledIncarnation int       // the last one that was ended by SIGKILL; -1: none
+	terminating           bool      // this incarnation got SIGTERM
+	terminatedAt          time.Time // when one last got SIGTERM
 }
 
 func newIngressProcess(opts *Options, cl *cluster, c *checker, index int) (*ingressProcess, error) {
@@ -64,7 +64,7 @@
 	}
 	path := func(extension string) string { return filepath.Join(opts.Dir, fmt.Sprintf("n%d%s", index, extension)) }
 	return &ingressProcess{options: opts, cluster: cl, checker: c, index: index, segment: segmentOf(index),
-		reservation: reservation, listenAddr: reservation.Address(), configPath: path(".json"), logPath: path(".log"), killedIncarnation: -1}, nil
+		reservation: reservation, listenAddr: reservation.Address(), configPath: path(".json"), logPath: path(".log"), lastKilledIncarnation: -1}, nil
 }
 
 // start begins a new incarnation.
@@ -83,15 +83,15 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start process: %w", err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
 	p.incarnation++
 	incarnation := p.incarnation
-	p.cmd, p.ended, p.terminating = cmd, ended, false
+	p.cmd, p.exited, p.terminating = cmd, exited, false
 	p.mu.Unlock()
 	// kill and terminate end the process and wait for this goroutine.
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		p.checkExit(incarnation, cmd.Wait())
 	}()
 	return nil
@@ -109,10 +109,10 @@
 // checkExit checks that an incarnation ended as it was told to.
 func (p *ingressProcess) checkExit(incarnation int, err error) {
 	p.mu.Lock()
-	expected := p.killedIncarnation == incarnation || p.terminating && err == nil
+	expected := p.lastKilledIncarnation == incarnation || p.terminating && err == nil
 	p.mu.Unlock()
 	if !expected {
-		p.checker.violations.report(Crashed, p.index, "incarnation %d ended: %v", incarnation, err)
+		p.checker.violations.record(Crashed, p.index, "incarnation %d ended: %v", incarnation, err)
 	}
 }
 
@@ -157,42 +157,42 @@
 func (p *ingressProcess) wasKilled(incarnation int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.killedIncarnation >= incarnation
+	return p.lastKilledIncarnation >= incarnation
 }
 
-// stoppedAccepting reports whether a connection was opened later after SIGTERM than clients may.
-func (p *ingressProcess) stoppedAccepting(dialledAt time.Time) bool {
+// hadStoppedAccepting reports whether a connection was opened later after SIGTERM than clients may.
+func (p *ingressProcess) hadStoppedAccepting(dialledAt time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.terminatedAt.IsZero() {
 		return false
 	}
-	after := dialledAt.Sub(p.terminatedAt)
-	return after > acceptingTime && after < shutdownTimeout
+	elapsed := dialledAt.Sub(p.terminatedAt)
+	return elapsed > acceptTimeAfterSIGTERM && elapsed < shutdownTimeout
 }
 
 func (p *ingressProcess) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.checker.violations.report(Crashed, p.index, "signal %v: %v", s, err)
+		p.checker.violations.record(Crashed, p.index, "signal %v: %v", s, err)
 	}
 }
 
-// exited returns a channel that is closed once the incarnation has ended.
-func (p *ingressProcess) exited() <-chan struct{} {
+// exitSignal returns a channel that is closed once the incarnation has ended.
+func (p *ingressProcess) exitSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.exited
 }
 
 // kill ends the incarnation at once.
 func (p *ingressProcess) kill() {
 	p.mu.Lock()
-	p.killedIncarnation = p.incarnation
+	p.lastKilledIncarnation = p.incarnation
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
-	<-p.exited()
+	<-p.exitSignal()
 }
 
 // terminate shuts the incarnation down gracefully. If it has not ended in its time and times are checked, that is a crash,
@@ -203,23 +203,23 @@
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.exited():
+	case <-p.exitSignal():
 		return
 	case <-time.After(shutdownTimeout + maxStall):
 	}
 	if p.options.CheckTiming {
-		p.checker.violations.report(Crashed, p.index, "still running %v after SIGTERM", shutdownTimeout)
+		p.checker.violations.record(Crashed, p.index, "still running %v after SIGTERM", shutdownTimeout)
 		p.kill()
 		return
 	}
-	<-p.exited()
+	<-p.exitSignal()
 }
 
 // shutdown ends the last incarnation and checks what the process logged. Further calls do nothing.
 func (p *ingressProcess) shutdown() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
-	if !p.started() {
+	if !p.isRunning() {
 		return
 	}
 	p.terminate()
@@ -227,12 +227,12 @@
 	p.cmd = nil
 	p.mu.Unlock()
 	if err := p.checkLog(); err != nil {
-		p.checker.violations.report(Crashed, p.index, "%v", err)
+		p.checker.violations.record(Crashed, p.index, "%v", err)
 	}
 }
 
-// started reports whether the process was started, and not shut down since.
-func (p *ingressProcess) started() bool {
+// isRunning reports whether the process was started, and not shut down since.
+func (p *ingressProcess) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -39,7 +39,7 @@
 	for line := range bytes.Lines(text) {
 		line := strings.TrimSpace(string(line))
 		if kind := logViolation(line, p.options.CheckTiming); kind != "" {
-			p.checker.violations.report(kind, p.index, "%s", line)
+			p.checker.violations.record(kind, p.index, "%s", line)
 		}
 	}
 	return nil
--- a/internal/soak/processlog_test.go
+++ b/internal/soak/processlog_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A line of an ingress's log tells a violation only if it is one, and one of a timing invariant only if times are checked.
-func TestLogViolationFindsViolations(t *testing.T) {
+func TestLogViolationClassifiesLines(t *testing.T) {
 	const invariant, timingInvariant = `level=ERROR msg="invariant violated" invariant=retry`, `level=ERROR msg="invariant violated" invariant=in_time`
 	for name, c := range map[string]struct {
 		line        string
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -55,18 +55,18 @@
 
 // runner does one run.
 type runner struct {
-	options   Options
-	checker   *checker
-	cluster   *cluster
-	processes []*ingressProcess
-	injector  *faultInjector
-	conns     sync.WaitGroup // goroutines of connections that outlive their client's run; the end of the ingresses ends them
+	options        Options
+	checker        *checker
+	cluster        *cluster
+	processes      []*ingressProcess
+	injector       *faultInjector
+	connGoroutines sync.WaitGroup // goroutines of connections that outlive their client's run; the end of the ingresses ends them
 }
 
 // Run does one run. An error means that the run could not be done; violations of the protocol are in the report.
 func Run(ctx context.Context, opts Options) (*Report, error) {
 	c := newChecker(opts.CheckTiming)
-	stopDetector := startDetector(ctx, c.stalls)
+	stopDetector := startStallDetector(ctx, c.stalls)
 	defer stopDetector()
 	cl, err := newCluster(c, opts.Seed)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return r.report(), ctx.Err()
 }
 
-// startDetector runs the stall detector until stop is called, also after ctx has ended.
-func startDetector(ctx context.Context, d *stallDetector) (stop func()) {
+// startStallDetector runs the stall detector until stop is called, also after ctx has ended.
+func startStallDetector(ctx context.Context, d *stallDetector) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
 	running.Go(func() { d.run(ctx) }) // stop ends it and waits for it
@@ -132,8 +132,8 @@
 			c := newPipeliningClient(p, r.checker, r.rng(stream+uint64(k)+1), r.options.Rate/connsPerIngress)
 			running.Go(func() { c.run(loadCtx) })
 		}
-		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(stream + connsPerIngress + 1)}, &r.conns}
-		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(stream + connsPerIngress + 2), &r.conns}
+		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(stream + connsPerIngress + 1)}, &r.connGoroutines}
+		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(stream + connsPerIngress + 2), &r.connGoroutines}
 		running.Go(func() { shortLived.run(loadCtx) })
 		running.Go(func() { misbehaving.run(faultCtx) })
 	}
@@ -152,13 +152,13 @@
 	for _, p := range r.processes {
 		p.reservation.Close()
 	}
-	r.conns.Wait()
+	r.connGoroutines.Wait()
 }
 
 func (r *runner) report() *Report {
 	requests, replies, attempts := r.checker.history.totals()
 	return &Report{Requests: requests, Replies: replies, Attempts: attempts, Faults: r.injector.counts(),
-		Violations: r.checker.violations.all()}
+		Violations: r.checker.violations.snapshot()}
 }
 
 // sleep waits for d, or until ctx ends.
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -12,18 +12,18 @@
 	stallMargin        = 50 * time.Millisecond // around a measurement within which a stall may have affected it
 )
 
-// interval is a span of time.
-type interval struct{ from, to time.Time }
+// timeSpan is a span of time.
+type timeSpan struct{ from, to time.Time }
 
 // stallDetector records when this process did not get to run, and when an ingress was frozen on purpose: what was measured
 // then is off by as much. It is safe for concurrent use.
 type stallDetector struct {
 	mu      sync.Mutex // guards the fields below
-	stalls  []interval
-	freezes map[int][]interval // by ingress
+	stalls  []timeSpan
+	freezes map[int][]timeSpan // by ingress
 }
 
-func newStallDetector() *stallDetector { return &stallDetector{freezes: map[int][]interval{}} }
+func newStallDetector() *stallDetector { return &stallDetector{freezes: map[int][]timeSpan{}} }
 
 // run looks for stalls of this process until ctx ends.
 func (d *stallDetector) run(ctx context.Context) {
@@ -34,24 +34,24 @@
 		case <-time.After(stallCheckInterval):
 		}
 		now := time.Now()
-		if stalled := now.Sub(last) - stallCheckInterval; stalled > minStall {
+		if stall := now.Sub(last) - stallCheckInterval; stall > minStall {
 			d.mu.Lock()
-			d.stalls = append(d.stalls, interval{now.Add(-stalled), now})
+			d.stalls = append(d.stalls, timeSpan{now.Add(-stall), now})
 			d.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// ingressFrozen records that an ingress was stopped for longer than maxStall.
-func (d *stallDetector) ingressFrozen(ingress int, frozen interval) {
+// recordFreeze records that an ingress was stopped for longer than maxStall.
+func (d *stallDetector) recordFreeze(ingress int, span timeSpan) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.freezes[ingress] = append(d.freezes[ingress], frozen)
+	d.freezes[ingress] = append(d.freezes[ingress], span)
 }
 
-// slack returns how much a measurement of an ingress may be off because this process stalled or the ingress was frozen.
-func (d *stallDetector) slack(ingress int, from, to time.Time) (sum time.Duration) {
+// pausedTime returns how much a measurement of an ingress may be off because this process stalled or the ingress was frozen.
+func (d *stallDetector) pausedTime(ingress int, from, to time.Time) (sum time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := len(d.stalls) - 1; i >= 0 && d.stalls[i].to.After(from.Add(-stallMargin)); i-- {
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -51,8 +51,8 @@
 	violations []Violation
 }
 
-// add records a violation that concerns one request.
-func (l *violationLog) add(kind ViolationKind, ingress int, requestID uint64, at time.Time, format string, args ...any) {
+// recordForRequest records a violation that concerns one request.
+func (l *violationLog) recordForRequest(kind ViolationKind, ingress int, requestID uint64, at time.Time, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.violations) < maxViolations {
@@ -60,13 +60,13 @@
 	}
 }
 
-// report records a violation, found now, that concerns no single request.
-func (l *violationLog) report(kind ViolationKind, ingress int, format string, args ...any) {
-	l.add(kind, ingress, 0, time.Now(), format, args...)
+// record records a violation, found now, that concerns no single request.
+func (l *violationLog) record(kind ViolationKind, ingress int, format string, args ...any) {
+	l.recordForRequest(kind, ingress, 0, time.Now(), format, args...)
 }
 
-// all returns the violations in the order in which they were found.
-func (l *violationLog) all() []Violation {
+// snapshot returns the violations in the order in which they were found.
+func (l *violationLog) snapshot() []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.violations)
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -11,7 +11,7 @@
 
 const (
 	customersPerIngress = 40
-	customerIDSpan      = 1000 // between the first ids of the customers of two ingresses
+	customerIDStride    = 1000 // between the first ids of the customers of two ingresses
 	urgentShare         = 0.05 // of requests, which have hardly any time left
 	maxUrgentTimeoutMS  = 2
 	minTimeout          = 50 * time.Millisecond
@@ -56,24 +56,24 @@
 	rng     *rand.Rand
 }
 
-func (w workload) class() requestClass { return classes[w.rng.IntN(len(classes))] }
+func (w workload) drawClass() requestClass { return classes[w.rng.IntN(len(classes))] }
 
-// timeout draws how long a client waits.
-func (w workload) timeout() time.Duration {
+// drawTimeout draws how long a client waits.
+func (w workload) drawTimeout() time.Duration {
 	if w.rng.Float64() < urgentShare {
 		return time.Duration(w.rng.IntN(maxUrgentTimeoutMS+1)) * time.Millisecond
 	}
 	return minTimeout + time.Duration(w.rng.IntN(int((maxTimeout-minTimeout)/time.Millisecond)))*time.Millisecond
 }
 
-// next draws a request and returns it with its command.
-func (w workload) next() (*request, []byte) {
-	class := w.class()
-	return w.request(class, w.timeout())
+// nextRequest draws a request and returns it with its command.
+func (w workload) nextRequest() (*request, []byte) {
+	class := w.drawClass()
+	return w.newRequest(class, w.drawTimeout())
 }
 
-// request returns a request of a drawn customer, and its command.
-func (w workload) request(class requestClass, timeout time.Duration) (*request, []byte) {
+// newRequest returns a request of a drawn customer, and its command.
+func (w workload) newRequest(class requestClass, timeout time.Duration) (*request, []byte) {
 	r := &request{id: lastRequestID.Add(1), ingress: w.ingress, class: class, timeout: timeout}
 	fields := requestFields(class, w.rng.IntN(planCount), timeout, w.ingress)
 	if class.idempotency == idempotencyKey {
@@ -89,14 +89,14 @@
 
 // requestFields returns the fields of a command, but for an idempotency key. first is the index of the first gateway that
 // the customer's requests go to.
-func requestFields(class requestClass, plan int, timeout time.Duration, first int) string {
-	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d", class.name, planName(plan), timeout.Milliseconds(), first)
+func requestFields(class requestClass, plan int, timeout time.Duration, firstGateway int) string {
+	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d", class.name, planName(plan), timeout.Milliseconds(), firstGateway)
 }
 
 func planName(plan int) string { return fmt.Sprint("p", plan) }
 
 func customerID(ingress, customer int) string {
-	return fmt.Sprintf("%016x", ingress*customerIDSpan+customer)
+	return fmt.Sprintf("%016x", ingress*customerIDStride+customer)
 }
 
 func requestID(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/tools/knownred/judge.go
+++ b/internal/tools/knownred/judge.go
@@ -9,8 +9,8 @@
 
 var errNoTestPassed = errors.New("no test passed")
 
-// judge returns an error for each failure that is not in the list. The tests of the list are reported on out.
-func judge(results testResults, known []knownFailure, out io.Writer) error {
+// checkFailures returns an error for each failure that is not in the list. The tests of the list are reported on out.
+func checkFailures(results testResults, known []knownFailure, out io.Writer) error {
 	var errs []error
 	for _, failure := range results.otherFailures {
 		errs = append(errs, fmt.Errorf("failed outside of a test: %s", failure))
--- a/internal/tools/knownred/judge_test.go
+++ b/internal/tools/knownred/judge_test.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	passes = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n" +
+	passRecords = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n" +
 		`{"Action":"pass","Package":"p"}` + "\n"
-	fails = `{"Action":"fail","Package":"q","Test":"TestB/sub"}` + "\n" +
+	failRecords = `{"Action":"fail","Package":"q","Test":"TestB/sub"}` + "\n" +
 		`{"Action":"fail","Package":"q","Test":"TestB"}` + "\n" +
 		`{"Action":"fail","Package":"q"}` + "\n"
-	panics   = `{"Action":"output","Package":"q","Test":"TestB","Output":"panic: oops\n"}` + "\n" + fails
-	races    = `{"Action":"output","Package":"q","Test":"TestB","Output":"WARNING: DATA RACE\n"}` + "\n" + fails
-	noBuild  = `{"Action":"build-fail","ImportPath":"q"}` + "\n" + `{"Action":"fail","Package":"q"}` + "\n"
-	dead     = `{"Action":"fail","Package":"q"}` + "\n"
-	notJSON  = "go: no such module\n"
-	listed   = "# known\n\nTestB, it is slow, really, issue 7\n"
-	fourRed  = "A, b, c\nB, b, c\nC, b, c\nD, b, c\n"
-	unformed = "TestB fails\n"
+	panicRecords       = `{"Action":"output","Package":"q","Test":"TestB","Output":"panic: oops\n"}` + "\n" + failRecords
+	raceRecords        = `{"Action":"output","Package":"q","Test":"TestB","Output":"WARNING: DATA RACE\n"}` + "\n" + failRecords
+	buildFailRecords   = `{"Action":"build-fail","ImportPath":"q"}` + "\n" + `{"Action":"fail","Package":"q"}` + "\n"
+	packageFailRecords = `{"Action":"fail","Package":"q"}` + "\n"
+	plainText          = "go: no such module\n"
+	knownList          = "# known\n\nTestB, it is slow, really, issue 7\n"
+	longList           = "A, b, c\nB, b, c\nC, b, c\nD, b, c\n"
+	malformedList      = "TestB fails\n"
 )
 
-func TestOnlyListedFailuresArePassedOver(t *testing.T) {
+func TestOnlyUnlistedFailuresAreErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		records, list string
 		want          string // part of the error; "": none
 	}{
-		"all pass":             {passes, "", ""},
-		"a failure":            {passes + fails, "", "failed: TestB"},
-		"a listed failure":     {passes + fails, listed, ""},
-		"a listed test panics": {passes + panics, listed, "outside of a test: q: panic"},
-		"a listed test races":  {passes + races, listed, "DATA RACE"},
-		"a build fails":        {passes + noBuild, listed, "outside of a test: q"},
-		"a package dies":       {passes + dead, listed, "outside of a test: q"},
-		"no records":           {notJSON, "", "no such module"},
+		"all pass":             {passRecords, "", ""},
+		"a failure":            {passRecords + failRecords, "", "failed: TestB"},
+		"a listed failure":     {passRecords + failRecords, knownList, ""},
+		"a listed test panics": {passRecords + panicRecords, knownList, "outside of a test: q: panic"},
+		"a listed test races":  {passRecords + raceRecords, knownList, "DATA RACE"},
+		"a build fails":        {passRecords + buildFailRecords, knownList, "outside of a test: q"},
+		"a package dies":       {passRecords + packageFailRecords, knownList, "outside of a test: q"},
+		"no records":           {plainText, "", "no such module"},
 		"nothing ran":          {"", "", "no test passed"},
-		"too many listed":      {passes, fourRed, "3 at most"},
-		"odd list":             {passes, unformed, "not of the form"},
+		"too many listed":      {passRecords, longList, "3 at most"},
+		"odd list":             {passRecords, malformedList, "not of the form"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			list, err := parseList(c.list)
@@ -47,7 +47,7 @@
 				if r, err = readResults(strings.NewReader(c.records), io.Discard); err != nil {
 					t.Fatal(err)
 				}
-				err = judge(r, list, io.Discard)
+				err = checkFailures(r, list, io.Discard)
 			}
 			if got := fmt.Sprint(err); c.want == "" && err != nil || !strings.Contains(got, c.want) && c.want != "" {
 				t.Fatalf("%v, want %q", err, c.want)
@@ -56,19 +56,19 @@
 	}
 }
 
-func TestListedTestsAreReported(t *testing.T) {
-	list, err := parseList(listed)
+func TestListedTestIsReportedAsFailingOrPassing(t *testing.T) {
+	list, err := parseList(knownList)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for records, want := range map[string]string{passes + fails: "known to fail: TestB, it is slow, really, issue 7",
-		passes: "passes now: take it off the list: TestB"} {
+	for records, want := range map[string]string{passRecords + failRecords: "known to fail: TestB, it is slow, really, issue 7",
+		passRecords: "passes now: take it off the list: TestB"} {
 		var out strings.Builder
 		r, err := readResults(strings.NewReader(records), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
-		judge(r, list, &out)
+		checkFailures(r, list, &out)
 		if !strings.HasPrefix(out.String(), want) {
 			t.Fatalf("%q, want %q", out.String(), want)
 		}
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -28,5 +28,5 @@
 	if err != nil {
 		return err
 	}
-	return judge(results, known, os.Stdout)
+	return checkFailures(results, known, os.Stdout)
 }
--- a/internal/tools/knownred/results_test.go
+++ b/internal/tools/knownred/results_test.go
@@ -7,14 +7,14 @@
 )
 
 // The text of a test is printed if it fails, or if its package ends before it does.
-func TestOutputOfFailuresIsPrinted(t *testing.T) {
+func TestOutputIsPrintedOfFailedOrUnfinishedTestsOnly(t *testing.T) {
 	text := func(test, output string) string {
 		return fmt.Sprintf(`{"Action":"output","Package":"q","Test":%q,"Output":%q}`+"\n", test, output)
 	}
 	for name, c := range map[string]struct{ records, want string }{
 		"passes":     {text("TestA", "hush") + `{"Action":"pass","Package":"q","Test":"TestA"}`, ""},
 		"fails":      {text("TestA", "oops") + `{"Action":"fail","Package":"q","Test":"TestA"}`, "oops"},
-		"never ends": {text("TestA", "oops") + dead, "oops"},
+		"never ends": {text("TestA", "oops") + packageFailRecords, "oops"},
 		"a package":  {text("", "ok q"), "ok q"},
 	} {
 		t.Run(name, func(t *testing.T) {
