--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -14,31 +14,32 @@
 	"github.com/tidwall/redcon"
 )
 
-// backendMode is how a backend treats commands.
+// backendMode states how a backend handles commands.
 type backendMode int
 
 const (
-	modeServing backendMode = iota // it serves, with few faults of each kind
-	modeHanging                    // it accepts commands and never replies
-	modeFailing                    // it replies with errors, resets connections, corrupts replies
+	modeServing backendMode = iota // serves most commands and mishandles the rest, as actionShares states
+	modeHanging                    // accepts commands and never replies
+	modeFailing                    // like modeServing, with a larger share of mishandled commands
 )
 
-// backendAction is what a backend does with one command.
+// backendAction states how a backend handles one command.
 type backendAction int
 
 const (
 	actionServe           backendAction = iota
-	actionReject                        // as not executed
-	actionError                         // reply with an error
-	actionReset                         // reset the connection, after the work
-	actionCorruptReply                  // reply with bytes that are no reply
-	actionDuplicateReply                // send the same reply twice
-	actionIncompleteReply               // begin a reply and never end it
+	actionReject                        // replies that the command was not executed
+	actionError                         // replies with an error
+	actionReset                         // resets the connection after the work time
+	actionCorruptReply                  // replies with bytes that are not a reply of the protocol
+	actionDuplicateReply                // sends the same reply twice
+	actionIncompleteReply               // sends the first half of a reply
 	actionNoReply
 )
 
-// servingActions of a backend that serves: each happens if the uniform draw is below its limit and not below the one before.
-var servingActions = []struct {
+// actionShares are the shares of the actions in serving mode. A uniform draw selects the first action whose cumulative share
+// exceeds it.
+var actionShares = []struct {
 	cumulativeShare float64
 	action          backendAction
 }{
@@ -47,22 +48,22 @@
 }
 
 const (
-	maxWorkTime         = 60 * time.Millisecond // of one command
-	failingDrawScale    = 0.3                   // of the draw of a failing backend: four commands in ten go wrong
-	drainingRejectShare = 0.8                   // of commands that a draining backend rejects; it executes the others, for the checks
+	maxWorkTime         = 60 * time.Millisecond // for one command
+	failingDrawScale    = 0.3                   // factor for the draw of a failing backend, which makes it mishandle 40% of the commands
+	drainingRejectShare = 0.8                   // of commands to a draining backend; it accepts the rest so that they are checked
 )
 
-// backend serves commands and reports them to the checker.
+// backend serves commands and reports the attempts to the checker.
 type backend struct {
 	checker    *checker
 	index      int
 	ln         net.Listener
-	goroutines sync.WaitGroup // the goroutines that accept and serve connections; close ends them
+	goroutines sync.WaitGroup // for accepting and serving connections; close waits for them
 
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
 	mode          backendMode
-	drainingSince time.Time // zero: it does not drain
+	drainingSince time.Time // zero means that it does not drain
 	conns         map[net.Conn]struct{}
 	closed        bool
 }
@@ -73,7 +74,7 @@
 		return nil, err
 	}
 	b := &backend{checker: c, index: index, ln: ln, rng: rng, conns: map[net.Conn]struct{}{}}
-	b.goroutines.Go(b.acceptConns) // close ends it and waits for it
+	b.goroutines.Go(b.acceptConns) // ends when close closes the listener
 	return b, nil
 }
 
@@ -91,7 +92,7 @@
 	b.goroutines.Wait()
 }
 
-// setDraining makes the backend reject new commands, or serve them again.
+// setDraining starts or ends draining: a draining backend rejects most commands.
 func (b *backend) setDraining(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,14 +118,14 @@
 			nc.Close()
 			return
 		}
-		b.goroutines.Go(func() { // close closes the connection, which ends it, and waits for it
+		b.goroutines.Go(func() { // ends with the connection, which close closes
 			defer b.removeConn(nc)
 			b.serveConn(nc)
 		})
 	}
 }
 
-// addConn reports whether a new connection is served, which it is not after close.
+// addConn adds a new connection. It reports false after close.
 func (b *backend) addConn(nc net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,13 +143,13 @@
 	nc.Close()
 }
 
-// firstByteConn records when the first byte of a command arrived.
+// firstByteConn records the arrival time of the first byte of a command.
 type firstByteConn struct {
 	net.Conn
-	firstByteAt time.Time // zero: not yet
+	firstByteAt time.Time // zero means that no byte has arrived
 }
 
-// Read reads from the connection.
+// Read reads from the connection and records the time of the first byte.
 func (c *firstByteConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && c.firstByteAt.IsZero() {
@@ -171,7 +172,7 @@
 	}
 }
 
-// execute reacts to one command; it reports whether the connection stays open.
+// execute handles one command. It reports whether the connection stays open.
 func (b *backend) execute(nc net.Conn, args [][]byte, firstByteAt time.Time) bool {
 	if len(args) < 4 {
 		io.WriteString(nc, "-ERR unknown command\r\n")
@@ -179,7 +180,8 @@
 	}
 	id, err := strconv.ParseUint(string(args[2]), 16, 64)
 	if err != nil {
-		b.checker.violations.record(WrongReply, noIngress, "a command with the id %q at backend %d", args[2], b.index)
+		b.checker.violations.record(WrongReply, noIngress,
+			"got request id %q at backend %d, want a hexadecimal number", args[2], b.index)
 		return false
 	}
 	action, workTime, drainingSince := b.drawAction()
@@ -190,7 +192,7 @@
 	return perform(nc, action, id, workTime)
 }
 
-// drawAction draws what happens to a command and how long it takes.
+// drawAction draws the action for a command and its work time. It also returns the time since which the backend drains.
 func (b *backend) drawAction() (action backendAction, workTime time.Duration, drainingSince time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,7 +206,7 @@
 	case b.mode == modeFailing:
 		draw *= failingDrawScale
 	}
-	for _, a := range servingActions {
+	for _, a := range actionShares {
 		if draw < a.cumulativeShare {
 			return a.action, workTime, b.drainingSince
 		}
@@ -212,7 +214,7 @@
 	return actionServe, workTime, b.drainingSince
 }
 
-// perform does what was drawn; it reports whether the connection stays open.
+// perform performs an action for a command. It reports whether the connection stays open.
 func perform(nc net.Conn, action backendAction, id uint64, workTime time.Duration) bool {
 	value := valueOf(id)
 	reply := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
@@ -239,10 +241,11 @@
 	return err == nil
 }
 
-// valueOf is the value of the reply to a request. It differs from request to request, so that a mix-up is found.
+// valueOf returns the value of the reply to a request. Each request has a different value, so that a reply to the wrong
+// request is detected.
 func valueOf(id uint64) string { return fmt.Sprintf("value of %016x", id) }
 
-// timeLeftOf returns the time until the client's deadline that the fields of a command tell; 0: none.
+// timeLeftOf returns the time until the client's deadline in the fields of a command; zero if they do not contain it.
 func timeLeftOf(fields string) time.Duration {
 	for field := range strings.SplitSeq(fields, ",") {
 		if text, ok := strings.CutPrefix(field, "d="); ok {
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -11,7 +11,7 @@
 	keyedClass         = classes[2]
 )
 
-// wantViolation fails the test unless the checker found just this one violation; "": none.
+// wantViolation fails the test unless the checker recorded exactly this one violation, or none if want is empty.
 func wantViolation(t *testing.T, c *checker, want ViolationKind) {
 	t.Helper()
 	var got ViolationKind
@@ -19,34 +19,34 @@
 		got += v.Kind
 	}
 	if got != want {
-		t.Fatalf("found %q, want %q", got, want)
+		t.Fatalf("got violation %q, want %q", got, want)
 	}
 }
 
-// Each violation in a history is found, and what resembles it and is allowed is not.
+// Violations in a history are reported; similar histories that the protocol allows are not.
 func TestCheckHistoryReportsOnlyViolations(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	now := time.Now()
-	after := func(after time.Duration) time.Time { return now.Add(after) }
+	after := func(d time.Duration) time.Time { return now.Add(d) }
 	for name, c := range map[string]struct {
 		request  request
-		attempts []time.Duration // after the request was sent
-		want     ViolationKind   // "": none
+		attempts []time.Duration // starts, after the request was sent
+		want     ViolationKind   // empty means none
 	}{
 		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), reply: ReplyValue}, nil, ""},
 		"never answered":            {request{class: idempotentClass}, nil, NoReply},
 		"excused":                   {request{class: idempotentClass, exemption: "killed"}, nil, ""},
 		"client disconnected":       {request{class: idempotentClass, disconnectedAt: after(0)}, nil, ""},
-		"crossed the close":         {request{class: idempotentClass, closedAt: after(20 * time.Millisecond)}, nil, ""},
-		"closed after it was read":  {request{class: idempotentClass, closedAt: after(2 * time.Second)}, nil, NoReply},
+		"sent during the close":     {request{class: idempotentClass, closedAt: after(20 * time.Millisecond)}, nil, ""},
+		"closed long after sending": {request{class: idempotentClass, closedAt: after(2 * time.Second)}, nil, NoReply},
 		"closed after forwarding":   {request{class: idempotentClass, closedAt: after(time.Millisecond)}, []time.Duration{0}, NoReply},
 		"answered late":             {request{class: idempotentClass, repliedAt: after(2 * time.Second)}, nil, LateReply},
-		"late, behind another":      {request{class: idempotentClass, repliedAt: after(2 * time.Second), prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
+		"late, after late reply":    {request{class: idempotentClass, repliedAt: after(2 * time.Second), prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
 		"idempotent, twice":         {request{class: idempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ""},
 		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ExecutedTwice},
 		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: after(0), reply: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
-		"key, twice within window":  {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
-		"key, again after a window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
+		"keyed, twice in window":    {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
+		"keyed, twice after window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
@@ -61,20 +61,20 @@
 	}
 }
 
-// An attempt that must not begin is found as it arrives at a backend.
+// An attempt that the protocol forbids is reported when it arrives at a backend.
 func TestRecordAttemptReportsOnlyViolations(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		disconnectedFor, drainingFor time.Duration // before the attempt; 0: not
+		disconnectedFor, drainingFor time.Duration // until the attempt; zero means not disconnected, not draining
 		timeLeft                     time.Duration
 		undelayed                    bool
 		want                         ViolationKind
 	}{
-		"in order":                   {0, 0, 400 * time.Millisecond, true, ""},
+		"allowed":                    {0, 0, 400 * time.Millisecond, true, ""},
 		"deadline extended":          {0, 0, time.Second, true, DeadlineExtended},
 		"deadline extended, delayed": {0, 0, time.Second, false, ""},
-		"disconnected just now":      {200 * time.Millisecond, 0, 1, true, ""},
-		"disconnected before":        {time.Second, 0, 1, true, SentAfterDisconnect},
+		"disconnected recently":      {200 * time.Millisecond, 0, 1, true, ""},
+		"disconnected long ago":      {time.Second, 0, 1, true, SentAfterDisconnect},
 		"draining for a short time":  {0, 900 * time.Millisecond, 1, true, ""},
 		"draining for a long time":   {0, 3 * time.Second, 1, true, SentToDraining},
 	} {
@@ -101,11 +101,11 @@
 		text string
 		want ViolationKind
 	}{
-		"its value":       {ReplyValue, valueOf(1), ""},
-		"another's value": {ReplyValue, valueOf(2), WrongReply},
-		"invalid reply":   {ReplyInvalid, "+OK", WrongReply},
-		"rejected":        {ReplyBusy, "-BUSY", ""},
-		"failed":          {ReplyError, "-ERR failed", ""},
+		"own value":     {ReplyValue, valueOf(1), ""},
+		"other's value": {ReplyValue, valueOf(2), WrongReply},
+		"invalid reply": {ReplyInvalid, "+OK", WrongReply},
+		"rejected":      {ReplyBusy, "-BUSY", ""},
+		"failed":        {ReplyError, "-ERR failed", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	connsPerIngress     = 3 // of clients that pipeline
+	connsPerIngress     = 3 // pipelining connections
 	unknownCommandShare = 0.02
-	disconnectShare     = 0.01                  // of requests after which the client closes its connection at once
-	redialInterval      = 20 * time.Millisecond // after a connection was refused
+	disconnectShare     = 0.01                  // of requests after which the client disconnects at once
+	redialInterval      = 20 * time.Millisecond // after a failed dial
 
-	shortLivedInterval = 50 * time.Millisecond // mean time between two requests of short-lived connections, for each ingress
-	slowWriterShare    = 0.2                   // of short-lived connections, whose commands are written in chunks
-	maxChunkDelayMS    = 4                     // between these chunks, in milliseconds
+	shortLivedInterval = 50 * time.Millisecond // mean time between two short-lived connections to an ingress
+	slowWriterShare    = 0.2                   // of short-lived connections on which the client may write in chunks
+	maxChunkDelayMS    = 4                     // milliseconds between two chunks
 )
 
-// pipeliningClient sends one command after another on a connection without waiting for replies, as a server that forwards
-// the requests of many customers does. It opens a new connection when one ends.
+// pipeliningClient sends commands on a connection without waiting for replies, like a server that forwards the requests of
+// many customers. When the connection ends, it opens a new one.
 type pipeliningClient struct {
 	target   *ingressProcess
 	checker  *checker
@@ -40,12 +40,12 @@
 			continue
 		}
 		readDone := make(chan struct{})
-		go func() { // waited for below; the end of the connection ends it
+		go func() { // ends when the connection ends; run waits for it
 			defer close(readDone)
 			c.readReplies()
 		}()
 		pc.sendRequests(ctx, c, readDone)
-		if ctx.Err() != nil { // the last replies
+		if ctx.Err() != nil { // wait for the last replies
 			select {
 			case <-readDone:
 			case <-time.After(replyTimeout):
@@ -56,7 +56,7 @@
 	}
 }
 
-// sendRequests sends requests on a connection until it or ctx ends.
+// sendRequests sends requests on a connection until the connection or ctx ends.
 func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, readDone <-chan struct{}) {
 	rng := pc.workload.rng
 	for {
@@ -90,15 +90,15 @@
 	}
 }
 
-// shortLivedClient opens a connection for each request.
+// shortLivedClient opens a new connection for each request.
 type shortLivedClient struct {
 	target         *ingressProcess
 	checker        *checker
 	workload       workload
-	connGoroutines *sync.WaitGroup // the goroutines of its connections, which end at the latest with the ingress
+	connGoroutines *sync.WaitGroup // for the connections of the client; they end at the latest when the ingress exits
 }
 
-// run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
+// run opens connections until ctx ends. It does not wait for their goroutines; the owner of connGoroutines does.
 func (sc *shortLivedClient) run(ctx context.Context) {
 	rng := sc.workload.rng
 	for ctx.Err() == nil {
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -12,28 +12,28 @@
 
 const (
 	backendCount = 8
-	segmentCount = 2 // of the network: each reaches the backends through proxies of its own
-	addressCount = 2 // of each of discovery and the counter; a reloaded configuration moves an ingress between them
+	segmentCount = 2 // segments of the network; each has its own proxies to the backends
+	addressCount = 2 // addresses of discovery and of the counter; a reload switches an ingress between them
 
-	// Capacities that no run comes near, in calls a second.
+	// Calls per second, above the load of any run.
 	counterCapacity   = 20_000
 	discoveryCapacity = 10_000
 )
 
-// anyPort is a free port of the loopback interface, as an address to listen on.
+// anyPort is the listen address for a free port of the loopback interface.
 const anyPort = "127.0.0.1:0"
 
-// segmentOf returns the segment of the network that an ingress is in.
+// segmentOf returns the network segment of an ingress.
 func segmentOf(ingress int) int { return ingress % segmentCount }
 
-// States of an endpoint, as discovery names them.
+// States of an endpoint in discovery.
 const (
 	stateServing  = "SERVING"
 	stateDraining = "DRAINING"
 )
 
-// cluster is what the ingresses talk to: backends behind a proxy for each segment, a discovery for each segment, which lists
-// these proxies, and a counter.
+// cluster contains the services that the ingresses connect to: backends, a counter, and for each segment a proxy for each
+// backend and a discovery that lists these proxies.
 type cluster struct {
 	disruptions  *disruptions
 	backends     []*backend
@@ -41,20 +41,20 @@
 	discovery    [segmentCount]*discovery
 	counter      *standin.Counter
 	counterAddrs [addressCount]string
-	closers      []func()       // called in reverse order by close
-	goroutines   sync.WaitGroup // of discovery and the counter; the closers end it
+	closers      []func()       // close calls them in reverse order
+	goroutines   sync.WaitGroup // for discovery and the counter; they end when the closers close these services
 
 	mu     sync.Mutex // guards states
-	states []string   // of the backends, as discovery lists them
+	states []string   // state of each backend in discovery
 }
 
-// discovery is the discovery of one segment.
+// discovery is the discovery service of one segment.
 type discovery struct {
 	*standin.Discovery
 	addrs [addressCount]string
 }
 
-// newCluster starts a cluster. What the backends of it draw comes from seed.
+// newCluster starts a cluster. The random numbers of the backends are derived from seed.
 func newCluster(c *checker, seed uint64) (_ *cluster, err error) {
 	cl := &cluster{disruptions: c.disruptions}
 	defer func() {
@@ -108,7 +108,7 @@
 	return err
 }
 
-// serve serves one service on all its addresses until a closer ends it.
+// serve runs a service on addressCount addresses. It ends when a closer closes the service.
 func (cl *cluster) serve(serve func(net.Listener) error) (addrs [addressCount]string, err error) {
 	for i := range addrs {
 		ln, err := net.Listen("tcp", anyPort)
@@ -116,13 +116,13 @@
 			return addrs, err
 		}
 		addrs[i] = ln.Addr().String()
-		// close waits for this goroutine; the service's closer ends it. That it then returns an error is of no interest.
+		// Ends when the service's closer closes it; the error that Serve then returns is expected.
 		cl.goroutines.Go(func() { serve(ln) })
 	}
 	return addrs, nil
 }
 
-// close ends all services and waits for their goroutines.
+// close closes all services and waits for their goroutines.
 func (cl *cluster) close() {
 	for i := len(cl.closers) - 1; i >= 0; i-- {
 		cl.closers[i]()
@@ -130,13 +130,14 @@
 	cl.goroutines.Wait()
 }
 
-// endpoint returns a backend's entry in the list of one segment. Two backends each are in one group.
+// endpoint returns the entry of a backend in the list of a segment. Each group has two backends. The caller holds cl.mu, unless
+// the cluster is not yet shared.
 func (cl *cluster) endpoint(segment, i int) standin.Target {
 	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: cl.proxies[segment][i].Addr(), Zone: "a", Model: "m", Group: i / 2,
 		State: cl.states[i], Capacity: 1}
 }
 
-// endpoints returns the list of one segment; cl.mu is held, or nothing else knows the cluster yet.
+// endpoints returns the list of a segment. The caller holds cl.mu, unless the cluster is not yet shared.
 func (cl *cluster) endpoints(segment int) (list []standin.Target) {
 	for i := range cl.backends {
 		list = append(list, cl.endpoint(segment, i))
@@ -144,14 +145,14 @@
 	return list
 }
 
-// currentEndpoints returns the list of one segment as discovery tells it now.
+// currentEndpoints returns the current list of a segment.
 func (cl *cluster) currentEndpoints(segment int) []standin.Target {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.endpoints(segment)
 }
 
-// setState makes a backend drain or serve again, and then reports that to discovery in all segments.
+// setState makes a backend drain or serve, and then reports the change to discovery in all segments.
 func (cl *cluster) setState(i int, state string) {
 	cl.mu.Lock()
 	cl.states[i] = state
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -9,7 +9,7 @@
 	"lemontack/internal/standin"
 )
 
-// What the configuration grants each ingress.
+// Resource limits in the configuration of each ingress.
 const (
 	cpuCores       = 1
 	memoryMB       = 192
@@ -18,9 +18,9 @@
 
 // Settings that the checks and the load depend on.
 const (
-	maxTimeout          = 700 * time.Millisecond // of a request: the longest deadline that a client may ask for
-	deduplicationWindow = time.Second            // within which requests with an idempotency key may be repeated
-	planCount           = 3                      // of customers' contracts, p0 and so on
+	maxTimeout          = 700 * time.Millisecond // longest timeout that a client may request
+	deduplicationWindow = time.Second            // time within which a request with an idempotency key may be repeated
+	planCount           = 3                      // plans of customers; their names are p0, p1 and so on
 )
 
 // ingressConfig is the configuration file of an ingress.
@@ -41,14 +41,14 @@
 	Descriptors int `json:"sockets"`
 }
 
-// configEndpointList is the list of endpoints as last known.
+// configEndpointList is the list of endpoints that an ingress starts with.
 type configEndpointList struct {
 	Revision  int64            `json:"rev"`
 	Complete  bool             `json:"all"`
 	Endpoints []standin.Target `json:"targets"`
 }
 
-// configSettings are the settings of the decision module; times are in microseconds.
+// configSettings are the settings of the policy package. Times are in microseconds.
 type configSettings struct {
 	Index        int               `json:"me"`
 	GatewayCount int               `json:"replicasOfMe"`
@@ -104,7 +104,7 @@
 	SlowStartBudgetSpan     int64   `json:"fallUs"`
 }
 
-// config returns the present configuration of the process.
+// config returns the configuration of the process for its current address index and list of endpoints.
 func (p *ingressProcess) config() ingressConfig {
 	discovery, addrIndex := p.cluster.discovery[p.segment], p.reloads%addressCount
 	return ingressConfig{
@@ -147,7 +147,7 @@
 	return s
 }
 
-// writeConfig writes the present configuration to the file that the process reads.
+// writeConfig writes the current configuration to the configuration file of the process.
 func (p *ingressProcess) writeConfig() error {
 	text, err := json.Marshal(p.config())
 	if err != nil {
@@ -156,7 +156,7 @@
 	return replaceFile(p.configPath, text)
 }
 
-// replaceFile writes a file so that a reader finds either its old content or its new one.
+// replaceFile replaces a file atomically: a reader finds either the old content or the new content.
 func replaceFile(path string, content []byte) error {
 	tempPath := path + ".new"
 	if err := os.WriteFile(tempPath, content, 0o600); err != nil {
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	replyTimeout     = 10 * time.Second // for the last replies, once nothing more is sent
-	chunkBytes       = 30               // bytes of a command that is written slowly
-	retryQueueLength = 64               // of one connection; rejected requests beyond are not retried
-	retryTenths      = 7                // of ten rejected requests are retried at once, with what is left of their time
+	replyTimeout     = 10 * time.Second // for the last replies on a connection, after the last request
+	chunkBytes       = 30               // length of a chunk of a command that is written slowly
+	retryQueueLength = 64               // for each connection; further rejected requests are not retried
+	retryTenths      = 7                // tenths of the rejected requests that the client retries, with their remaining time
 	unknownCommand   = "*1\r\n$5\r\nHELLO\r\n"
 )
 
-// clientConn is one connection of a client, on which commands are pipelined.
+// clientConn is one pipelining connection of a client to an ingress.
 type clientConn struct {
 	nc          net.Conn
 	checker     *checker
 	target      *ingressProcess
-	incarnation int // of the target, when the connection was opened
+	incarnation int // of the target, read after the dial
 	dialledAt   time.Time
-	chunkDelay  time.Duration // between the chunks of a command; 0: it is written at once
-	retries     chan *request // rejected ones
+	chunkDelay  time.Duration // between the chunks of a command; zero means that it is written at once
+	retries     chan *request // rejected requests that the client retries
 
 	mu      sync.Mutex // guards the fields below
-	pending []*request // without a reply, in the order of the commands; nil: an unknown command
-	closed  bool       // nothing more is sent, and replies are of no interest
+	pending []*request // commands without a reply, in the order sent; nil stands for an unknown command
+	closed  bool       // true if no more commands are sent and replies are ignored
 }
 
 // dialClientConn opens a connection to an ingress.
@@ -46,14 +46,14 @@
 // sendUnknownCommand sends a command that no ingress knows.
 func (c *clientConn) sendUnknownCommand() error { return c.send(nil, []byte(unknownCommand)) }
 
-// send sends the command of a request; nil: an unknown command.
+// send sends the command of a request. A nil request stands for an unknown command.
 func (c *clientConn) send(r *request, command []byte) error {
 	if !c.addPending(r) {
 		return net.ErrClosed
 	}
 	for c.chunkDelay > 0 && len(command) > chunkBytes {
 		if _, err := c.nc.Write(command[:chunkBytes]); err != nil {
-			break // the write of the last chunk returns the error; an incomplete command needs no reply
+			break // the write below returns the error; an incomplete command needs no reply
 		}
 		command = command[chunkBytes:]
 		time.Sleep(c.chunkDelay)
@@ -65,7 +65,7 @@
 	return err
 }
 
-// addPending reports whether the connection is still open for another command.
+// addPending adds a command to those without a reply. It reports whether the connection is still open for commands.
 func (c *clientConn) addPending(r *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	return len(c.pending) == 0 || c.closed
 }
 
-// openRequests returns the requests without a reply; c.mu is held.
+// openRequests returns the requests without a reply. The caller holds c.mu.
 func (c *clientConn) openRequests() (open []*request) {
 	for _, r := range c.pending {
 		if r != nil {
@@ -116,7 +116,7 @@
 	return open
 }
 
-// readReplies reads replies until the connection ends.
+// readReplies reads and checks replies until the connection ends.
 func (c *clientConn) readReplies() {
 	in := bufio.NewReader(c.nc)
 	for prevReplyAt := (time.Time{}); ; prevReplyAt = time.Now() {
@@ -128,32 +128,32 @@
 		r, state := c.takePending()
 		switch {
 		case state == nothingPending:
-			c.checker.violations.record(WrongReply, c.target.index, "%q answers no command", text)
+			c.checker.violations.record(WrongReply, c.target.index, "got %q, want no reply since no command is pending", text)
 			c.nc.Close()
 			return
 		case state == connClosed:
 			return
 		case r == nil:
 			if kind != ReplyError {
-				c.checker.violations.record(WrongReply, c.target.index, "%q answers an unknown command", text)
+				c.checker.violations.record(WrongReply, c.target.index, "got %q to an unknown command, want an error", text)
 			}
 		default:
 			c.checker.recordReply(r, prevReplyAt, kind, text)
-			c.retry(r, kind)
+			c.queueRetry(r, kind)
 		}
 	}
 }
 
-// pendingState says what a reply belongs to.
+// pendingState states whether a command waits for the reply that was read.
 type pendingState int
 
 const (
 	commandPending pendingState = iota
 	nothingPending
-	connClosed // the client closed the connection as the reply came
+	connClosed // the client closed the connection before it processed the reply
 )
 
-// takePending removes the command that the next reply answers.
+// takePending removes and returns the first command without a reply.
 func (c *clientConn) takePending() (*request, pendingState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,8 +168,8 @@
 	return r, commandPending
 }
 
-// retry hands a rejected request back to be sent again. One without any time left is not.
-func (c *clientConn) retry(r *request, kind ReplyKind) {
+// queueRetry queues a rejected request for a retry, unless its timeout is zero or the queue is full.
+func (c *clientConn) queueRetry(r *request, kind ReplyKind) {
 	if kind != ReplyBusy || r.id%10 >= retryTenths || r.timeout == 0 {
 		return
 	}
@@ -179,7 +179,8 @@
 	}
 }
 
-// handleReadError records or reports the end of the connection as the requests without a reply explain it.
+// handleReadError handles the end of the connection. For the requests without a reply it records why they got none, or a
+// violation.
 func (c *clientConn) handleReadError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/disruptions.go
+++ b/internal/soak/disruptions.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	delaySettleTime     = 3 * time.Second // after a proxy's delay, for which its backend's times are not checked
-	notificationTimeout = 6 * time.Second // after a disruption of discovery, by which an ingress has to know what changed
+	delaySettleTime     = 3 * time.Second // time after a proxy's delay in which the backend's times are not checked
+	notificationTimeout = 6 * time.Second // time after a disruption of discovery in which an ingress may miss changes
 )
 
-// disruptions records which parts of the cluster were disrupted when, so that the effects of a disruption are not taken for
-// violations. It is safe for concurrent use.
+// disruptions records the times at which parts of the cluster were disrupted, so that the effects of a disruption are not
+// reported as violations. It is safe for concurrent use.
 type disruptions struct {
 	mu                   sync.Mutex                            // guards the fields below
-	delayedAt            [segmentCount][backendCount]time.Time // when the proxy of a backend last delayed what it forwards
-	discoveryDisruptedAt [segmentCount]time.Time               // when discovery was last disrupted
+	delayedAt            [segmentCount][backendCount]time.Time // last time that the proxy of a backend delayed traffic
+	discoveryDisruptedAt [segmentCount]time.Time               // last disruption of each segment's discovery
 }
 
-// recordDelay records that the proxy of a backend delays what it forwards, now.
+// recordDelay records that the proxy of a backend delays traffic at the current time.
 func (d *disruptions) recordDelay(segment, backend int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delayedAt[segment][backend] = time.Now()
 }
 
-// recordDiscoveryDisruption records that a segment's discovery is disrupted, now.
+// recordDiscoveryDisruption records that a segment's discovery is disrupted at the current time.
 func (d *disruptions) recordDiscoveryDisruption(segment int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,8 +44,9 @@
 	return true
 }
 
-// notificationDeadline returns when an ingress has to know of a change in discovery: at once, or notificationTimeout after the last
-// disruption, if that came after the change or so shortly before it that a watch may not have been opened again.
+// notificationDeadline returns the time by which an ingress must have received a change from discovery. This is the time of
+// the change, unless discovery was disrupted after it, or so shortly before it that the watch may not be open again. Then it is
+// notificationTimeout after the later of the change and the disruption.
 func (d *disruptions) notificationDeadline(ingress int, changedAt time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/disruptions_test.go
+++ b/internal/soak/disruptions_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An ingress has to know of a change at once, or in time after a disruption of its own segment's discovery.
+// The deadline is extended only by a disruption of discovery in the segment of the ingress.
 func TestNotificationDeadlineIsExtendedByDisruptions(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct{ disrupted, want time.Duration }{
@@ -18,10 +18,10 @@
 			d := &disruptions{}
 			d.discoveryDisruptedAt[1] = now.Add(c.disrupted)
 			if got := d.notificationDeadline(3, now).Sub(now); got != c.want {
-				t.Fatalf("notified after %v, want %v", got, c.want)
+				t.Fatalf("got deadline %v after the change, want %v", got, c.want)
 			}
 			if got := d.notificationDeadline(2, now); !got.Equal(now) {
-				t.Fatal("the other segment's discovery was not disrupted")
+				t.Fatalf("undisrupted segment: got deadline %v, want %v", got, now)
 			}
 		})
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	partitionShare = 0.6             // of the backends that a network partition cuts a segment off from
-	extraDrainTime = 2 * time.Second // of a backend, besides the duration of the fault: longer than maxSendAfterDrain
-	idleConnCount  = 40              // that are opened at once
+	partitionShare = 0.6             // of the backends that a segment cannot reach during a network partition
+	extraDrainTime = 2 * time.Second // added to the duration of a drain, which has to exceed maxSendAfterDrain
+	idleConnCount  = 40              // connections that one fault opens
 
-	// A slow proxy waits for less than proxyDelayLimitMS milliseconds before each piece of minProxyPiece bytes or more.
+	// A slow proxy waits before each chunk for less than proxyDelayLimitMS milliseconds. The length of a chunk is drawn from
+	// minProxyChunkBytes and the proxyChunkBytesSpread-1 next larger numbers.
 	proxyDelayLimitMS     = 30
 	minProxyChunkBytes    = 20
 	proxyChunkBytesSpread = 200
 )
 
-// faults returns the kinds of faults; the draw is uniform, so that one that stands twice is twice as frequent. Their order
-// is part of what a seed means.
+// faults returns the faults for a uniform draw; one that is listed twice is drawn twice as often. Their order must not change,
+// since the faults drawn from a seed depend on it.
 func (fi *faultInjector) faults() []fault {
 	return []fault{
 		{"backend silent", fi.proxyFault(faults.Silent)},
@@ -55,8 +56,10 @@
 	return fi.processes[rng.IntN(len(fi.processes))]
 }
 
-// changeProxyTemporarily changes how a proxy forwards for a while, and records that it delays its backend's traffic.
-func (fi *faultInjector) changeProxyTemporarily(ctx context.Context, segment, i int, duration time.Duration, apply, restore func(*faults.Proxy)) {
+// changeProxyTemporarily applies a change to a proxy, restores the proxy after duration or when ctx ends, and records that the
+// proxy delays its backend's traffic.
+func (fi *faultInjector) changeProxyTemporarily(ctx context.Context, segment, i int, duration time.Duration,
+	apply, restore func(*faults.Proxy)) {
 	fi.cluster.disruptions.recordDelay(segment, i)
 	apply(fi.cluster.proxies[segment][i])
 	sleep(ctx, duration)
@@ -64,7 +67,7 @@
 	fi.cluster.disruptions.recordDelay(segment, i)
 }
 
-// setProxyMode puts a proxy into a mode for a while.
+// setProxyMode sets the mode of a proxy until duration has passed or ctx ends.
 func (fi *faultInjector) setProxyMode(ctx context.Context, segment, i int, duration time.Duration, mode faults.Mode) {
 	fi.changeProxyTemporarily(ctx, segment, i, duration,
 		func(p *faults.Proxy) { p.SetMode(mode) }, func(p *faults.Proxy) { p.SetMode(faults.Forwarding) })
@@ -80,14 +83,15 @@
 	fi.cluster.proxies[rng.IntN(segmentCount)][rng.IntN(backendCount)].ResetConnections()
 }
 
-// delayBackend makes a proxy forward in small pieces with delays between them.
+// delayBackend makes a proxy forward small chunks with a delay before each.
 func (fi *faultInjector) delayBackend(ctx context.Context, rng *rand.Rand, duration time.Duration) {
-	delay, chunkBytes := time.Duration(rng.IntN(proxyDelayLimitMS))*time.Millisecond, minProxyChunkBytes+rng.IntN(proxyChunkBytesSpread)
+	delay, chunkBytes :=
+		time.Duration(rng.IntN(proxyDelayLimitMS))*time.Millisecond, minProxyChunkBytes+rng.IntN(proxyChunkBytesSpread)
 	fi.changeProxyTemporarily(ctx, rng.IntN(segmentCount), rng.IntN(backendCount), duration,
 		func(p *faults.Proxy) { p.SetThrottle(delay, chunkBytes) }, func(p *faults.Proxy) { p.SetThrottle(0, 0) })
 }
 
-// partition cuts one segment off from a part of the backends.
+// partition disconnects one segment from a part of the backends.
 func (fi *faultInjector) partition(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	segment := rng.IntN(segmentCount)
 	var partitioned sync.WaitGroup
@@ -108,7 +112,7 @@
 	}
 }
 
-// drainBackend drains one of the first half of the backends, so that some always serve.
+// drainBackend drains one of the first half of the backends. The other half never drains.
 func (fi *faultInjector) drainBackend(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	i := rng.IntN(backendCount / 2)
 	fi.cluster.setState(i, stateDraining)
@@ -143,17 +147,17 @@
 	}
 }
 
-// stall stops a process for no longer than the protocol lets a machine not run it.
+// stall pauses a process for less than maxStall.
 func (fi *faultInjector) stall(_ context.Context, rng *rand.Rand, _ time.Duration) {
 	fi.pause(fi.pickProcess(rng), time.Duration(rng.Int64N(int64(maxStall*9/10))))
 }
 
-// freeze stops a process for longer than the protocol lets a machine not run it: its times are not checked then, all else is.
+// freeze pauses a process for longer than maxStall. The pause is added to the tolerance of the checks that depend on time.
 func (fi *faultInjector) freeze(_ context.Context, rng *rand.Rand, duration time.Duration) {
 	fi.pause(fi.pickProcess(rng), duration)
 }
 
-// pause stops a process for a time, unless it is being stopped, restarted or reconfigured.
+// pause pauses a process, unless another fault pauses, restarts or reconfigures it at that time.
 func (fi *faultInjector) pause(p *ingressProcess, duration time.Duration) {
 	if !p.lifecycle.TryLock() {
 		return
@@ -168,7 +172,7 @@
 	}
 }
 
-// openIdleConns keeps connections open that say nothing.
+// openIdleConns opens connections that send nothing, and closes them after duration or when ctx ends.
 func (fi *faultInjector) openIdleConns(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	p := fi.pickProcess(rng)
 	var open []net.Conn
@@ -191,7 +195,7 @@
 	fi.stopAndStart(ctx, fi.pickProcess(rng), (*ingressProcess).kill)
 }
 
-// stopAndStart ends a process and starts it again, also if ctx has ended meanwhile.
+// stopAndStart stops a process and starts it again. It waits until the process is ready, also after ctx has ended.
 func (fi *faultInjector) stopAndStart(ctx context.Context, p *ingressProcess, stop func(*ingressProcess)) {
 	if !p.lifecycle.TryLock() {
 		return
@@ -207,7 +211,7 @@
 	}
 }
 
-// reload moves an ingress to the other addresses of discovery and the counter.
+// reload switches an ingress to other addresses of discovery and the counter.
 func (fi *faultInjector) reload(_ context.Context, rng *rand.Rand, _ time.Duration) {
 	p := fi.pickProcess(rng)
 	if !p.lifecycle.TryLock() {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// request is one request of a client and all that was observed of it. The fields above sentAt never change. The history guards
-// the others; only the client that sent the request may read sentAt without it.
+// request is one request of a client and the observations of it. The fields above sentAt never change. history.mu guards the
+// other fields; only the client that sent the request may read sentAt without holding it.
 type request struct {
 	id      uint64
-	ingress int // index of the process that it is sent to
+	ingress int // index of the process that receives the request
 	class   requestClass
 	timeout time.Duration // from sentAt until the client's deadline
 
-	sentAt         time.Time // its last byte was written
-	disconnectedAt time.Time // the client closed its connection; zero: it did not
-	exemption      string    // a fault that frees the ingress from replying; "": none
-	closedAt       time.Time // the ingress closed the connection in good order without a reply; zero: it did not
-	repliedAt      time.Time // zero: no reply yet
-	prevReplyAt    time.Time // when the reply before it on the connection had come
+	sentAt         time.Time // just before the last byte is written
+	disconnectedAt time.Time // time of the client's close of the connection; zero means that the client did not close it
+	exemption      string    // reason why the ingress need not reply; empty means that it has to
+	closedAt       time.Time // time of an orderly close by the ingress without a reply; zero means that there was none
+	repliedAt      time.Time // zero means no reply yet
+	prevReplyAt    time.Time // arrival of the previous reply on the connection
 	reply          ReplyKind
 	attempts       []attempt
 }
 
-// isOpen reports whether the request still waits for a reply.
+// isOpen reports whether the ingress still has to reply to the request.
 func (r *request) isOpen() bool {
 	return r.repliedAt.IsZero() && r.disconnectedAt.IsZero() && r.closedAt.IsZero() && r.exemption == ""
 }
 
 // attempt is a complete command that arrived at a backend and was not rejected there.
 type attempt struct {
-	startedAt time.Time     // its first byte arrived
-	timeLeft  time.Duration // until the deadline, as the command says
-	undelayed bool          // no proxy delayed it
+	startedAt time.Time     // arrival of the first byte
+	timeLeft  time.Duration // until the deadline, as stated in the command
+	undelayed bool          // true if no proxy delayed the command
 }
 
-// history is what clients and backends observed. It is safe for concurrent use.
+// history records the observations of clients and backends. It is safe for concurrent use.
 type history struct {
-	mu       sync.Mutex // guards the fields below, and the observations in the requests
+	mu       sync.Mutex // guards the fields below and the observations in the requests
 	requests map[uint64]*request
 	replies  map[ReplyKind]int
 	attempts int
@@ -48,7 +48,7 @@
 	return &history{requests: map[uint64]*request{}, replies: map[ReplyKind]int{}}
 }
 
-// recordSent records a request as its last byte is about to be written.
+// recordSent records a request; it is called just before the last byte is written.
 func (h *history) recordSent(r *request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +56,8 @@
 	h.requests[r.id] = r
 }
 
-// recordReply records a request's final reply, and when the reply before it on the connection had come.
+// recordReply records the final reply to a request and the time of the previous reply on the connection. It returns the time
+// that it records for the reply.
 func (h *history) recordReply(r *request, prevReplyAt time.Time, kind ReplyKind) (at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,7 +66,7 @@
 	return r.repliedAt
 }
 
-// recordDisconnect records that the client closes the connection of open requests.
+// recordDisconnect records that the client closes the connection on which requests are open.
 func (h *history) recordDisconnect(requests []*request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,7 +75,7 @@
 	}
 }
 
-// exempt records a fault that frees the ingress from replying to open requests.
+// exempt records the reason why the ingress need not reply to open requests.
 func (h *history) exempt(requests []*request, reason string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// recordClose records that the ingress closed the connection of open requests in good order.
+// recordClose records that the ingress closed the connection of open requests without a reset.
 func (h *history) recordClose(requests []*request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// recordAttempt records an attempt and returns a copy of its request as it is then; ok is false if no client sent it.
+// recordAttempt records an attempt and returns a copy of its request; ok is false if no client sent the request.
 func (h *history) recordAttempt(id uint64, a attempt) (r request, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +106,7 @@
 	return *original, true
 }
 
-// awaitReplies waits until no request is open, but not for longer than timeout.
+// awaitReplies waits until no request is open, for at most timeout.
 func (h *history) awaitReplies(timeout time.Duration) {
 	const pollInterval = 10 * time.Millisecond
 	for deadline := time.Now().Add(timeout); h.anyOpen() && time.Now().Before(deadline); {
--- a/internal/soak/injector.go
+++ b/internal/soak/injector.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	faultInterval    = 150 * time.Millisecond // mean time between the beginnings of two faults
+	faultInterval    = 150 * time.Millisecond // mean time between the starts of two faults
 	minFaultDuration = 200 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// FaultKind names a kind of fault.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// fault is one kind of fault. Its inject begins it, waits and ends it; ctx ends the wait.
+// fault is a fault of one kind.
 type fault struct {
-	kind   FaultKind
+	kind FaultKind
+	// inject starts the fault, waits for duration or until ctx ends, and ends the fault. Faults without a duration ignore it.
 	inject func(ctx context.Context, rng *rand.Rand, duration time.Duration)
 }
 
@@ -38,7 +39,7 @@
 	return &faultInjector{cluster: cl, processes: processes, checker: c, rng: rng, injected: map[FaultKind]int{}}
 }
 
-// run begins one fault after another until ctx ends; they overlap. When it returns, all have ended.
+// run starts faults, which may overlap, until ctx ends. It returns after all of them have ended.
 func (fi *faultInjector) run(ctx context.Context) {
 	faults := fi.faults()
 	var active sync.WaitGroup
@@ -47,7 +48,7 @@
 		sleep(ctx, time.Duration(fi.rng.ExpFloat64()*float64(faultInterval)))
 		f := faults[fi.rng.IntN(len(faults))]
 		duration := minFaultDuration + time.Duration(fi.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
-		rng := rand.New(rand.NewPCG(fi.rng.Uint64(), 1)) // its own, since faults overlap in no fixed order
+		rng := rand.New(rand.NewPCG(fi.rng.Uint64(), 1)) // separate, since the order in which overlapping faults draw varies
 		fi.count(f.kind)
 		active.Go(func() { f.inject(ctx, rng, duration) })
 	}
--- a/internal/soak/misbehaving.go
+++ b/internal/soak/misbehaving.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	misbehaviorInterval = 100 * time.Millisecond // mean time between two misbehaving connections, for each ingress
-	errorReplyTimeout   = 3 * time.Second        // within which a misbehaving client has to get an error or a close
-	unknownCommandCount = 300
+	misbehaviorInterval = 100 * time.Millisecond // mean time between two connections of a misbehaving client
+	errorReplyTimeout   = 3 * time.Second        // time in which an ingress has to reply with an error or close the connection
+	unknownCommandCount = 300                    // unknown commands on one connection
 )
 
-// misbehavingClient sends what no client may send.
+// misbehavingClient sends input that violates the client protocol.
 type misbehavingClient struct {
 	target         *ingressProcess
 	checker        *checker
-	processes      int // ingresses of the run
+	processes      int // number of ingresses in the run
 	rng            *rand.Rand
-	connGoroutines *sync.WaitGroup // the goroutines of its connections, which end after twice errorReplyTimeout or with the ingress
+	connGoroutines *sync.WaitGroup // for the connections; they end after at most twice errorReplyTimeout
 }
 
-// run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
+// run opens connections until ctx ends. It does not wait for their goroutines; the owner of connGoroutines does.
 func (mc *misbehavingClient) run(ctx context.Context) {
 	invalidInputs := []func(io.Writer){
 		func(w io.Writer) { io.WriteString(w, "GET / HTTP/1.1\r\n\r\n") },
@@ -50,14 +50,15 @@
 	}
 }
 
-// sendIncompleteRequest sends a request that never ends, with an id that a request of another client may have.
+// sendIncompleteRequest sends a request without its last byte, with an id that a request of another client may have.
 func (mc *misbehavingClient) sendIncompleteRequest(w io.Writer) {
-	fmt.Fprintf(w, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n%s\r\n$16\r\n%s\r\n", customerID(mc.target.index, 0), requestID(lastRequestID.Load()))
+	fmt.Fprintf(w, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n%s\r\n$16\r\n%s\r\n",
+		customerID(mc.target.index, 0), requestID(lastRequestID.Load()))
 	fields := requestFields(classes[0], 0, 500*time.Millisecond, (mc.target.index+1)%mc.processes)
-	fmt.Fprintf(w, "$%d\r\n%s\r\n", len(fields)+1, fields) // a byte short
+	fmt.Fprintf(w, "$%d\r\n%s\r\n", len(fields)+1, fields) // the fields are one byte shorter than announced
 }
 
-// checkErrorReply checks that the connection gets an error or a close in time.
+// checkErrorReply checks that the ingress replies with an error or closes the connection within errorReplyTimeout.
 func (mc *misbehavingClient) checkErrorReply(nc net.Conn, incarnation int, startedAt time.Time) {
 	defer nc.Close()
 	nc.SetReadDeadline(startedAt.Add(2 * errorReplyTimeout))
@@ -65,11 +66,11 @@
 	elapsed := time.Since(startedAt)
 	switch {
 	case err == nil && !strings.HasPrefix(line, "-"):
-		mc.checker.violations.record(WrongReply, mc.target.index, "a misbehaving client is answered %q", line)
+		mc.checker.violations.record(WrongReply, mc.target.index, "got reply %q to invalid input, want an error", line)
 	case mc.target.wasKilled(incarnation):
 	case mc.checker.checkTiming && elapsed > errorReplyTimeout+maxStall+measurementError+
 		mc.checker.stalls.pausedTime(mc.target.index, startedAt, time.Now()):
 		mc.checker.violations.record(LateReply, mc.target.index,
-			"a misbehaving client waited %v for an error or a close: %v", elapsed, err)
+			"an error or a close after invalid input took %v: %v", elapsed, err)
 	}
 }
--- a/internal/soak/reply.go
+++ b/internal/soak/reply.go
@@ -11,12 +11,12 @@
 // The kinds of replies.
 const (
 	ReplyValue   ReplyKind = "value"
-	ReplyBusy    ReplyKind = "busy" // rejected, and not executed
+	ReplyBusy    ReplyKind = "busy" // rejected without execution
 	ReplyError   ReplyKind = "error"
-	ReplyInvalid ReplyKind = "invalid" // no reply that the protocol knows
+	ReplyInvalid ReplyKind = "invalid" // not a reply of the protocol
 )
 
-// readReply reads one reply and returns its kind and its value, or else its line.
+// readReply reads one reply. It returns the kind and the value, or the line of a reply that has no value.
 func readReply(in *bufio.Reader) (kind ReplyKind, text string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -7,34 +7,45 @@
 	"time"
 )
 
-// ViolationKind names a rule of the protocol that was broken.
+// ViolationKind is a kind of violation of the protocol.
 type ViolationKind string
 
-// The rules that are checked, each named by what breaks it.
+// The kinds of violations.
 const (
-	NoReply                ViolationKind = "no reply"                 // a request got no final reply
-	LateReply              ViolationKind = "late reply"               // it came over maxReplyDelay after the client's deadline
-	WrongReply             ViolationKind = "wrong reply"              // a value made for another request, or no valid reply
-	ExecutedTwice          ViolationKind = "executed twice"           // a request that must not be repeated reached backends twice
-	RejectedAfterExecution ViolationKind = "rejected after execution" // rejected as not executed though it may have been
-	SentAfterDisconnect    ViolationKind = "sent after disconnect"    // an attempt began too long after the client closed its connection
-	DeadlineExtended       ViolationKind = "deadline extended"        // a backend was told more time than the client had left
-	SentToDraining         ViolationKind = "sent to draining"         // an attempt began too long after the backend began to drain
-	Crashed                ViolationKind = "crashed"                  // an ingress ended by itself, or did not end when it had to
-	InvariantViolated      ViolationKind = "invariant violated"       // an ingress reported that it broke an invariant of its own
+	// NoReply means that a request got no final reply.
+	NoReply ViolationKind = "no reply"
+	// LateReply means that a reply came more than maxReplyDelay after the client's deadline.
+	LateReply ViolationKind = "late reply"
+	// WrongReply means an invalid or unexpected reply, or a command at a backend that no client sent.
+	WrongReply ViolationKind = "wrong reply"
+	// ExecutedTwice means that a non-idempotent request reached backends twice, or one with an idempotency key reached them
+	// again after deduplicationWindow.
+	ExecutedTwice ViolationKind = "executed twice"
+	// RejectedAfterExecution means that a request was rejected as not executed although it had reached a backend.
+	RejectedAfterExecution ViolationKind = "rejected after execution"
+	// SentAfterDisconnect means that an attempt began more than maxSendAfterDisconnect after the client closed its connection.
+	SentAfterDisconnect ViolationKind = "sent after disconnect"
+	// DeadlineExtended means that the time left in a command exceeded the client's by more than maxDeadlineExtension.
+	DeadlineExtended ViolationKind = "deadline extended"
+	// SentToDraining means that an attempt began more than maxSendAfterDrain after discovery reported the backend as draining.
+	SentToDraining ViolationKind = "sent to draining"
+	// Crashed means that an ingress exited unexpectedly, did not start or stop in time, or logged a crash.
+	Crashed ViolationKind = "crashed"
+	// InvariantViolated means that an ingress logged that it violated one of its invariants.
+	InvariantViolated ViolationKind = "invariant violated"
 )
 
 const (
-	maxViolations = 200 // kept of one run; the first ones tell the most
-	noIngress     = -1  // index in a violation that no ingress can be blamed for
+	maxViolations = 200 // recorded in one run; later ones are dropped
+	noIngress     = -1  // value of Violation.Ingress if the ingress is unknown
 )
 
-// Violation is one broken rule.
+// Violation is one violation of the protocol.
 type Violation struct {
 	Kind      ViolationKind
-	Ingress   int           // index of the process; -1: not known
-	RequestID uint64        // 0: it concerns no single request
-	At        time.Duration // since the run began
+	Ingress   int           // index of the process; -1 means unknown
+	RequestID uint64        // zero means that the violation concerns no single request
+	At        time.Duration // since the start of the run
 	Detail    string
 }
 
@@ -52,20 +63,22 @@
 }
 
 // recordForRequest records a violation that concerns one request.
-func (l *violationLog) recordForRequest(kind ViolationKind, ingress int, requestID uint64, at time.Time, format string, args ...any) {
+func (l *violationLog) recordForRequest(kind ViolationKind, ingress int, requestID uint64, at time.Time,
+	format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.violations) < maxViolations {
-		l.violations = append(l.violations, Violation{kind, ingress, requestID, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
+		l.violations = append(l.violations,
+			Violation{kind, ingress, requestID, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
 	}
 }
 
-// record records a violation, found now, that concerns no single request.
+// record records a violation that concerns no single request, with the current time.
 func (l *violationLog) record(kind ViolationKind, ingress int, format string, args ...any) {
 	l.recordForRequest(kind, ingress, 0, time.Now(), format, args...)
 }
 
-// snapshot returns the violations in the order in which they were found.
+// snapshot returns a copy of the violations, in the order in which they were recorded.
 func (l *violationLog) snapshot() []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -11,22 +11,22 @@
 
 const (
 	customersPerIngress = 40
-	customerIDStride    = 1000 // between the first ids of the customers of two ingresses
-	urgentShare         = 0.05 // of requests, which have hardly any time left
+	customerIDStride    = 1000 // between the first customer ids of two ingresses
+	urgentShare         = 0.05 // of requests whose timeout is at most maxUrgentTimeoutMS
 	maxUrgentTimeoutMS  = 2
 	minTimeout          = 50 * time.Millisecond
 )
 
-// idempotency says whether a request may be executed more than once.
+// idempotency states whether a request may be executed more than once.
 type idempotency int
 
 const (
 	idempotent idempotency = iota
 	nonIdempotent
-	idempotencyKey // it may, within deduplicationWindow
+	idempotencyKey // may be executed more than once within deduplicationWindow
 )
 
-// configName is how the settings of an ingress name it.
+// configName returns the name of the idempotency in the settings of an ingress.
 func (i idempotency) configName() string {
 	switch i {
 	case idempotent:
@@ -38,7 +38,7 @@
 	}
 }
 
-// requestClass is a class of requests.
+// requestClass is a class of requests in the settings of the ingresses.
 type requestClass struct {
 	name        string
 	command     string
@@ -47,10 +47,10 @@
 
 var classes = []requestClass{{"read", "Q.ASK", idempotent}, {"write", "Q.DO", nonIdempotent}, {"keyed", "Q.DO", idempotencyKey}}
 
-// lastRequestID is shared by all runs of this process, so that none sees a request of another one.
+// lastRequestID is shared by all runs of this process, so that their requests have different ids.
 var lastRequestID atomic.Uint64
 
-// workload draws the requests that a client sends to one ingress.
+// workload draws the requests of a client to one ingress.
 type workload struct {
 	ingress int
 	rng     *rand.Rand
@@ -58,7 +58,7 @@
 
 func (w workload) drawClass() requestClass { return classes[w.rng.IntN(len(classes))] }
 
-// drawTimeout draws how long a client waits.
+// drawTimeout draws the time from a request until the client's deadline.
 func (w workload) drawTimeout() time.Duration {
 	if w.rng.Float64() < urgentShare {
 		return time.Duration(w.rng.IntN(maxUrgentTimeoutMS+1)) * time.Millisecond
@@ -66,13 +66,13 @@
 	return minTimeout + time.Duration(w.rng.IntN(int((maxTimeout-minTimeout)/time.Millisecond)))*time.Millisecond
 }
 
-// nextRequest draws a request and returns it with its command.
+// nextRequest draws a request and returns it with the encoded command.
 func (w workload) nextRequest() (*request, []byte) {
 	class := w.drawClass()
 	return w.newRequest(class, w.drawTimeout())
 }
 
-// newRequest returns a request of a drawn customer, and its command.
+// newRequest returns a request of a drawn customer and plan, and the encoded command.
 func (w workload) newRequest(class requestClass, timeout time.Duration) (*request, []byte) {
 	r := &request{id: lastRequestID.Add(1), ingress: w.ingress, class: class, timeout: timeout}
 	fields := requestFields(class, w.rng.IntN(planCount), timeout, w.ingress)
@@ -87,8 +87,8 @@
 	return r, command
 }
 
-// requestFields returns the fields of a command, but for an idempotency key. first is the index of the first gateway that
-// the customer's requests go to.
+// requestFields returns the fields of a command without an idempotency key. firstGateway is the index of the first gateway
+// that serves the customer.
 func requestFields(class requestClass, plan int, timeout time.Duration, firstGateway int) string {
 	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d", class.name, planName(plan), timeout.Milliseconds(), firstGateway)
 }
