--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -49,7 +49,7 @@
 
 const (
 	maxWorkTime         = 60 * time.Millisecond // for one command
-	failingDrawScale    = 0.3                   // factor for the draw of a failing backend, which makes it mishandle 40% of the commands
+	failingDrawScale    = 0.3                   // factor for the draw of a failing backend; it mishandles 40% of the commands
 	drainingRejectShare = 0.8                   // of commands to a draining backend; it accepts the rest so that they are checked
 )
 
@@ -150,10 +150,10 @@
 }
 
 // Read reads from the connection and records the time of the first byte.
-func (c *firstByteConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	if n > 0 && c.firstByteAt.IsZero() {
-		c.firstByteAt = time.Now()
+func (fc *firstByteConn) Read(p []byte) (int, error) {
+	n, err := fc.Conn.Read(p)
+	if n > 0 && fc.firstByteAt.IsZero() {
+		fc.firstByteAt = time.Now()
 	}
 	return n, err
 }
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -44,71 +44,71 @@
 }
 
 // sendUnknownCommand sends a command that no ingress knows.
-func (c *clientConn) sendUnknownCommand() error { return c.send(nil, []byte(unknownCommand)) }
+func (cc *clientConn) sendUnknownCommand() error { return cc.send(nil, []byte(unknownCommand)) }
 
 // send sends the command of a request. A nil request stands for an unknown command.
-func (c *clientConn) send(r *request, command []byte) error {
-	if !c.addPending(r) {
+func (cc *clientConn) send(r *request, command []byte) error {
+	if !cc.addPending(r) {
 		return net.ErrClosed
 	}
-	for c.chunkDelay > 0 && len(command) > chunkBytes {
-		if _, err := c.nc.Write(command[:chunkBytes]); err != nil {
+	for cc.chunkDelay > 0 && len(command) > chunkBytes {
+		if _, err := cc.nc.Write(command[:chunkBytes]); err != nil {
 			break // the write below returns the error; an incomplete command needs no reply
 		}
 		command = command[chunkBytes:]
-		time.Sleep(c.chunkDelay)
+		time.Sleep(cc.chunkDelay)
 	}
 	if r != nil {
-		c.checker.history.recordSent(r)
+		cc.checker.history.recordSent(r)
 	}
-	_, err := c.nc.Write(command)
+	_, err := cc.nc.Write(command)
 	return err
 }
 
 // addPending adds a command to those without a reply. It reports whether the connection is still open for commands.
-func (c *clientConn) addPending(r *request) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
+func (cc *clientConn) addPending(r *request) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed {
 		return false
 	}
-	c.pending = append(c.pending, r)
+	cc.pending = append(cc.pending, r)
 	return true
 }
 
 // disconnect closes the connection while requests are open on it.
-func (c *clientConn) disconnect() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.checker.history.recordDisconnect(c.openRequests())
-	c.pending, c.closed = nil, true
-	c.nc.Close()
+func (cc *clientConn) disconnect() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.checker.history.recordDisconnect(cc.openRequests())
+	cc.pending, cc.closed = nil, true
+	cc.nc.Close()
 }
 
 // closeWhenIdle waits for the replies to all commands and closes the connection. After replyTimeout it returns and leaves the
 // connection open.
-func (c *clientConn) closeWhenIdle() {
+func (cc *clientConn) closeWhenIdle() {
 	const pollInterval = 5 * time.Millisecond
-	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !c.isIdle(); {
+	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !cc.isIdle(); {
 		time.Sleep(pollInterval)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closed && len(c.pending) == 0 {
-		c.closed = true
-		c.nc.Close()
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if !cc.closed && len(cc.pending) == 0 {
+		cc.closed = true
+		cc.nc.Close()
 	}
 }
 
-func (c *clientConn) isIdle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.pending) == 0 || c.closed
+func (cc *clientConn) isIdle() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return len(cc.pending) == 0 || cc.closed
 }
 
 // openRequests returns the requests without a reply. The caller holds c.mu.
-func (c *clientConn) openRequests() (open []*request) {
-	for _, r := range c.pending {
+func (cc *clientConn) openRequests() (open []*request) {
+	for _, r := range cc.pending {
 		if r != nil {
 			open = append(open, r)
 		}
@@ -117,29 +117,29 @@
 }
 
 // readReplies reads and checks replies until the connection ends.
-func (c *clientConn) readReplies() {
-	in := bufio.NewReader(c.nc)
+func (cc *clientConn) readReplies() {
+	in := bufio.NewReader(cc.nc)
 	for prevReplyAt := (time.Time{}); ; prevReplyAt = time.Now() {
 		kind, text, err := readReply(in)
 		if err != nil {
-			c.handleReadError(err)
+			cc.handleReadError(err)
 			return
 		}
-		r, state := c.takePending()
+		r, state := cc.takePending()
 		switch {
 		case state == nothingPending:
-			c.checker.violations.record(WrongReply, c.target.index, "got %q, want no reply since no command is pending", text)
-			c.nc.Close()
+			cc.checker.violations.record(WrongReply, cc.target.index, "got %q, want no reply since no command is pending", text)
+			cc.nc.Close()
 			return
 		case state == connClosed:
 			return
 		case r == nil:
 			if kind != ReplyError {
-				c.checker.violations.record(WrongReply, c.target.index, "got %q to an unknown command, want an error", text)
+				cc.checker.violations.record(WrongReply, cc.target.index, "got %q to an unknown command, want an error", text)
 			}
 		default:
-			c.checker.recordReply(r, prevReplyAt, kind, text)
-			c.queueRetry(r, kind)
+			cc.checker.recordReply(r, prevReplyAt, kind, text)
+			cc.queueRetry(r, kind)
 		}
 	}
 }
@@ -154,49 +154,49 @@
 )
 
 // takePending removes and returns the first command without a reply.
-func (c *clientConn) takePending() (*request, pendingState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (cc *clientConn) takePending() (*request, pendingState) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	switch {
-	case c.closed:
+	case cc.closed:
 		return nil, connClosed
-	case len(c.pending) == 0:
+	case len(cc.pending) == 0:
 		return nil, nothingPending
 	}
-	r := c.pending[0]
-	c.pending = c.pending[1:]
+	r := cc.pending[0]
+	cc.pending = cc.pending[1:]
 	return r, commandPending
 }
 
 // queueRetry queues a rejected request for a retry, unless its timeout is zero or the queue is full.
-func (c *clientConn) queueRetry(r *request, kind ReplyKind) {
+func (cc *clientConn) queueRetry(r *request, kind ReplyKind) {
 	if kind != ReplyBusy || r.id%10 >= retryTenths || r.timeout == 0 {
 		return
 	}
 	select {
-	case c.retries <- r:
+	case cc.retries <- r:
 	default:
 	}
 }
 
 // handleReadError handles the end of the connection. For the requests without a reply it records why they got none, or a
 // violation.
-func (c *clientConn) handleReadError(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	open, closed := c.openRequests(), c.closed
-	c.closed = true
+func (cc *clientConn) handleReadError(err error) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	open, closed := cc.openRequests(), cc.closed
+	cc.closed = true
 	if closed || len(open) == 0 {
 		return
 	}
 	switch {
-	case c.target.hadStoppedAccepting(c.dialledAt):
-		c.checker.history.exempt(open, "the connection was opened as the ingress stopped accepting")
-	case c.target.wasKilled(c.incarnation):
-		c.checker.history.exempt(open, "the ingress was killed")
+	case cc.target.hadStoppedAccepting(cc.dialledAt):
+		cc.checker.history.exempt(open, "the connection was opened as the ingress stopped accepting")
+	case cc.target.wasKilled(cc.incarnation):
+		cc.checker.history.exempt(open, "the ingress was killed")
 	case errors.Is(err, io.EOF):
-		c.checker.history.recordClose(open)
+		cc.checker.history.recordClose(open)
 	case errors.Is(err, syscall.ECONNRESET):
-		c.checker.violations.record(NoReply, c.target.index, "a connection with %d open requests was reset", len(open))
+		cc.checker.violations.record(NoReply, cc.target.index, "a connection with %d open requests was reset", len(open))
 	}
 }
--- a/internal/soak/disruptions.go
+++ b/internal/soak/disruptions.go
@@ -50,12 +50,12 @@
 func (d *disruptions) notificationDeadline(ingress int, changedAt time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	disrupted := d.discoveryDisruptedAt[segmentOf(ingress)]
+	disruptedAt := d.discoveryDisruptedAt[segmentOf(ingress)]
 	switch {
-	case disrupted.Before(changedAt.Add(-notificationTimeout)):
+	case disruptedAt.Before(changedAt.Add(-notificationTimeout)):
 		return changedAt
-	case disrupted.Before(changedAt):
-		disrupted = changedAt
+	case disruptedAt.Before(changedAt):
+		disruptedAt = changedAt
 	}
-	return disrupted.Add(notificationTimeout)
+	return disruptedAt.Add(notificationTimeout)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -17,8 +17,8 @@
 	extraDrainTime = 2 * time.Second // added to the duration of a drain, which has to exceed maxSendAfterDrain
 	idleConnCount  = 40              // connections that one fault opens
 
-	// A slow proxy waits before each chunk for less than proxyDelayLimitMS milliseconds. The length of a chunk is drawn from
-	// minProxyChunkBytes and the proxyChunkBytesSpread-1 next larger numbers.
+	// A slow proxy waits before each chunk for less than proxyDelayLimitMS milliseconds. The maximum length of its chunks is
+	// at least minProxyChunkBytes and less than minProxyChunkBytes+proxyChunkBytesSpread.
 	proxyDelayLimitMS     = 30
 	minProxyChunkBytes    = 20
 	proxyChunkBytesSpread = 200
@@ -157,7 +157,7 @@
 	fi.pause(fi.pickProcess(rng), duration)
 }
 
-// pause pauses a process, unless another fault pauses, restarts or reconfigures it at that time.
+// pause pauses a process, unless it is already being paused, restarted, reconfigured or shut down.
 func (fi *faultInjector) pause(p *ingressProcess, duration time.Duration) {
 	if !p.lifecycle.TryLock() {
 		return
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,56 +18,57 @@
 )
 
 const (
-	shutdownTimeout        = maxTimeout + 700*time.Millisecond // from SIGTERM until SIGKILL
-	acceptTimeAfterSIGTERM = 400 * time.Millisecond            // after SIGTERM, for which clients may open new connections
+	shutdownTimeout        = maxTimeout + 700*time.Millisecond // from SIGTERM to exit
+	acceptTimeAfterSIGTERM = 400 * time.Millisecond            // time in which the ingress still accepts connections
 	readyTimeout           = 30 * time.Second
 	readyPollInterval      = 5 * time.Millisecond
 	dialTimeout            = time.Second
 	pingTimeout            = time.Second
 )
 
-// configEnv names the environment variable by which an ingress finds its configuration file.
+// configEnv is the environment variable with the path of an ingress's configuration file.
 const configEnv = "ROUTER_CONFIG"
 
-// errNotReady says that an ingress did not reply to PING within readyTimeout.
-var errNotReady = errors.New("not ready in time")
+// errNotReady means that an ingress did not reply to PING within readyTimeout.
+var errNotReady = errors.New("no PONG in reply to PING")
 
-// ingressProcess is one ingress, which may be restarted: each process that it runs as is one incarnation.
+// ingressProcess is one ingress, which may be restarted. Each operating system process of the ingress is an incarnation.
 type ingressProcess struct {
 	options *Options
 	cluster *cluster
 	checker *checker
 	index   int
 	segment int
-	// reservation keeps the port from other sockets of the machine, also between two incarnations.
+	// reservation prevents other sockets of the machine from using the port, also between two incarnations.
 	reservation *loopback.Reservation
 	listenAddr  string
 	configPath  string
 	logPath     string
 
-	lifecycle sync.Mutex // held by whoever stops, starts or reconfigures the process; guards reloads
-	reloads   int        // selects the addresses of discovery and the counter in the configuration
+	lifecycle sync.Mutex // held while the process is paused, stopped, restarted or reconfigured; guards reloads
+	reloads   int        // number of reloads, which selects the addresses of discovery and the counter
 
-	mu                    sync.Mutex // guards the fields below
-	cmd                   *exec.Cmd  // nil after shutdown
-	exited                chan struct{}
-	incarnation           int
-	lastKilledIncarnation int       // the last one that was ended by SIGKILL; -1: none
-	terminating           bool      // this incarnation got SIGTERM
-	terminatedAt          time.Time // when one last got SIGTERM
+	mu                    sync.Mutex    // guards the fields below
+	cmd                   *exec.Cmd     // current incarnation; nil before the first start and after shutdown
+	exited                chan struct{} // closed when the current incarnation has exited
+	incarnation           int           // number of the current incarnation; zero before the first start
+	lastKilledIncarnation int           // last incarnation that received SIGKILL; -1 means none
+	terminating           bool          // true if the current incarnation received SIGTERM
+	terminatedAt          time.Time     // last time that an incarnation received SIGTERM; zero means never
 }
 
 func newIngressProcess(opts *Options, cl *cluster, c *checker, index int) (*ingressProcess, error) {
 	reservation, err := loopback.Reserve()
 	if err != nil {
-		return nil, fmt.Errorf("reserve an address: %w", err)
+		return nil, fmt.Errorf("reserve address: %w", err)
 	}
 	path := func(extension string) string { return filepath.Join(opts.Dir, fmt.Sprintf("n%d%s", index, extension)) }
 	return &ingressProcess{options: opts, cluster: cl, checker: c, index: index, segment: segmentOf(index),
-		reservation: reservation, listenAddr: reservation.Address(), configPath: path(".json"), logPath: path(".log"), lastKilledIncarnation: -1}, nil
+		reservation: reservation, listenAddr: reservation.Address(), configPath: path(".json"), logPath: path(".log"),
+		lastKilledIncarnation: -1}, nil
 }
 
-// start begins a new incarnation.
+// start starts a new incarnation.
 func (p *ingressProcess) start() error {
 	if err := p.writeConfig(); err != nil {
 		return fmt.Errorf("write configuration: %w", err)
@@ -89,7 +90,7 @@
 	incarnation := p.incarnation
 	p.cmd, p.exited, p.terminating = cmd, exited, false
 	p.mu.Unlock()
-	// kill and terminate end the process and wait for this goroutine.
+	// Ends when the process exits; kill and terminate wait for it.
 	go func() {
 		defer close(exited)
 		p.checkExit(incarnation, cmd.Wait())
@@ -97,26 +98,26 @@
 	return nil
 }
 
-// openLog opens the log, which all incarnations of one run share.
+// openLog opens the log, to which all incarnations of a run append.
 func (p *ingressProcess) openLog() (*os.File, error) {
 	flags := os.O_CREATE | os.O_APPEND | os.O_WRONLY
-	if p.currentIncarnation() == 0 { // else the log of an earlier run would be checked
+	if p.currentIncarnation() == 0 { // discard the log of an earlier run
 		flags |= os.O_TRUNC
 	}
 	return os.OpenFile(p.logPath, flags, 0o600)
 }
 
-// checkExit checks that an incarnation ended as it was told to.
+// checkExit checks that an incarnation exited only after SIGKILL, or without an error after SIGTERM.
 func (p *ingressProcess) checkExit(incarnation int, err error) {
 	p.mu.Lock()
 	expected := p.lastKilledIncarnation == incarnation || p.terminating && err == nil
 	p.mu.Unlock()
 	if !expected {
-		p.checker.violations.record(Crashed, p.index, "incarnation %d ended: %v", incarnation, err)
+		p.checker.violations.record(Crashed, p.index, "incarnation %d exited unexpectedly: %v", incarnation, err)
 	}
 }
 
-// awaitReady waits until the process replies to PING.
+// awaitReady waits until the process replies to PING, for at most readyTimeout.
 func (p *ingressProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -126,7 +127,7 @@
 		}
 		sleep(ctx, readyPollInterval)
 	}
-	return fmt.Errorf("ingress %d after %v: %w", p.index, readyTimeout, errNotReady)
+	return fmt.Errorf("ingress %d not ready within %v: %w", p.index, readyTimeout, errNotReady)
 }
 
 // ping reports whether the process replies to PING.
@@ -153,14 +154,15 @@
 	return p.incarnation
 }
 
-// wasKilled reports whether an incarnation was ended by SIGKILL, which frees it from replying.
+// wasKilled reports whether an incarnation received SIGKILL. A killed ingress need not reply.
 func (p *ingressProcess) wasKilled(incarnation int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastKilledIncarnation >= incarnation
 }
 
-// hadStoppedAccepting reports whether a connection was opened later after SIGTERM than clients may.
+// hadStoppedAccepting reports whether a connection was opened after an incarnation had stopped accepting connections because of
+// SIGTERM, and before its shutdownTimeout.
 func (p *ingressProcess) hadStoppedAccepting(dialledAt time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,14 +181,14 @@
 	}
 }
 
-// exitSignal returns a channel that is closed once the incarnation has ended.
+// exitSignal returns a channel that is closed when the current incarnation has exited.
 func (p *ingressProcess) exitSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// kill ends the incarnation at once.
+// kill sends SIGKILL to the current incarnation and waits until it has exited.
 func (p *ingressProcess) kill() {
 	p.mu.Lock()
 	p.lastKilledIncarnation = p.incarnation
@@ -195,8 +197,8 @@
 	<-p.exitSignal()
 }
 
-// terminate shuts the incarnation down gracefully. If it has not ended in its time and times are checked, that is a crash,
-// since all that it had accepted was to be answered by then.
+// terminate sends SIGTERM to the current incarnation and waits until it has exited. If timing is checked, an incarnation that
+// runs for longer than shutdownTimeout and maxStall is a violation and is killed, since it must have sent all replies by then.
 func (p *ingressProcess) terminate() {
 	p.mu.Lock()
 	p.terminating, p.terminatedAt = true, time.Now()
@@ -215,7 +217,7 @@
 	<-p.exitSignal()
 }
 
-// shutdown ends the last incarnation and checks what the process logged. Further calls do nothing.
+// shutdown terminates the current incarnation and checks the log of the process. Further calls do nothing.
 func (p *ingressProcess) shutdown() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -231,7 +233,7 @@
 	}
 }
 
-// isRunning reports whether the process was started, and not shut down since.
+// isRunning reports whether the process was started and not yet shut down.
 func (p *ingressProcess) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// What is looked for in the log of an ingress. The message and the names of the invariants are those of package ingress,
-// the others those of the Go runtime and its race detector.
+// Texts in the log of an ingress that indicate a violation. Package ingress logs the message about invariants; the others come
+// from the Go runtime and its race detector.
 const (
 	logInvariantViolated = "invariant violated"
-	logPanic             = "panic: "       // at the beginning of a line
-	logFatalError        = "fatal error: " // at the beginning of a line
+	logPanic             = "panic: "       // at the start of a line
+	logFatalError        = "fatal error: " // at the start of a line
 	logDataRace          = "DATA RACE"
 )
 
-// timingInvariants are the invariants, as the log names them, that a slow machine can make an ingress violate.
+// timingInvariants are the log attributes, set by package ingress, of the invariants that an ingress on a slow machine can
+// violate.
 var timingInvariants = []string{"invariant=in_time", "invariant=client_left", "invariant=drain", "invariant=deadline"}
 
-// logViolation returns the kind of violation that a line of an ingress's log tells; "": none.
+// logViolation returns the kind of violation that a line of an ingress's log reports; empty means none.
 func logViolation(line string, checkTiming bool) ViolationKind {
 	switch {
 	case strings.Contains(line, logInvariantViolated) && (checkTiming || !containsAny(line, timingInvariants)):
@@ -30,7 +31,7 @@
 	return ""
 }
 
-// checkLog reports the violations that the process logged in all its incarnations.
+// checkLog records the violations in the log of all incarnations.
 func (p *ingressProcess) checkLog() error {
 	text, err := os.ReadFile(p.logPath)
 	if err != nil {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak runs several ingresses as processes over loopback, injects faults that overlap in time, and checks from the
-// outside, by what clients sent and received and by what backends received, whether the rules of the protocol held.
-// Everything that is drawn comes from one seed; what the scheduling of the machine makes of it does not.
+// Package soak runs several ingresses as processes over loopback, injects faults that overlap in time, and checks the rules of
+// the protocol against the messages that clients and backends sent and received. All random numbers are derived from one seed,
+// but the order of events also depends on the scheduling of the machine.
 //
-// A run consists of a cluster (backends behind proxies, discovery, counter), the ingress processes, clients of three kinds
-// (pipelining, short-lived and misbehaving ones) and a fault injector. All of them report to one checker, which keeps the
-// history of the requests and collects the violations.
+// A run consists of a cluster (backends behind proxies, discovery, counter), the ingress processes, three kinds of clients
+// (pipelining, short-lived and misbehaving) and a fault injector. All of them report to one checker, which records the history
+// of the requests and the violations.
 package soak
 
 import (
@@ -17,53 +17,54 @@
 )
 
 const (
-	settleTime        = 2 * time.Second // for which the load goes on after the last fault has begun
-	streamsPerIngress = 1000            // of random numbers that are reserved for the clients of an ingress
+	settleTime        = 2 * time.Second // of load after the last fault has started
+	streamsPerIngress = 1000            // streams of random numbers reserved for the clients of an ingress
 )
 
-// Options say what a run does.
+// Options are the parameters of a run.
 type Options struct {
 	Seed        uint64
-	Processes   int           // ingresses
-	Duration    time.Duration // of the faults; the load goes on for two seconds more
-	Rate        float64       // requests a second to each ingress, on its pipelining connections together
-	Command     []string      // starts one ingress, which finds its configuration by ROUTER_CONFIG
-	Env         []string      // for it, besides the environment of this process
-	Dir         string        // for configurations and logs; it has to exist
-	CheckTiming bool          // also check the rules that depend on times; for a machine with capacity to spare
+	Processes   int           // number of ingresses
+	Duration    time.Duration // time during which faults start; the load ends two seconds later
+	Rate        float64       // requests per second to each ingress on all its pipelining connections
+	Command     []string      // command line of an ingress, which reads the configuration file that ROUTER_CONFIG names
+	Env         []string      // environment variables of the ingresses, added to those of this process
+	Dir         string        // existing directory for configurations and logs
+	CheckTiming bool          // true to check also the rules that depend on time; requires a machine with spare capacity
 }
 
 // Report is the result of a run.
 type Report struct {
-	Requests   int // that clients sent
+	Requests   int // number of requests that clients sent
 	Replies    map[ReplyKind]int
-	Attempts   int // that arrived at backends complete and were not rejected there
+	Attempts   int // number of attempts that backends received completely and did not reject
 	Faults     map[FaultKind]int
-	Violations []Violation // the first 200, in the order in which they were found
+	Violations []Violation // the first 200, in the order in which they were recorded
 }
 
-// String returns the report on one line, and each violation on one more.
-func (r *Report) String() string {
+// String returns the totals on one line, followed by one line for each violation.
+func (rep *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests, %d attempts at backends, replies %v, faults %v, %d violations", r.Requests, r.Attempts,
-		r.Replies, r.Faults, len(r.Violations))
-	for _, v := range r.Violations {
+	fmt.Fprintf(&b, "%d requests, %d attempts at backends, replies %v, faults %v, %d violations", rep.Requests, rep.Attempts,
+		rep.Replies, rep.Faults, len(rep.Violations))
+	for _, v := range rep.Violations {
 		fmt.Fprintf(&b, "\n  %v", v)
 	}
 	return b.String()
 }
 
-// runner does one run.
+// runner executes one run.
 type runner struct {
 	options        Options
 	checker        *checker
 	cluster        *cluster
 	processes      []*ingressProcess
 	injector       *faultInjector
-	connGoroutines sync.WaitGroup // goroutines of connections that outlive their client's run; the end of the ingresses ends them
+	connGoroutines sync.WaitGroup // for connections that outlive their client's run; they end when the ingresses exit
 }
 
-// Run does one run. An error means that the run could not be done; violations of the protocol are in the report.
+// Run executes one run. An error means that the run did not start or was canceled; the report contains violations of the
+// protocol.
 func Run(ctx context.Context, opts Options) (*Report, error) {
 	c := newChecker(opts.CheckTiming)
 	stopDetector := startStallDetector(ctx, c.stalls)
@@ -85,33 +86,35 @@
 	return r.report(), ctx.Err()
 }
 
-// startStallDetector runs the stall detector until stop is called, also after ctx has ended.
+// startStallDetector runs the stall detector until stop is called, even if ctx ends earlier.
 func startStallDetector(ctx context.Context, d *stallDetector) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
-	running.Go(func() { d.run(ctx) }) // stop ends it and waits for it
+	running.Go(func() { d.run(ctx) }) // ends when stop cancels ctx
 	return func() {
 		cancel()
 		running.Wait()
 	}
 }
 
-// rng returns one of the run's sources of random numbers.
-func (r *runner) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(r.options.Seed, stream)) }
+// rng returns a source of random numbers for one stream of the run.
+func (rn *runner) rng(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(rn.options.Seed, stream))
+}
 
 // startProcesses starts all ingresses and waits until they are ready.
-func (r *runner) startProcesses(ctx context.Context) error {
-	for i := range r.options.Processes {
-		p, err := newIngressProcess(&r.options, r.cluster, r.checker, i)
+func (rn *runner) startProcesses(ctx context.Context) error {
+	for i := range rn.options.Processes {
+		p, err := newIngressProcess(&rn.options, rn.cluster, rn.checker, i)
 		if err != nil {
 			return fmt.Errorf("ingress %d: %w", i, err)
 		}
-		r.processes = append(r.processes, p)
+		rn.processes = append(rn.processes, p)
 		if err := p.start(); err != nil {
 			return fmt.Errorf("ingress %d: %w", i, err)
 		}
 	}
-	for _, p := range r.processes {
+	for _, p := range rn.processes {
 		if err := p.awaitReady(ctx); err != nil {
 			return err
 		}
@@ -119,49 +122,50 @@
 	return nil
 }
 
-// runLoad runs clients and faults at the same time, lets the ingresses settle without faults and waits for the last replies.
-func (r *runner) runLoad(ctx context.Context) {
-	faultCtx, endFaults := context.WithTimeout(ctx, r.options.Duration)
+// runLoad runs the clients and the fault injector at the same time, continues the load for settleTime without new faults, and
+// waits for the last replies.
+func (rn *runner) runLoad(ctx context.Context) {
+	faultCtx, endFaults := context.WithTimeout(ctx, rn.options.Duration)
 	defer endFaults()
-	loadCtx, endLoad := context.WithTimeout(ctx, r.options.Duration+settleTime)
+	loadCtx, endLoad := context.WithTimeout(ctx, rn.options.Duration+settleTime)
 	defer endLoad()
 	var running sync.WaitGroup // each goroutine ends with its context
-	for _, p := range r.processes {
-		stream := uint64(streamsPerIngress * p.index) // the clients use the ones after it; 0 is the fault injector's
+	for _, p := range rn.processes {
+		stream := uint64(streamsPerIngress * p.index) // clients use the streams after it; the fault injector uses stream 0
 		for k := range connsPerIngress {
-			c := newPipeliningClient(p, r.checker, r.rng(stream+uint64(k)+1), r.options.Rate/connsPerIngress)
+			c := newPipeliningClient(p, rn.checker, rn.rng(stream+uint64(k)+1), rn.options.Rate/connsPerIngress)
 			running.Go(func() { c.run(loadCtx) })
 		}
-		shortLived := &shortLivedClient{p, r.checker, workload{p.index, r.rng(stream + connsPerIngress + 1)}, &r.connGoroutines}
-		misbehaving := &misbehavingClient{p, r.checker, len(r.processes), r.rng(stream + connsPerIngress + 2), &r.connGoroutines}
+		shortLived := &shortLivedClient{p, rn.checker, workload{p.index, rn.rng(stream + connsPerIngress + 1)}, &rn.connGoroutines}
+		misbehaving := &misbehavingClient{p, rn.checker, len(rn.processes), rn.rng(stream + connsPerIngress + 2), &rn.connGoroutines}
 		running.Go(func() { shortLived.run(loadCtx) })
 		running.Go(func() { misbehaving.run(faultCtx) })
 	}
-	running.Go(func() { r.injector.run(faultCtx) })
+	running.Go(func() { rn.injector.run(faultCtx) })
 	running.Wait()
-	r.checker.history.awaitReplies(replyTimeout)
+	rn.checker.history.awaitReplies(replyTimeout)
 }
 
-// shutdown ends all ingresses and waits for the connections to them. Further calls do nothing.
-func (r *runner) shutdown() {
+// shutdown shuts down all ingresses and waits for the goroutines of the connections to them. Further calls do nothing.
+func (rn *runner) shutdown() {
 	var ending sync.WaitGroup
-	for _, p := range r.processes {
+	for _, p := range rn.processes {
 		ending.Go(p.shutdown)
 	}
 	ending.Wait()
-	for _, p := range r.processes {
+	for _, p := range rn.processes {
 		p.reservation.Close()
 	}
-	r.connGoroutines.Wait()
+	rn.connGoroutines.Wait()
 }
 
-func (r *runner) report() *Report {
-	requests, replies, attempts := r.checker.history.totals()
-	return &Report{Requests: requests, Replies: replies, Attempts: attempts, Faults: r.injector.counts(),
-		Violations: r.checker.violations.snapshot()}
+func (rn *runner) report() *Report {
+	requests, replies, attempts := rn.checker.history.totals()
+	return &Report{Requests: requests, Replies: replies, Attempts: attempts, Faults: rn.injector.counts(),
+		Violations: rn.checker.violations.snapshot()}
 }
 
-// sleep waits for d, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -8,25 +8,25 @@
 
 const (
 	stallCheckInterval = 5 * time.Millisecond
-	minStall           = 10 * time.Millisecond // over the interval; shorter ones are within the other tolerances
-	stallMargin        = 50 * time.Millisecond // around a measurement within which a stall may have affected it
+	minStall           = 10 * time.Millisecond // excess over the check interval; the other tolerances cover shorter stalls
+	stallMargin        = 50 * time.Millisecond // before and after a measurement, in which a stall may affect it
 )
 
-// timeSpan is a span of time.
+// timeSpan is the time between two points in time.
 type timeSpan struct{ from, to time.Time }
 
-// stallDetector records when this process did not get to run, and when an ingress was frozen on purpose: what was measured
-// then is off by as much. It is safe for concurrent use.
+// stallDetector records when the machine did not schedule this process and when the fault injector froze an ingress, since
+// measurements at that time are wrong by up to the length of the pause. It is safe for concurrent use.
 type stallDetector struct {
 	mu      sync.Mutex // guards the fields below
 	stalls  []timeSpan
-	freezes map[int][]timeSpan // by ingress
+	freezes map[int][]timeSpan // by index of the ingress
 }
 
 func newStallDetector() *stallDetector { return &stallDetector{freezes: map[int][]timeSpan{}} }
 
-// run looks for stalls of this process until ctx ends.
-func (d *stallDetector) run(ctx context.Context) {
+// run records stalls of this process until ctx ends.
+func (sd *stallDetector) run(ctx context.Context) {
 	for last := time.Now(); ; {
 		select {
 		case <-ctx.Done():
@@ -35,31 +35,31 @@
 		}
 		now := time.Now()
 		if stall := now.Sub(last) - stallCheckInterval; stall > minStall {
-			d.mu.Lock()
-			d.stalls = append(d.stalls, timeSpan{now.Add(-stall), now})
-			d.mu.Unlock()
+			sd.mu.Lock()
+			sd.stalls = append(sd.stalls, timeSpan{now.Add(-stall), now})
+			sd.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// recordFreeze records that an ingress was stopped for longer than maxStall.
-func (d *stallDetector) recordFreeze(ingress int, span timeSpan) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.freezes[ingress] = append(d.freezes[ingress], span)
+// recordFreeze records that an ingress was paused for longer than maxStall.
+func (sd *stallDetector) recordFreeze(ingress int, span timeSpan) {
+	sd.mu.Lock()
+	defer sd.mu.Unlock()
+	sd.freezes[ingress] = append(sd.freezes[ingress], span)
 }
 
-// pausedTime returns how much a measurement of an ingress may be off because this process stalled or the ingress was frozen.
-func (d *stallDetector) pausedTime(ingress int, from, to time.Time) (sum time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i := len(d.stalls) - 1; i >= 0 && d.stalls[i].to.After(from.Add(-stallMargin)); i-- {
-		if s := d.stalls[i]; s.from.Before(to.Add(stallMargin)) {
+// pausedTime returns the total length of the stalls of this process and the freezes of an ingress that overlap a measurement.
+func (sd *stallDetector) pausedTime(ingress int, from, to time.Time) (sum time.Duration) {
+	sd.mu.Lock()
+	defer sd.mu.Unlock()
+	for i := len(sd.stalls) - 1; i >= 0 && sd.stalls[i].to.After(from.Add(-stallMargin)); i-- {
+		if s := sd.stalls[i]; s.from.Before(to.Add(stallMargin)) {
 			sum += s.to.Sub(s.from)
 		}
 	}
-	for _, f := range d.freezes[ingress] {
+	for _, f := range sd.freezes[ingress] {
 		if f.from.Before(to) && f.to.After(from) {
 			sum += f.to.Sub(f.from)
 		}
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -90,7 +90,8 @@
 // requestFields returns the fields of a command without an idempotency key. firstGateway is the index of the first gateway
 // that serves the customer.
 func requestFields(class requestClass, plan int, timeout time.Duration, firstGateway int) string {
-	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d", class.name, planName(plan), timeout.Milliseconds(), firstGateway)
+	return fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=%d",
+		class.name, planName(plan), timeout.Milliseconds(), firstGateway)
 }
 
 func planName(plan int) string { return fmt.Sprint("p", plan) }
