--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -1,5 +1,5 @@
-// Package faults injects network faults between processes over loopback: a TCP proxy that delays, silences and resets
-// what it forwards.
+// Package faults injects network faults between processes over loopback with a TCP proxy that can delay, block and reset
+// connections.
 package faults
 
 import (
@@ -11,46 +11,46 @@
 	"time"
 )
 
-// Mode is how a Proxy treats its connections.
+// Mode states how a Proxy handles its connections.
 type Mode int
 
 const (
-	// Forwarding forwards everything.
+	// Forwarding forwards all data.
 	Forwarding Mode = iota
-	// Silent accepts connections and forwards nothing, as if the machine behind it had vanished.
+	// Silent accepts connections and forwards nothing, as if the target's machine were unreachable.
 	Silent
-	// Refusing resets the connections that are open, and those that come.
+	// Refusing resets all open and new connections.
 	Refusing
 )
 
 const (
 	copyBufferBytes = 32 << 10
-	acceptBackoff   = time.Millisecond // after an accept that failed, for want of descriptors for example
+	acceptBackoff   = time.Millisecond // after a failed accept, for example for lack of descriptors
 )
 
-// Proxy forwards the connections that come to its address to a target. It is safe for concurrent use.
+// Proxy forwards connections from its address to a target. It is safe for concurrent use.
 type Proxy struct {
-	listener net.Listener
-	target   string
-	tasks    sync.WaitGroup // the accepting goroutine, and one for each connection; Close ends them and waits
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup // for accepting and for each connection; Close waits for them
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	mode        Mode
 	modeChanged chan struct{} // closed when mode changes
-	delay       time.Duration // before each chunk that is forwarded
-	chunkBytes  int           // most bytes forwarded at once; 0: any number
+	delay       time.Duration // before each forwarded chunk
+	chunkBytes  int           // maximum length of a forwarded chunk; zero means no limit
 	connections map[*proxiedConnection]struct{}
 	closed      bool
 }
 
 // proxiedConnection is one connection through the proxy.
 type proxiedConnection struct {
-	client   net.Conn
-	upstream net.Conn // nil until the target is dialled
-	silenced bool     // it was open while the proxy was silent; Proxy.mu guards it
+	client      net.Conn
+	upstream    net.Conn // nil until the target is dialled
+	wasSilenced bool     // true if it was open while the proxy was silent; guarded by Proxy.mu
 }
 
-// NewProxy listens on a loopback address of its own and forwards to target.
+// NewProxy starts a proxy that listens on a free loopback port and forwards to target.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,15 +62,15 @@
 		modeChanged: make(chan struct{}),
 		connections: map[*proxiedConnection]struct{}{},
 	}
-	p.tasks.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetMode changes how connections are treated. Those that were open while the proxy was silent are reset when it passes
-// again, since both ends may have given them up.
+// SetMode sets the mode. Connections that were open in mode Silent are reset when the mode becomes Forwarding, since both ends
+// may have given them up.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,33 +82,33 @@
 	p.modeChanged = make(chan struct{})
 	for c := range p.connections {
 		if mode == Silent {
-			c.silenced = true
+			c.wasSilenced = true
 		}
-		if mode == Refusing || mode == Forwarding && c.silenced {
-			c.reset()
+		if mode == Refusing || mode == Forwarding && c.wasSilenced {
+			c.resetBoth()
 		}
 	}
 }
 
-// SetThrottle makes each chunk of at most chunkBytes wait for a delay before it is forwarded. With 0 bytes, chunks are
-// forwarded as they come.
+// SetThrottle makes the proxy forward chunks of at most chunkBytes with a delay before each. Zero chunkBytes means that the
+// length of a chunk is not limited.
 func (p *Proxy) SetThrottle(delay time.Duration, chunkBytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay, p.chunkBytes = delay, chunkBytes
 }
 
-// ResetConnections resets the connections that are open and returns how many there were.
+// ResetConnections resets all open connections and returns their number.
 func (p *Proxy) ResetConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.connections {
-		c.reset()
+		c.resetBoth()
 	}
 	return len(p.connections)
 }
 
-// Close resets what is open, accepts nothing more and returns once all goroutines of the proxy have ended.
+// Close stops accepting, resets all open connections and returns when all goroutines of the proxy have ended.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -116,11 +116,11 @@
 	p.listener.Close()
 	p.SetMode(Refusing)
 	p.ResetConnections()
-	p.tasks.Wait()
+	p.goroutines.Wait()
 }
 
-// reset closes both sides so that their peers see a reset.
-func (c *proxiedConnection) reset() {
+// resetBoth closes both sides with a TCP resetBoth.
+func (c *proxiedConnection) resetBoth() {
 	for _, conn := range []net.Conn{c.client, c.upstream} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *proxiedConnection) close() {
+func (c *proxiedConnection) closeBoth() {
 	for _, conn := range []net.Conn{c.client, c.upstream} {
 		if conn != nil {
 			conn.Close()
@@ -147,19 +147,19 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		p.tasks.Go(func() { p.serveConnection(conn) }) // ends with the connection, which Close resets
+		p.goroutines.Go(func() { p.serveConnection(conn) }) // ends with the connection, which Close resets
 	}
 }
 
-// serveConnection forwards one connection until either side ends.
+// serveConnection forwards one connection until both directions have ended.
 func (p *Proxy) serveConnection(client net.Conn) {
 	c := &proxiedConnection{client: client}
-	if !p.add(c) {
+	if !p.addConnection(c) {
 		return
 	}
-	defer p.remove(c)
+	defer p.removeConnection(c)
 	if !p.dialTarget(c) {
-		c.reset()
+		c.resetBoth()
 		return
 	}
 	var upload sync.WaitGroup
@@ -168,7 +168,7 @@
 	upload.Wait()
 }
 
-// dialTarget returns false where there is no connection to the target, or none is wanted any more.
+// dialTarget connects to the target. It returns false if that fails, or if the proxy was closed or refuses connections.
 func (p *Proxy) dialTarget(c *proxiedConnection) bool {
 	upstream, err := net.Dial("tcp", p.target)
 	p.mu.Lock()
@@ -177,33 +177,33 @@
 	return err == nil && !p.closed && p.mode != Refusing
 }
 
-// add returns false, and resets the connection, where the proxy refuses connections.
-func (p *Proxy) add(c *proxiedConnection) bool {
+// addConnection adds a connection. If the proxy was closed or refuses connections, it resets the connection and returns false.
+func (p *Proxy) addConnection(c *proxiedConnection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == Refusing {
-		c.reset()
+		c.resetBoth()
 		return false
 	}
-	c.silenced = p.mode == Silent
+	c.wasSilenced = p.mode == Silent
 	p.connections[c] = struct{}{}
 	return true
 }
 
-func (p *Proxy) remove(c *proxiedConnection) {
+func (p *Proxy) removeConnection(c *proxiedConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.connections, c)
-	c.close()
+	c.closeBoth()
 }
 
-// forward copies one direction. An end of the stream is passed on; an error resets both directions.
+// forward copies one direction. It forwards the end of the stream; an error resets the connection.
 func (p *Proxy) forward(c *proxiedConnection, from, to net.Conn) {
 	buf := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := from.Read(buf)
-		if !p.write(to, buf[:n]) {
-			c.reset()
+		if !p.writeThrottled(to, buf[:n]) {
+			c.resetBoth()
 			return
 		}
 		if readErr == nil {
@@ -213,15 +213,15 @@
 			tcp.CloseWrite()
 			return
 		}
-		c.reset()
+		c.resetBoth()
 		return
 	}
 }
 
-// write forwards bytes chunk by chunk; it returns false where that fails.
-func (p *Proxy) write(to net.Conn, b []byte) bool {
+// writeThrottled forwards bytes in chunks with delays. It returns false if a writeThrottled fails.
+func (p *Proxy) writeThrottled(to net.Conn, b []byte) bool {
 	for len(b) > 0 {
-		n := p.waitToForward(len(b))
+		n := p.awaitForwarding(len(b))
 		if _, err := to.Write(b[:n]); err != nil {
 			return false
 		}
@@ -230,8 +230,8 @@
 	return true
 }
 
-// waitToForward waits for the end of a silence and for the delay, and returns how many of n bytes are forwarded now.
-func (p *Proxy) waitToForward(n int) int {
+// awaitForwarding waits until the proxy is not silent, and then for the delay. It returns how many of n bytes the next chunk has.
+func (p *Proxy) awaitForwarding(n int) int {
 	p.mu.Lock()
 	delay, chunkBytes := p.delay, p.chunkBytes
 	for p.mode == Silent && !p.closed {
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -10,7 +10,7 @@
 	"lemontack/internal/nettest"
 )
 
-// startEchoServer is a service that gives back what it gets.
+// startEchoServer starts a server that echoes all data and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	return nettest.Serve(t, func(conn net.Conn) { io.Copy(conn, conn) })
@@ -35,14 +35,14 @@
 	t.Helper()
 	io.WriteString(nc, "hello\n")
 	if line, err := bufio.NewReader(nc).ReadString('\n'); line != "hello\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got echo %q, %v, want %q", line, err, "hello\n")
 	}
 }
 
 func wantReset(t *testing.T, nc net.Conn) {
 	t.Helper()
 	if n, err := nc.Read(make([]byte, 1)); err == nil {
-		t.Fatalf("%d bytes where the connection should be broken", n)
+		t.Fatalf("got %d bytes, want a reset connection", n)
 	}
 }
 
@@ -53,11 +53,11 @@
 	wantEcho(t, nc)
 	nc.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(nc); len(rest) > 0 || err != nil {
-		t.Fatalf("%q, %v after the end", rest, err)
+		t.Fatalf("after CloseWrite: got %q, %v, want the end of the stream", rest, err)
 	}
 }
 
-// What was silent is of no use when the network is back; new connections are.
+// When forwarding resumes, connections that were silent are reset and new connections work.
 func TestSilencedConnectionIsResetWhenForwardingResumes(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
@@ -77,7 +77,7 @@
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	if n := p.ResetConnections(); n != 1 {
-		t.Fatalf("%d connections cut", n)
+		t.Fatalf("got %d connections reset, want 1", n)
 	}
 	wantReset(t, nc)
 	p.SetMode(Refusing)
--- a/internal/loopback/reservation.go
+++ b/internal/loopback/reservation.go
@@ -1,4 +1,4 @@
-// Package loopback reserves addresses of the loopback interface for programs that listen later, for tests and stand-ins.
+// Package loopback reserves addresses of the loopback interface for programs that listen later, for tests and test tools.
 package loopback
 
 import (
@@ -9,18 +9,17 @@
 	"syscall"
 )
 
-// acceptQueueLength is the number of connections that wait to be accepted by a listener of a reservation.
+// acceptQueueLength is the backlog of a listener of a reservation, in connections.
 const acceptQueueLength = 128
 
-// Reservation holds a loopback address: no other socket gets its port by chance, and connections to it are refused until a
-// program listens there. A program may do so while the reservation lasts, if its listener has SO_REUSEADDR set, as those of
-// package net have.
+// Reservation reserves a loopback address: the system does not assign its port to another socket, and refuses connections to it
+// until a program listens there. A program can listen there during the reservation if it sets SO_REUSEADDR, as package net does.
 type Reservation struct {
-	socket  *os.File // bound and not listening
+	socket  *os.File // bound; it listens only after Listen
 	address string
 }
 
-// Reserve holds a free port of 127.0.0.1 until Close.
+// Reserve reserves a free port of 127.0.0.1 until Close.
 func Reserve() (*Reservation, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -34,7 +33,7 @@
 	return &Reservation{socket: socket, address: address}, nil
 }
 
-// bindLoopback binds a socket to a free port and returns the address.
+// bindLoopback binds a socket to a free port of 127.0.0.1 and returns its address.
 func bindLoopback(fd int) (address string, err error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return "", fmt.Errorf("set SO_REUSEADDR: %w", err)
@@ -48,7 +47,7 @@
 	}
 	inet, ok := name.(*syscall.SockaddrInet4)
 	if !ok {
-		return "", fmt.Errorf("get socket name: unexpected %T", name)
+		return "", fmt.Errorf("get socket name: got %T, want *syscall.SockaddrInet4", name)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", inet.Port), nil
 }
@@ -56,7 +55,7 @@
 // Address returns the address as host:port.
 func (reservation *Reservation) Address() string { return reservation.address }
 
-// Listen begins to accept connections at the address.
+// Listen starts to listen on the reserved socket itself.
 func (reservation *Reservation) Listen() (net.Listener, error) {
 	if err := syscall.Listen(int(reservation.socket.Fd()), acceptQueueLength); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -64,5 +63,5 @@
 	return net.FileListener(reservation.socket)
 }
 
-// Close gives the address back. Listeners of it go on.
+// Close ends the reservation. Listeners that Listen returned stay open.
 func (reservation *Reservation) Close() error { return reservation.socket.Close() }
--- a/internal/loopback/reservation_test.go
+++ b/internal/loopback/reservation_test.go
@@ -13,7 +13,7 @@
 	t.Cleanup(func() { reservation.Close() })
 	if conn, err := net.Dial("tcp", reservation.Address()); err == nil {
 		conn.Close()
-		t.Fatal("a reserved address accepts connections")
+		t.Fatal("dial of a reserved address succeeded, want an error")
 	}
 	listener, err := net.Listen("tcp", reservation.Address())
 	if err != nil {
@@ -36,7 +36,7 @@
 		}
 		t.Cleanup(func() { reservation.Close() })
 		if seen[reservation.Address()] {
-			t.Fatalf("%s is reserved twice", reservation.Address())
+			t.Fatalf("got %s twice, want different addresses", reservation.Address())
 		}
 		seen[reservation.Address()] = true
 	}
--- a/internal/nettest/client.go
+++ b/internal/nettest/client.go
@@ -11,19 +11,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// readTimeout is the time after which a read of a client's connection fails.
+// readTimeout is the time from the dial after which reads of a client's connection fail.
 const readTimeout = time.Minute
 
-// ReadFields and WriteFields are the fields of a command of the idempotent class read and of the non-idempotent class write.
+// ReadFields and WriteFields are the fields of commands of the idempotent class read and the non-idempotent class write.
 const (
 	ReadFields  = "c=read,t=p,d=50000,units=1,spread=1,first=0"
 	WriteFields = "c=write,t=p,d=50000,units=1,spread=1,first=0"
 )
 
-// customer is the customer of the commands that Ask and Do encode.
+// customer is the customer id in the commands that Ask and Do encode.
 const customer = "00000000b4d65521"
 
-// Dial opens a client's connection, which the end of the test closes. Its reads fail after a minute.
+// Dial opens a connection as a client and closes it at the end of the test. Reads fail after readTimeout.
 func Dial(t testing.TB, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -44,30 +44,30 @@
 	return string(b)
 }
 
-// Ask encodes a Q.ASK command of the request with this id.
+// Ask encodes a Q.ASK command with a request id.
 func Ask(id int, fields string) string {
 	return Command("Q.ASK", customer, fmt.Sprintf("%016x", id), fields)
 }
 
-// Do encodes a Q.DO command of the request with this id.
+// Do encodes a Q.DO command with a request id.
 func Do(id int, fields string) string {
 	return Command("Q.DO", customer, fmt.Sprintf("%016x", id), fields)
 }
 
-// ReadLine reads one line of a reply and returns it without its end. An incomplete line fails the test.
+// ReadLine reads one line of a reply and returns it without the line end. An incomplete line fails the test.
 func ReadLine(t testing.TB, in *bufio.Reader) string {
 	t.Helper()
 	line, err := in.ReadString('\n')
 	if err != nil {
-		t.Fatalf("read %q: %v", line, err)
+		t.Fatalf("read line: got %q, %v, want a complete line", line, err)
 	}
 	return strings.TrimRight(line, "\r\n")
 }
 
-// WantValue reads a reply, which must be the bulk string "value".
+// WantValue reads a reply and fails the test if it is not the bulk string "value".
 func WantValue(t testing.TB, in *bufio.Reader) {
 	t.Helper()
 	if header, value := ReadLine(t, in), ReadLine(t, in); header != "$5" || value != "value" {
-		t.Fatalf("reply %q %q, want the value", header, value)
+		t.Fatalf(`got reply %q %q, want "$5" "value"`, header, value)
 	}
 }
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest holds what the tests of several packages share: loopback sockets, the client's side of the ingress
-// protocol, and waits that fail a test. Only test files import it.
+// Package nettest contains helpers for the tests of several packages: loopback sockets, the client side of the ingress
+// protocol, and waits with a timeout that fail the test. Only test files import it.
 package nettest
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Listen opens an ephemeral port on the loopback address, which the end of the test closes.
+// Listen listens on a free loopback port until the end of the test.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,13 +19,13 @@
 	return listener
 }
 
-// Serve listens on the loopback address and hands each connection to handle, on a goroutine of its own. At the end of the
-// test the connections are closed and their goroutines waited for.
+// Serve listens on a free loopback port and calls handle for each connection in a separate goroutine. At the end of the test it
+// closes the connections and waits for the goroutines.
 func Serve(t testing.TB, handle func(net.Conn)) (address string) {
 	t.Helper()
 	listener := Listen(t)
 	var goroutines sync.WaitGroup
-	var mu sync.Mutex // guards open
+	var mu sync.Mutex // guards conns
 	var conns []net.Conn
 	goroutines.Go(func() {
 		for {
@@ -54,7 +54,7 @@
 	return listener.Addr().String()
 }
 
-// RefusedAddress is a loopback address at which nobody listens any more.
+// RefusedAddress returns a loopback address that refuses connections, since its listener is closed.
 func RefusedAddress(t testing.TB) string {
 	t.Helper()
 	listener := Listen(t)
@@ -62,7 +62,7 @@
 	return listener.Addr().String()
 }
 
-// ConnPair returns the two ends of a connection over the loopback address, which the end of the test closes.
+// ConnPair returns the two ends of a loopback connection, which are closed at the end of the test.
 func ConnPair(t testing.TB) (server, client *net.TCPConn) {
 	t.Helper()
 	listener := Listen(t)
--- a/internal/nettest/wait.go
+++ b/internal/nettest/wait.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// SignalTimeout and ConditionTimeout bound the waits of Await and Eventually, however busy the machine is.
+// SignalTimeout and ConditionTimeout are the timeouts of Await and Eventually, long enough for a busy machine.
 const (
 	SignalTimeout    = 20 * time.Second
 	ConditionTimeout = 90 * time.Second
 )
 
-// Await fails the test if nothing comes on the channel; how long it takes is not asserted.
+// Await waits until the channel is closed or sends a value. It fails the test after SignalTimeout.
 func Await(t testing.TB, description string, signal <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-signal:
 	case <-time.After(SignalTimeout):
-		t.Fatal("never: ", description)
+		t.Fatalf("no signal within %v: %s", SignalTimeout, description)
 	}
 }
 
-// Eventually fails the test if a condition never holds; how long it takes is not asserted.
-func Eventually(t testing.TB, description string, holds func() bool) {
+// Eventually waits until a condition holds. It fails the test after ConditionTimeout.
+func Eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(ConditionTimeout); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(ConditionTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: ", description)
+			t.Fatalf("condition not met within %v: %s", ConditionTimeout, description)
 		}
 	}
 }
