--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -1,5 +1,5 @@
-// Command faultsoak runs ingress processes under overlapping faults, seed by seed, and reports the rules of the protocol that
-// were violated. It exits with 1 if there was any violation, or if a run could not be done.
+// Command faultsoak runs ingress processes under overlapping faults, once for each seed, and prints the violations of the
+// protocol. It exits with 1 if there was a violation or if a run failed.
 package main
 
 import (
@@ -16,15 +16,15 @@
 	"lemontack/internal/soak"
 )
 
-// The number of ingresses that the load and the faults are made for.
+// Range of the number of ingresses in a run.
 const (
 	minProcesses = 10
 	maxProcesses = 40
 )
 
 var (
-	errUsage      = errors.New("wrong arguments")
-	errViolations = errors.New("violations")
+	errUsage      = errors.New("invalid arguments")
+	errViolations = errors.New("violations of the protocol")
 )
 
 // arguments are the values of the flags.
@@ -45,7 +45,7 @@
 	}
 }
 
-// run does one run for each seed. SIGINT and SIGTERM end it early.
+// run executes one run for each seed. SIGINT and SIGTERM cancel it.
 func run() error {
 	args, err := parseArguments()
 	if err != nil {
@@ -79,12 +79,12 @@
 	flag.StringVar(&args.dir, "dir", "", "folder for configurations and logs; a new one if empty")
 	flag.Parse()
 	if args.processes < minProcesses || args.processes > maxProcesses || flag.NArg() > 0 {
-		return args, fmt.Errorf("%w: %d processes and %d further arguments, want %d to %d processes and no arguments",
+		return args, fmt.Errorf("%w: got %d processes and %d further arguments, want %d to %d processes and no further arguments",
 			errUsage, args.processes, flag.NArg(), minProcesses, maxProcesses)
 	}
 	program, err := filepath.Abs(args.program)
 	if err != nil {
-		return args, fmt.Errorf("path of the ingress's program: %w", err)
+		return args, fmt.Errorf("absolute path of the ingress program: %w", err)
 	}
 	args.program = program
 	return args, nil
@@ -99,7 +99,7 @@
 		Command: []string{args.program}, Dir: dir, CheckTiming: true})
 }
 
-// makeDir makes the folder for the files of a seed: under dir, or a temporary one if dir is empty.
+// makeDir creates the directory for the files of a seed: in dir, or a temporary directory if dir is empty.
 func makeDir(dir string, seed uint64) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "faultsoak")
--- a/internal/tools/knownred/judge.go
+++ b/internal/tools/knownred/judge.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-var errNoTestPassed = errors.New("no test passed")
+var errNoTestPassed = errors.New("no test passed, want at least one")
 
-// checkFailures returns an error for each failure that is not in the list. The tests of the list are reported on out.
+// checkFailures returns an error for each failure that is not in the list, and an error if no test passed. It prints to out for
+// each test in the list whether it failed.
 func checkFailures(results testResults, known []knownFailure, out io.Writer) error {
 	var errs []error
 	for _, failure := range results.otherFailures {
@@ -22,7 +23,7 @@
 		}
 	}
 	for _, k := range known {
-		state := "passes now: take it off the list"
+		state := "passes now; remove it from the list"
 		if slices.Contains(results.failedTests, k.test) {
 			state = "known to fail"
 		}
--- a/internal/tools/knownred/judge_test.go
+++ b/internal/tools/knownred/judge_test.go
@@ -26,19 +26,19 @@
 func TestOnlyUnlistedFailuresAreErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		records, list string
-		want          string // part of the error; "": none
+		want          string // part of the error; empty means no error
 	}{
-		"all pass":             {passRecords, "", ""},
-		"a failure":            {passRecords + failRecords, "", "failed: TestB"},
-		"a listed failure":     {passRecords + failRecords, knownList, ""},
-		"a listed test panics": {passRecords + panicRecords, knownList, "outside of a test: q: panic"},
-		"a listed test races":  {passRecords + raceRecords, knownList, "DATA RACE"},
-		"a build fails":        {passRecords + buildFailRecords, knownList, "outside of a test: q"},
-		"a package dies":       {passRecords + packageFailRecords, knownList, "outside of a test: q"},
-		"no records":           {plainText, "", "no such module"},
-		"nothing ran":          {"", "", "no test passed"},
-		"too many listed":      {passRecords, longList, "3 at most"},
-		"odd list":             {passRecords, malformedList, "not of the form"},
+		"all tests pass":                 {passRecords, "", ""},
+		"an unlisted test fails":         {passRecords + failRecords, "", "failed: TestB"},
+		"a listed test fails":            {passRecords + failRecords, knownList, ""},
+		"a listed test panics":           {passRecords + panicRecords, knownList, "outside of a test: q: panic"},
+		"a listed test races":            {passRecords + raceRecords, knownList, "DATA RACE"},
+		"a build fails":                  {passRecords + buildFailRecords, knownList, "outside of a test: q"},
+		"a package fails without a test": {passRecords + packageFailRecords, knownList, "outside of a test: q"},
+		"text of the go command":         {plainText, "", "no such module"},
+		"no records":                     {"", "", "no test passed"},
+		"too many listed tests":          {passRecords, longList, "3 at most"},
+		"malformed list":                 {passRecords, malformedList, "not of the form"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			list, err := parseList(c.list)
@@ -50,7 +50,7 @@
 				err = checkFailures(r, list, io.Discard)
 			}
 			if got := fmt.Sprint(err); c.want == "" && err != nil || !strings.Contains(got, c.want) && c.want != "" {
-				t.Fatalf("%v, want %q", err, c.want)
+				t.Fatalf("got error %v, want %q", err, c.want)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	for records, want := range map[string]string{passRecords + failRecords: "known to fail: TestB, it is slow, really, issue 7",
-		passRecords: "passes now: take it off the list: TestB"} {
+		passRecords: "passes now; remove it from the list: TestB"} {
 		var out strings.Builder
 		r, err := readResults(strings.NewReader(records), io.Discard)
 		if err != nil {
@@ -70,7 +70,7 @@
 		}
 		checkFailures(r, list, &out)
 		if !strings.HasPrefix(out.String(), want) {
-			t.Fatalf("%q, want %q", out.String(), want)
+			t.Fatalf("got %q, want prefix %q", out.String(), want)
 		}
 	}
 }
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -7,14 +7,14 @@
 
 const (
 	listFile         = "KNOWN-RED.txt"
-	maxKnownFailures = 3 // so that the list stays an exception
+	maxKnownFailures = 3 // limits the list to exceptions
 )
 
-// knownFailure is a line of the list: a test that fails for a known cause.
+// knownFailure is an entry of the list: a test that fails for a known cause.
 type knownFailure struct{ test, cause, issue string }
 
-// parseList reads lines of the form "test, cause, issue"; the cause may hold commas. Empty lines and those that begin
-// with # are skipped.
+// parseList parses lines of the form "test, cause, issue"; the cause may contain commas. It skips empty lines and lines that
+// start with #.
 func parseList(text string) ([]knownFailure, error) {
 	var list []knownFailure
 	for line := range strings.Lines(text) {
@@ -29,7 +29,7 @@
 		list = append(list, failure)
 	}
 	if len(list) > maxKnownFailures {
-		return nil, fmt.Errorf("%s: %d tests, %d at most", listFile, len(list), maxKnownFailures)
+		return nil, fmt.Errorf("%s: got %d tests, want %d at most", listFile, len(list), maxKnownFailures)
 	}
 	return list, nil
 }
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred reads the output of "go test -json" on standard input, prints it as text and judges it: failures of
-// tests that KNOWN-RED.txt lists are printed and passed over, any other failure is an error.
+// Command knownred reads the output of "go test -json" on standard input and prints it as text. It prints failures of the tests
+// that KNOWN-RED.txt lists without an error, and exits with 1 for any other failure.
 package main
 
 import (
--- a/internal/tools/knownred/results.go
+++ b/internal/tools/knownred/results.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// maxRecordBytes is the longest record that is read: a test may print much in one line.
+// maxRecordBytes is the maximum length of a record, which contains a whole line of a test's output.
 const maxRecordBytes = 64 << 20
 
 // testEvent is one record of "go test -json".
@@ -21,7 +21,7 @@
 	Output     string
 }
 
-// testKey names a test, or a package where test is empty.
+// testKey identifies a test, or a package if test is empty.
 type testKey struct{ pkg, test string }
 
 func (e testEvent) key() testKey { return testKey{e.Package, e.Test} }
@@ -29,17 +29,17 @@
 // packageSet is a set of packages by their import paths.
 type packageSet map[string]bool
 
-// testResults is what the records say of all tests.
+// testResults are the results of all tests and packages.
 type testResults struct {
-	failedTests            []string // top-level tests
+	failedTests            []string // names of top-level tests
 	failedPackages         packageSet
-	packagesWithFailedTest packageSet         // their own failure needs no other cause
-	anyPassed              bool               // some test passed
-	otherFailures          []string           // of no test: a build, a panic, a data race
-	pendingOutput          map[testKey]string // of tests that have not ended
+	packagesWithFailedTest packageSet         // packages whose failure is explained by a failed test
+	anyPassed              bool               // true if at least one test passed
+	otherFailures          []string           // failures other than of tests: builds, panics, data races, packages
+	pendingOutput          map[testKey]string // output of tests that have not ended
 }
 
-// readResults reads the records. It copies the text of packages, and of tests that fail, to out.
+// readResults reads the records. It copies the output of packages and of failed tests to out.
 func readResults(in io.Reader, out io.Writer) (testResults, error) {
 	results := testResults{
 		failedPackages:         packageSet{},
@@ -50,7 +50,7 @@
 	lines.Buffer(nil, maxRecordBytes)
 	for lines.Scan() {
 		var event testEvent
-		if err := json.Unmarshal(lines.Bytes(), &event); err != nil { // text of the go command itself
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil { // plain text of the go command
 			fmt.Fprintln(out, lines.Text())
 			results.otherFailures = append(results.otherFailures, lines.Text())
 			continue
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordFailure leaves subtests out: their test fails with them.
+// recordFailure records the failure of a package or a test. It ignores subtests, since their top-level test fails too.
 func (r *testResults) recordFailure(event testEvent) {
 	if event.Test == "" {
 		r.failedPackages[event.Package] = true
@@ -109,7 +109,7 @@
 	}
 }
 
-// flushOutput writes the output of a test that failed, or of the tests that had not ended when their package did.
+// flushOutput writes the pending output of a failed test, or of the unfinished tests of a failed package.
 func (r *testResults) flushOutput(event testEvent, out io.Writer) {
 	for key, text := range r.pendingOutput {
 		packageEnded := event.Test == "" && key.pkg == event.Package
@@ -120,7 +120,7 @@
 	}
 }
 
-// isCrash reports whether a line tells of more than a failed test: no list excuses that.
+// isCrash reports whether a line of output reports a panic, a fatal error or a data race. These are errors in listed tests too.
 func isCrash(text string) bool {
 	for _, prefix := range []string{"panic: ", "fatal error: ", "WARNING: DATA RACE"} {
 		if strings.HasPrefix(text, prefix) {
@@ -130,7 +130,7 @@
 	return false
 }
 
-// isProgress reports whether a line tells only that a test runs or passes.
+// isProgress reports whether a line of output reports only that a test runs or passes.
 func isProgress(event testEvent) bool {
 	text := strings.TrimSpace(event.Output)
 	for _, prefix := range []string{"=== RUN", "=== PAUSE", "=== CONT", "=== NAME", "--- PASS"} {
