--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -25,19 +25,19 @@
 
 const (
 	copyBufferBytes = 32 << 10
-	acceptBackoff   = time.Millisecond // after a failed accept, for example for lack of descriptors
+	acceptBackoff   = time.Millisecond // pause after a failed accept, for example for lack of descriptors
 )
 
 // Proxy forwards connections from its address to a target. It is safe for concurrent use.
 type Proxy struct {
 	listener   net.Listener
 	target     string
-	goroutines sync.WaitGroup // for accepting and for each connection; Close waits for them
+	goroutines sync.WaitGroup // goroutines that accept and serve connections; Close waits for them
 
 	mu          sync.Mutex // guards the fields below
 	mode        Mode
 	modeChanged chan struct{} // closed when mode changes
-	delay       time.Duration // before each forwarded chunk
+	delay       time.Duration // delay before each forwarded chunk
 	chunkBytes  int           // maximum length of a forwarded chunk; zero means no limit
 	connections map[*proxiedConnection]struct{}
 	closed      bool
@@ -47,7 +47,7 @@
 type proxiedConnection struct {
 	client      net.Conn
 	upstream    net.Conn // nil until the target is dialled
-	wasSilenced bool     // true if it was open while the proxy was silent; guarded by Proxy.mu
+	wasSilenced bool     // whether it was open while the proxy was silent; guarded by Proxy.mu
 }
 
 // NewProxy starts a proxy that listens on a free loopback port and forwards to target.
@@ -119,7 +119,7 @@
 	p.goroutines.Wait()
 }
 
-// resetBoth closes both sides with a TCP resetBoth.
+// resetBoth closes both sides with a TCP reset.
 func (c *proxiedConnection) resetBoth() {
 	for _, conn := range []net.Conn{c.client, c.upstream} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
@@ -218,7 +218,7 @@
 	}
 }
 
-// writeThrottled forwards bytes in chunks with delays. It returns false if a writeThrottled fails.
+// writeThrottled forwards bytes in chunks with delays. It returns false if a write fails.
 func (p *Proxy) writeThrottled(to net.Conn, b []byte) bool {
 	for len(b) > 0 {
 		n := p.awaitForwarding(len(b))
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -20,7 +20,7 @@
 const (
 	modeServing backendMode = iota // serves most commands and mishandles the rest, as actionShares states
 	modeHanging                    // accepts commands and never replies
-	modeFailing                    // like modeServing, with a larger share of mishandled commands
+	modeFailing                    // serves and mishandles like modeServing, with a larger share of mishandled commands
 )
 
 // backendAction states how a backend handles one command.
@@ -48,9 +48,9 @@
 }
 
 const (
-	maxWorkTime         = 60 * time.Millisecond // for one command
-	failingDrawScale    = 0.3                   // factor for the draw of a failing backend; it mishandles 40% of the commands
-	drainingRejectShare = 0.8                   // of commands to a draining backend; it accepts the rest so that they are checked
+	maxWorkTime         = 60 * time.Millisecond // maximum delay of the response to a command
+	failingDrawScale    = 0.3                   // factor for the draw in modeFailing; the backend mishandles 40% of the commands
+	drainingRejectShare = 0.8                   // share of commands; the rest is accepted so that the attempts are checked
 )
 
 // backend serves commands and reports the attempts to the checker.
@@ -58,7 +58,7 @@
 	checker    *checker
 	index      int
 	ln         net.Listener
-	goroutines sync.WaitGroup // for accepting and serving connections; close waits for them
+	goroutines sync.WaitGroup // goroutines that accept and serve connections; close waits for them
 
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -4,18 +4,18 @@
 
 // Limits that the protocol sets for an ingress, and tolerances of the checks.
 const (
-	maxReplyDelay          = 500 * time.Millisecond // from the client's deadline to the reply
-	maxSendAfterDisconnect = 100 * time.Millisecond // from the client's disconnect to the start of an attempt
-	maxSendAfterDrain      = time.Second            // from the report of a draining backend to the start of an attempt
+	maxReplyDelay          = 500 * time.Millisecond // time from the client's deadline to the reply
+	maxSendAfterDisconnect = 100 * time.Millisecond // time from the client's disconnect to the start of an attempt
+	maxSendAfterDrain      = time.Second            // time from the notification of a drain to the start of an attempt
 	maxDeadlineExtension   = 150 * time.Millisecond // excess of the time left in a command over that of the client
 	maxStall               = 150 * time.Millisecond // longest pause of an ingress that the protocol tolerates
-	measurementError       = 50 * time.Millisecond  // of times that are measured on sockets
+	measurementError       = 50 * time.Millisecond  // error of times that are measured on sockets
 	closeRaceWindow        = 250 * time.Millisecond // age of a request that may get no reply if its connection is closed
 )
 
 // checker checks the observations against the rules of the protocol. It is safe for concurrent use.
 type checker struct {
-	checkTiming bool // true to check also the rules that depend on time
+	checkTiming bool // whether to check the rules that depend on time
 	history     *history
 	violations  *violationLog
 	stalls      *stallDetector
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -30,7 +30,7 @@
 	after := func(d time.Duration) time.Time { return now.Add(d) }
 	for name, c := range map[string]struct {
 		request  request
-		attempts []time.Duration // starts, after the request was sent
+		attempts []time.Duration // times from the request to the starts of the attempts
 		want     ViolationKind   // empty means none
 	}{
 		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), reply: ReplyValue}, nil, ""},
@@ -65,7 +65,7 @@
 func TestRecordAttemptReportsOnlyViolations(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		disconnectedFor, drainingFor time.Duration // until the attempt; zero means not disconnected, not draining
+		disconnectedFor, drainingFor time.Duration // time before the attempt; zero means that it did not happen
 		timeLeft                     time.Duration
 		undelayed                    bool
 		want                         ViolationKind
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	connsPerIngress     = 3 // pipelining connections
+	connsPerIngress     = 3 // number of pipelining connections
 	unknownCommandShare = 0.02
-	disconnectShare     = 0.01                  // of requests after which the client disconnects at once
-	redialInterval      = 20 * time.Millisecond // after a failed dial
+	disconnectShare     = 0.01                  // share of requests after which the client disconnects at once
+	redialInterval      = 20 * time.Millisecond // time from a failed dial to the next dial
 
 	shortLivedInterval = 50 * time.Millisecond // mean time between two short-lived connections to an ingress
-	slowWriterShare    = 0.2                   // of short-lived connections on which the client may write in chunks
-	maxChunkDelayMS    = 4                     // milliseconds between two chunks
+	slowWriterShare    = 0.2                   // share of short-lived connections whose command may be written in chunks
+	maxChunkDelayMS    = 4                     // maximum delay between two chunks, in milliseconds
 )
 
 // pipeliningClient sends commands on a connection without waiting for replies, like a server that forwards the requests of
@@ -24,7 +24,7 @@
 	target   *ingressProcess
 	checker  *checker
 	workload workload
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 }
 
 func newPipeliningClient(target *ingressProcess, c *checker, rng *rand.Rand, rate float64) *pipeliningClient {
@@ -95,7 +95,7 @@
 	target         *ingressProcess
 	checker        *checker
 	workload       workload
-	connGoroutines *sync.WaitGroup // for the connections of the client; they end at the latest when the ingress exits
+	connGoroutines *sync.WaitGroup // goroutines that read and close connections; they end at the latest when the ingress exits
 }
 
 // run opens connections until ctx ends. It does not wait for their goroutines; the owner of connGoroutines does.
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	replyTimeout     = 10 * time.Second // for the last replies on a connection, after the last request
+	replyTimeout     = 10 * time.Second // time to wait for the last replies on a connection
 	chunkBytes       = 30               // length of a chunk of a command that is written slowly
-	retryQueueLength = 64               // for each connection; further rejected requests are not retried
-	retryTenths      = 7                // tenths of the rejected requests that the client retries, with their remaining time
+	retryQueueLength = 64               // rejected requests per connection; further ones are not retried
+	retryTenths      = 7                // tenths of the rejected requests that are retried with their remaining time
 	unknownCommand   = "*1\r\n$5\r\nHELLO\r\n"
 )
 
@@ -23,14 +23,14 @@
 	nc          net.Conn
 	checker     *checker
 	target      *ingressProcess
-	incarnation int // of the target, read after the dial
+	incarnation int // incarnation of the target, read after the dial
 	dialledAt   time.Time
-	chunkDelay  time.Duration // between the chunks of a command; zero means that it is written at once
+	chunkDelay  time.Duration // delay between the chunks of a command; zero means no chunks
 	retries     chan *request // rejected requests that the client retries
 
 	mu      sync.Mutex // guards the fields below
 	pending []*request // commands without a reply, in the order sent; nil stands for an unknown command
-	closed  bool       // true if no more commands are sent and replies are ignored
+	closed  bool       // whether sending has ended and replies are ignored
 }
 
 // dialClientConn opens a connection to an ingress.
@@ -106,7 +106,7 @@
 	return len(cc.pending) == 0 || cc.closed
 }
 
-// openRequests returns the requests without a reply. The caller holds c.mu.
+// openRequests returns the requests without a reply. The caller holds cc.mu.
 func (cc *clientConn) openRequests() (open []*request) {
 	for _, r := range cc.pending {
 		if r != nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	partitionShare = 0.6             // of the backends that a segment cannot reach during a network partition
-	extraDrainTime = 2 * time.Second // added to the duration of a drain, which has to exceed maxSendAfterDrain
-	idleConnCount  = 40              // connections that one fault opens
+	partitionShare = 0.6             // probability that a partitioned segment cannot reach a backend
+	extraDrainTime = 2 * time.Second // addition to the duration of a drain, which has to exceed maxSendAfterDrain
+	idleConnCount  = 40              // number of connections that one fault opens
 
 	// A slow proxy waits before each chunk for less than proxyDelayLimitMS milliseconds. The maximum length of its chunks is
 	// at least minProxyChunkBytes and less than minProxyChunkBytes+proxyChunkBytesSpread.
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -12,9 +12,9 @@
 	id      uint64
 	ingress int // index of the process that receives the request
 	class   requestClass
-	timeout time.Duration // from sentAt until the client's deadline
+	timeout time.Duration // time from sentAt to the client's deadline
 
-	sentAt         time.Time // just before the last byte is written
+	sentAt         time.Time // time just before the last byte is written
 	disconnectedAt time.Time // time of the client's close of the connection; zero means that the client did not close it
 	exemption      string    // reason why the ingress need not reply; empty means that it has to
 	closedAt       time.Time // time of an orderly close by the ingress without a reply; zero means that there was none
@@ -32,8 +32,8 @@
 // attempt is a complete command that arrived at a backend and was not rejected there.
 type attempt struct {
 	startedAt time.Time     // arrival of the first byte
-	timeLeft  time.Duration // until the deadline, as stated in the command
-	undelayed bool          // true if no proxy delayed the command
+	timeLeft  time.Duration // time until the deadline, as stated in the command
+	undelayed bool          // whether no proxy may have delayed the command
 }
 
 // history records the observations of clients and backends. It is safe for concurrent use.
--- a/internal/soak/injector.go
+++ b/internal/soak/injector.go
@@ -48,7 +48,7 @@
 		sleep(ctx, time.Duration(fi.rng.ExpFloat64()*float64(faultInterval)))
 		f := faults[fi.rng.IntN(len(faults))]
 		duration := minFaultDuration + time.Duration(fi.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
-		rng := rand.New(rand.NewPCG(fi.rng.Uint64(), 1)) // separate, since the order in which overlapping faults draw varies
+		rng := rand.New(rand.NewPCG(fi.rng.Uint64(), 1)) // a separate source, since overlapping faults draw in varying order
 		fi.count(f.kind)
 		active.Go(func() { f.inject(ctx, rng, duration) })
 	}
--- a/internal/soak/misbehaving.go
+++ b/internal/soak/misbehaving.go
@@ -24,7 +24,7 @@
 	checker        *checker
 	processes      int // number of ingresses in the run
 	rng            *rand.Rand
-	connGoroutines *sync.WaitGroup // for the connections; they end after at most twice errorReplyTimeout
+	connGoroutines *sync.WaitGroup // goroutines that read replies; they end after at most twice errorReplyTimeout
 }
 
 // run opens connections until ctx ends. It does not wait for their goroutines; the owner of connGoroutines does.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	shutdownTimeout        = maxTimeout + 700*time.Millisecond // from SIGTERM to exit
-	acceptTimeAfterSIGTERM = 400 * time.Millisecond            // time in which the ingress still accepts connections
+	shutdownTimeout        = maxTimeout + 700*time.Millisecond // maximum time from SIGTERM to exit
+	acceptTimeAfterSIGTERM = 400 * time.Millisecond            // time after SIGTERM in which the ingress accepts connections
 	readyTimeout           = 30 * time.Second
 	readyPollInterval      = 5 * time.Millisecond
 	dialTimeout            = time.Second
@@ -53,7 +53,7 @@
 	exited                chan struct{} // closed when the current incarnation has exited
 	incarnation           int           // number of the current incarnation; zero before the first start
 	lastKilledIncarnation int           // last incarnation that received SIGKILL; -1 means none
-	terminating           bool          // true if the current incarnation received SIGTERM
+	terminating           bool          // whether the current incarnation received SIGTERM
 	terminatedAt          time.Time     // last time that an incarnation received SIGTERM; zero means never
 }
 
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -11,8 +11,8 @@
 // from the Go runtime and its race detector.
 const (
 	logInvariantViolated = "invariant violated"
-	logPanic             = "panic: "       // at the start of a line
-	logFatalError        = "fatal error: " // at the start of a line
+	logPanic             = "panic: "       // only at the start of a line
+	logFatalError        = "fatal error: " // only at the start of a line
 	logDataRace          = "DATA RACE"
 )
 
--- a/internal/soak/reply.go
+++ b/internal/soak/reply.go
@@ -11,9 +11,9 @@
 // The kinds of replies.
 const (
 	ReplyValue   ReplyKind = "value"
-	ReplyBusy    ReplyKind = "busy" // rejected without execution
+	ReplyBusy    ReplyKind = "busy" // rejection without execution
 	ReplyError   ReplyKind = "error"
-	ReplyInvalid ReplyKind = "invalid" // not a reply of the protocol
+	ReplyInvalid ReplyKind = "invalid" // text that is not a reply of the protocol
 )
 
 // readReply reads one reply. It returns the kind and the value, or the line of a reply that has no value.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	settleTime        = 2 * time.Second // of load after the last fault has started
-	streamsPerIngress = 1000            // streams of random numbers reserved for the clients of an ingress
+	settleTime        = 2 * time.Second // duration of the load after the last fault has started
+	streamsPerIngress = 1000            // number of random streams reserved for the clients of an ingress
 )
 
 // Options are the parameters of a run.
@@ -30,7 +30,7 @@
 	Command     []string      // command line of an ingress, which reads the configuration file that ROUTER_CONFIG names
 	Env         []string      // environment variables of the ingresses, added to those of this process
 	Dir         string        // existing directory for configurations and logs
-	CheckTiming bool          // true to check also the rules that depend on time; requires a machine with spare capacity
+	CheckTiming bool          // whether to check the rules that depend on time; requires a machine with spare capacity
 }
 
 // Report is the result of a run.
@@ -60,7 +60,7 @@
 	cluster        *cluster
 	processes      []*ingressProcess
 	injector       *faultInjector
-	connGoroutines sync.WaitGroup // for connections that outlive their client's run; they end when the ingresses exit
+	connGoroutines sync.WaitGroup // goroutines that serve connections that outlive their client's run; they end when the ingresses exit
 }
 
 // Run executes one run. An error means that the run did not start or was canceled; the report contains violations of the
@@ -136,8 +136,10 @@
 			c := newPipeliningClient(p, rn.checker, rn.rng(stream+uint64(k)+1), rn.options.Rate/connsPerIngress)
 			running.Go(func() { c.run(loadCtx) })
 		}
-		shortLived := &shortLivedClient{p, rn.checker, workload{p.index, rn.rng(stream + connsPerIngress + 1)}, &rn.connGoroutines}
-		misbehaving := &misbehavingClient{p, rn.checker, len(rn.processes), rn.rng(stream + connsPerIngress + 2), &rn.connGoroutines}
+		shortLived := &shortLivedClient{
+			p, rn.checker, workload{p.index, rn.rng(stream + connsPerIngress + 1)}, &rn.connGoroutines}
+		misbehaving := &misbehavingClient{
+			p, rn.checker, len(rn.processes), rn.rng(stream + connsPerIngress + 2), &rn.connGoroutines}
 		running.Go(func() { shortLived.run(loadCtx) })
 		running.Go(func() { misbehaving.run(faultCtx) })
 	}
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -9,7 +9,7 @@
 const (
 	stallCheckInterval = 5 * time.Millisecond
 	minStall           = 10 * time.Millisecond // excess over the check interval; the other tolerances cover shorter stalls
-	stallMargin        = 50 * time.Millisecond // before and after a measurement, in which a stall may affect it
+	stallMargin        = 50 * time.Millisecond // time before and after a measurement in which a stall may affect it
 )
 
 // timeSpan is the time between two points in time.
@@ -20,7 +20,7 @@
 type stallDetector struct {
 	mu      sync.Mutex // guards the fields below
 	stalls  []timeSpan
-	freezes map[int][]timeSpan // by index of the ingress
+	freezes map[int][]timeSpan // key: index of the ingress
 }
 
 func newStallDetector() *stallDetector { return &stallDetector{freezes: map[int][]timeSpan{}} }
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -36,7 +36,7 @@
 )
 
 const (
-	maxViolations = 200 // recorded in one run; later ones are dropped
+	maxViolations = 200 // number recorded in one run; later violations are dropped
 	noIngress     = -1  // value of Violation.Ingress if the ingress is unknown
 )
 
@@ -45,7 +45,7 @@
 	Kind      ViolationKind
 	Ingress   int           // index of the process; -1 means unknown
 	RequestID uint64        // zero means that the violation concerns no single request
-	At        time.Duration // since the start of the run
+	At        time.Duration // time since the start of the run
 	Detail    string
 }
 
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -11,8 +11,8 @@
 
 const (
 	customersPerIngress = 40
-	customerIDStride    = 1000 // between the first customer ids of two ingresses
-	urgentShare         = 0.05 // of requests whose timeout is at most maxUrgentTimeoutMS
+	customerIDStride    = 1000 // difference between the first customer ids of two ingresses
+	urgentShare         = 0.05 // share of requests whose timeout is at most maxUrgentTimeoutMS
 	maxUrgentTimeoutMS  = 2
 	minTimeout          = 50 * time.Millisecond
 )
@@ -23,7 +23,7 @@
 const (
 	idempotent idempotency = iota
 	nonIdempotent
-	idempotencyKey // may be executed more than once within deduplicationWindow
+	idempotencyKey // allows more than one execution within deduplicationWindow
 )
 
 // configName returns the name of the idempotency in the settings of an ingress.
--- a/internal/tools/knownred/results.go
+++ b/internal/tools/knownred/results.go
@@ -34,7 +34,7 @@
 	failedTests            []string // names of top-level tests
 	failedPackages         packageSet
 	packagesWithFailedTest packageSet         // packages whose failure is explained by a failed test
-	anyPassed              bool               // true if at least one test passed
+	anyPassed              bool               // whether at least one test passed
 	otherFailures          []string           // failures other than of tests: builds, panics, data races, packages
 	pendingOutput          map[testKey]string // output of tests that have not ended
 }
