--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -42,7 +42,7 @@
 	counter      *standin.Counter
 	counterAddrs [addressCount]string
 	closers      []func()       // close calls them in reverse order
-	goroutines   sync.WaitGroup // goroutines that serve discovery and the counter; they end when the closers close these services
+	goroutines   sync.WaitGroup // goroutines that serve discovery and the counter; the closers end them
 
 	mu     sync.Mutex // guards states
 	states []string   // state of each backend in discovery
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -60,7 +60,7 @@
 	cluster        *cluster
 	processes      []*ingressProcess
 	injector       *faultInjector
-	connGoroutines sync.WaitGroup // goroutines that serve connections that outlive their client's run; they end when the ingresses exit
+	connGoroutines sync.WaitGroup // goroutines for connections that outlive the clients; they end when the ingresses exit
 }
 
 // Run executes one run. An error means that the run did not start or was canceled; the report contains violations of the
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -29,7 +29,7 @@
 	DeadlineExtended ViolationKind = "deadline extended"
 	// SentToDraining means that an attempt began more than maxSendAfterDrain after discovery reported the backend as draining.
 	SentToDraining ViolationKind = "sent to draining"
-	// Crashed means that an ingress exited unexpectedly, did not start or stop in time, or logged a crash.
+	// Crashed means that an ingress exited unexpectedly, failed to start, reload or stop in time, or logged a crash.
 	Crashed ViolationKind = "crashed"
 	// InvariantViolated means that an ingress logged that it violated one of its invariants.
 	InvariantViolated ViolationKind = "invariant violated"
