--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	countersInterval = 10 * time.Second // between two records of the counters: a trend shows, and the log stays short
+	countersInterval = 10 * time.Second // between two log records of the counters
 
-	// maxAnomaliesPerPeriod bounds the records of single requests in anomalyPeriod: a fault that hits all requests must not
-	// fill the log.
-	maxAnomaliesPerPeriod = 20
-	anomalyPeriod         = time.Second
+	// maxLogRecordsPerPeriod bounds the log records on single requests and stalls in each logLimitPeriod, because a fault
+	// may affect all requests.
+	maxLogRecordsPerPeriod = 20
+	logLimitPeriod         = time.Second
 )
 
-// observer is the log and the counters of one ingress. The counters are written to the log every countersInterval and at the end;
-// single steps of requests and connections are records of level debug.
+// observer holds the log and the counters of one ingress. The counters are logged every countersInterval if they have
+// changed, and at shutdown. Events of single requests and attempts are logged at level debug.
 type observer struct {
-	log        *slog.Logger
-	tracing    bool // records of level debug are written
-	requests   *telemetry.Counters[requestCount]
-	clients    *listener.Counters
-	outcomes   *telemetry.Counters[policy.Outcome]
-	stalls     atomic.Int64 // of the process
-	violations *telemetry.Counters[invariant]
-	anomalies  *telemetry.LogLimiter
+	log             *slog.Logger
+	debugEnabled    bool // whether the log writes records of level debug
+	requests        *telemetry.Counters[requestCounter]
+	clients         *listener.Counters // faults and closes of client connections
+	attemptOutcomes *telemetry.Counters[policy.Outcome]
+	stalls          atomic.Int64 // number of stalls of the process
+	violations      *telemetry.Counters[invariant]
+	logLimiter      *telemetry.LogLimiter // of warnings and errors on single requests, and of stall warnings
 }
 
 func newObserver(log *slog.Logger) *observer {
@@ -38,39 +38,39 @@
 	for o := range policy.OutcomeCount {
 		outcomes = append(outcomes, o.String())
 	}
-	return &observer{log: log, tracing: log.Enabled(context.Background(), slog.LevelDebug),
+	return &observer{log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug),
 		requests: newRequestCounters(), clients: listener.NewCounters(),
-		violations: newViolations(),
-		outcomes:   telemetry.NewCounters[policy.Outcome](outcomes...),
-		anomalies:  telemetry.NewLogLimiter(maxAnomaliesPerPeriod, anomalyPeriod)}
+		violations:      newViolations(),
+		attemptOutcomes: telemetry.NewCounters[policy.Outcome](outcomes...),
+		logLimiter:      telemetry.NewLogLimiter(maxLogRecordsPerPeriod, logLimitPeriod)}
 }
 
-// run writes the counters from time to time until ctx ends.
-func (o *observer) run(ctx context.Context) {
-	tick := time.NewTicker(countersInterval)
-	defer tick.Stop()
-	for before := int64(0); ; {
+// logCountersPeriodically logs the counters every countersInterval until ctx is cancelled. It skips intervals without a change.
+func (o *observer) logCountersPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(countersInterval)
+	defer ticker.Stop()
+	for lastTotal := int64(0); ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if now := o.requests.Total() + o.clients.Faults.Total() + o.clients.Closes.Total(); now != before {
-			before = now
-			o.writeCounters("counters")
+		if total := o.requests.Total() + o.clients.Faults.Total() + o.clients.Closes.Total(); total != lastTotal {
+			lastTotal = total
+			o.logCounters("counters")
 		}
 	}
 }
 
-func (o *observer) writeCounters(text string) {
-	o.log.Info(text, "requests", o.requests, "attempts", o.outcomes, "faults", o.clients.Faults, "closes", o.clients.Closes,
+func (o *observer) logCounters(message string) {
+	o.log.Info(message, "requests", o.requests, "attempts", o.attemptOutcomes, "faults", o.clients.Faults, "closes", o.clients.Closes,
 		"stalls", o.stalls.Load(), "violations", o.violations)
 }
 
-// processStalled counts and logs that the process did not run for a while.
+// processStalled counts and logs a stall of the process.
 func (o *observer) processStalled(duration time.Duration) {
 	o.stalls.Add(1)
-	if ok, _ := o.anomalies.Allow(time.Now()); ok {
+	if ok, _ := o.logLimiter.Allow(time.Now()); ok {
 		o.log.Warn("process stalled", "duration", duration)
 	}
 }
--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// acceptRetryPause follows an error that the next call may meet too.
-	acceptRetryPause = 5 * time.Millisecond
-	// connSlotPause is how long a connection that was told to end may take before a further one is told.
-	connSlotPause = 5 * time.Millisecond
+	// acceptRetryDelay is the wait after an accept error that is likely to recur.
+	acceptRetryDelay = 5 * time.Millisecond
+	// slotRetryInterval is how long the closing of a connection may take before another one is closed.
+	slotRetryInterval = 5 * time.Millisecond
 )
 
-// Serve accepts connections until the listener closes, or none has come for as long as Drain waits for them. Each one is
-// served by goroutines that end with it, and that Drain waits for.
+// Serve accepts connections until the listener is closed or the accept deadline that Drain sets has passed. Each connection is
+// served by its own goroutines, which end with it; Drain waits for them.
 func (s *Server) Serve() {
-	defer close(s.acceptEnded)
+	defer close(s.acceptDone)
 	for {
-		began := time.Now()
+		slotWaitStart := time.Now()
 		s.acquireConnSlot()
-		called := time.Now()
-		s.acceptDelay.waitedForSlot(began, called)
+		acceptStart := time.Now()
+		s.acceptDelay.recordSlotWait(slotWaitStart, acceptStart)
 		socket, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		if err != nil {
 			<-s.connSlots
-			s.acceptFailed(err, called)
+			s.handleAcceptError(err, acceptStart)
 			continue
 		}
 		c := newConn(s, socket)
-		c.reader.openedAt, c.reader.queued = s.acceptDelay.accepted(c.reader.openedAt)
+		c.reader.openedAt, c.reader.mayHaveQueued = s.acceptDelay.recordAccept(c.reader.openedAt)
 		s.track(c)
 		go c.serve() // ends with the connection; Drain waits for it
 	}
 }
 
-// acceptFailed pauses where the next call may fail likewise: the process or the machine is out of descriptors or memory. A
-// connection that was given up before it was accepted tells nothing of the next one.
-func (s *Server) acceptFailed(err error, called time.Time) {
+// handleAcceptError logs the error and waits before the next call if that is likely to fail too, because the process or the
+// machine is out of descriptors or memory. It does neither for an interrupted call or a connection that was aborted in the
+// accept queue.
+func (s *Server) handleAcceptError(err error, acceptStart time.Time) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return
 	}
-	if ok, suppressed := s.cfg.LogLimiter.Allow(called); ok {
+	if ok, suppressed := s.cfg.LogLimiter.Allow(acceptStart); ok {
 		s.cfg.Log.Warn("accept failed", "err", err, "suppressed", suppressed)
 	}
-	time.Sleep(acceptRetryPause)
-	s.acceptDelay.failed(called, time.Now())
+	time.Sleep(acceptRetryDelay)
+	s.acceptDelay.recordFailure(acceptStart, time.Now())
 }
 
-// acquireConnSlot waits for the slot of a further connection. Clients keep idle connections for good and hundreds may say
-// nothing at all, so where all slots are taken one of these is closed.
+// acquireConnSlot waits for the slot of a new connection. If all slots are taken it closes an idle connection: clients keep idle
+// connections open indefinitely, and hundreds may never send a command.
 func (s *Server) acquireConnSlot() {
 	for {
 		select {
@@ -62,11 +63,11 @@
 			return
 		default:
 		}
-		s.closeMostIdle(time.Now())
+		s.closeMostIdleConn(time.Now())
 		select {
 		case s.connSlots <- struct{}{}:
 			return
-		case <-time.After(connSlotPause):
+		case <-time.After(slotRetryInterval):
 		}
 	}
 }
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -9,68 +9,68 @@
 
 // conn is a client's connection.
 type conn struct {
-	server     *Server
-	socket     net.Conn
-	reader     reader        // of the goroutine that reads
-	faults     atomic.Int32  // faults that the client has committed
-	duplicate  atomic.Uint64 // the id of the last request that was rejected as a duplicate
-	gone       atomic.Bool   // the reader has ended: no answer is kept, and no attempt should begin; set with mu held
-	goneAt     atomic.Int64  // when gone was set, by Config.Clock; 0: not yet
-	wake       chan struct{} // tells the writer of a change; holds one element
-	writerDone chan struct{} // closed when nothing is written any more
-
-	mu           sync.Mutex  // guards the fields below
-	state        connState   // changed by transition only
-	reason       CloseReason // for the end of the connection; the first one stays
-	aborted      bool        // the server closed the socket, whatever was owed
-	received     bool        // a complete command has come
-	readDeadline time.Time   // what the reader has set, zero: none; in force unless the writer has set another one
-	lastUsed     time.Time   // when it was opened, the last command came or the last answer was given
-	waiting      []*pendingResponse
-	out          []byte // answers whose turn has come
-	outCount     int    // commands that they answer
-	unwritten    int    // commands whose answers have not been written
-	unsentBytes  int    // of answers, in out or not, that have not been written
+	server         *Server
+	socket         net.Conn
+	reader         reader        // used only by the reading goroutine
+	faults         atomic.Int32  // number of faults of the client
+	duplicateID    atomic.Uint64 // id of the last request that was rejected as a duplicate
+	disconnected   atomic.Bool   // the reader has ended: answers are dropped, and no attempt may start; set with mu held
+	disconnectedAt atomic.Int64  // when disconnected was set, on Config.Clock; zero before that
+	wake           chan struct{} // signals the writer that the state or the answers have changed; capacity 1
+	writerDone     chan struct{} // closed when the writer has ended
+
+	mu                sync.Mutex         // guards the fields below
+	state             connState          // changed only by transition
+	reason            CloseReason        // reason for the end of the connection; the first one set is kept
+	aborted           bool               // the server closed the socket without waiting for answers
+	commandReceived   bool               // a complete command has been received
+	readDeadline      time.Time          // deadline of the reader, zero for none; in effect unless the writer has set another one
+	lastActivity      time.Time          // when the connection was opened, or last received a command or an answer
+	pendingResponses  []*pendingResponse // in the order of their commands; without those in readyAnswers
+	readyAnswers      []byte             // encoded answers for the writer, in the order of the commands
+	readyCount        int                // number of answers in readyAnswers
+	unwrittenCommands int                // number of commands whose answers have not been written
+	unsentBytes       int                // size of the answers, ready or not, that have not been written
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
 	now := time.Now()
-	c := &conn{server: s, socket: socket, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), lastUsed: now}
+	c := &conn{server: s, socket: socket, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), lastActivity: now}
 	c.reader.openedAt = now
 	c.reader.buffer.Budget = s.commandMemory
 	return c
 }
 
-// serve runs the connection to its end.
+// serve runs the connection until its reader and its writer have ended.
 func (c *conn) serve() {
-	defer c.server.serving.Done()
+	defer c.server.activeConns.Done()
 	stopWriter := make(chan struct{})
 	go func() { // ends after the last answer or when stopWriter closes; this function waits for it
 		defer close(c.writerDone)
-		c.write(stopWriter)
+		c.runWriter(stopWriter)
 	}()
-	if c.read() {
+	if c.readCommands() {
 		c.discard()
 	}
-	unanswered := c.markGone()
+	unanswered := c.markDisconnected()
 	c.socket.Close()
 	c.observeEnd(unanswered)
-	if len(unanswered) > 0 { // said before the writer has ended: it may not run for a while
+	if len(unanswered) > 0 { // reported before waiting for the writer, which may end much later
 		c.server.cfg.Handler.ClientDisconnected(unanswered)
 	}
 	close(stopWriter)
 	<-c.writerDone
-	c.releaseUnsent()
+	c.releaseUnsentBytes()
 	c.server.untrack(c)
 }
 
-// markGone marks the connection as over and returns the requests that nobody waits for any more.
-func (c *conn) markGone() (unanswered []*Request) {
+// markDisconnected marks the client as disconnected and returns its requests that have no answer.
+func (c *conn) markDisconnected() (unanswered []*Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone.Store(true)
-	c.goneAt.Store(int64(c.server.cfg.Clock(time.Now())))
-	for _, pending := range c.waiting {
+	c.disconnected.Store(true)
+	c.disconnectedAt.Store(int64(c.server.cfg.Clock(time.Now())))
+	for _, pending := range c.pendingResponses {
 		if pending.answer == nil {
 			unanswered = append(unanswered, pending.request)
 		}
@@ -78,36 +78,36 @@
 	return unanswered
 }
 
-// releaseUnsent takes what will never be written out of the sum over all connections.
-func (c *conn) releaseUnsent() {
+// releaseUnsentBytes subtracts the answers that will never be written from the total over all connections.
+func (c *conn) releaseUnsentBytes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.server.unsentBytes.Add(-int64(c.unsentBytes))
 }
 
-// isOwed reports whether a command waits for its answer.
-func (c *conn) isOwed() bool {
+// hasPendingResponse reports whether a command waits for its answer or for an earlier one.
+func (c *conn) hasPendingResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.waiting) > 0
+	return len(c.pendingResponses) > 0
 }
 
-// hasReceived reports whether a complete command has come.
-func (c *conn) hasReceived() bool {
+// hasReceivedCommand reports whether a complete command has been received.
+func (c *conn) hasReceivedCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.received
+	return c.commandReceived
 }
 
-// unwrittenAtLeast reports whether so many commands wait for their answers to be written.
-func (c *conn) unwrittenAtLeast(count int) bool {
+// hasUnwrittenCommands reports whether the answers of at least minCount commands have not been written.
+func (c *conn) hasUnwrittenCommands(minCount int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unwritten >= count
+	return c.unwrittenCommands >= minCount
 }
 
-// setReadDeadline sets the deadline of reads. Once the connection has ended, or the reader is asked about its end, the
-// socket's deadline is the writer's.
+// setReadDeadline sets the deadline of the reader. It does not change the deadline of the socket while the reader has to confirm
+// the end of the connection or after that end: the writer controls it then.
 func (c *conn) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,23 +117,24 @@
 	}
 }
 
-// proposeEnd makes the reader say whether the connection may end: only it knows whether it holds commands that were read and
-// not taken. c.mu is held.
+// proposeEnd makes the reader call confirmEnd, which decides whether the connection may end: only the reader knows whether its
+// buffer holds unprocessed commands. c.mu is held.
 func (c *conn) proposeEnd() {
 	c.transition(endProposed)
-	c.socket.SetReadDeadline(time.Unix(1, 0)) // the reader's call returns at once
+	c.socket.SetReadDeadline(time.Unix(1, 0)) // in the past, so that a blocked read returns
 }
 
-// confirmEnd is the reader's answer to proposeEnd, given while it holds no complete command: the connection ends, unless a
-// command waits for its answer or has begun to come. One that has begun is no reason to keep a slot that others need.
-func (c *conn) confirmEnd() (asked, ended bool) {
+// confirmEnd decides on an end that proposeEnd has proposed. The reader calls it while its buffer holds no complete command. The
+// connection ends unless a response is pending or the buffer holds part of a command. A partial command does not prevent the
+// end if the slot is needed. It returns whether an end was proposed, and whether the connection has ended.
+func (c *conn) confirmEnd() (proposed, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != stateConfirming {
 		return false, false
 	}
-	if len(c.waiting) == 0 && (!c.reader.buffer.HasPartialFrame() || c.reason == CloseForSlot) {
-		c.end()
+	if len(c.pendingResponses) == 0 && (!c.reader.buffer.HasPartialFrame() || c.reason == CloseForSlot) {
+		c.decideEnd()
 		return true, true
 	}
 	c.transition(endDeclined)
@@ -141,25 +142,25 @@
 	return true, false
 }
 
-// endIfNotOwed ends the connection if no answer is owed on it; the reader does so between two reads.
-func (c *conn) endIfNotOwed() bool {
+// endIfNonePending ends the connection if no response is pending. The reader calls it between two reads.
+func (c *conn) endIfNonePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) > 0 {
+	if len(c.pendingResponses) > 0 {
 		return false
 	}
-	c.end()
+	c.decideEnd()
 	return true
 }
 
-// end leaves the rest of the connection to the writer; c.mu is held.
-func (c *conn) end() {
+// decideEnd makes the connection accept no more commands; the writer sends the remaining answers. c.mu is held.
+func (c *conn) decideEnd() {
 	c.transition(endDecided)
 	c.socket.SetReadDeadline(time.Time{})
 	c.wakeWriter()
 }
 
-// refuseCommands leaves the end of the connection to the writer: what is read from now on is of no use.
+// refuseCommands makes the writer end the connection once all commands are answered; the reader discards further input.
 func (c *conn) refuseCommands() {
 	c.mu.Lock()
 	c.transition(commandsRefused)
@@ -168,22 +169,22 @@
 	c.wakeWriter()
 }
 
-// closeSoon closes for a shutdown as close does, but leaves a connection that is so new that its first command may be under
-// way the time to bring it.
-func (c *conn) closeSoon() {
+// closeForShutdown calls requestClose for a shutdown. For a new connection, whose first command may be in transit, it does so
+// after the rest of newConnGrace.
+func (c *conn) closeForShutdown() {
 	c.mu.Lock()
-	grace := newConnGrace - time.Since(c.lastUsed)
-	received := c.received
+	grace := newConnGrace - time.Since(c.lastActivity)
+	received := c.commandReceived
 	c.mu.Unlock()
 	if received || grace <= 0 {
-		c.close(CloseShutdown)
+		c.requestClose(CloseShutdown)
 		return
 	}
-	time.AfterFunc(grace, func() { c.close(CloseShutdown) }) // does nothing to a connection that has ended by then
+	time.AfterFunc(grace, func() { c.requestClose(CloseShutdown) }) // has no effect on a connection that has ended by then
 }
 
-// close asks for the end of the connection at the next moment between requests.
-func (c *conn) close(reason CloseReason) {
+// requestClose requests the end of the connection as soon as no response is pending.
+func (c *conn) requestClose(reason CloseReason) {
 	c.mu.Lock()
 	c.transition(closeRequested)
 	c.setReason(reason)
@@ -191,7 +192,7 @@
 	c.wakeWriter()
 }
 
-// abort ends the connection at once, whatever is owed on it.
+// abort closes the socket at once, even if responses are pending.
 func (c *conn) abort(reason CloseReason) {
 	c.mu.Lock()
 	c.setReason(reason)
@@ -200,14 +201,14 @@
 	c.socket.Close()
 }
 
-// setReason keeps the first reason for the end of the connection; c.mu is held.
+// setReason sets the reason for the end of the connection unless one is set; c.mu is held.
 func (c *conn) setReason(reason CloseReason) {
 	if c.reason == CloseByClient {
 		c.reason = reason
 	}
 }
 
-// remoteAddr is the client's address, for the log.
+// remoteAddr returns the client's address for log records, or "" if it is unknown.
 func (c *conn) remoteAddr() string {
 	if c.socket == nil || c.socket.RemoteAddr() == nil {
 		return ""
@@ -215,7 +216,7 @@
 	return c.socket.RemoteAddr().String()
 }
 
-// wakeWriter makes the writer look at the connection again; it never blocks.
+// wakeWriter makes the writer check the state and the answers again; it never blocks.
 func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
