--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -14,55 +14,56 @@
 	"github.com/tidwall/redcon"
 )
 
-// backendMode is how a backend treats commands.
+// backendMode states how a backend handles commands.
 type backendMode int
 
 const (
-	modeServing backendMode = iota // it serves, with few faults of each kind
-	modeHanging                    // it accepts commands and never replies
-	modeFailing                    // it replies with errors, resets connections, corrupts replies
+	modeServing backendMode = iota // serves most commands and mishandles the rest, as actionShares states
+	modeHanging                    // accepts commands and never replies
+	modeFailing                    // serves and mishandles like modeServing, with a larger share of mishandled commands
 )
 
-// reaction is what a backend does with one command.
-type reaction int
+// backendAction states how a backend handles one command.
+type backendAction int
 
 const (
-	reactServe           reaction = iota
-	reactReject                   // as not executed
-	reactError                    // reply with an error
-	reactReset                    // reset the connection, after the work
-	reactCorruptReply             // reply with bytes that are no reply
-	reactDuplicateReply           // send the same reply twice
-	reactIncompleteReply          // begin a reply and never end it
-	reactNoReply
+	actionServe           backendAction = iota
+	actionReject                        // replies that the command was not executed
+	actionError                         // replies with an error
+	actionReset                         // resets the connection after the work time
+	actionCorruptReply                  // replies with bytes that are not a reply of the protocol
+	actionDuplicateReply                // sends the same reply twice
+	actionIncompleteReply               // sends the first half of a reply
+	actionNoReply
 )
 
-// reactions of a backend that serves: each happens if the uniform draw is below its limit and not below the one before.
-var reactions = []struct {
-	limit    float64
-	reaction reaction
+// actionShares are the shares of the actions in serving mode. A uniform draw selects the first action whose cumulative share
+// exceeds it.
+var actionShares = []struct {
+	cumulativeShare float64
+	action          backendAction
 }{
-	{0.03, reactReject}, {0.05, reactError}, {0.07, reactReset}, {0.08, reactCorruptReply}, {0.09, reactDuplicateReply},
-	{0.1, reactIncompleteReply}, {0.12, reactNoReply}, {1, reactServe},
+	{0.03, actionReject}, {0.05, actionError}, {0.07, actionReset}, {0.08, actionCorruptReply}, {0.09, actionDuplicateReply},
+	{0.1, actionIncompleteReply}, {0.12, actionNoReply}, {1, actionServe},
 }
 
 const (
-	maxWork             = 60 * time.Millisecond // of one command
-	failingScale        = 0.3                   // of the draw of a failing backend: four commands in ten go wrong
-	drainingRejectShare = 0.8                   // of commands that a draining backend rejects; it executes the others, for the checks
+	maxWorkTime         = 60 * time.Millisecond // maximum delay of the response to a command
+	failingDrawScale    = 0.3                   // factor for the draw in modeFailing; the backend mishandles 40% of the commands
+	drainingRejectShare = 0.8                   // share of commands; the rest is accepted so that the attempts are checked
 )
 
-// backend serves commands and reports them to the checker.
+// backend serves commands and reports the attempts to the checker.
 type backend struct {
-	checker *checker
-	index   int
-	ln      net.Listener
-	serving sync.WaitGroup // the goroutines that accept and serve connections; close ends them
+	checker    *checker
+	index      int
+	ln         net.Listener
+	goroutines sync.WaitGroup // goroutines that accept and serve connections; close waits for them
 
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
 	mode          backendMode
-	drainingSince time.Time // zero: it does not drain
+	drainingSince time.Time // zero means that it does not drain
 	conns         map[net.Conn]struct{}
 	closed        bool
 }
@@ -73,7 +74,7 @@
 		return nil, err
 	}
 	b := &backend{checker: c, index: index, ln: ln, rng: rng, conns: map[net.Conn]struct{}{}}
-	b.serving.Go(b.accept) // close ends it and waits for it
+	b.goroutines.Go(b.acceptConns) // ends when close closes the listener
 	return b, nil
 }
 
@@ -88,10 +89,10 @@
 		nc.Close()
 	}
 	b.mu.Unlock()
-	b.serving.Wait()
+	b.goroutines.Wait()
 }
 
-// setDraining makes the backend reject new commands, or serve them again.
+// setDraining starts or ends draining: a draining backend rejects most commands.
 func (b *backend) setDraining(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,25 +108,25 @@
 	b.mode = m
 }
 
-func (b *backend) accept() {
+func (b *backend) acceptConns() {
 	for {
 		nc, err := b.ln.Accept()
 		if err != nil {
 			return
 		}
-		if !b.add(nc) {
+		if !b.addConn(nc) {
 			nc.Close()
 			return
 		}
-		b.serving.Go(func() { // close closes the connection, which ends it, and waits for it
-			defer b.remove(nc)
-			b.handle(nc)
+		b.goroutines.Go(func() { // ends with the connection, which close closes
+			defer b.removeConn(nc)
+			b.serveConn(nc)
 		})
 	}
 }
 
-// add reports whether a new connection is served, which it is not after close.
-func (b *backend) add(nc net.Conn) bool {
+// addConn adds a new connection. It reports false after close.
+func (b *backend) addConn(nc net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -135,29 +136,29 @@
 	return true
 }
 
-func (b *backend) remove(nc net.Conn) {
+func (b *backend) removeConn(nc net.Conn) {
 	b.mu.Lock()
 	delete(b.conns, nc)
 	b.mu.Unlock()
 	nc.Close()
 }
 
-// firstByteConn records when the first byte of a command arrived.
+// firstByteConn records the arrival time of the first byte of a command.
 type firstByteConn struct {
 	net.Conn
-	firstByteAt time.Time // zero: not yet
+	firstByteAt time.Time // zero means that no byte has arrived
 }
 
-// Read reads from the connection.
-func (c *firstByteConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	if n > 0 && c.firstByteAt.IsZero() {
-		c.firstByteAt = time.Now()
+// Read reads from the connection and records the time of the first byte.
+func (fc *firstByteConn) Read(p []byte) (int, error) {
+	n, err := fc.Conn.Read(p)
+	if n > 0 && fc.firstByteAt.IsZero() {
+		fc.firstByteAt = time.Now()
 	}
 	return n, err
 }
 
-func (b *backend) handle(nc net.Conn) {
+func (b *backend) serveConn(nc net.Conn) {
 	conn := &firstByteConn{Conn: nc}
 	for in := redcon.NewReader(bufio.NewReader(conn)); ; {
 		cmd, err := in.ReadCommand()
@@ -171,7 +172,7 @@
 	}
 }
 
-// execute reacts to one command; it reports whether the connection stays open.
+// execute handles one command. It reports whether the connection stays open.
 func (b *backend) execute(nc net.Conn, args [][]byte, firstByteAt time.Time) bool {
 	if len(args) < 4 {
 		io.WriteString(nc, "-ERR unknown command\r\n")
@@ -179,70 +180,72 @@
 	}
 	id, err := strconv.ParseUint(string(args[2]), 16, 64)
 	if err != nil {
-		b.checker.violations.report(WrongReply, noIngress, "a command with the id %q at backend %d", args[2], b.index)
+		b.checker.violations.record(WrongReply, noIngress,
+			"got request id %q at backend %d, want a hexadecimal number", args[2], b.index)
 		return false
 	}
-	what, work, drainingSince := b.react()
-	if what != reactReject {
-		a := attempt{firstByteAt, timeLeftOf(string(args[3])), b.checker.disruptions.undelayed(b.index)}
-		b.checker.attempted(id, a, drainingSince, b.index)
+	action, workTime, drainingSince := b.drawAction()
+	if action != actionReject {
+		received := attempt{firstByteAt, timeLeftOf(string(args[3])), b.checker.disruptions.isUndelayed(b.index)}
+		b.checker.recordAttempt(id, received, drainingSince, b.index)
 	}
-	return carryOut(nc, what, id, work)
+	return perform(nc, action, id, workTime)
 }
 
-// react draws what happens to a command and how long it takes.
-func (b *backend) react() (what reaction, work time.Duration, drainingSince time.Time) {
+// drawAction draws the action for a command and its work time. It also returns the time since which the backend drains.
+func (b *backend) drawAction() (action backendAction, workTime time.Duration, drainingSince time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	work = time.Duration(b.rng.Int64N(int64(maxWork)))
+	workTime = time.Duration(b.rng.Int64N(int64(maxWorkTime)))
 	draw := b.rng.Float64()
 	switch {
 	case !b.drainingSince.IsZero() && draw < drainingRejectShare:
-		return reactReject, 0, b.drainingSince
+		return actionReject, 0, b.drainingSince
 	case b.mode == modeHanging:
-		return reactNoReply, 0, b.drainingSince
+		return actionNoReply, 0, b.drainingSince
 	case b.mode == modeFailing:
-		draw *= failingScale
+		draw *= failingDrawScale
 	}
-	for _, r := range reactions {
-		if draw < r.limit {
-			return r.reaction, work, b.drainingSince
+	for _, a := range actionShares {
+		if draw < a.cumulativeShare {
+			return a.action, workTime, b.drainingSince
 		}
 	}
-	return reactServe, work, b.drainingSince
+	return actionServe, workTime, b.drainingSince
 }
 
-// carryOut does what was drawn; it reports whether the connection stays open.
-func carryOut(nc net.Conn, what reaction, id uint64, work time.Duration) bool {
+// perform performs an action for a command. It reports whether the connection stays open.
+func perform(nc net.Conn, action backendAction, id uint64, workTime time.Duration) bool {
 	value := valueOf(id)
 	reply := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
-	switch what {
-	case reactReject:
+	switch action {
+	case actionReject:
 		reply = "-BUSY\r\n"
-	case reactError:
+	case actionError:
 		reply = "-ERR failed\r\n"
-	case reactReset:
-		time.Sleep(work)
+	case actionReset:
+		time.Sleep(workTime)
 		nc.(*net.TCPConn).SetLinger(0)
 		return false
-	case reactCorruptReply:
+	case actionCorruptReply:
 		reply = "\x00\xffnoise\r\n"
-	case reactDuplicateReply:
+	case actionDuplicateReply:
 		reply += reply
-	case reactIncompleteReply:
+	case actionIncompleteReply:
 		reply = reply[:len(reply)/2]
-	case reactNoReply:
+	case actionNoReply:
 		return true
 	}
-	time.Sleep(work)
+	time.Sleep(workTime)
 	_, err := io.WriteString(nc, reply)
 	return err == nil
 }
 
-// valueOf is the value of the reply to a request. It differs from request to request, so that a mix-up is found.
+// valueOf returns the value of the reply to a request. Each request has a different value, so that a reply to the wrong
+// request is detected.
 func valueOf(id uint64) string { return fmt.Sprintf("value of %016x", id) }
 
-// timeLeftOf returns the time until the client's deadline that the fields of a command tell; 0: none.
+// timeLeftOf returns the time until the client's deadline in the fields of a command; zero if they do not contain it.
 func timeLeftOf(fields string) time.Duration {
 	for field := range strings.SplitSeq(fields, ",") {
 		if text, ok := strings.CutPrefix(field, "d="); ok {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	connsPerIngress     = 3 // of clients that pipeline
+	connsPerIngress     = 3 // number of pipelining connections
 	unknownCommandShare = 0.02
-	disconnectShare     = 0.01                  // of requests after which the client closes its connection at once
-	redialInterval      = 20 * time.Millisecond // after a connection was refused
+	disconnectShare     = 0.01                  // share of requests after which the client disconnects at once
+	redialInterval      = 20 * time.Millisecond // time from a failed dial to the next dial
 
-	shortLivedInterval = 50 * time.Millisecond // mean time between two requests of short-lived connections, for each ingress
-	slowWriterShare    = 0.2                   // of short-lived connections, whose commands are written in chunks
-	maxChunkDelayMS    = 4                     // between these chunks, in milliseconds
+	shortLivedInterval = 50 * time.Millisecond // mean time between two short-lived connections to an ingress
+	slowWriterShare    = 0.2                   // share of short-lived connections whose command may be written in chunks
+	maxChunkDelayMS    = 4                     // maximum delay between two chunks, in milliseconds
 )
 
-// pipeliningClient sends one command after another on a connection without waiting for replies, as a server that forwards
-// the requests of many customers does. It opens a new connection when one ends.
+// pipeliningClient sends commands on a connection without waiting for replies, like a server that forwards the requests of
+// many customers. When the connection ends, it opens a new one.
 type pipeliningClient struct {
 	target   *ingressProcess
 	checker  *checker
 	workload workload
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 }
 
 func newPipeliningClient(target *ingressProcess, c *checker, rng *rand.Rand, rate float64) *pipeliningClient {
@@ -39,25 +39,25 @@
 			sleep(ctx, redialInterval)
 			continue
 		}
-		ended := make(chan struct{})
-		go func() { // waited for below; the end of the connection ends it
-			defer close(ended)
-			c.read()
+		readDone := make(chan struct{})
+		go func() { // ends when the connection ends; run waits for it
+			defer close(readDone)
+			c.readReplies()
 		}()
-		pc.sendRequests(ctx, c, ended)
-		if ctx.Err() != nil { // the last replies
+		pc.sendRequests(ctx, c, readDone)
+		if ctx.Err() != nil { // wait for the last replies
 			select {
-			case <-ended:
+			case <-readDone:
 			case <-time.After(replyTimeout):
 			}
 		}
 		c.nc.Close()
-		<-ended
+		<-readDone
 	}
 }
 
-// sendRequests sends requests on a connection until it or ctx ends.
-func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, ended <-chan struct{}) {
+// sendRequests sends requests on a connection until the connection or ctx ends.
+func (pc *pipeliningClient) sendRequests(ctx context.Context, c *clientConn, readDone <-chan struct{}) {
 	rng := pc.workload.rng
 	for {
 		var rejected *request
@@ -65,7 +65,7 @@
 		case <-ctx.Done():
 			c.closeWhenIdle()
 			return
-		case <-ended:
+		case <-readDone:
 			return
 		case rejected = <-c.retries:
 		case <-time.After(time.Duration(rng.ExpFloat64() / pc.rate * float64(time.Second))):
@@ -74,15 +74,15 @@
 		switch draw := rng.Float64(); {
 		case rejected != nil:
 			timeLeft := time.Until(rejected.sentAt.Add(rejected.timeout)).Truncate(time.Millisecond)
-			err = c.send(pc.workload.request(rejected.class, max(timeLeft, 0)))
+			err = c.send(pc.workload.newRequest(rejected.class, max(timeLeft, 0)))
 		case draw < unknownCommandShare:
 			err = c.sendUnknownCommand()
 		case draw < unknownCommandShare+disconnectShare:
-			c.send(pc.workload.next())
+			c.send(pc.workload.nextRequest())
 			c.disconnect()
 			return
 		default:
-			err = c.send(pc.workload.next())
+			err = c.send(pc.workload.nextRequest())
 		}
 		if err != nil {
 			return
@@ -90,15 +90,15 @@
 	}
 }
 
-// shortLivedClient opens a connection for each request.
+// shortLivedClient opens a new connection for each request.
 type shortLivedClient struct {
-	target   *ingressProcess
-	checker  *checker
-	workload workload
-	conns    *sync.WaitGroup // the goroutines of its connections, which end at the latest with the ingress
+	target         *ingressProcess
+	checker        *checker
+	workload       workload
+	connGoroutines *sync.WaitGroup // goroutines that read and close connections; they end at the latest when the ingress exits
 }
 
-// run opens connections until ctx ends. It does not wait for their goroutines: that is for the owner of conns.
+// run opens connections until ctx ends. It does not wait for their goroutines; the owner of connGoroutines does.
 func (sc *shortLivedClient) run(ctx context.Context) {
 	rng := sc.workload.rng
 	for ctx.Err() == nil {
@@ -110,12 +110,12 @@
 		if rng.Float64() < slowWriterShare {
 			c.chunkDelay = time.Duration(rng.IntN(maxChunkDelayMS+1)) * time.Millisecond
 		}
-		sc.conns.Go(func() {
+		sc.connGoroutines.Go(func() {
 			defer c.nc.Close()
-			c.read()
+			c.readReplies()
 		})
-		c.send(sc.workload.next())
-		sc.conns.Go(func() {
+		c.send(sc.workload.nextRequest())
+		sc.connGoroutines.Go(func() {
 			defer c.nc.Close()
 			c.closeWhenIdle()
 		})
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	replyTimeout      = 10 * time.Second // for the last replies, once nothing more is sent
-	chunkSize         = 30               // bytes of a command that is written slowly
-	maxPendingRetries = 64               // of one connection; rejected requests beyond are not retried
-	retryTenths       = 7                // of ten rejected requests are retried at once, with what is left of their time
-	unknownCommand    = "*1\r\n$5\r\nHELLO\r\n"
+	replyTimeout     = 10 * time.Second // time to wait for the last replies on a connection
+	chunkBytes       = 30               // length of a chunk of a command that is written slowly
+	retryQueueLength = 64               // rejected requests per connection; further ones are not retried
+	retryTenths      = 7                // tenths of the rejected requests that are retried with their remaining time
+	unknownCommand   = "*1\r\n$5\r\nHELLO\r\n"
 )
 
-// clientConn is one connection of a client, on which commands are pipelined.
+// clientConn is one pipelining connection of a client to an ingress.
 type clientConn struct {
 	nc          net.Conn
 	checker     *checker
 	target      *ingressProcess
-	incarnation int // of the target, when the connection was opened
+	incarnation int // incarnation of the target, read after the dial
 	dialledAt   time.Time
-	chunkDelay  time.Duration // between the chunks of a command; 0: it is written at once
-	retries     chan *request // rejected ones
+	chunkDelay  time.Duration // delay between the chunks of a command; zero means no chunks
+	retries     chan *request // rejected requests that the client retries
 
 	mu      sync.Mutex // guards the fields below
-	pending []*request // without a reply, in the order of the commands; nil: an unknown command
-	closed  bool       // nothing more is sent, and replies are of no interest
+	pending []*request // commands without a reply, in the order sent; nil stands for an unknown command
+	closed  bool       // whether sending has ended and replies are ignored
 }
 
 // dialClientConn opens a connection to an ingress.
@@ -40,75 +40,75 @@
 		return nil, err
 	}
 	return &clientConn{nc: nc, checker: c, target: target, incarnation: target.currentIncarnation(), dialledAt: time.Now(),
-		retries: make(chan *request, maxPendingRetries)}, nil
+		retries: make(chan *request, retryQueueLength)}, nil
 }
 
 // sendUnknownCommand sends a command that no ingress knows.
-func (c *clientConn) sendUnknownCommand() error { return c.send(nil, []byte(unknownCommand)) }
+func (cc *clientConn) sendUnknownCommand() error { return cc.send(nil, []byte(unknownCommand)) }
 
-// send sends the command of a request; nil: an unknown command.
-func (c *clientConn) send(r *request, command []byte) error {
-	if !c.addPending(r) {
+// send sends the command of a request. A nil request stands for an unknown command.
+func (cc *clientConn) send(r *request, command []byte) error {
+	if !cc.addPending(r) {
 		return net.ErrClosed
 	}
-	for c.chunkDelay > 0 && len(command) > chunkSize {
-		if _, err := c.nc.Write(command[:chunkSize]); err != nil {
-			break // the write of the last chunk returns the error; an incomplete command needs no reply
+	for cc.chunkDelay > 0 && len(command) > chunkBytes {
+		if _, err := cc.nc.Write(command[:chunkBytes]); err != nil {
+			break // the write below returns the error; an incomplete command needs no reply
 		}
-		command = command[chunkSize:]
-		time.Sleep(c.chunkDelay)
+		command = command[chunkBytes:]
+		time.Sleep(cc.chunkDelay)
 	}
 	if r != nil {
-		c.checker.history.sent(r)
+		cc.checker.history.recordSent(r)
 	}
-	_, err := c.nc.Write(command)
+	_, err := cc.nc.Write(command)
 	return err
 }
 
-// addPending reports whether the connection is still open for another command.
-func (c *clientConn) addPending(r *request) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
+// addPending adds a command to those without a reply. It reports whether the connection is still open for commands.
+func (cc *clientConn) addPending(r *request) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed {
 		return false
 	}
-	c.pending = append(c.pending, r)
+	cc.pending = append(cc.pending, r)
 	return true
 }
 
 // disconnect closes the connection while requests are open on it.
-func (c *clientConn) disconnect() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.checker.history.clientDisconnected(c.openRequests())
-	c.pending, c.closed = nil, true
-	c.nc.Close()
+func (cc *clientConn) disconnect() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.checker.history.recordDisconnect(cc.openRequests())
+	cc.pending, cc.closed = nil, true
+	cc.nc.Close()
 }
 
 // closeWhenIdle waits for the replies to all commands and closes the connection. After replyTimeout it returns and leaves the
 // connection open.
-func (c *clientConn) closeWhenIdle() {
-	const interval = 5 * time.Millisecond
-	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !c.isIdle(); {
-		time.Sleep(interval)
+func (cc *clientConn) closeWhenIdle() {
+	const pollInterval = 5 * time.Millisecond
+	for deadline := time.Now().Add(replyTimeout); time.Now().Before(deadline) && !cc.isIdle(); {
+		time.Sleep(pollInterval)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closed && len(c.pending) == 0 {
-		c.closed = true
-		c.nc.Close()
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if !cc.closed && len(cc.pending) == 0 {
+		cc.closed = true
+		cc.nc.Close()
 	}
 }
 
-func (c *clientConn) isIdle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.pending) == 0 || c.closed
+func (cc *clientConn) isIdle() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return len(cc.pending) == 0 || cc.closed
 }
 
-// openRequests returns the requests without a reply; c.mu is held.
-func (c *clientConn) openRequests() (open []*request) {
-	for _, r := range c.pending {
+// openRequests returns the requests without a reply. The caller holds cc.mu.
+func (cc *clientConn) openRequests() (open []*request) {
+	for _, r := range cc.pending {
 		if r != nil {
 			open = append(open, r)
 		}
@@ -116,86 +116,87 @@
 	return open
 }
 
-// read reads replies until the connection ends.
-func (c *clientConn) read() {
-	in := bufio.NewReader(c.nc)
+// readReplies reads and checks replies until the connection ends.
+func (cc *clientConn) readReplies() {
+	in := bufio.NewReader(cc.nc)
 	for prevReplyAt := (time.Time{}); ; prevReplyAt = time.Now() {
 		kind, text, err := readReply(in)
 		if err != nil {
-			c.ended(err)
+			cc.handleReadError(err)
 			return
 		}
-		r, state := c.takePending()
+		r, state := cc.takePending()
 		switch {
 		case state == nothingPending:
-			c.checker.violations.report(WrongReply, c.target.index, "%q answers no command", text)
-			c.nc.Close()
+			cc.checker.violations.record(WrongReply, cc.target.index, "got %q, want no reply since no command is pending", text)
+			cc.nc.Close()
 			return
 		case state == connClosed:
 			return
 		case r == nil:
 			if kind != ReplyError {
-				c.checker.violations.report(WrongReply, c.target.index, "%q answers an unknown command", text)
+				cc.checker.violations.record(WrongReply, cc.target.index, "got %q to an unknown command, want an error", text)
 			}
 		default:
-			c.checker.replied(r, prevReplyAt, kind, text)
-			c.retry(r, kind)
+			cc.checker.recordReply(r, prevReplyAt, kind, text)
+			cc.queueRetry(r, kind)
 		}
 	}
 }
 
-// pendingState says what a reply belongs to.
+// pendingState states whether a command waits for the reply that was read.
 type pendingState int
 
 const (
 	commandPending pendingState = iota
 	nothingPending
-	connClosed // the client closed the connection as the reply came
+	connClosed // the client closed the connection before it processed the reply
 )
 
-// takePending removes the command that the next reply answers.
-func (c *clientConn) takePending() (*request, pendingState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// takePending removes and returns the first command without a reply.
+func (cc *clientConn) takePending() (*request, pendingState) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	switch {
-	case c.closed:
+	case cc.closed:
 		return nil, connClosed
-	case len(c.pending) == 0:
+	case len(cc.pending) == 0:
 		return nil, nothingPending
 	}
-	r := c.pending[0]
-	c.pending = c.pending[1:]
+	r := cc.pending[0]
+	cc.pending = cc.pending[1:]
 	return r, commandPending
 }
 
-// retry hands a rejected request back to be sent again. One without any time left is not.
-func (c *clientConn) retry(r *request, kind ReplyKind) {
+// queueRetry queues a rejected request for a retry, unless its timeout is zero or the queue is full.
+func (cc *clientConn) queueRetry(r *request, kind ReplyKind) {
 	if kind != ReplyBusy || r.id%10 >= retryTenths || r.timeout == 0 {
 		return
 	}
 	select {
-	case c.retries <- r:
+	case cc.retries <- r:
 	default:
 	}
 }
 
-// ended records or reports the end of the connection as the requests without a reply explain it.
-func (c *clientConn) ended(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	open, closed := c.openRequests(), c.closed
-	c.closed = true
+// handleReadError handles the end of the connection. For the requests without a reply it records why they got none, or a
+// violation.
+func (cc *clientConn) handleReadError(err error) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	open, closed := cc.openRequests(), cc.closed
+	cc.closed = true
 	if closed || len(open) == 0 {
 		return
 	}
 	switch {
-	case c.target.stoppedAccepting(c.dialledAt):
-		c.checker.history.excuse(open, "the connection was opened as the ingress stopped accepting")
-	case c.target.wasKilled(c.incarnation):
-		c.checker.history.excuse(open, "the ingress was killed")
+	case cc.target.hadStoppedAccepting(cc.dialledAt):
+		cc.checker.history.exempt(open, "the connection was opened as the ingress stopped accepting")
+	case cc.target.wasKilled(cc.incarnation):
+		cc.checker.history.exempt(open, "the ingress was killed")
 	case errors.Is(err, io.EOF):
-		c.checker.history.connectionClosed(open)
+		cc.checker.history.recordClose(open)
 	case errors.Is(err, syscall.ECONNRESET):
-		c.checker.violations.report(NoReply, c.target.index, "a connection with %d open requests was reset", len(open))
+		cc.checker.violations.record(NoReply, cc.target.index, "a connection with %d open requests was reset", len(open))
 	}
 }
--- a/internal/soak/disruptions_test.go
+++ b/internal/soak/disruptions_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An ingress has to know of a change at once, or in time after a disruption of its own segment's discovery.
-func TestNotifiedAtAllowsForDisruptions(t *testing.T) {
+// The deadline is extended only by a disruption of discovery in the segment of the ingress.
+func TestNotificationDeadlineIsExtendedByDisruptions(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct{ disrupted, want time.Duration }{
 		"no disruption":  {-time.Hour, 0},
@@ -16,12 +16,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &disruptions{}
-			d.discovery[1] = now.Add(c.disrupted)
-			if got := d.notifiedAt(3, now).Sub(now); got != c.want {
-				t.Fatalf("notified after %v, want %v", got, c.want)
+			d.discoveryDisruptedAt[1] = now.Add(c.disrupted)
+			if got := d.notificationDeadline(3, now).Sub(now); got != c.want {
+				t.Fatalf("got deadline %v after the change, want %v", got, c.want)
 			}
-			if got := d.notifiedAt(2, now); !got.Equal(now) {
-				t.Fatal("the other segment's discovery was not disrupted")
+			if got := d.notificationDeadline(2, now); !got.Equal(now) {
+				t.Fatalf("undisrupted segment: got deadline %v, want %v", got, now)
 			}
 		})
 	}
