--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -96,12 +96,12 @@
 
 // unavailable lets discovery be in a state for a while, some time after the start of all clients; meanwhile an endpoint
 // starts draining.
-func unavailable(start time.Duration, state standin.State, d time.Duration) outage {
+func unavailable(start time.Duration, state standin.ServiceState, d time.Duration) outage {
 	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
 		group.service.SetState(state)
 		time.Sleep(d)
-		revision := group.service.Change(target(0, "DRAINING"))
+		revision := group.service.ApplyChange(target(0, "DRAINING"))
 		group.service.SetState(standin.Up)
 		return revision, time.Now()
 	}
@@ -111,25 +111,25 @@
 func outages() map[string]outage {
 	all := map[string]outage{
 		"start": func(group *clientGroup) (int64, time.Time) {
-			return group.service.Change(target(0, "DRAINING")), time.Now()
+			return group.service.ApplyChange(target(0, "DRAINING")), time.Now()
 		},
 		"watches fall silent": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20*time.Second + heartbeatInterval/2)
 			group.service.SilenceWatches()
-			return group.service.Change(target(0, "DRAINING")), time.Now()
+			return group.service.ApplyChange(target(0, "DRAINING")), time.Now()
 		},
 		"watches end": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20 * time.Second)
-			group.service.BreakWatches()
-			return group.service.Change(target(0, "DRAINING")), time.Now()
+			group.service.DisconnectWatches()
+			return group.service.ApplyChange(target(0, "DRAINING")), time.Now()
 		},
 		"watches end, then silence": func(group *clientGroup) (int64, time.Time) {
 			time.Sleep(20 * time.Second)
-			group.service.BreakWatches()
+			group.service.DisconnectWatches()
 			return unavailable(20*time.Second, standin.Silent, 3*time.Second)(group)
 		},
 	}
-	for name, state := range map[string]standin.State{"silent": standin.Silent, "down": standin.Down} {
+	for name, state := range map[string]standin.ServiceState{"silent": standin.Silent, "down": standin.Down} {
 		for _, d := range []time.Duration{100 * time.Millisecond, 1300 * time.Millisecond, 3900 * time.Millisecond,
 			8 * time.Second, 41 * time.Second} {
 			all[fmt.Sprintf("%s for %v", name, d)] = unavailable(20*time.Second, state, d)
@@ -190,7 +190,7 @@
 		defer group.close()
 		time.Sleep(20 * time.Second)
 		service.SilenceWatches() // the old address delivers nothing more
-		revision, since := service.Change(target(0, "DRAINING")), time.Now()
+		revision, since := service.ApplyChange(target(0, "DRAINING")), time.Now()
 		for _, client := range group.clients {
 			client.ChangeAddress("127.0.0.1:2")
 		}
--- a/internal/ingress/discoveryfixtures_test.go
+++ b/internal/ingress/discoveryfixtures_test.go
@@ -25,7 +25,7 @@
 				if change.Snapshot {
 					service.SetList(standinTargets(change))
 				} else {
-					service.Change(standinTargets(change)...)
+					service.ApplyChange(standinTargets(change)...)
 				}
 			}
 		}
--- a/internal/ingress/endpointfixtures_test.go
+++ b/internal/ingress/endpointfixtures_test.go
@@ -68,7 +68,7 @@
 func startServingEndpoint(t *testing.T, value string) *testEndpoint {
 	t.Helper()
 	e := &testEndpoint{}
-	backend := standin.NewBackend(standin.BackendConfig{Value: func(args []string) string {
+	backend := standin.NewBackend(standin.BackendConfig{ReplyValue: func(args []string) string {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.commands = append(e.commands, args)
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -31,7 +31,7 @@
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		state    standin.State
+		state    standin.ServiceState
 		perCall  time.Duration // time of a call at discovery, which handles them one by one
 		n, known int
 	}{
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -59,7 +59,7 @@
 		serviceTime: func(rng *rand.Rand) time.Duration {
 			return time.Duration((0.5 + 0.5*rng.ExpFloat64()) * float64(meanServiceTime))
 		},
-		warmUp:   standin.WarmUp{MinSpeed: slowStartMinWeight, Window: slowStartWindow},
+		warmUp:   standin.WarmUp{MinSpeed: slowStartMinWeight, Duration: slowStartWindow},
 		backends: make([]modelledBackend, n),
 	}
 	busySlots := load * meanServiceTime.Seconds() / float64(n)
--- a/internal/scale/load_generator_test.go
+++ b/internal/scale/load_generator_test.go
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := nettest.Listen(t)
-			backend := standin.NewBackend(standin.BackendConfig{LoadReports: true, Value: value})
+			backend := standin.NewBackend(standin.BackendConfig{LoadReports: true, ReplyValue: value})
 			var serving sync.WaitGroup
 			serving.Go(func() { backend.Serve(listener) })
 			t.Cleanup(func() { backend.Close(); serving.Wait() })
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -98,7 +98,7 @@
 		return standInReply{}, nil
 	case command.Action == actionChange && s.discovery != nil:
 		appliedAt := time.Now()
-		return standInReply{AppliedAt: appliedAt, Revision: s.discovery.Change(command.Targets...)}, nil
+		return standInReply{AppliedAt: appliedAt, Revision: s.discovery.ApplyChange(command.Targets...)}, nil
 	case command.Action == actionReport || command.Action == actionReportMemory:
 		return s.report(command.Action == actionReportMemory), nil
 	}
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -162,6 +162,6 @@
 	cl.mu.Unlock()
 	cl.backends[i].setDraining(state == stateDraining)
 	for segment, change := range changes {
-		cl.discovery[segment].Change(change)
+		cl.discovery[segment].ApplyChange(change)
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -40,7 +40,7 @@
 		{"discovery silent", fi.discoveryState(standin.Silent)},
 		{"discovery down", fi.discoveryState(standin.Down)},
 		{"watches silent", fi.disruptWatches(func(d *discovery) { d.SilenceWatches() })},
-		{"watches broken", fi.disruptWatches(func(d *discovery) { d.BreakWatches() })},
+		{"watches broken", fi.disruptWatches(func(d *discovery) { d.DisconnectWatches() })},
 		{"ingress stalled", fi.stall},
 		{"ingress stalled", fi.stall},
 		{"ingress frozen", fi.freeze},
@@ -116,7 +116,7 @@
 	fi.cluster.setState(i, stateServing)
 }
 
-func (fi *faultInjector) counterState(s standin.State) func(context.Context, *rand.Rand, time.Duration) {
+func (fi *faultInjector) counterState(s standin.ServiceState) func(context.Context, *rand.Rand, time.Duration) {
 	return func(ctx context.Context, _ *rand.Rand, duration time.Duration) {
 		fi.cluster.counter.SetState(s)
 		sleep(ctx, duration)
@@ -124,7 +124,7 @@
 	}
 }
 
-func (fi *faultInjector) discoveryState(s standin.State) func(context.Context, *rand.Rand, time.Duration) {
+func (fi *faultInjector) discoveryState(s standin.ServiceState) func(context.Context, *rand.Rand, time.Duration) {
 	return func(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 		segment := rng.IntN(segmentCount)
 		fi.cluster.disruptions.discoveryDisrupted(segment)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -23,10 +23,10 @@
 
 	WarmUp    WarmUp
 	StartedAt time.Time // from when on it warms up; zero: long ago
-	Overload  Overload
+	Overload  OverloadLimit
 
 	LoadReports bool                          // answers hold a load report
-	Value       func(command []string) string // what an attempt is served with; nil: the request's id
+	ReplyValue  func(command []string) string // what an attempt is served with; nil: the request's id
 	Seed        uint64                        // of the draws of ServiceTime
 }
 
--- a/internal/standin/backend_service.go
+++ b/internal/standin/backend_service.go
@@ -63,8 +63,8 @@
 // newAttempt draws the service time of an attempt. The lock is held.
 func (b *Backend) newAttempt(command []string, replies *replyWriter) *backendAttempt {
 	attempt := &backendAttempt{value: command[2], reply: make(pendingReply, 1), replies: replies}
-	if b.config.Value != nil {
-		attempt.value = b.config.Value(command)
+	if b.config.ReplyValue != nil {
+		attempt.value = b.config.ReplyValue(command)
 	}
 	if b.config.ServiceTime != nil {
 		attempt.serviceTime = b.config.ServiceTime(b.rng).Seconds()
@@ -149,14 +149,14 @@
 func (b *Backend) isOverloaded(now time.Time) bool {
 	overload := b.config.Overload
 	speed := b.warmUpSpeed(now)
-	if overload.Multiple == 0 || speed >= 1 || b.config.Cores == 0 || b.meanServiceTime == 0 {
+	if overload.CapacityMultiple == 0 || speed >= 1 || b.config.Cores == 0 || b.meanServiceTime == 0 {
 		return false
 	}
 	b.recentArrivals = append(b.recentArrivals, now)
 	for now.Sub(b.recentArrivals[0]) >= overload.Window {
 		b.recentArrivals = b.recentArrivals[1:]
 	}
-	return float64(len(b.recentArrivals)) > overload.Limit(speed, b.config.Cores, b.meanServiceTime)
+	return float64(len(b.recentArrivals)) > overload.MaxArrivals(speed, b.config.Cores, b.meanServiceTime)
 }
 
 // complete answers an attempt whose work is done. The lock is held.
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -239,7 +239,7 @@
 		t.Run(c.age.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 4,
-					WarmUp: WarmUp{MinSpeed: 0.25, Window: 10 * time.Second}, StartedAt: time.Now()})
+					WarmUp: WarmUp{MinSpeed: 0.25, Duration: 10 * time.Second}, StartedAt: time.Now()})
 				time.Sleep(c.age)
 				began := time.Now()
 				readReply(sendAttempt(t, ln, 1))
@@ -254,11 +254,11 @@
 // It resets the connections that are open and refuses new ones.
 func TestColdBackendCrashesBeyondItsLimit(t *testing.T) {
 	cold := BackendConfig{ServiceTime: constantServiceTime(100 * time.Millisecond), Cores: 2,
-		WarmUp:   WarmUp{MinSpeed: 0.5, Window: 1e6 * time.Hour},
-		Overload: Overload{Multiple: 1.6, Window: time.Second}} // 16 in a second
+		WarmUp:   WarmUp{MinSpeed: 0.5, Duration: 1e6 * time.Hour},
+		Overload: OverloadLimit{CapacityMultiple: 1.6, Window: time.Second}} // 16 in a second
 	slack, warm, spaced := cold, cold, cold
 	slack.Overload.Slack = 2 // 16 + 2 x 4 + 2
-	warm.WarmUp.Window = time.Nanosecond
+	warm.WarmUp.Duration = time.Nanosecond
 	for name, c := range map[string]struct {
 		cfg   BackendConfig
 		pause time.Duration
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -44,7 +44,7 @@
 	connections connectionSet
 
 	mu                  sync.Mutex // guards what follows
-	state               State
+	state               ServiceState
 	silenced            chan struct{} // closed while Silent
 	table               *CounterTable
 	connectionsByClient map[string]int // by address, without its port
@@ -81,7 +81,7 @@
 
 // SetState changes how calls are met. A silence stays with the connections that were open or came during it, and calls
 // that were queued then are never added.
-func (c *Counter) SetState(state State) {
+func (c *Counter) SetState(state ServiceState) {
 	c.changeState(state)
 	if state == Up {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-func (c *Counter) changeState(state State) {
+func (c *Counter) changeState(state ServiceState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == c.state {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -45,7 +45,7 @@
 	server *http.Server
 
 	mu           sync.Mutex // guards what follows
-	state        State
+	state        ServiceState
 	closed       bool
 	history      *endpointHistory
 	encodedList  []byte        // the snapshot of this revision as it is written; nil: not yet made
@@ -103,8 +103,8 @@
 	d.publish()
 }
 
-// Change adds or replaces entries, or removes those that are DELETED, as one new revision.
-func (d *Discovery) Change(targets ...Target) (revision int64) {
+// ApplyChange adds or replaces entries, or removes those that are DELETED, as one new revision.
+func (d *Discovery) ApplyChange(targets ...Target) (revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.history.apply(targets)
@@ -121,7 +121,7 @@
 
 // SetState changes how calls are met. Silence stays with what was open or came during it, also after the return, until
 // its client goes or discovery is Down.
-func (d *Discovery) SetState(state State) {
+func (d *Discovery) SetState(state ServiceState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if state == d.state || d.closed {
@@ -149,8 +149,8 @@
 	}
 }
 
-// BreakWatches disconnects the watches that are open now.
-func (d *Discovery) BreakWatches() {
+// DisconnectWatches disconnects the watches that are open now.
+func (d *Discovery) DisconnectWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != Down {
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -97,9 +97,9 @@
 		t.Run(fmt.Sprintf("keep %d, since %d", c.keep, c.since), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := startDiscovery(t, DiscoveryConfig{MaxChanges: c.keep})
-				r.Change(Target{UID: "a", State: "DRAINING"})
-				r.Change(Target{UID: "a", State: "DELETED"})
-				if rev := r.Change(Target{UID: "c", State: "SERVING"}); rev != 4 {
+				r.ApplyChange(Target{UID: "a", State: "DRAINING"})
+				r.ApplyChange(Target{UID: "a", State: "DELETED"})
+				if rev := r.ApplyChange(Target{UID: "c", State: "SERVING"}); rev != 4 {
 					t.Fatalf("revision %d", rev)
 				}
 				if got := describeObject(t, <-r.watch(t, c.since)); got != c.want {
@@ -122,7 +122,7 @@
 		if got := receivedLines(lines); !slices.Equal(got, []string{"", "", ""}) {
 			t.Fatalf("in 7 s: %q", got)
 		}
-		r.Change(Target{UID: "b", State: "DRAINING"}, Target{UID: "c", State: "SERVING"})
+		r.ApplyChange(Target{UID: "b", State: "DRAINING"}, Target{UID: "c", State: "SERVING"})
 		if got := describeObject(t, <-lines); got != "2 false b:DRAINING c:SERVING" {
 			t.Fatalf("change %s", got)
 		}
@@ -144,7 +144,7 @@
 		if got := describeObject(t, <-lines); got != "41 true a:SERVING b:SERVING" {
 			t.Fatalf("list %s", got)
 		}
-		if rev := r.Change(Target{UID: "c"}); rev != 42 {
+		if rev := r.ApplyChange(Target{UID: "c"}); rev != 42 {
 			t.Fatalf("revision %d", rev)
 		}
 	})
@@ -273,7 +273,7 @@
 		old := r.watch(t, 1)
 		<-old
 		r.SetState(Silent)
-		r.Change(Target{UID: "c", State: "SERVING"})
+		r.ApplyChange(Target{UID: "c", State: "SERVING"})
 		during := make(chan callResult, 1)
 		go func() { during <- r.callAll(t, time.Hour)[0] }()
 		time.Sleep(10 * time.Second)
@@ -281,7 +281,7 @@
 		if got := describeObject(t, <-r.watch(t, 1)); got != "2 false c:SERVING" {
 			t.Fatalf("after the return: %s", got)
 		}
-		r.Change(Target{UID: "d", State: "SERVING"})
+		r.ApplyChange(Target{UID: "d", State: "SERVING"})
 		time.Sleep(time.Minute)
 		if got := receivedLines(old); len(got) > 0 {
 			t.Fatalf("the silent watch says %q", got)
@@ -349,14 +349,14 @@
 	for name, c := range map[string]struct {
 		end  func(*Discovery)
 		open int
-	}{"broken": {(*Discovery).BreakWatches, 1}, "silenced": {(*Discovery).SilenceWatches, 2}} {
+	}{"broken": {(*Discovery).DisconnectWatches, 1}, "silenced": {(*Discovery).SilenceWatches, 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := startDiscovery(t, DiscoveryConfig{})
 				old := r.watch(t, 1)
 				<-old
 				c.end(r.Discovery)
-				r.Change(Target{UID: "c", State: "SERVING"})
+				r.ApplyChange(Target{UID: "c", State: "SERVING"})
 				lines := r.watch(t, 1)
 				if got := describeObject(t, <-lines); got != "2 false c:SERVING" {
 					t.Fatalf("a new watch: %s", got)
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -8,12 +8,12 @@
 // Counter and Backend wait in Close until those goroutines have returned.
 package standin
 
-// State says how a stand-in meets its clients.
-type State int
+// ServiceState says how a stand-in meets its clients.
+type ServiceState int
 
 const (
 	// Up serves.
-	Up State = iota
+	Up ServiceState = iota
 	// Silent accepts and answers nothing, as behind a network partition. A connection that was open meanwhile, or came
 	// meanwhile, stays silent for good.
 	Silent
--- a/internal/standin/warm_up_test.go
+++ b/internal/standin/warm_up_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWarmUpSpeedRisesEvenly(t *testing.T) {
-	cold := WarmUp{MinSpeed: 0.5, Window: 10 * time.Second}
+	cold := WarmUp{MinSpeed: 0.5, Duration: 10 * time.Second}
 	for _, c := range []struct {
 		warmUp WarmUp
 		age    time.Duration
