--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -11,58 +11,58 @@
 	"lemontack/internal/minheap"
 )
 
-// meanServiceTimeSamples is the number of draws of ServiceTime from which its mean is taken.
+// meanServiceTimeSamples is the number of draws of BackendConfig.ServiceTime from which its mean is computed.
 const meanServiceTimeSamples = 256
 
-// BackendConfig says what a Backend can do.
+// BackendConfig configures a Backend.
 type BackendConfig struct {
-	Cores       int                                // attempts in service share them evenly; 0: any number
-	Slots       int                                // attempts in service at once; 0: any number
-	MaxQueued   int                                // attempts that wait for a slot; further ones are rejected
-	ServiceTime func(rng *rand.Rand) time.Duration // draws what an attempt takes on a core of its own; nil: nothing
+	Cores       int                                // shared evenly by the attempts in service; zero means no limit
+	Slots       int                                // maximum number of attempts in service; zero means no limit
+	MaxQueued   int                                // maximum number of attempts that wait for a slot; further ones are rejected
+	ServiceTime func(rng *rand.Rand) time.Duration // draws the time that an attempt takes on a core of its own; nil means zero
 
 	WarmUp    WarmUp
-	StartedAt time.Time // from when on it warms up; zero: long ago
+	StartedAt time.Time // start of the warm-up; the zero time means that it is over
 	Overload  OverloadLimit
 
-	LoadReports bool                          // answers hold a load report
-	ReplyValue  func(command []string) string // what an attempt is served with; nil: the request's id
-	Seed        uint64                        // of the draws of ServiceTime
+	LoadReports bool                          // whether replies include a load report
+	ReplyValue  func(command []string) string // returns the value of a reply; nil means the request ID
+	Seed        uint64                        // seed of the random source that ServiceTime gets
 }
 
-// BackendStats is what a Backend has seen so far.
+// BackendStats holds the statistics of a Backend since its start.
 type BackendStats struct {
-	Connections       int  // accepted
-	Attempts          int  // that came complete and in good form
-	Served            int  // of them, those whose work was done
-	Rejected          int  // of them, those that found no slot and no place in the queue, or came after Drain
-	ArrivedAfterDrain int  // attempts whose first byte came after Drain
-	Malformed         int  // commands in a form that no client sends
-	MaxInFlight       int  // attempts in service or queued at one moment
-	Crashed           bool // it got more attempts than it bore while it was cold
+	Connections       int  // accepted connections
+	Attempts          int  // complete and well-formed attempts
+	Served            int  // attempts that were completed
+	Rejected          int  // attempts that found no slot and no place in the queue, or arrived after Drain
+	ArrivedAfterDrain int  // attempts whose first byte arrived after Drain
+	Malformed         int  // malformed commands; unknown commands are not counted
+	MaxInFlight       int  // maximum number of attempts in service or queued at the same time
+	Crashed           bool // whether it exceeded its OverloadLimit while it was cold
 }
 
-// Backend plays one backend: attempts share its cores, further ones wait for a slot.
+// Backend simulates one backend. Attempts in service share its cores; further attempts wait for a slot.
 type Backend struct {
-	config          BackendConfig
-	connections     connectionSet
-	meanServiceTime float64 // seconds
+	config             BackendConfig
+	connections        connectionSet
+	meanServiceSeconds float64 // mean of ServiceTime
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	rng            *rand.Rand
-	inService      *minheap.Heap[*backendAttempt] // the first to finish on top
-	queued         []*backendAttempt              // for a slot, the oldest first
-	virtualTime    float64                        // seconds of work that each attempt would have got since the start
-	updatedAt      time.Time                      // when virtualTime had that value
-	speed          float64                        // from then on, in seconds of work per second
-	timer          *time.Timer                    // of the next update
-	drainedAt      time.Time                      // zero: not draining
-	recentArrivals []time.Time                    // of the last Overload.Window
-	stopped        bool                           // it has crashed or is closed
+	inService      *minheap.Heap[*backendAttempt] // ordered by the time of completion, the earliest on top
+	queued         []*backendAttempt              // attempts that wait for a slot, oldest first
+	virtualTime    float64                        // cumulative work of an attempt that is always in service, in seconds
+	updatedAt      time.Time                      // time at which virtualTime was last updated
+	speed          float64                        // progress of each attempt since updatedAt, in seconds of work per second
+	timer          *time.Timer                    // calls advanceTo at the next completion or warm-up step
+	drainedAt      time.Time                      // time of Drain; the zero time means not draining
+	recentArrivals []time.Time                    // times of the arrivals within the last OverloadLimit.Window
+	stopped        bool                           // whether the backend has crashed or was closed
 	stats          BackendStats
 }
 
-// NewBackend returns a backend that has no connection yet.
+// NewBackend returns a backend without connections.
 func NewBackend(config BackendConfig) *Backend {
 	b := &Backend{
 		config:    config,
@@ -73,7 +73,7 @@
 	if config.ServiceTime != nil {
 		rng := rand.New(rand.NewPCG(config.Seed, 1))
 		for range meanServiceTimeSamples {
-			b.meanServiceTime += config.ServiceTime(rng).Seconds() / meanServiceTimeSamples
+			b.meanServiceSeconds += config.ServiceTime(rng).Seconds() / meanServiceTimeSamples
 		}
 	}
 	return b
@@ -82,17 +82,17 @@
 // Serve accepts connections on a listener until Close, or until the backend crashes.
 func (b *Backend) Serve(ln net.Listener) error { return b.connections.serve(ln, b.serveConnection) }
 
-// Close ends the backend as a crash does: open connections are reset, new ones refused. It returns once the goroutines
-// of the connections have ended.
+// Close stops the backend in the same way as a crash: it resets open connections and refuses new ones. It returns after
+// the goroutines of the connections have returned.
 func (b *Backend) Close() {
 	b.connections.close()
 	b.mu.Lock()
-	b.abandonAll()
+	b.discardAttempts()
 	b.mu.Unlock()
 	b.connections.handlers.Wait()
 }
 
-// Drain makes the backend reject new attempts and finish those that it has.
+// Drain makes the backend reject new attempts and complete those that it has admitted.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,15 +101,15 @@
 	}
 }
 
-// Stats returns the figures so far.
+// Stats returns the statistics since the start.
 func (b *Backend) Stats() BackendStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stats
 }
 
-// serveConnection reads the commands of one connection until its end. Attempts of it that are queued then leave, those
-// in service go on.
+// serveConnection handles the commands of one connection until it closes. The connection's queued attempts are removed
+// then; its attempts in service continue.
 func (b *Backend) serveConnection(conn net.Conn) {
 	b.mu.Lock()
 	b.stats.Connections++
@@ -117,14 +117,14 @@
 	replies := newReplyWriter(conn, nil, func(int) {})
 	defer replies.stop()
 	defer b.cancelQueued(replies)
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		arrivedAt := time.Now()
-		command, err := readCommand(in)
-		if errors.Is(err, errMalformed) {
+		command, err := readCommand(reader)
+		if errors.Is(err, errMalformedCommand) {
 			b.rejectMalformed(replies)
 			return
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// handleCommand takes in one command, whose first byte came at arrivedAt; it returns false where the connection ends
-// with it.
+// handleCommand handles one command, whose first byte arrived at arrivedAt. It returns false if the connection has to be
+// closed.
 func (b *Backend) handleCommand(command []string, arrivedAt time.Time, replies *replyWriter) bool {
 	switch command[0] {
 	case "CLIENT", "SELECT":
@@ -161,7 +161,8 @@
 	return true
 }
 
-// rejectMalformed answers a malformed command, after those before it, and ends the answers.
+// rejectMalformed answers a malformed command after the replies to the commands before it. It returns when the reply is
+// written or can no longer be written; no reply is written afterwards.
 func (b *Backend) rejectMalformed(replies *replyWriter) {
 	b.mu.Lock()
 	b.stats.Malformed++
--- a/internal/standin/backend_service.go
+++ b/internal/standin/backend_service.go
@@ -8,93 +8,94 @@
 )
 
 const (
-	// warmUpStep is the time for which the speed of a cold backend is taken as constant.
-	warmUpStep = 20 * time.Millisecond
-	// workEpsilon, in seconds of work, allows for rounding: an attempt with less work left is done.
-	workEpsilon = 1e-9
+	// warmUpUpdateInterval is the time for which the speed of a cold backend is assumed to be constant.
+	warmUpUpdateInterval = 20 * time.Millisecond
+	// workEpsilonSeconds is a tolerance for rounding errors: an attempt with less work left is complete.
+	workEpsilonSeconds = 1e-9
 )
 
-// backendAttempt is one attempt at a backend.
+// backendAttempt is one attempt that a backend has received.
 type backendAttempt struct {
-	value       string  // what it is served with
-	serviceTime float64 // seconds of work
-	finishAt    float64 // in the backend's virtual time; set when its service starts
-	reply       pendingReply
-	replies     *replyWriter // of its connection
+	value             string  // value of the reply
+	workSeconds       float64 // time that the attempt takes on a core of its own
+	finishVirtualTime float64 // Backend.virtualTime at completion, in seconds; set when the service starts
+	reply             pendingReply
+	replyWriter       *replyWriter // writer of the connection that the attempt arrived on
 }
 
-func finishesBefore(a, b *backendAttempt) bool { return a.finishAt < b.finishAt }
+func finishesBefore(a, b *backendAttempt) bool { return a.finishVirtualTime < b.finishVirtualTime }
 
-// admit starts an attempt, queues it or rejects it, and returns the place of its answer. That is nil if the backend has
-// stopped, or crashes with this attempt.
+// admit starts, queues or rejects an attempt and returns its pending reply. The result is nil if the backend has stopped
+// or crashes because of this attempt.
 func (b *Backend) admit(command []string, arrivedAt time.Time, replies *replyWriter) pendingReply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.update(now)
+	b.advanceTo(now)
 	if b.stopped {
 		return nil
 	}
 	b.stats.Attempts++
-	draining := !b.drainedAt.IsZero() && arrivedAt.After(b.drainedAt)
-	if draining {
+	arrivesAfterDrain := !b.drainedAt.IsZero() && arrivedAt.After(b.drainedAt)
+	if arrivesAfterDrain {
 		b.stats.ArrivedAfterDrain++
 	}
-	if b.isOverloaded(now) {
+	if b.arrivalExceedsLimit(now) {
 		b.crash()
 		return nil
 	}
 	attempt := b.newAttempt(command, replies)
-	full := b.config.Slots > 0 && b.inService.Len() >= b.config.Slots
+	slotsFull := b.config.Slots > 0 && b.inService.Len() >= b.config.Slots
 	switch {
-	case draining, full && len(b.queued) >= b.config.MaxQueued:
+	case arrivesAfterDrain, slotsFull && len(b.queued) >= b.config.MaxQueued:
 		b.stats.Rejected++
 		attempt.reply <- []byte(replyRejected)
-	case full:
+	case slotsFull:
 		b.queued = append(b.queued, attempt)
 	default:
 		b.startService(attempt)
 	}
 	b.stats.MaxInFlight = max(b.stats.MaxInFlight, b.inService.Len()+len(b.queued))
-	b.update(now)
+	b.advanceTo(now)
 	return attempt.reply
 }
 
-// newAttempt draws the service time of an attempt. The lock is held.
+// newAttempt returns an attempt with a service time drawn from ServiceTime. The caller holds the lock.
 func (b *Backend) newAttempt(command []string, replies *replyWriter) *backendAttempt {
-	attempt := &backendAttempt{value: command[2], reply: make(pendingReply, 1), replies: replies}
+	attempt := &backendAttempt{value: command[2], reply: make(pendingReply, 1), replyWriter: replies}
 	if b.config.ReplyValue != nil {
 		attempt.value = b.config.ReplyValue(command)
 	}
 	if b.config.ServiceTime != nil {
-		attempt.serviceTime = b.config.ServiceTime(b.rng).Seconds()
+		attempt.workSeconds = b.config.ServiceTime(b.rng).Seconds()
 	}
 	return attempt
 }
 
 func (b *Backend) startService(attempt *backendAttempt) {
-	attempt.finishAt = b.virtualTime + attempt.serviceTime
+	attempt.finishVirtualTime = b.virtualTime + attempt.workSeconds
 	b.inService.Push(attempt)
 }
 
-// update brings the work up to now, answers what is done and sets the timer for the next. Attempts in service share the
-// cores evenly (processor sharing), so that one virtual time serves for all. The lock is held.
-func (b *Backend) update(now time.Time) {
+// advanceTo advances the virtual time to now, answers the attempts that are complete and sets the timer for the next
+// completion. Attempts in service share the cores evenly (processor sharing), so that one virtual time applies to all of
+// them. The caller holds the lock.
+func (b *Backend) advanceTo(now time.Time) {
 	for {
 		workLeft := math.Inf(1)
 		if b.inService.Len() > 0 {
-			workLeft = b.inService.Min().finishAt - b.virtualTime
+			workLeft = b.inService.Min().finishVirtualTime - b.virtualTime
 		}
 		elapsed := now.Sub(b.updatedAt).Seconds()
-		if workLeft > workEpsilon && workLeft > elapsed*b.speed+workEpsilon {
+		if workLeft > workEpsilonSeconds && workLeft > elapsed*b.speed+workEpsilonSeconds {
 			b.virtualTime += elapsed * b.speed
 			break
 		}
-		if workLeft > workEpsilon {
-			b.virtualTime = b.inService.Min().finishAt
+		if workLeft > workEpsilonSeconds {
+			b.virtualTime = b.inService.Min().finishVirtualTime
 			b.updatedAt = b.updatedAt.Add(min(now.Sub(b.updatedAt), seconds(workLeft/b.speed)))
 		}
-		b.complete(b.inService.Pop())
+		b.completeAttempt(b.inService.Pop())
 		if len(b.queued) > 0 {
 			b.startService(b.queued[0])
 			b.queued = b.queued[1:]
@@ -106,8 +107,8 @@
 	b.resetTimer(now)
 }
 
-// resetTimer sets the timer for the next end of service, or for the next step of the warm-up. The lock is held. The
-// timer ends by itself once nothing is in service; abandonAll stops it.
+// resetTimer sets the timer for the next completion or the next warm-up step, whichever comes first. The timer is not set
+// again once no attempt is in service; discardAttempts stops it. The caller holds the lock.
 func (b *Backend) resetTimer(now time.Time) {
 	if b.timer != nil {
 		b.timer.Stop()
@@ -115,28 +116,28 @@
 	if b.inService.Len() == 0 {
 		return
 	}
-	wait := warmUpStep
-	left := (b.inService.Min().finishAt - b.virtualTime) / b.speed
-	if b.warmUpSpeed(now) >= 1 || left < warmUpStep.Seconds() {
-		wait = seconds(left) + 1
+	wait := warmUpUpdateInterval
+	secondsLeft := (b.inService.Min().finishVirtualTime - b.virtualTime) / b.speed
+	if b.warmUpSpeed(now) >= 1 || secondsLeft < warmUpUpdateInterval.Seconds() {
+		wait = seconds(secondsLeft) + 1
 	}
 	b.timer = time.AfterFunc(wait, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.update(time.Now())
+		b.advanceTo(time.Now())
 	})
 }
 
-// speedAt returns the speed of each attempt in service, in seconds of work per second.
+// speedAt returns the speed of each attempt in service, in seconds of work per second. The caller holds the lock.
 func (b *Backend) speedAt(now time.Time) float64 {
 	speed := b.warmUpSpeed(now)
-	if n := b.inService.Len(); b.config.Cores > 0 && n > b.config.Cores {
-		speed *= float64(b.config.Cores) / float64(n)
+	if attempts := b.inService.Len(); b.config.Cores > 0 && attempts > b.config.Cores {
+		speed *= float64(b.config.Cores) / float64(attempts)
 	}
 	return speed
 }
 
-// warmUpSpeed returns the share of its full speed that the backend has.
+// warmUpSpeed returns the current speed of the backend as a fraction of its full speed.
 func (b *Backend) warmUpSpeed(now time.Time) float64 {
 	if b.config.StartedAt.IsZero() {
 		return 1
@@ -144,23 +145,23 @@
 	return b.config.WarmUp.Speed(now.Sub(b.config.StartedAt))
 }
 
-// isOverloaded counts an attempt that arrives now, and reports whether it was one too many for a cold backend. The lock
-// is held.
-func (b *Backend) isOverloaded(now time.Time) bool {
-	overload := b.config.Overload
+// arrivalExceedsLimit records the arrival of an attempt and reports whether it exceeds the overload limit of a cold
+// backend. The caller holds the lock.
+func (b *Backend) arrivalExceedsLimit(now time.Time) bool {
+	limit := b.config.Overload
 	speed := b.warmUpSpeed(now)
-	if overload.CapacityMultiple == 0 || speed >= 1 || b.config.Cores == 0 || b.meanServiceTime == 0 {
+	if limit.CapacityMultiple == 0 || speed >= 1 || b.config.Cores == 0 || b.meanServiceSeconds == 0 {
 		return false
 	}
 	b.recentArrivals = append(b.recentArrivals, now)
-	for now.Sub(b.recentArrivals[0]) >= overload.Window {
+	for now.Sub(b.recentArrivals[0]) >= limit.Window {
 		b.recentArrivals = b.recentArrivals[1:]
 	}
-	return float64(len(b.recentArrivals)) > overload.MaxArrivals(speed, b.config.Cores, b.meanServiceTime)
+	return float64(len(b.recentArrivals)) > limit.MaxArrivals(speed, b.config.Cores, b.meanServiceSeconds)
 }
 
-// complete answers an attempt whose work is done. The lock is held.
-func (b *Backend) complete(attempt *backendAttempt) {
+// completeAttempt answers an attempt whose work is done. The caller holds the lock.
+func (b *Backend) completeAttempt(attempt *backendAttempt) {
 	b.stats.Served++
 	report := ""
 	if b.config.LoadReports {
@@ -169,7 +170,8 @@
 	attempt.reply <- []byte(ServedReply(attempt.value, report))
 }
 
-// utilization returns the share of the cores that is in use; 0 where their number is not bounded.
+// utilization returns the fraction of the cores in use, or 0 if the number of cores is not limited. The caller holds the
+// lock.
 func (b *Backend) utilization() float64 {
 	if b.config.Cores == 0 {
 		return 0
@@ -177,22 +179,22 @@
 	return min(1, float64(b.inService.Len())/float64(b.config.Cores))
 }
 
-// cancelQueued removes the queued attempts of a connection that has ended.
+// cancelQueued removes the queued attempts of a connection that has closed.
 func (b *Backend) cancelQueued(replies *replyWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.queued = slices.DeleteFunc(b.queued, func(a *backendAttempt) bool { return a.replies == replies })
+	b.queued = slices.DeleteFunc(b.queued, func(a *backendAttempt) bool { return a.replyWriter == replies })
 }
 
-// crash ends the backend under overload. The lock is held.
+// crash stops the backend because of overload. The caller holds the lock.
 func (b *Backend) crash() {
 	b.stats.Crashed = true
-	b.abandonAll()
+	b.discardAttempts()
 	b.connections.close()
 }
 
-// abandonAll drops all work, for good. The lock is held.
-func (b *Backend) abandonAll() {
+// discardAttempts stops the backend, discards all attempts and closes their pending replies. The caller holds the lock.
+func (b *Backend) discardAttempts() {
 	for _, attempt := range slices.Concat(b.inService.TakeAll(), b.queued) {
 		close(attempt.reply)
 	}
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -23,12 +23,12 @@
 
 const requestFieldsText = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 
-func encodeCommand(w ...string) string {
-	s := fmt.Sprintf("*%d\r\n", len(w))
-	for _, a := range w {
-		s += BulkString(a)
+func encodeCommand(arguments ...string) string {
+	encoded := fmt.Sprintf("*%d\r\n", len(arguments))
+	for _, argument := range arguments {
+		encoded += BulkString(argument)
 	}
-	return s
+	return encoded
 }
 
 func requestID(n int) string { return fmt.Sprintf("%016x", n) }
@@ -38,23 +38,23 @@
 }
 
 // sendAttempt sends one request on a connection of its own, which it returns.
-func sendAttempt(t *testing.T, ln *PipeListener, n int) *testClient {
+func sendAttempt(t *testing.T, ln *PipeListener, requestNumber int) *testClient {
 	t.Helper()
-	c := dialClient(t, ln)
-	if _, err := io.WriteString(c, encodeLookup(n)); err != nil {
+	client := dialClient(t, ln)
+	if _, err := io.WriteString(client, encodeLookup(requestNumber)); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return client
 }
 
 // readReply returns "value" for an answer that holds one, and else its first line; "" at the end of the connection.
-func readReply(c *testClient) string {
-	first := <-c.lines
-	if first != "*3" {
-		return first
+func readReply(client *testClient) string {
+	firstLine := <-client.lines
+	if firstLine != "*3" {
+		return firstLine
 	}
 	for range 4 { // the value's length, the value, no settled units, no load report
-		<-c.lines
+		<-client.lines
 	}
 	return "value"
 }
@@ -90,19 +90,19 @@
 		t.Run(fmt.Sprintf("%q", c.in), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b, ln := startBackend(t, BackendConfig{})
-				nc := dialClient(t, ln)
-				if _, err := io.WriteString(nc, c.in); err != nil {
+				client := dialClient(t, ln)
+				if _, err := io.WriteString(client, c.in); err != nil {
 					t.Fatal(err)
 				}
-				if got := strings.Join(receivedLines(nc.lines), " "); got != c.want {
+				if got := strings.Join(receivedLines(client.lines), " "); got != c.want {
 					t.Errorf("%q: %q, want %q", c.in, got, c.want)
 				}
-				odd := strings.HasSuffix(c.want, "-SYNTAX")
-				if _, err := nc.Write(nil); odd != (err != nil) {
-					t.Errorf("%q: closed %v, want %v", c.in, err, odd)
+				wantMalformed := strings.HasSuffix(c.want, "-SYNTAX")
+				if _, err := client.Write(nil); wantMalformed != (err != nil) {
+					t.Errorf("%q: closed %v, want %v", c.in, err, wantMalformed)
 				}
-				if s := b.Stats(); (s.Malformed == 1) != odd || s.Served != strings.Count(c.want, "*3") || s.Connections != 1 {
-					t.Errorf("%q: %+v", c.in, s)
+				if stats := b.Stats(); (stats.Malformed == 1) != wantMalformed || stats.Served != strings.Count(c.want, "*3") || stats.Connections != 1 {
+					t.Errorf("%q: %+v", c.in, stats)
 				}
 			})
 		})
@@ -111,27 +111,29 @@
 
 // attemptOutcomes sends attempts at once, each on a connection of its own, and returns for each its number, its outcome
 // and its time.
-func attemptOutcomes(t *testing.T, ln *PipeListener, attempts int) []string {
+func attemptOutcomes(t *testing.T, ln *PipeListener, count int) []string {
 	t.Helper()
-	began, done := time.Now(), make(chan string)
-	for n := range attempts {
-		c := sendAttempt(t, ln, n)
+	start, results := time.Now(), make(chan string)
+	for i := range count {
+		client := sendAttempt(t, ln, i)
 		synctest.Wait()
-		go func() { done <- fmt.Sprint(n, " ", readReply(c), " ", time.Since(began).Round(time.Millisecond)) }()
+		go func() {
+			results <- fmt.Sprint(i, " ", readReply(client), " ", time.Since(start).Round(time.Millisecond))
+		}()
 	}
-	var all []string
-	for range attempts {
-		all = append(all, <-done)
+	var outcomes []string
+	for range count {
+		outcomes = append(outcomes, <-results)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(outcomes)
+	return outcomes
 }
 
 func TestAttemptsShareCoresThenQueueThenAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
-		cfg  BackendConfig
-		want []string
-		most int
+		config          BackendConfig
+		want            []string
+		wantMaxInFlight int
 	}{
 		"no bound":     {BackendConfig{}, []string{"0 value 1s", "1 value 1s", "2 value 1s"}, 3},
 		"shared core":  {BackendConfig{Cores: 1}, []string{"0 value 3s", "1 value 3s", "2 value 3s"}, 3},
@@ -147,15 +149,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c.cfg.ServiceTime = constantServiceTime(time.Second)
-				b, ln := startBackend(t, c.cfg)
+				c.config.ServiceTime = constantServiceTime(time.Second)
+				b, ln := startBackend(t, c.config)
 				if got := attemptOutcomes(t, ln, 3); !slices.Equal(got, c.want) {
 					t.Errorf("%q, want %q", got, c.want)
 				}
-				away := strings.Count(strings.Join(c.want, " "), "BUSY")
-				want := BackendStats{Connections: 3, Attempts: 3, Served: 3 - away, Rejected: away, MaxInFlight: c.most}
-				if s := b.Stats(); s != want {
-					t.Errorf("%+v, want %+v", s, want)
+				wantRejected := strings.Count(strings.Join(c.want, " "), "BUSY")
+				want := BackendStats{Connections: 3, Attempts: 3, Served: 3 - wantRejected, Rejected: wantRejected, MaxInFlight: c.wantMaxInFlight}
+				if stats := b.Stats(); stats != want {
+					t.Errorf("%+v, want %+v", stats, want)
 				}
 			})
 		})
@@ -165,17 +167,17 @@
 func TestLaterAttemptSlowsTheFirstWhileTheyShareACore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1})
-		began := time.Now()
+		start := time.Now()
 		first := sendAttempt(t, ln, 1)
 		time.Sleep(500 * time.Millisecond)
 		second := sendAttempt(t, ln, 2)
 		readReply(first)
-		if took := time.Since(began).Round(time.Millisecond); took != 1500*time.Millisecond {
-			t.Errorf("the first took %v", took)
+		if elapsed := time.Since(start).Round(time.Millisecond); elapsed != 1500*time.Millisecond {
+			t.Errorf("the first took %v", elapsed)
 		}
 		readReply(second)
-		if took := time.Since(began).Round(time.Millisecond); took != 2*time.Second {
-			t.Errorf("the second ended after %v", took)
+		if elapsed := time.Since(start).Round(time.Millisecond); elapsed != 2*time.Second {
+			t.Errorf("the second ended after %v", elapsed)
 		}
 	})
 }
@@ -183,26 +185,26 @@
 // Pipelined commands start at once, whatever the order in which they end.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		works := []time.Duration{0, time.Second, 0} // the first draws are for the mean
+		serviceTimes := []time.Duration{0, time.Second, 0} // the first draws are for the mean
 		draws := 0
 		_, ln := startBackend(t, BackendConfig{LoadReports: true, Slots: 2, Cores: 2, ServiceTime: func(*rand.Rand) time.Duration {
 			draws++
-			return works[max(0, draws-meanServiceTimeSamples)]
+			return serviceTimes[max(0, draws-meanServiceTimeSamples)]
 		}})
-		nc := dialClient(t, ln)
-		if _, err := io.WriteString(nc, encodeLookup(1)+encodeLookup(2)); err != nil {
+		client := dialClient(t, ln)
+		if _, err := io.WriteString(client, encodeLookup(1)+encodeLookup(2)); err != nil {
 			t.Fatal(err)
 		}
-		got := receivedLines(nc.lines)
+		got := receivedLines(client.lines)
 		if len(got) > 0 {
 			t.Fatalf("%q before the first one's end", got)
 		}
 		time.Sleep(time.Second + time.Millisecond)
-		answer := func(n int, report string) []string {
-			return []string{"*3", "$16", requestID(n), "$-1", fmt.Sprint("$", len(report)), report}
+		wantReply := func(requestNumber int, report string) []string {
+			return []string{"*3", "$16", requestID(requestNumber), "$-1", fmt.Sprint("$", len(report)), report}
 		}
-		want := append(answer(1, "inflight=0,queue=0,util=0.00"), answer(2, "inflight=1,queue=0,util=0.50")...)
-		if got := receivedLines(nc.lines); !slices.Equal(got, want) {
+		want := append(wantReply(1, "inflight=0,queue=0,util=0.00"), wantReply(2, "inflight=1,queue=0,util=0.50")...)
+		if got := receivedLines(client.lines); !slices.Equal(got, want) {
 			t.Fatalf("%q, want %q", got, want)
 		}
 	})
@@ -216,12 +218,12 @@
 		synctest.Wait()
 		first.Close()
 		second.Close()
-		began := time.Now()
-		if got := readReply(third); got != "value" || time.Since(began).Round(time.Millisecond) != 2*time.Second {
-			t.Fatalf("%s after %v", got, time.Since(began))
+		start := time.Now()
+		if got := readReply(third); got != "value" || time.Since(start).Round(time.Millisecond) != 2*time.Second {
+			t.Fatalf("%s after %v", got, time.Since(start))
 		}
-		if s := b.Stats(); s.Served != 2 || s.Attempts != 3 {
-			t.Fatalf("%+v", s)
+		if stats := b.Stats(); stats.Served != 2 || stats.Attempts != 3 {
+			t.Fatalf("%+v", stats)
 		}
 	})
 }
@@ -241,10 +243,10 @@
 				_, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 4,
 					WarmUp: WarmUp{MinSpeed: 0.25, Duration: 10 * time.Second}, StartedAt: time.Now()})
 				time.Sleep(c.age)
-				began := time.Now()
+				start := time.Now()
 				readReply(sendAttempt(t, ln, 1))
-				if took := time.Since(began); took < c.want-50*time.Millisecond || took > c.want+50*time.Millisecond {
-					t.Errorf("at %v: %v, want %v", c.age, took, c.want)
+				if elapsed := time.Since(start); elapsed < c.want-50*time.Millisecond || elapsed > c.want+50*time.Millisecond {
+					t.Errorf("at %v: %v, want %v", c.age, elapsed, c.want)
 				}
 			})
 		})
@@ -256,43 +258,43 @@
 	cold := BackendConfig{ServiceTime: constantServiceTime(100 * time.Millisecond), Cores: 2,
 		WarmUp:   WarmUp{MinSpeed: 0.5, Duration: 1e6 * time.Hour},
 		Overload: OverloadLimit{CapacityMultiple: 1.6, Window: time.Second}} // 16 in a second
-	slack, warm, spaced := cold, cold, cold
-	slack.Overload.Slack = 2 // 16 + 2 x 4 + 2
+	withSlack, warm, spaced := cold, cold, cold
+	withSlack.Overload.Slack = 2 // 16 + 2 x 4 + 2
 	warm.WarmUp.Duration = time.Nanosecond
 	for name, c := range map[string]struct {
-		cfg   BackendConfig
-		pause time.Duration
-		limit int // attempts that it bears; 0: any number
+		config    BackendConfig
+		interval  time.Duration
+		wantLimit int // attempts that it bears; 0: any number
 	}{
 		"cold":   {cold, 0, 16},
-		"slack":  {slack, 0, 26},
+		"slack":  {withSlack, 0, 26},
 		"spaced": {spaced, time.Second / 16, 0},
 		"warm":   {warm, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c.cfg.StartedAt = time.Now()
+				c.config.StartedAt = time.Now()
 				time.Sleep(time.Millisecond)
-				b, ln := startBackend(t, c.cfg)
-				nc := dialClient(t, ln)
-				for n := 1; n <= 100; n++ {
-					if _, err := io.WriteString(nc, encodeLookup(n)); err != nil {
+				b, ln := startBackend(t, c.config)
+				client := dialClient(t, ln)
+				for attempts := 1; attempts <= 100; attempts++ {
+					if _, err := io.WriteString(client, encodeLookup(attempts)); err != nil {
 						t.Fatal(err)
 					}
 					synctest.Wait()
-					s := b.Stats()
-					if s.Attempts != n || s.Crashed != (n == c.limit+1 && c.limit > 0) {
-						t.Fatalf("after %d: %+v", n, s)
+					stats := b.Stats()
+					if stats.Attempts != attempts || stats.Crashed != (attempts == c.wantLimit+1 && c.wantLimit > 0) {
+						t.Fatalf("after %d: %+v", attempts, stats)
 					}
-					if s.Crashed {
+					if stats.Crashed {
 						break
 					}
-					time.Sleep(c.pause)
+					time.Sleep(c.interval)
 				}
-				if c.limit == 0 {
+				if c.wantLimit == 0 {
 					return
 				}
-				if _, err := nc.Write([]byte("*")); err == nil {
+				if _, err := client.Write([]byte("*")); err == nil {
 					t.Error("the connection stays")
 				}
 				if _, err := ln.Dial(t.Context()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -307,31 +309,31 @@
 func TestDrainingBackendFinishesAndRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, ln := startBackend(t, BackendConfig{ServiceTime: constantServiceTime(time.Second), Cores: 1, Slots: 1, MaxQueued: 9})
-		working, waiting := sendAttempt(t, ln, 1), sendAttempt(t, ln, 2)
-		begun := dialClient(t, ln)
-		begin, end := encodeLookup(3)[:9], encodeLookup(3)[9:]
-		io.WriteString(begun, begin)
+		inService, queued := sendAttempt(t, ln, 1), sendAttempt(t, ln, 2)
+		partial := dialClient(t, ln)
+		head, tail := encodeLookup(3)[:9], encodeLookup(3)[9:]
+		io.WriteString(partial, head)
 		time.Sleep(time.Millisecond)
 		b.Drain()
 		time.Sleep(time.Millisecond)
-		io.WriteString(begun, end)
+		io.WriteString(partial, tail)
 		late := sendAttempt(t, ln, 4)
 		if got := readReply(late); got != "-BUSY" {
 			t.Errorf("the late one: %s", got)
 		}
-		for i, c := range []*testClient{working, waiting, begun} {
-			if got := readReply(c); got != "value" {
+		for i, client := range []*testClient{inService, queued, partial} {
+			if got := readReply(client); got != "value" {
 				t.Errorf("attempt %d: %s", i+1, got)
 			}
 		}
-		if s := b.Stats(); s.ArrivedAfterDrain != 1 || s.Attempts != 4 || s.Served != 3 || s.Rejected != 1 {
-			t.Errorf("%+v", s)
+		if stats := b.Stats(); stats.ArrivedAfterDrain != 1 || stats.Attempts != 4 || stats.Served != 3 || stats.Rejected != 1 {
+			t.Errorf("%+v", stats)
 		}
 	})
 }
 
 func TestServiceTimesFollowTheSeed(t *testing.T) {
-	draw := func(seed uint64) (got []string) {
+	drawOutcomes := func(seed uint64) (got []string) {
 		synctest.Test(t, func(t *testing.T) {
 			_, ln := startBackend(t, BackendConfig{Seed: seed, ServiceTime: func(rng *rand.Rand) time.Duration {
 				return time.Duration(rng.ExpFloat64() * float64(time.Second))
@@ -340,9 +342,9 @@
 		})
 		return got
 	}
-	one, again, other := draw(1), draw(1), draw(2)
-	if !slices.Equal(one, again) || slices.Equal(one, other) {
-		t.Fatalf("%v, %v, %v", one, again, other)
+	first, repeated, otherSeed := drawOutcomes(1), drawOutcomes(1), drawOutcomes(2)
+	if !slices.Equal(first, repeated) || slices.Equal(first, otherSeed) {
+		t.Fatalf("%v, %v, %v", first, repeated, otherSeed)
 	}
 }
 
@@ -350,47 +352,47 @@
 	b := NewBackend(BackendConfig{Cores: 2, Slots: 4, MaxQueued: 1 << 10,
 		ServiceTime: constantServiceTime(100 * time.Microsecond)})
 	ln := nettest.Listen(t)
-	done := make(chan error, 1)
-	go func() { done <- b.Serve(ln) }()
-	const conns, requests = 4, 50
-	results := make(chan error, conns)
-	for c := range conns {
-		go func() { results <- requestMany(ln.Addr().String(), c*requests, requests) }()
+	served := make(chan error, 1)
+	go func() { served <- b.Serve(ln) }()
+	const connections, requests = 4, 50
+	errs := make(chan error, connections)
+	for i := range connections {
+		go func() { errs <- sendRequests(ln.Addr().String(), i*requests, requests) }()
 	}
-	for range conns {
-		if err := <-results; err != nil {
+	for range connections {
+		if err := <-errs; err != nil {
 			t.Error(err)
 		}
 	}
-	if s := b.Stats(); s.Served != conns*requests || s.Connections != conns || s.Rejected != 0 || s.MaxInFlight > conns {
-		t.Errorf("%+v", s)
+	if stats := b.Stats(); stats.Served != connections*requests || stats.Connections != connections || stats.Rejected != 0 || stats.MaxInFlight > connections {
+		t.Errorf("%+v", stats)
 	}
 	b.Close()
-	if err := <-done; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
-	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		nc.Close()
+	if conn, err := net.Dial("tcp", ln.Addr().String()); err == nil {
+		conn.Close()
 		t.Error("connected after the end")
 	}
 }
 
-// requestMany sends one request after another on one connection, and returns an error unless each gets its own answer.
-func requestMany(addr string, first, requests int) error {
-	nc, err := net.Dial("tcp", addr)
+// sendRequests sends one request after another on one connection, and returns an error unless each gets its own answer.
+func sendRequests(address string, firstNumber, count int) error {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	in := bufio.NewReader(nc)
-	for n := first; n < first+requests; n++ {
-		if _, err := io.WriteString(nc, encodeLookup(n)); err != nil {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for requestNumber := firstNumber; requestNumber < firstNumber+count; requestNumber++ {
+		if _, err := io.WriteString(conn, encodeLookup(requestNumber)); err != nil {
 			return err
 		}
-		want := "*3\r\n" + BulkString(requestID(n)) + "$-1\r\n$-1\r\n"
+		want := "*3\r\n" + BulkString(requestID(requestNumber)) + "$-1\r\n$-1\r\n"
 		got := make([]byte, len(want))
-		if _, err := io.ReadFull(in, got); err != nil || string(got) != want {
-			return fmt.Errorf("request %d: %q, %v", n, got, err)
+		if _, err := io.ReadFull(reader, got); err != nil || string(got) != want {
+			return fmt.Errorf("request %d: %q, %v", requestNumber, got, err)
 		}
 	}
 	return nil
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -10,90 +10,90 @@
 )
 
 const (
-	maxHeaderBytes  = 64       // of the line that an array or a bulk string begins with
-	maxBulkBytes    = 64 << 10 // of a bulk string; the protocol's
-	maxCommandWords = 8        // no client sends more
-	customerLimit   = 1 << 33  // customers are numbers below it
-	hexDigits       = 16       // of a customer and of a request's id
+	maxHeaderLineBytes = 64       // maximum length of the first line of an array or a bulk string
+	maxBulkBytes       = 64 << 10 // maximum length of a bulk string, as the protocol defines it
+	maxCommandElements = 8        // maximum number of array elements in a command that a client sends
+	customerIDLimit    = 1 << 33  // customer IDs are lower
+	hexIDDigits        = 16       // number of digits in a customer ID and in a request ID
 )
 
-// errMalformed says that a command has a form that no client sends.
-var errMalformed = errors.New("malformed command")
+// errMalformedCommand reports a command that no client sends.
+var errMalformedCommand = errors.New("malformed command")
 
-// readCommand reads an array of bulk strings. Its error wraps errMalformed where the form is wrong, and else the error
-// of the connection.
-func readCommand(in *bufio.Reader) ([]string, error) {
-	n, err := readHeader(in, '*', maxCommandWords)
+// readCommand reads an array of bulk strings. Its error wraps errMalformedCommand if the syntax is wrong, and otherwise
+// the read error of the connection.
+func readCommand(reader *bufio.Reader) ([]string, error) {
+	elementCount, err := readLengthHeader(reader, '*', maxCommandElements)
 	if err != nil {
 		return nil, err
 	}
-	if n == 0 {
-		return nil, fmt.Errorf("empty array: %w", errMalformed)
+	if elementCount == 0 {
+		return nil, fmt.Errorf("empty array: %w", errMalformedCommand)
 	}
-	command := make([]string, n)
+	command := make([]string, elementCount)
 	for i := range command {
-		if command[i], err = readBulkString(in); err != nil {
+		if command[i], err = readBulkString(reader); err != nil {
 			return nil, err
 		}
 	}
 	return command, nil
 }
 
-func readBulkString(in *bufio.Reader) (string, error) {
-	size, err := readHeader(in, '$', maxBulkBytes)
+func readBulkString(reader *bufio.Reader) (string, error) {
+	size, err := readLengthHeader(reader, '$', maxBulkBytes)
 	if err != nil {
 		return "", err
 	}
-	body := make([]byte, size+len("\r\n"))
-	if _, err := io.ReadFull(in, body); err != nil {
+	content := make([]byte, size+len("\r\n"))
+	if _, err := io.ReadFull(reader, content); err != nil {
 		return "", fmt.Errorf("read bulk string: %w", err)
 	}
-	text, ok := strings.CutSuffix(string(body), "\r\n")
+	text, ok := strings.CutSuffix(string(content), "\r\n")
 	if !ok {
-		return "", fmt.Errorf("end of bulk string: %w", errMalformed)
+		return "", fmt.Errorf("bulk string does not end with CRLF: %w", errMalformedCommand)
 	}
 	return text, nil
 }
 
-// readHeader reads the length that an array or a bulk string begins with, after its type's first byte.
-func readHeader(in *bufio.Reader, kind byte, maxLength int) (int, error) {
+// readLengthHeader reads the first line of an array or a bulk string, which is a type byte and a length.
+func readLengthHeader(reader *bufio.Reader, typeByte byte, maxLength int) (int, error) {
 	var header []byte
-	for len(header) < maxHeaderBytes {
-		c, err := in.ReadByte()
+	for len(header) < maxHeaderLineBytes {
+		b, err := reader.ReadByte()
 		if err != nil {
-			return 0, fmt.Errorf("read header: %w", err)
+			return 0, fmt.Errorf("read length header: %w", err)
 		}
-		header = append(header, c)
-		if c == '\n' {
+		header = append(header, b)
+		if b == '\n' {
 			break
 		}
 	}
 	text, ok := strings.CutSuffix(string(header), "\r\n")
-	if !ok || text == "" || text[0] != kind {
-		return 0, fmt.Errorf("header %q: %w", header, errMalformed)
+	if !ok || text == "" || text[0] != typeByte {
+		return 0, fmt.Errorf("length header %q: %w", header, errMalformedCommand)
 	}
-	n, err := strconv.ParseUint(text[1:], 10, 31)
-	if err != nil || n > uint64(maxLength) {
-		return 0, fmt.Errorf("length %q: %w", header, errMalformed)
+	length, err := strconv.ParseUint(text[1:], 10, 31)
+	if err != nil || length > uint64(maxLength) {
+		return 0, fmt.Errorf("length in header %q: %w", header, errMalformedCommand)
 	}
-	return int(n), nil
+	return int(length), nil
 }
 
-// validateRequest returns an error that wraps errMalformed where a command is not a request in the protocol's form.
+// validateRequest returns an error that wraps errMalformedCommand if the command is not a well-formed request.
 func validateRequest(command []string) error {
-	words := 4
+	elementCount := 4
 	if command[0] == "Q.DO" {
-		words = 5 // with a body
+		elementCount = 5 // a Q.DO request has a body
 	}
-	if len(command) != words {
-		return fmt.Errorf("%s of %d words: %w", command[0], len(command), errMalformed)
+	if len(command) != elementCount {
+		return fmt.Errorf("%s with %d array elements: %w", command[0], len(command), errMalformedCommand)
 	}
-	customer, ok := parseHex(command[1])
-	if !ok || customer >= customerLimit {
-		return fmt.Errorf("customer %q: %w", command[1], errMalformed)
+	customer, ok := parseHexID(command[1])
+	if !ok || customer >= customerIDLimit {
+		return fmt.Errorf("customer ID %q: %w", command[1], errMalformedCommand)
 	}
-	if _, ok := parseHex(command[2]); !ok {
-		return fmt.Errorf("id %q: %w", command[2], errMalformed)
+	if _, ok := parseHexID(command[2]); !ok {
+		return fmt.Errorf("request ID %q: %w", command[2], errMalformedCommand)
 	}
 	fields, err := parseRequestFields(command[3])
 	if err != nil {
@@ -102,13 +102,13 @@
 	return fields.validate()
 }
 
-// parseHex reads a number that is written with hexDigits digits.
-func parseHex(text string) (uint64, bool) {
-	n, err := strconv.ParseUint(text, 16, 64)
-	return n, err == nil && len(text) == hexDigits
+// parseHexID parses a hexadecimal number of exactly hexIDDigits digits.
+func parseHexID(text string) (uint64, bool) {
+	id, err := strconv.ParseUint(text, 16, 64)
+	return id, err == nil && len(text) == hexIDDigits
 }
 
-// requestFields are the name=value pairs of a request.
+// requestFields holds the name=value pairs of a request.
 type requestFields map[string]string
 
 func parseRequestFields(text string) (requestFields, error) {
@@ -116,23 +116,23 @@
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if _, duplicate := fields[name]; !ok || value == "" || duplicate {
-			return nil, fmt.Errorf("field %q: %w", pair, errMalformed)
+			return nil, fmt.Errorf("field %q: %w", pair, errMalformedCommand)
 		}
 		fields[name] = value
 	}
 	return fields, nil
 }
 
-// validate checks that the fields which every request has are there and have their form.
+// validate checks that the mandatory fields of a request are present and well-formed.
 func (f requestFields) validate() error {
 	for _, name := range []string{"c", "t", "d", "units", "spread", "first"} {
 		if f[name] == "" {
-			return fmt.Errorf("no field %s: %w", name, errMalformed)
+			return fmt.Errorf("missing field %s: %w", name, errMalformedCommand)
 		}
 	}
 	for _, name := range []string{"d", "spread", "first"} {
 		if _, err := strconv.ParseUint(f[name], 10, 31); err != nil {
-			return fmt.Errorf("field %s=%s: %w", name, f[name], errMalformed)
+			return fmt.Errorf("field %s=%s: %w", name, f[name], errMalformedCommand)
 		}
 	}
 	return nil
--- a/internal/standin/connections.go
+++ b/internal/standin/connections.go
@@ -7,18 +7,18 @@
 	"sync"
 )
 
-// connectionSet is the listeners and the open connections of a stand-in.
+// connectionSet holds the listeners and the open connections of a stand-in.
 type connectionSet struct {
-	handlers sync.WaitGroup // goroutines of connections
+	handlers sync.WaitGroup // goroutines that handle connections
 
-	mu        sync.Mutex // guards what follows
-	listeners map[net.Listener]struct{}
-	open      map[net.Conn]struct{}
-	closed    bool
+	mu          sync.Mutex // guards the fields below
+	listeners   map[net.Listener]struct{}
+	connections map[net.Conn]struct{}
+	closed      bool
 }
 
-// serve hands each connection to handle, on a goroutine of its own, until the listener ends. That is no error after
-// close.
+// serve accepts connections and calls handle for each one on its own goroutine until accepting fails. It returns nil if
+// the cause is that the set was closed.
 func (s *connectionSet) serve(ln net.Listener, handle func(net.Conn)) error {
 	if !s.addListener(ln) {
 		return ln.Close()
@@ -31,44 +31,44 @@
 			}
 			return fmt.Errorf("accept: %w", err)
 		}
-		if !s.add(conn) {
-			reset(conn)
+		if !s.addConnection(conn) {
+			resetConnection(conn)
 			continue
 		}
-		go func() { // ends with the connection, which close resets; handlers waits for it
-			defer s.remove(conn)
+		go func() { // returns when the connection closes; close resets the connection and handlers waits for this goroutine
+			defer s.removeConnection(conn)
 			handle(conn)
 		}()
 	}
 }
 
-// addListener reports whether the set is still open.
+// addListener adds a listener and reports whether the set is still open.
 func (s *connectionSet) addListener(ln net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listeners == nil {
 		s.listeners = map[net.Listener]struct{}{}
-		s.open = map[net.Conn]struct{}{}
+		s.connections = map[net.Conn]struct{}{}
 	}
 	s.listeners[ln] = struct{}{}
 	return !s.closed
 }
 
-func (s *connectionSet) add(conn net.Conn) bool {
+func (s *connectionSet) addConnection(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
-	s.open[conn] = struct{}{}
+	s.connections[conn] = struct{}{}
 	s.handlers.Add(1)
 	return true
 }
 
-func (s *connectionSet) remove(conn net.Conn) {
+func (s *connectionSet) removeConnection(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
-	delete(s.open, conn)
+	delete(s.connections, conn)
 	s.mu.Unlock()
 	s.handlers.Done()
 }
@@ -79,16 +79,16 @@
 	return s.closed
 }
 
-// resetAll resets the connections that are open now.
+// resetAll resets all open connections.
 func (s *connectionSet) resetAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn := range s.open {
-		reset(conn)
+	for conn := range s.connections {
+		resetConnection(conn)
 	}
 }
 
-// close closes the listeners and resets what is open. It does not wait for handlers.
+// close closes the listeners and resets the open connections. It does not wait for handlers.
 func (s *connectionSet) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -99,8 +99,8 @@
 	s.resetAll()
 }
 
-// reset closes a connection as the end of its process does: over TCP with a reset.
-func reset(conn net.Conn) {
+// resetConnection closes a connection without a graceful shutdown: a TCP connection is reset, as when a process crashes.
+func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	defaultIdleTimeout = 10 * time.Second // the protocol's
-	maxCallBytes       = 256              // of a line; a longer one ends its connection
+	defaultIdleTimeout = 10 * time.Second // as the protocol defines it
+	maxLineBytes       = 256              // maximum length of a line; a longer line closes the connection
 )
 
-// CounterConfig says how a Counter serves.
+// CounterConfig configures a Counter.
 type CounterConfig struct {
-	CallsPerSecond          float64       // of all shards together; 0: no bound
-	Shards                  int           // each has its share of the rate and a queue; a name is of one shard; 0: one
-	MaxQueued               int           // calls that may wait for one shard, further ones are rejected; 0: any number
-	MaxConnectionsPerClient int           // of one client address, further ones are reset; 0: any number
-	IdleTimeout             time.Duration // a connection without a call for so long is closed; 0: 10 s
+	CallsPerSecond          float64       // capacity of all shards together; zero means no limit
+	Shards                  int           // each serves its names with a queue and an equal share of CallsPerSecond; zero means one
+	MaxQueued               int           // maximum number of calls waiting for a shard; further ones are rejected; zero means no limit
+	MaxConnectionsPerClient int           // per client address; further ones are reset; zero means no limit
+	IdleTimeout             time.Duration // time without a call after which a connection is closed; zero means 10 s
 }
 
-// CounterStats is what a Counter has seen so far.
+// CounterStats holds the statistics of a Counter since its start.
 type CounterStats struct {
-	Calls       int           // in good form, pings aside
-	Rejected    int           // of them, those that were answered busy
-	Names       int           // that have not expired
-	BytesIn     int64         // read, in complete lines
-	BytesOut    int64         // written
-	Connections int           // accepted
-	MaxWait     time.Duration // from a call to the end of its service
-	MaxQueued   int           // calls that waited for one shard at one moment
+	Calls       int           // well-formed calls, without pings
+	Rejected    int           // calls that were answered busy
+	Names       int           // names that have not expired
+	BytesIn     int64         // bytes of complete lines read
+	BytesOut    int64         // bytes written
+	Connections int           // accepted connections
+	MaxWait     time.Duration // maximum time from the arrival of a call to the end of its service
+	MaxQueued   int           // maximum number of calls that waited for one shard at the same time
 }
 
-// Counter plays the shared counter.
+// Counter simulates the shared counter.
 type Counter struct {
 	config      CounterConfig
 	shards      []*serviceQueue
 	connections connectionSet
 
-	mu                  sync.Mutex // guards what follows
+	mu                  sync.Mutex // guards the fields below
 	state               ServiceState
-	silenced            chan struct{} // closed while Silent
+	silenced            chan struct{} // closed while the state is Silent
 	table               *CounterTable
-	connectionsByClient map[string]int // by address, without its port
+	connectionsByClient map[string]int // number of open connections by client address without the port
 	stats               CounterStats
 }
 
@@ -70,17 +70,17 @@
 	return c
 }
 
-// Serve answers calls on a listener until Close.
+// Serve accepts connections on a listener and answers their calls until Close.
 func (c *Counter) Serve(ln net.Listener) error { return c.connections.serve(ln, c.serveConnection) }
 
-// Close ends Serve and all connections, and waits for their goroutines.
+// Close makes Serve return, closes all connections and waits for their goroutines.
 func (c *Counter) Close() {
 	c.connections.close()
 	c.connections.handlers.Wait()
 }
 
-// SetState changes how calls are met. A silence stays with the connections that were open or came during it, and calls
-// that were queued then are never added.
+// SetState sets the state. Connections that were open or opened while the state was Silent never get another answer.
+// Calls that are queued when the state changes to Silent or Down add nothing.
 func (c *Counter) SetState(state ServiceState) {
 	c.changeState(state)
 	if state == Up {
@@ -109,48 +109,48 @@
 	c.state = state
 }
 
-// Total returns what a name holds now; 0 where there is no such name.
+// Total returns the current total of a name, or 0 if the name does not exist.
 func (c *Counter) Total(name string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Total(time.Now(), name)
 }
 
-// Stats returns the figures so far.
+// Stats returns the statistics since the start.
 func (c *Counter) Stats() CounterStats {
 	c.mu.Lock()
 	stats := c.stats
 	stats.Names = c.table.Len(time.Now())
 	c.mu.Unlock()
 	for _, shard := range c.shards {
-		queue := shard.snapshotStats()
-		stats.MaxWait = max(stats.MaxWait, queue.maxWait)
-		stats.MaxQueued = max(stats.MaxQueued, queue.maxWaiting)
+		shardStats := shard.snapshotStats()
+		stats.MaxWait = max(stats.MaxWait, shardStats.maxWait)
+		stats.MaxQueued = max(stats.MaxQueued, shardStats.maxWaiting)
 	}
 	return stats
 }
 
-// serveConnection reads the calls of one connection until its end.
+// serveConnection handles the calls of one connection until it closes.
 func (c *Counter) serveConnection(conn net.Conn) {
 	client := clientAddress(conn)
 	silenced, ok := c.admitConnection(client)
 	defer c.releaseConnection(client)
 	if !ok {
-		reset(conn)
+		resetConnection(conn)
 		return
 	}
 	replies := newReplyWriter(conn, silenced, func(n int) {
 		c.updateStats(func(s *CounterStats) { s.BytesOut += int64(n) })
 	})
 	defer replies.stop()
-	in := bufio.NewReaderSize(conn, maxCallBytes)
+	reader := bufio.NewReaderSize(conn, maxLineBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(c.config.IdleTimeout)) != nil {
 			return
 		}
-		line, err := in.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && staysWhenIdle(replies, line) {
+			if errors.Is(err, os.ErrDeadlineExceeded) && exemptFromIdleTimeout(replies, line) {
 				continue
 			}
 			return
@@ -161,10 +161,10 @@
 	}
 }
 
-// staysWhenIdle reports whether a connection outlives its idle timeout: one that is silenced does, and one that waits
-// for an answer and has not begun a line.
-func staysWhenIdle(replies *replyWriter, begun []byte) bool {
-	return replies.isSilenced() || len(begun) == 0 && replies.unanswered.Load() > 0
+// exemptFromIdleTimeout reports whether a connection stays open after its idle timeout. It does if it is silenced, or if
+// it waits for an answer and has sent no part of a further line.
+func exemptFromIdleTimeout(replies *replyWriter, partialLine []byte) bool {
+	return replies.isSilenced() || len(partialLine) == 0 && replies.unansweredCalls.Load() > 0
 }
 
 func clientAddress(conn net.Conn) string {
@@ -175,7 +175,8 @@
 	return addr
 }
 
-// admitConnection counts a connection in, and returns whether it may stay and what silences it.
+// admitConnection counts a connection and returns whether it may stay open. silenced is closed when the connection must
+// get no further answers.
 func (c *Counter) admitConnection(client string) (silenced <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +202,7 @@
 	update(&c.stats)
 }
 
-// handleLine takes in a line and returns the place of its answer.
+// handleLine handles a line and returns its pending reply.
 func (c *Counter) handleLine(line string) pendingReply {
 	c.updateStats(func(s *CounterStats) { s.BytesIn += int64(len(line)) })
 	text, complete := strings.CutSuffix(line, "\r\n")
@@ -213,7 +214,7 @@
 		return completedReply(counterReplyError)
 	}
 	reply := make(pendingReply, 1)
-	queued := &queuedCall{serve: func() { reply <- []byte("ok " + formatTotal(c.add(call)) + "\r\n") }}
+	queued := &queuedCall{onServed: func() { reply <- []byte("ok " + formatTotal(c.add(call)) + "\r\n") }}
 	c.updateStats(func(s *CounterStats) { s.Calls++ })
 	if !c.shardOf(call.name).enqueue(queued) {
 		c.updateStats(func(s *CounterStats) { s.Rejected++ })
@@ -228,9 +229,9 @@
 	return c.shards[hash.Sum32()%uint32(len(c.shards))]
 }
 
-// add adds to a name and returns its total.
+// add adds the increment of a call to its name and returns the new total.
 func (c *Counter) add(call counterCall) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Add(time.Now(), call.name, call.delta, call.lifetime)
+	return c.table.Add(time.Now(), call.name, call.increment, call.lifetime)
 }
--- a/internal/standin/counter_table.go
+++ b/internal/standin/counter_table.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minSweepSize is the number of names that a CounterTable may hold before it looks for expired ones.
+// minSweepSize is the number of names below which a CounterTable does not remove expired names.
 const minSweepSize = 1024
 
-// CounterTable holds the totals of the shared counter, each under its name until it expires. The caller gives the time,
-// which may be that of a simulation and must not go back. It is not safe for concurrent use.
+// CounterTable holds the totals of the shared counter by name until they expire. The caller passes the current time,
+// which may be simulated and must not decrease. A CounterTable is not safe for concurrent use.
 type CounterTable struct {
-	entries map[string]*counterEntry
-	sweepAt int // number of entries at which the expired ones are removed
+	entries        map[string]*counterEntry
+	sweepThreshold int // number of entries at which Add removes the expired ones
 }
 
 type counterEntry struct {
@@ -17,27 +17,27 @@
 	expiresAt time.Time
 }
 
-// NewCounterTable returns a table without names.
+// NewCounterTable returns an empty table.
 func NewCounterTable() *CounterTable {
-	return &CounterTable{entries: map[string]*counterEntry{}, sweepAt: minSweepSize}
+	return &CounterTable{entries: map[string]*counterEntry{}, sweepThreshold: minSweepSize}
 }
 
-// Add adds to a name and returns its total. A name that is new or has expired starts from 0 and lives for lifetime; the
-// lifetime of later calls does not count.
-func (t *CounterTable) Add(now time.Time, name string, delta float64, lifetime time.Duration) float64 {
+// Add adds an increment to a name and returns the new total. A name that is new or has expired starts from 0 and expires
+// after lifetime. The lifetimes of later calls are ignored until then.
+func (t *CounterTable) Add(now time.Time, name string, increment float64, lifetime time.Duration) float64 {
 	entry := t.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
-		if len(t.entries) >= t.sweepAt {
+		if len(t.entries) >= t.sweepThreshold {
 			t.removeExpired(now)
 		}
 		entry = &counterEntry{expiresAt: now.Add(lifetime)}
 		t.entries[name] = entry
 	}
-	entry.total += delta
+	entry.total += increment
 	return entry.total
 }
 
-// Total returns what a name holds; 0 where there is no such name.
+// Total returns the total of a name, or 0 if the name does not exist.
 func (t *CounterTable) Total(now time.Time, name string) float64 {
 	entry := t.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
@@ -46,7 +46,7 @@
 	return entry.total
 }
 
-// Len returns the number of names that have not expired.
+// Len removes the expired names and returns the number of names left.
 func (t *CounterTable) Len(now time.Time) int {
 	t.removeExpired(now)
 	return len(t.entries)
@@ -58,5 +58,5 @@
 			delete(t.entries, name)
 		}
 	}
-	t.sweepAt = max(minSweepSize, 2*len(t.entries))
+	t.sweepThreshold = max(minSweepSize, 2*len(t.entries))
 }
--- a/internal/standin/counter_table_test.go
+++ b/internal/standin/counter_table_test.go
@@ -8,17 +8,17 @@
 func TestCounterTableExpiresByTheGivenTime(t *testing.T) {
 	table, start := NewCounterTable(), time.Unix(0, 0)
 	for _, c := range []struct {
-		at       time.Duration
-		delta    float64
-		lifetime time.Duration
-		want     float64
+		elapsed   time.Duration
+		increment float64
+		lifetime  time.Duration
+		want      float64
 	}{
 		{0, 2, time.Second, 2},
 		{999 * time.Millisecond, 1, time.Hour, 3},
 		{time.Second, 5, time.Minute, 5},
 	} {
-		if got := table.Add(start.Add(c.at), "a", c.delta, c.lifetime); got != c.want {
-			t.Fatalf("after %v: %v, want %v", c.at, got, c.want)
+		if got := table.Add(start.Add(c.elapsed), "a", c.increment, c.lifetime); got != c.want {
+			t.Fatalf("after %v: %v, want %v", c.elapsed, got, c.want)
 		}
 	}
 	if got := table.Total(start.Add(2*time.Second), "a"); got != 5 {
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestCounterAnswersCallsByTheirForm(t *testing.T) {
-	long := strings.Repeat("n", 64)
+	longestName := strings.Repeat("n", 64)
 	for _, c := range []struct{ call, want string }{
 		{"tally a 2.5 1000", "ok 2.5"},
 		{"tally a -4 1000", "ok -4"},
@@ -24,9 +24,9 @@
 		{"tally a 1000000000 1000", "ok 1000000000"},
 		{"tally a 12345678.9 1000", "ok 12345680"}, // seven significant digits
 		{"tally a 0.000012345678 1000", "ok 0.00001234568"},
-		{"tally " + long + " 1 60001", "ok 1"},
+		{"tally " + longestName + " 1 60001", "ok 1"},
 		{"ping", "pong"},
-		{"tally " + long + "n 1 1000", "error"},
+		{"tally " + longestName + "n 1 1000", "error"},
 		{"tally a 1000000001 1000", "error"},
 		{"tally a 1e3 1000", "error"},
 		{"tally a Inf 1000", "error"},
@@ -43,9 +43,9 @@
 		t.Run(c.call, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				counter, ln := startCounter(t, CounterConfig{})
-				nc := dialClient(t, ln)
-				nc.sendLines(t, c.call)
-				if got := <-nc.lines; got != c.want {
+				client := dialClient(t, ln)
+				client.sendLines(t, c.call)
+				if got := <-client.lines; got != c.want {
 					t.Errorf("%q: %q, want %q", c.call, got, c.want)
 				}
 				synctest.Wait()
@@ -53,8 +53,8 @@
 				if strings.HasPrefix(c.want, "ok") {
 					want.Names, want.Calls = 1, 1
 				}
-				if s := counter.Stats(); s != want {
-					t.Errorf("%q: %+v, want %+v", c.call, s, want)
+				if stats := counter.Stats(); stats != want {
+					t.Errorf("%q: %+v, want %+v", c.call, stats, want)
 				}
 			})
 		})
@@ -64,7 +64,7 @@
 func TestNameExpiresAfterTheLifetimeOfItsFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{})
-		nc := dialClient(t, ln)
+		client := dialClient(t, ln)
 		for _, c := range []struct {
 			wait time.Duration
 			call string
@@ -76,8 +76,8 @@
 			{5 * time.Second, "tally a 1 1", "ok 2"},
 		} {
 			time.Sleep(c.wait)
-			nc.sendLines(t, c.call)
-			if got := <-nc.lines; got != c.want {
+			client.sendLines(t, c.call)
+			if got := <-client.lines; got != c.want {
 				t.Fatalf("%s: %q, want %q", c.call, got, c.want)
 			}
 		}
@@ -113,29 +113,29 @@
 func TestCounterAnswersInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
-		slow, other := namesOfTwoShards()
-		nc := dialClient(t, ln)
-		began := time.Now()
-		same := "tally " + slow + " 1 9000"
-		nc.sendLines(t, same, same, same, "tally "+other+" 5 9000", "ping", "?")
+		busyName, otherName := namesInTwoShards()
+		client := dialClient(t, ln)
+		start := time.Now()
+		busyCall := "tally " + busyName + " 1 9000"
+		client.sendLines(t, busyCall, busyCall, busyCall, "tally "+otherName+" 5 9000", "ping", "?")
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "ok 5", "pong", "error"} {
-			if got := <-nc.lines; got != want {
+			if got := <-client.lines; got != want {
 				t.Fatalf("answer %d: %q, want %q", i, got, want)
 			}
-			if took := time.Since(began); took != time.Duration(min(i+1, 3))*time.Second {
-				t.Fatalf("answer %d after %v", i, took)
+			if elapsed := time.Since(start); elapsed != time.Duration(min(i+1, 3))*time.Second {
+				t.Fatalf("answer %d after %v", i, elapsed)
 			}
 		}
 	})
 }
 
-// namesOfTwoShards returns names that belong to the first and the second of two shards.
-func namesOfTwoShards() (first, second string) {
+// namesInTwoShards returns names that belong to the first and the second of two shards.
+func namesInTwoShards() (first, second string) {
 	for i := 0; first == "" || second == ""; i++ {
 		name := fmt.Sprint("n", i)
-		h := fnv.New32a()
-		h.Write([]byte(name))
-		if h.Sum32()%2 == 0 {
+		hash := fnv.New32a()
+		hash.Write([]byte(name))
+		if hash.Sum32()%2 == 0 {
 			first = name
 		} else {
 			second = name
@@ -146,7 +146,7 @@
 
 // Where all calls are for one name, that share is all there is.
 func TestEachShardServesItsShareOfTheRate(t *testing.T) {
-	first, second := namesOfTwoShards()
+	first, second := namesInTwoShards()
 	for _, c := range []struct {
 		names []string
 		want  time.Duration
@@ -154,21 +154,21 @@
 		t.Run(strings.Join(c.names, " "), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
-				began, callers := time.Now(), []*testClient{}
-				for _, n := range c.names {
-					nc := dialClient(t, ln)
-					nc.sendLines(t, "tally "+n+" 1 9000")
-					callers = append(callers, nc)
+				start, clients := time.Now(), []*testClient{}
+				for _, name := range c.names {
+					client := dialClient(t, ln)
+					client.sendLines(t, "tally "+name+" 1 9000")
+					clients = append(clients, client)
 				}
-				for _, nc := range callers {
-					<-nc.lines
+				for _, client := range clients {
+					<-client.lines
 				}
-				if took := time.Since(began); took != c.want {
-					t.Errorf("%v: %v, want %v", c.names, took, c.want)
+				if elapsed := time.Since(start); elapsed != c.want {
+					t.Errorf("%v: %v, want %v", c.names, elapsed, c.want)
 				}
-				names := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
-				if s := counter.Stats(); s.MaxWait != c.want || s.Calls != 4 || s.Names != names {
-					t.Errorf("%v: %+v", c.names, s)
+				wantNames := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
+				if stats := counter.Stats(); stats.MaxWait != c.want || stats.Calls != 4 || stats.Names != wantNames {
+					t.Errorf("%v: %+v", c.names, stats)
 				}
 			})
 		})
@@ -178,16 +178,16 @@
 func TestCallsBeyondTheQueueAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1, MaxQueued: 2})
-		nc := dialClient(t, ln)
+		client := dialClient(t, ln)
 		call := "tally a 1 9000"
-		nc.sendLines(t, call, call, call, call, call)
+		client.sendLines(t, call, call, call, call, call)
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "busy", "busy"} {
-			if got := <-nc.lines; got != want {
+			if got := <-client.lines; got != want {
 				t.Fatalf("answer %d: %q, want %q", i, got, want)
 			}
 		}
-		if s := counter.Stats(); s.Calls != 5 || s.Rejected != 2 || s.MaxQueued != 2 || counter.Total("a") != 3 {
-			t.Fatalf("%+v, total %v", s, counter.Total("a"))
+		if stats := counter.Stats(); stats.Calls != 5 || stats.Rejected != 2 || stats.MaxQueued != 2 || counter.Total("a") != 3 {
+			t.Fatalf("%+v, total %v", stats, counter.Total("a"))
 		}
 	})
 }
@@ -196,9 +196,9 @@
 func TestSilentCounterAddsNothingAndStaysSilentOnItsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1})
-		old := dialClient(t, ln)
-		old.sendLines(t, "tally a 1 60000", "tally a 1 60000", "tally a 1 60000")
-		if got := <-old.lines; got != "ok 1" {
+		before := dialClient(t, ln)
+		before.sendLines(t, "tally a 1 60000", "tally a 1 60000", "tally a 1 60000")
+		if got := <-before.lines; got != "ok 1" {
 			t.Fatalf("%q", got)
 		}
 		counter.SetState(Silent)
@@ -206,26 +206,26 @@
 		during.sendLines(t, "tally a 1 60000", "ping")
 		time.Sleep(5 * time.Second)
 		counter.SetState(Up)
-		nc := dialClient(t, ln)
-		nc.sendLines(t, "tally a 1 60000")
-		if got := <-nc.lines; got != "ok 2" {
+		after := dialClient(t, ln)
+		after.sendLines(t, "tally a 1 60000")
+		if got := <-after.lines; got != "ok 2" {
 			t.Fatalf("after the return: %q", got)
 		}
-		old.sendLines(t, "tally a 1 60000")
+		before.sendLines(t, "tally a 1 60000")
 		time.Sleep(30 * time.Second)
-		if len(old.lines) > 0 || len(during.lines) > 0 || counter.Total("a") != 2 {
-			t.Fatalf("%d, %d answers of the silence; total %v", len(old.lines), len(during.lines), counter.Total("a"))
+		if len(before.lines) > 0 || len(during.lines) > 0 || counter.Total("a") != 2 {
+			t.Fatalf("%d, %d answers of the silence; total %v", len(before.lines), len(during.lines), counter.Total("a"))
 		}
 		counter.SetState(Down)
-		for _, c := range []*testClient{old, during, nc, dialClient(t, ln)} {
-			if got, open := <-c.lines; open {
+		for _, client := range []*testClient{before, during, after, dialClient(t, ln)} {
+			if got, open := <-client.lines; open {
 				t.Fatalf("while down: %q", got)
 			}
 		}
 		counter.SetState(Up)
-		nc = dialClient(t, ln)
-		nc.sendLines(t, "tally a 1 60000")
-		if got := <-nc.lines; got != "ok 3" {
+		after = dialClient(t, ln)
+		after.sendLines(t, "tally a 1 60000")
+		if got := <-after.lines; got != "ok 3" {
 			t.Fatalf("up again: %q", got)
 		}
 	})
@@ -247,10 +247,10 @@
 		if got := <-fourth.lines; got != "pong" {
 			t.Fatalf("in place of one that has gone: %q", got)
 		}
-		began := time.Now()
+		start := time.Now()
 		second.sendLines(t, "tally a 1 60000") // queued for longer than the idle timeout
-		if _, open := <-fourth.lines; open || time.Since(began) != 10*time.Second {
-			t.Fatalf("the idle one: open %v after %v", open, time.Since(began))
+		if _, open := <-fourth.lines; open || time.Since(start) != 10*time.Second {
+			t.Fatalf("the idle one: open %v after %v", open, time.Since(start))
 		}
 		if got := <-second.lines; got != "ok 1" {
 			t.Fatalf("the one that waits: %q", got)
@@ -265,50 +265,50 @@
 	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), nettest.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- counter.Serve(ln) }()
-	const callers, calls = 8, 200
-	done := make(chan error, callers)
-	for range callers {
-		go func() { done <- addMany(ln.Addr().String(), calls) }()
+	const clientCount, callsPerClient = 8, 200
+	errs := make(chan error, clientCount)
+	for range clientCount {
+		go func() { errs <- sendCalls(ln.Addr().String(), callsPerClient) }()
 	}
-	for range callers {
-		if err := <-done; err != nil {
+	for range clientCount {
+		if err := <-errs; err != nil {
 			t.Error(err)
 		}
 	}
-	if got := counter.Total("a"); got != callers*calls {
-		t.Errorf("total %v, want %d", got, callers*calls)
+	if got := counter.Total("a"); got != clientCount*callsPerClient {
+		t.Errorf("total %v, want %d", got, clientCount*callsPerClient)
 	}
 	counter.Close()
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
-	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		nc.Close()
+	if conn, err := net.Dial("tcp", ln.Addr().String()); err == nil {
+		conn.Close()
 		t.Error("connected after the end")
 	}
 }
 
-// addMany pipelines calls that add one each, and returns an error unless the totals rise.
-func addMany(addr string, calls int) error {
-	nc, err := net.Dial("tcp", addr)
+// sendCalls pipelines calls that add one each, and returns an error unless the totals rise.
+func sendCalls(address string, count int) error {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	if _, err := io.WriteString(nc, strings.Repeat("tally a 1 60000\r\n", calls)); err != nil {
+	defer conn.Close()
+	if _, err := io.WriteString(conn, strings.Repeat("tally a 1 60000\r\n", count)); err != nil {
 		return err
 	}
-	in, last := bufio.NewReader(nc), 0.0
-	for range calls {
-		text, err := in.ReadString('\n')
+	reader, lastTotal := bufio.NewReader(conn), 0.0
+	for range count {
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return err
 		}
 		var total float64
-		if _, err := fmt.Sscanf(text, "ok %g\r\n", &total); err != nil || total <= last {
-			return fmt.Errorf("%q after %v: %v", text, last, err)
+		if _, err := fmt.Sscanf(line, "ok %g\r\n", &total); err != nil || total <= lastTotal {
+			return fmt.Errorf("%q after %v: %v", line, lastTotal, err)
 		}
-		last = total
+		lastTotal = total
 	}
 	return nil
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,74 +11,74 @@
 	"time"
 )
 
-// defaultHeartbeatInterval is the protocol's time between the empty lines of an open watch.
+// defaultHeartbeatInterval is the time between the empty lines of an open watch, as the protocol defines it.
 const defaultHeartbeatInterval = 2 * time.Second
 
-// DiscoveryConfig says how a Discovery serves.
+// DiscoveryConfig configures a Discovery.
 type DiscoveryConfig struct {
-	CallsPerSecond    float64       // calls served, one after another, in the order they came; 0: no bound
-	QueueTimeout      time.Duration // a call that has been queued for so long is answered 503; 0: never
-	DropCancelled     bool          // queued calls whose client has gone leave unserved; else they take their time too
-	HeartbeatInterval time.Duration // between the empty lines of an open watch; 0: 2 s
-	Indent            bool          // lists and changes are written on several lines
-	MaxChanges        int           // remembered for watches; a client further behind gets a snapshot; 0: all
-	InitialRevision   int64         // before the first list
+	CallsPerSecond    float64       // capacity for calls, which are served one by one in order of arrival; zero means no limit
+	QueueTimeout      time.Duration // time in the queue after which a call is answered 503; zero means no timeout
+	DropCancelled     bool          // whether queued calls of disconnected clients are removed; otherwise they use capacity
+	HeartbeatInterval time.Duration // time between the empty lines of an open watch; zero means 2 s
+	Indent            bool          // whether JSON objects are indented over several lines
+	MaxChanges        int           // changes kept for watches; a client further behind gets a snapshot; zero means all
+	InitialRevision   int64         // revision before the first list is set
 }
 
-// DiscoveryStats is what a Discovery has seen so far.
+// DiscoveryStats holds the statistics of a Discovery since its start.
 type DiscoveryStats struct {
-	Calls       int           // of all kinds
-	Lists       int           // snapshots answered to plain calls
-	Watches     int           // opened
-	OpenWatches int           // of them, those whose client is still there, silent or not
-	Failed      int           // calls and watches that ended in 503 or were disconnected
-	MaxWait     time.Duration // from a call to the end of its service
-	MaxQueued   int           // calls that were queued at one moment
-	Objects     int           // lists and changes written
-	Bytes       int64         // of bodies written
-}
-
-// Discovery plays the service, or the agent, that tells ingresses of backends.
+	Calls       int           // calls of all kinds, including watches
+	Lists       int           // snapshots prepared for calls that are not watches
+	Watches     int           // watches opened so far
+	OpenWatches int           // watches whose client is connected, including silenced ones
+	Failed      int           // calls and watches that were answered 503 or disconnected
+	MaxWait     time.Duration // maximum time from the arrival of a call to the end of its service
+	MaxQueued   int           // maximum number of calls queued at the same time
+	Objects     int           // JSON objects written
+	Bytes       int64         // bytes of bodies written
+}
+
+// Discovery simulates the service or agent from which ingresses get the endpoint list.
 type Discovery struct {
 	config DiscoveryConfig
 	queue  *serviceQueue
 	server *http.Server
 
-	mu           sync.Mutex // guards what follows
-	state        ServiceState
-	closed       bool
-	history      *endpointHistory
-	encodedList  []byte        // the snapshot of this revision as it is written; nil: not yet made
-	updated      chan struct{} // closed at the next revision
-	callSignals  stopSignals   // of calls that are queued
-	watchSignals stopSignals   // of open watches
-	stats        DiscoveryStats
+	mu               sync.Mutex // guards the fields below
+	state            ServiceState
+	closed           bool
+	history          *endpointHistory
+	cachedSnapshot   []byte        // encoded snapshot of the current revision; nil until it is needed
+	nextRevision     chan struct{} // closed when the next revision is published
+	callStopSignals  stopSignals   // for calls that are not open watches
+	watchStopSignals stopSignals   // for open watches
+	stats            DiscoveryStats
 }
 
-// stopSignals end calls and watches by being closed: disconnect closes their connections, silence leaves them open and
-// says nothing more.
+// stopSignals holds channels that are closed to stop calls or watches: disconnect closes their connections, silence
+// leaves the connections open without further output.
 type stopSignals struct{ disconnect, silence chan struct{} }
 
 func newStopSignals() stopSignals { return stopSignals{make(chan struct{}), make(chan struct{})} }
 
-// NewDiscovery returns a service with an empty list.
+// NewDiscovery returns a Discovery with an empty list.
 func NewDiscovery(config DiscoveryConfig) *Discovery {
 	if config.HeartbeatInterval == 0 {
 		config.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	d := &Discovery{
-		config:       config,
-		queue:        newServiceQueue(config.CallsPerSecond, 0),
-		history:      newEndpointHistory(config.InitialRevision, config.MaxChanges),
-		updated:      make(chan struct{}),
-		callSignals:  newStopSignals(),
-		watchSignals: newStopSignals(),
+		config:           config,
+		queue:            newServiceQueue(config.CallsPerSecond, 0),
+		history:          newEndpointHistory(config.InitialRevision, config.MaxChanges),
+		nextRevision:     make(chan struct{}),
+		callStopSignals:  newStopSignals(),
+		watchStopSignals: newStopSignals(),
 	}
 	d.server = &http.Server{Handler: d, ErrorLog: log.New(io.Discard, "", 0)}
 	return d
 }
 
-// Serve answers calls on a listener until Close.
+// Serve accepts connections on a listener and answers their calls until Close.
 func (d *Discovery) Serve(ln net.Listener) error {
 	if err := d.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Close ends Serve, all calls and all watches. It does not wait for the goroutines of net/http.
+// Close makes Serve return and ends all calls and watches. It does not wait for the goroutines of net/http.
 func (d *Discovery) Close() error {
 	d.SetState(Down)
 	d.mu.Lock()
@@ -95,7 +95,7 @@
 	return d.server.Close()
 }
 
-// SetList replaces the list; every watch gets a snapshot.
+// SetList replaces the list as one new revision. Every watch gets a snapshot.
 func (d *Discovery) SetList(targets []Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 	d.publish()
 }
 
-// ApplyChange adds or replaces entries, or removes those that are DELETED, as one new revision.
+// ApplyChange adds or replaces entries, or removes those whose state is DELETED, as one new revision.
 func (d *Discovery) ApplyChange(targets ...Target) (revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,15 +112,16 @@
 	return d.history.revision
 }
 
-// publish wakes the watches. The lock is held.
+// publish notifies the open watches of a new revision. The caller holds the lock.
 func (d *Discovery) publish() {
-	d.encodedList = nil
-	close(d.updated)
-	d.updated = make(chan struct{})
+	d.cachedSnapshot = nil
+	close(d.nextRevision)
+	d.nextRevision = make(chan struct{})
 }
 
-// SetState changes how calls are met. Silence stays with what was open or came during it, also after the return, until
-// its client goes or discovery is Down.
+// SetState sets the state. Calls and watches that were open or arrived while the state was Silent get no output
+// afterwards either; they end when the client disconnects or the state changes to Down. Calls that are queued when the
+// state changes to Silent or Down are not served.
 func (d *Discovery) SetState(state ServiceState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,53 +130,54 @@
 	}
 	switch d.state {
 	case Silent:
-		d.callSignals.silence = make(chan struct{})
-		d.watchSignals.silence = make(chan struct{})
+		d.callStopSignals.silence = make(chan struct{})
+		d.watchStopSignals.silence = make(chan struct{})
 	case Down:
-		d.callSignals.disconnect = make(chan struct{})
-		d.watchSignals.disconnect = make(chan struct{})
+		d.callStopSignals.disconnect = make(chan struct{})
+		d.watchStopSignals.disconnect = make(chan struct{})
 	}
 	d.state = state
 	switch state {
 	case Silent:
-		close(d.callSignals.silence)
-		close(d.watchSignals.silence)
+		close(d.callStopSignals.silence)
+		close(d.watchStopSignals.silence)
 	case Down:
-		close(d.callSignals.disconnect)
-		close(d.watchSignals.disconnect)
+		close(d.callStopSignals.disconnect)
+		close(d.watchStopSignals.disconnect)
 	}
 	if state != Up {
 		d.queue.clear()
 	}
 }
 
-// DisconnectWatches disconnects the watches that are open now.
+// DisconnectWatches closes the connections of all open watches.
 func (d *Discovery) DisconnectWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != Down {
-		close(d.watchSignals.disconnect)
-		d.watchSignals.disconnect = make(chan struct{})
+		close(d.watchStopSignals.disconnect)
+		d.watchStopSignals.disconnect = make(chan struct{})
 	}
 }
 
-// SilenceWatches lets the watches that are open now fall silent for good, while new ones work.
+// SilenceWatches permanently stops the output of all open watches but leaves their connections open. New watches are not
+// affected.
 func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != Silent {
-		close(d.watchSignals.silence)
-		d.watchSignals.silence = make(chan struct{})
+		close(d.watchStopSignals.silence)
+		d.watchStopSignals.silence = make(chan struct{})
 	}
 }
 
-// Stats returns the figures so far.
+// Stats returns the statistics since the start.
 func (d *Discovery) Stats() DiscoveryStats {
-	queue := d.queue.snapshotStats()
+	queueFigures := d.queue.snapshotStats()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stats := d.stats
-	stats.MaxWait, stats.MaxQueued = queue.maxWait, queue.maxWaiting
+	stats.MaxWait, stats.MaxQueued = queueFigures.maxWait, queueFigures.maxWaiting
 	return stats
 }
 
@@ -185,42 +187,42 @@
 	update(&d.stats)
 }
 
-// snapshotForCall returns the answer to a plain call, and what may end that.
+// snapshotForCall returns the answer to a call that is not a watch and the signals that may stop the call.
 func (d *Discovery) snapshotForCall() ([]byte, stopSignals) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stats.Lists++
-	return d.encodedSnapshot(), d.callSignals
+	return d.encodedSnapshot(), d.callStopSignals
 }
 
-// encodedSnapshot returns the list as it is written. The lock is held.
+// encodedSnapshot returns the list as JSON and caches it for this revision. The caller holds the lock.
 func (d *Discovery) encodedSnapshot() []byte {
-	if d.encodedList == nil {
-		d.encodedList = d.encode(d.history.snapshot())
+	if d.cachedSnapshot == nil {
+		d.cachedSnapshot = d.encode(d.history.snapshot())
 	}
-	return d.encodedList
+	return d.cachedSnapshot
 }
 
-// watchEvent is what an open watch writes next.
+// watchEvent is the next output of an open watch.
 type watchEvent struct {
-	body     []byte          // an object, or an empty line as a heartbeat
-	revision int64           // of the list after it
-	updated  <-chan struct{} // closed once there is more
+	body         []byte          // a JSON object, or an empty line as a heartbeat
+	revision     int64           // revision of the list after the event
+	nextRevision <-chan struct{} // closed when a later revision is published
 }
 
 // isHeartbeat reports whether the event is an empty line.
 func (e watchEvent) isHeartbeat() bool { return len(e.body) <= len("\n") }
 
-// watchEventSince returns what has changed since a revision, or a snapshot where that is not known any more. If nothing
-// has changed it is an object without entries for the first event of a watch, and else a heartbeat.
-func (d *Discovery) watchEventSince(revision int64, first bool) watchEvent {
+// watchEventSince returns the changes since a revision, or a snapshot if they are not available. If nothing has changed,
+// the first event of a watch is an object without entries and a later one is a heartbeat.
+func (d *Discovery) watchEventSince(revision int64, isFirst bool) watchEvent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	event := watchEvent{revision: d.history.revision, updated: d.updated}
+	event := watchEvent{revision: d.history.revision, nextRevision: d.nextRevision}
 	switch {
-	case revision == d.history.revision && !first:
+	case revision == d.history.revision && !isFirst:
 		event.body = []byte("\n")
-	case !d.history.knows(revision):
+	case !d.history.hasChangesSince(revision):
 		event.body = d.encodedSnapshot()
 	default:
 		event.body = d.encode(d.history.changesSince(revision))
@@ -228,15 +230,15 @@
 	return event
 }
 
-func (d *Discovery) encode(list endpointList) []byte {
+func (d *Discovery) encode(update endpointUpdate) []byte {
 	var body []byte
 	var err error
 	if d.config.Indent {
-		body, err = json.MarshalIndent(list, "", "  ")
+		body, err = json.MarshalIndent(update, "", "  ")
 	} else {
-		body, err = json.Marshal(list)
+		body, err = json.Marshal(update)
 	}
-	if err != nil { // only a capacity that is no number: a fault of the caller
+	if err != nil { // a NaN or infinite capacity is a programming error of the caller
 		panic(err)
 	}
 	return append(body, '\n')
--- a/internal/standin/discovery_http.go
+++ b/internal/standin/discovery_http.go
@@ -9,7 +9,7 @@
 
 const registryPath = "/registry/instances"
 
-// ServeHTTP answers a call for the list or for a watch.
+// ServeHTTP answers a request for the list or opens a watch.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -25,7 +25,7 @@
 		http.Error(w, "since is a version", http.StatusBadRequest)
 		return
 	}
-	if !d.waitInQueue(r.Context(), w) {
+	if !d.waitForService(r.Context(), w) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -34,29 +34,29 @@
 		return
 	}
 	body, signals := d.snapshotForCall()
-	if d.interrupted(r.Context(), signals) {
+	if d.handleStopSignals(r.Context(), signals) {
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	d.write(w, body, true)
 }
 
-// joinQueue puts a call into the queue, where calls are served at all, and returns what may end its wait.
-func (d *Discovery) joinQueue(call *queuedCall) stopSignals {
+// enqueueCall adds a call to the queue if the state is Up, and returns the signals that may stop the call.
+func (d *Discovery) enqueueCall(call *queuedCall) stopSignals {
 	d.mu.Lock()
-	defer d.mu.Unlock() // until the call is queued, since a change of state clears the queue
+	defer d.mu.Unlock() // held until the call is queued, because a change of state clears the queue
 	d.stats.Calls++
 	if d.state == Up {
 		d.queue.enqueue(call)
 	}
-	return d.callSignals
+	return d.callStopSignals
 }
 
-// waitInQueue takes a call through the queue; where it returns false, the call has ended.
-func (d *Discovery) waitInQueue(ctx context.Context, w http.ResponseWriter) bool {
+// waitForService queues a call and waits until it has been served. It returns false if the call has ended instead.
+func (d *Discovery) waitForService(ctx context.Context, w http.ResponseWriter) bool {
 	served := make(chan struct{})
-	call := &queuedCall{serve: func() { close(served) }}
-	signals := d.joinQueue(call)
+	call := &queuedCall{onServed: func() { close(served) }}
+	signals := d.enqueueCall(call)
 
 	var timeout <-chan time.Time
 	if d.config.QueueTimeout > 0 {
@@ -71,9 +71,9 @@
 	for {
 		select {
 		case <-signals.disconnect:
-			d.disconnect()
+			d.abortConnection()
 		case <-signals.silence:
-			d.holdSilent(ctx, signals.disconnect)
+			d.holdOpen(ctx, signals.disconnect)
 			return false
 		case <-served:
 			return ctx.Err() == nil
@@ -82,7 +82,7 @@
 			return false
 		case <-timeout:
 			timeout = nil
-			if !d.queue.remove(call) { // its service has begun, or the queue was cleared
+			if !d.queue.remove(call) { // its service has started, or the queue was cleared
 				continue
 			}
 			d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
@@ -92,55 +92,55 @@
 	}
 }
 
-// disconnect ends a call by closing its connection; it does not return.
-func (d *Discovery) disconnect() {
+// abortConnection closes the connection of a call. It does not return.
+func (d *Discovery) abortConnection() {
 	d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
-	panic(http.ErrAbortHandler) // net/http's way for a handler to close its connection
+	panic(http.ErrAbortHandler) // makes net/http close the connection without logging the panic
 }
 
-// interrupted reports whether a call has fallen silent, once its client is gone. It does not return if the call is
-// disconnected.
-func (d *Discovery) interrupted(ctx context.Context, signals stopSignals) bool {
+// handleStopSignals reports whether a call was silenced, in which case it waits until the client has disconnected. It
+// does not return if the call has to be disconnected.
+func (d *Discovery) handleStopSignals(ctx context.Context, signals stopSignals) bool {
 	select {
 	case <-signals.disconnect:
-		d.disconnect()
+		d.abortConnection()
 	case <-signals.silence:
-		d.holdSilent(ctx, signals.disconnect)
+		d.holdOpen(ctx, signals.disconnect)
 		return true
 	default:
 	}
 	return false
 }
 
-// holdSilent holds a call open until its client goes or it is disconnected.
-func (d *Discovery) holdSilent(ctx context.Context, disconnect <-chan struct{}) {
+// holdOpen keeps a call open without output until the client disconnects or disconnect is closed.
+func (d *Discovery) holdOpen(ctx context.Context, disconnect <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-disconnect:
-		d.disconnect()
+		d.abortConnection()
 	}
 }
 
-// openWatch counts a watch in and returns what may end it.
+// openWatch counts an open watch and returns the signals that may stop it.
 func (d *Discovery) openWatch() stopSignals {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stats.Watches++
 	d.stats.OpenWatches++
-	return d.watchSignals
+	return d.watchStopSignals
 }
 
-// watch writes what changes after a revision, until its client goes or it is ended.
+// watch writes the changes after a revision until the client disconnects or a signal stops the watch.
 func (d *Discovery) watch(ctx context.Context, w http.ResponseWriter, revision int64) {
 	signals := d.openWatch()
 	defer d.updateStats(func(s *DiscoveryStats) { s.OpenWatches-- })
 
 	heartbeat := time.NewTimer(d.config.HeartbeatInterval)
 	defer heartbeat.Stop()
-	for first := true; ; first = false {
-		event := d.watchEventSince(revision, first)
+	for isFirst := true; ; isFirst = false {
+		event := d.watchEventSince(revision, isFirst)
 		revision = event.revision
-		if d.interrupted(ctx, signals) { // checked after the event is taken: changes during a silence are not told
+		if d.handleStopSignals(ctx, signals) { // checked after reading the event, so that no change in state Silent is sent
 			return
 		}
 		if !d.write(w, event.body, !event.isHeartbeat()) {
@@ -152,21 +152,21 @@
 			return
 		case <-signals.disconnect:
 		case <-signals.silence:
-		case <-event.updated:
+		case <-event.nextRevision:
 		case <-heartbeat.C:
 		}
 	}
 }
 
-// write writes an object, or a heartbeat, at once; it returns false where the client is gone.
-func (d *Discovery) write(w http.ResponseWriter, body []byte, object bool) bool {
+// write writes and flushes a JSON object or a heartbeat. It reports whether the client is still connected.
+func (d *Discovery) write(w http.ResponseWriter, body []byte, isObject bool) bool {
 	n, err := w.Write(body)
 	if err == nil {
 		err = http.NewResponseController(w).Flush()
 	}
 	d.updateStats(func(s *DiscoveryStats) {
 		s.Bytes += int64(n)
-		if object && err == nil {
+		if isObject && err == nil {
 			s.Objects++
 		}
 	})
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,22 +1,22 @@
-// Package standin plays the systems that an ingress talks to: discovery, the shared counter and backends. They are
-// written from the protocol and keep its rules on silence, order and capacity, for tests and for runs of a whole fleet
-// in one process. They wait with package time alone, so that over a PipeListener they also run on a fake clock
-// (testing/synctest).
+// Package standin simulates the services that an ingress connects to: discovery, the shared counter and backends. Each
+// stand-in is written from the protocol alone and follows its rules for unresponsiveness, order and capacity. Tests use
+// the stand-ins, and so do runs of a whole fleet in one process. They wait only through package time, so that they also
+// run on a fake clock (testing/synctest) when they use a PipeListener.
 //
 // Discovery, Counter and Backend each serve any number of listeners. Serve accepts connections on the caller's
-// goroutine; each connection has a goroutine of its own, which ends with the connection. Close ends all connections.
-// Counter and Backend wait in Close until those goroutines have returned.
+// goroutine. Each connection has a goroutine of its own, which ends when the connection closes. Close closes all
+// connections. Counter and Backend wait in Close until the goroutines of the connections have returned.
 package standin
 
-// ServiceState says how a stand-in meets its clients.
+// ServiceState determines how a stand-in responds to its clients.
 type ServiceState int
 
 const (
-	// Up serves.
+	// Up means that calls are served.
 	Up ServiceState = iota
-	// Silent accepts and answers nothing, as behind a network partition. A connection that was open meanwhile, or came
-	// meanwhile, stays silent for good.
+	// Silent means that connections are accepted and calls get no answer, as during a network partition. Connections that
+	// were open or opened in this state get no answer afterwards either.
 	Silent
-	// Down is a process that has ended: open connections are closed, and so are those that come.
+	// Down simulates a process that has exited: open connections are closed, and new ones are closed without an answer.
 	Down
 )
--- a/internal/standin/endpoint_history.go
+++ b/internal/standin/endpoint_history.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// stateDeleted is the state of a Target that a change removes, as it stands on the wire.
+// stateDeleted is the state, on the wire, of a Target that a change removes.
 const stateDeleted = "DELETED"
 
-// Target is one backend of the endpoint list, or an entry of a change.
+// Target is one backend in the endpoint list or in a change.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -14,60 +14,60 @@
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"` // SERVING, DRAINING or, in changes, DELETED
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: long ago
+	BootMS   int64   `json:"boot_ms"` // start time as Unix time in milliseconds; zero means long ago
 }
 
-// endpointList is an object of discovery: a snapshot, or what has changed up to a revision.
-type endpointList struct {
+// endpointUpdate is a JSON object of the discovery protocol: a snapshot, or the changes up to a revision.
+type endpointUpdate struct {
 	Revision int64    `json:"rev"`
 	Snapshot bool     `json:"all"`
 	Targets  []Target `json:"targets"`
 }
 
-// listChange is what one revision brought.
+// listChange holds the entries that one revision changed.
 type listChange struct {
 	revision int64
 	targets  []Target
 }
 
-// endpointHistory is the endpoint list and the changes that led to it. It is not safe for concurrent use.
+// endpointHistory holds the endpoint list and its latest changes. It is not safe for concurrent use.
 type endpointHistory struct {
-	revision       int64
-	targets        []Target
-	changes        []listChange // the oldest first; all are after oldestRevision
-	oldestRevision int64        // the oldest one from which the changes are known
-	maxChanges     int          // remembered; 0: any number
+	revision            int64
+	targets             []Target
+	changes             []listChange // oldest first; all are later than oldestKnownRevision
+	oldestKnownRevision int64        // oldest revision since which all changes are kept
+	maxChanges          int          // maximum number of changes kept; zero means no limit
 }
 
-// newEndpointHistory returns an empty list of a revision.
+// newEndpointHistory returns a history with an empty list at a revision.
 func newEndpointHistory(revision int64, maxChanges int) *endpointHistory {
 	return &endpointHistory{
-		revision:       revision,
-		targets:        []Target{}, // not nil: it is written as an empty array
-		oldestRevision: revision,
-		maxChanges:     maxChanges,
+		revision:            revision,
+		targets:             []Target{}, // not nil, so that it is encoded as an empty array
+		oldestKnownRevision: revision,
+		maxChanges:          maxChanges,
 	}
 }
 
-// replace sets a new list, from which on changes are remembered.
+// replace sets a new list as a new revision and discards all earlier changes.
 func (h *endpointHistory) replace(targets []Target) {
 	h.revision++
 	h.targets = append([]Target{}, targets...)
 	h.changes = nil
-	h.oldestRevision = h.revision
+	h.oldestKnownRevision = h.revision
 }
 
-// apply adds or replaces entries, or removes those that are DELETED, as one new revision.
+// apply adds or replaces entries, or removes those whose state is DELETED, as one new revision.
 func (h *endpointHistory) apply(targets []Target) {
 	h.revision++
 	for _, target := range targets {
-		h.applyOne(target)
+		h.applyTarget(target)
 	}
 	h.changes = append(h.changes, listChange{h.revision, slices.Clone(targets)})
-	h.forgetOldChanges()
+	h.discardOldChanges()
 }
 
-func (h *endpointHistory) applyOne(target Target) {
+func (h *endpointHistory) applyTarget(target Target) {
 	i := slices.IndexFunc(h.targets, func(old Target) bool { return old.UID == target.UID })
 	switch {
 	case target.State == stateDeleted && i >= 0:
@@ -80,27 +80,28 @@
 	}
 }
 
-func (h *endpointHistory) forgetOldChanges() {
+func (h *endpointHistory) discardOldChanges() {
 	excess := len(h.changes) - h.maxChanges
 	if h.maxChanges == 0 || excess <= 0 {
 		return
 	}
-	h.oldestRevision = h.changes[excess-1].revision
+	h.oldestKnownRevision = h.changes[excess-1].revision
 	h.changes = slices.Delete(h.changes, 0, excess)
 }
 
-func (h *endpointHistory) snapshot() endpointList {
-	return endpointList{Revision: h.revision, Snapshot: true, Targets: h.targets}
+func (h *endpointHistory) snapshot() endpointUpdate {
+	return endpointUpdate{Revision: h.revision, Snapshot: true, Targets: h.targets}
 }
 
-// knows reports whether the changes since a revision are remembered.
-func (h *endpointHistory) knows(revision int64) bool {
-	return revision >= h.oldestRevision && revision <= h.revision
+// hasChangesSince reports whether all changes since a revision are kept.
+func (h *endpointHistory) hasChangesSince(revision int64) bool {
+	return revision >= h.oldestKnownRevision && revision <= h.revision
 }
 
-// changesSince returns what has changed since a revision that the history knows: one entry for each target, its latest.
-func (h *endpointHistory) changesSince(revision int64) endpointList {
-	list := endpointList{Revision: h.revision, Targets: []Target{}}
+// changesSince returns the latest entry of each target that has changed since a revision. hasChangesSince must be true for
+// the revision.
+func (h *endpointHistory) changesSince(revision int64) endpointUpdate {
+	update := endpointUpdate{Revision: h.revision, Targets: []Target{}}
 	seen := map[string]bool{}
 	for _, change := range slices.Backward(h.changes) {
 		if change.revision <= revision {
@@ -109,10 +110,10 @@
 		for _, target := range slices.Backward(change.targets) {
 			if !seen[target.UID] {
 				seen[target.UID] = true
-				list.Targets = append(list.Targets, target)
+				update.Targets = append(update.Targets, target)
 			}
 		}
 	}
-	slices.Reverse(list.Targets)
-	return list
+	slices.Reverse(update.Targets)
+	return update
 }
--- a/internal/standin/fixtures_test.go
+++ b/internal/standin/fixtures_test.go
@@ -11,13 +11,13 @@
 )
 
 // serveOnPipes runs a stand-in on pipes, and ends it with the test.
-func serveOnPipes(t *testing.T, serve func(net.Listener) error, stop func() error) *PipeListener {
+func serveOnPipes(t *testing.T, serve func(net.Listener) error, closeStandIn func() error) *PipeListener {
 	t.Helper()
 	ln := NewPipeListener()
 	served := make(chan error, 1)
 	go func() { served <- serve(ln) }()
 	t.Cleanup(func() {
-		if err := errors.Join(stop(), <-served); err != nil {
+		if err := errors.Join(closeStandIn(), <-served); err != nil {
 			t.Error(err)
 		}
 	})
@@ -50,34 +50,34 @@
 
 func dialClient(t *testing.T, ln *PipeListener) *testClient {
 	t.Helper()
-	nc, err := ln.Dial(t.Context())
+	conn, err := ln.Dial(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	c := &testClient{nc, make(chan string, 1<<10)}
+	t.Cleanup(func() { conn.Close() })
+	client := &testClient{conn, make(chan string, 1<<10)}
 	go func() {
-		defer close(c.lines)
-		for in := bufio.NewScanner(nc); in.Scan(); {
-			c.lines <- in.Text()
+		defer close(client.lines)
+		for scanner := bufio.NewScanner(conn); scanner.Scan(); {
+			client.lines <- scanner.Text()
 		}
 	}()
-	return c
+	return client
 }
 
 // sendLines writes lines in one call.
-func (c *testClient) sendLines(t *testing.T, lines ...string) {
+func (client *testClient) sendLines(t *testing.T, lines ...string) {
 	t.Helper()
-	if _, err := io.WriteString(c, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
+	if _, err := io.WriteString(client, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // receivedLines returns all lines that have come by now.
-func receivedLines(lines <-chan string) (got []string) {
+func receivedLines(lines <-chan string) (received []string) {
 	synctest.Wait()
 	for len(lines) > 0 {
-		got = append(got, <-lines)
+		received = append(received, <-lines)
 	}
-	return got
+	return received
 }
--- a/internal/standin/pipe.go
+++ b/internal/standin/pipe.go
@@ -8,26 +8,26 @@
 	"syscall"
 )
 
-// PipeListener is a net.Listener whose connections are pipes in memory, for tests on a fake clock.
+// PipeListener is a net.Listener whose connections are in-memory pipes, for tests on a fake clock.
 type PipeListener struct {
-	accepting chan net.Conn
+	incoming  chan net.Conn
 	closed    chan struct{}
-	close     func()
+	closeOnce func()
 }
 
 // NewPipeListener returns an open listener.
 func NewPipeListener() *PipeListener {
-	l := &PipeListener{accepting: make(chan net.Conn), closed: make(chan struct{})}
-	l.close = sync.OnceFunc(func() { close(l.closed) })
+	l := &PipeListener{incoming: make(chan net.Conn), closed: make(chan struct{})}
+	l.closeOnce = sync.OnceFunc(func() { close(l.closed) })
 	return l
 }
 
-// Dial opens a connection and returns the client's end once Accept has taken the other. On a closed listener its error
-// is syscall.ECONNREFUSED.
+// Dial opens a connection and returns the client's end after Accept has accepted the server's end. If the listener is
+// closed, the error wraps syscall.ECONNREFUSED.
 func (l *PipeListener) Dial(ctx context.Context) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
-	case l.accepting <- server:
+	case l.incoming <- server:
 		return client, nil
 	case <-l.closed:
 		return nil, fmt.Errorf("dial pipe: %w", syscall.ECONNREFUSED)
@@ -36,29 +36,29 @@
 	}
 }
 
-// Accept returns the server's end of the next connection. After Close its error is net.ErrClosed.
+// Accept returns the server's end of the next connection. After Close the error wraps net.ErrClosed.
 func (l *PipeListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.accepting:
+	case conn := <-l.incoming:
 		return conn, nil
 	case <-l.closed:
 		return nil, fmt.Errorf("accept pipe: %w", net.ErrClosed)
 	}
 }
 
-// Close refuses further connections; open ones stay.
+// Close makes the listener refuse further connections. Open connections are not affected.
 func (l *PipeListener) Close() error {
-	l.close()
+	l.closeOnce()
 	return nil
 }
 
-// Addr returns an address that is the same for all pipes.
+// Addr returns the same address for all listeners.
 func (l *PipeListener) Addr() net.Addr { return pipeAddr{} }
 
 type pipeAddr struct{}
 
-// Network is part of net.Addr.
+// Network implements net.Addr.
 func (pipeAddr) Network() string { return "pipe" }
 
-// String is part of net.Addr.
+// String implements net.Addr.
 func (pipeAddr) String() string { return "pipe" }
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Replies of a backend, as they stand on the wire.
+// Replies of a backend on the wire.
 const (
 	replyOK             = "+OK\r\n"
 	replyRejected       = "-BUSY\r\n"
@@ -11,13 +11,13 @@
 	nullBulkString      = "$-1\r\n"
 )
 
-// BulkString returns s as a bulk string of RESP.
+// BulkString encodes s as a RESP bulk string.
 func BulkString(s string) string {
 	return "$" + strconv.Itoa(len(s)) + "\r\n" + s + "\r\n"
 }
 
-// ServedReply returns a backend's reply to a request that was served: the value, no settled units, and the load report,
-// where that is not empty.
+// ServedReply encodes a backend's reply to a request that was served. It holds the value, null for the settled units, and
+// the load report, or null if that is empty.
 func ServedReply(value, loadReport string) string {
 	report := nullBulkString
 	if loadReport != "" {
--- a/internal/standin/reply_writer.go
+++ b/internal/standin/reply_writer.go
@@ -5,51 +5,52 @@
 	"sync/atomic"
 )
 
-// maxUnansweredCalls is the number of calls of one connection that may be without an answer. The connection is not read
-// further then.
+// maxUnansweredCalls is the maximum number of queued replies of one connection. Reading from the connection pauses while
+// that many are queued.
 const maxUnansweredCalls = 512
 
-// pendingReply is the place of one answer, in a channel that holds one. Where it is closed instead, its connection
-// ends.
+// pendingReply is a channel with capacity 1 that gets the reply to one call. If it is closed without a reply, the
+// connection is closed.
 type pendingReply chan []byte
 
-// completedReply returns the place of an answer that is already there.
+// completedReply returns a pending reply that already holds its text.
 func completedReply(text string) pendingReply {
-	r := make(pendingReply, 1)
-	r <- []byte(text)
-	return r
+	reply := make(pendingReply, 1)
+	reply <- []byte(text)
+	return reply
 }
 
-// replyWriter writes the answers of one connection in the order of its calls, whatever the order in which they become
-// ready.
+// replyWriter writes the replies of one connection in the order of its calls, regardless of the order in which they
+// become ready.
 type replyWriter struct {
-	conn       net.Conn
-	queue      chan pendingReply
-	unanswered atomic.Int32    // calls without an answer
-	silenced   <-chan struct{} // closed: nothing is written any more; nil: never
-	stopping   chan struct{}   // closed: nobody waits for answers
-	stopped    chan struct{}   // closed: no answer will be written
-	onWrite    func(bytes int)
+	conn            net.Conn
+	queue           chan pendingReply
+	unansweredCalls atomic.Int32    // calls without a written reply
+	silenced        <-chan struct{} // closed when no further reply may be written; nil means never
+	stopRequested   chan struct{}   // closed to make the goroutine return
+	stopped         chan struct{}   // closed when the goroutine returns and no further reply is written
+	onWrite         func(bytes int) // called by the goroutine after each write
 }
 
-// newReplyWriter starts a writer. Its goroutine ends with silenced, with a write that fails or with stop, which waits
-// for it.
+// newReplyWriter starts a writer. Its goroutine returns when silenced is closed, after a failed write, at a pending reply
+// that is nil or closed, or on stop, which waits for it.
 func newReplyWriter(conn net.Conn, silenced <-chan struct{}, onWrite func(int)) *replyWriter {
 	w := &replyWriter{
-		conn:     conn,
-		queue:    make(chan pendingReply, maxUnansweredCalls),
-		silenced: silenced,
-		stopping: make(chan struct{}),
-		stopped:  make(chan struct{}),
-		onWrite:  onWrite,
+		conn:          conn,
+		queue:         make(chan pendingReply, maxUnansweredCalls),
+		silenced:      silenced,
+		stopRequested: make(chan struct{}),
+		stopped:       make(chan struct{}),
+		onWrite:       onWrite,
 	}
 	go w.run()
 	return w
 }
 
-// enqueue gives a call its place behind the ones before it; nil ends the answers there.
+// enqueue adds a pending reply after those of earlier calls. A nil reply ends the writing. enqueue blocks while the queue
+// is full.
 func (w *replyWriter) enqueue(reply pendingReply) {
-	w.unanswered.Add(1)
+	w.unansweredCalls.Add(1)
 	select {
 	case w.queue <- reply:
 	case <-w.silenced:
@@ -57,9 +58,9 @@
 	}
 }
 
-// stop closes the connection, ends the writing and waits for its end.
+// stop closes the connection and waits for the goroutine to return.
 func (w *replyWriter) stop() {
-	close(w.stopping)
+	close(w.stopRequested)
 	w.conn.Close()
 	<-w.stopped
 }
@@ -81,7 +82,7 @@
 			return
 		}
 		n, err := w.conn.Write(text)
-		w.unanswered.Add(-1)
+		w.unansweredCalls.Add(-1)
 		w.onWrite(n)
 		if err != nil {
 			w.conn.Close()
@@ -90,14 +91,14 @@
 	}
 }
 
-// nextAnswer waits for the answer of the oldest call; ok is false where none will be written any more.
+// nextAnswer waits for the reply to the oldest call. ok is false if no further reply may be written.
 func (w *replyWriter) nextAnswer() (text []byte, ok bool) {
 	var reply pendingReply
 	select {
 	case reply = <-w.queue:
 	case <-w.silenced:
 		return nil, false
-	case <-w.stopping:
+	case <-w.stopRequested:
 		return nil, false
 	}
 	if reply == nil {
@@ -111,7 +112,7 @@
 		return text, ok
 	case <-w.silenced:
 		return nil, false
-	case <-w.stopping:
+	case <-w.stopRequested:
 		return nil, false
 	}
 }
--- a/internal/standin/service_queue.go
+++ b/internal/standin/service_queue.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// serviceQueue is a service of fixed capacity: it serves one call after another, in the order they came. Its timers end
-// by themselves once the queue is empty.
+// serviceQueue simulates a service of fixed capacity that serves calls one by one in order of arrival. It sets no timer
+// while it is idle, so that it needs no stopping.
 type serviceQueue struct {
-	serviceTime time.Duration // what one call takes; 0: all are served as they come
-	maxWaiting  int           // calls that may wait; 0: any number
+	serviceTime time.Duration // time per call; zero means that calls are served at once
+	maxWaiting  int           // maximum number of waiting calls; zero means no limit
 
-	mu      sync.Mutex // guards what follows
-	waiting []*queuedCall
-	serving *queuedCall // nil while busy: the call was dropped
-	busy    bool
-	freeAt  time.Time // end of the service of the current call; kept so that late timers cost no capacity
-	stats   queueStats
+	mu           sync.Mutex // guards the fields below
+	waitingCalls []*queuedCall
+	currentCall  *queuedCall // call in service; nil while busy means that the call was discarded
+	busy         bool
+	busyUntil    time.Time // end of the current service; the next one starts then, so that late timers cost no capacity
+	stats        queueStats
 }
 
-// queueStats is what a serviceQueue has seen so far.
+// queueStats holds the statistics of a serviceQueue since its start.
 type queueStats struct {
-	maxWaiting int           // calls that waited at one moment
-	maxWait    time.Duration // from a call's arrival to the end of its service
+	maxWaiting int           // maximum number of calls that waited at the same time
+	maxWait    time.Duration // maximum time from the arrival of a call to the end of its service
 }
 
-// queuedCall is one call's place in a serviceQueue.
+// queuedCall is one call in a serviceQueue.
 type queuedCall struct {
-	serve     func() // called at the end of its service, under the queue's lock: it has to be short
+	onServed  func() // called at the end of the service with the queue's lock held; must not block
 	arrivedAt time.Time
 }
 
-// newServiceQueue returns a queue that serves callsPerSecond (0: any number) while maxWaiting calls wait at most (0: any
-// number).
+// newServiceQueue returns a queue that serves callsPerSecond and holds at most maxWaiting waiting calls. Zero means no
+// limit for either.
 func newServiceQueue(callsPerSecond float64, maxWaiting int) *serviceQueue {
 	q := &serviceQueue{maxWaiting: maxWaiting}
 	if callsPerSecond > 0 {
@@ -42,78 +42,78 @@
 	return q
 }
 
-// enqueue puts a call at the end of the queue; it returns false where too many wait.
+// enqueue adds a call at the end of the queue. It returns false if the queue is full.
 func (q *serviceQueue) enqueue(call *queuedCall) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	call.arrivedAt = time.Now()
 	if q.serviceTime == 0 {
-		call.serve()
+		call.onServed()
 		return true
 	}
 	if !q.busy {
 		q.startService(call, call.arrivedAt)
 		return true
 	}
-	if q.maxWaiting > 0 && len(q.waiting) >= q.maxWaiting {
+	if q.maxWaiting > 0 && len(q.waitingCalls) >= q.maxWaiting {
 		return false
 	}
-	q.waiting = append(q.waiting, call)
-	q.stats.maxWaiting = max(q.stats.maxWaiting, len(q.waiting))
+	q.waitingCalls = append(q.waitingCalls, call)
+	q.stats.maxWaiting = max(q.stats.maxWaiting, len(q.waitingCalls))
 	return true
 }
 
-// startService begins with a call that found the service idle. The lock is held.
+// startService starts to serve a call that found the service idle. The caller holds the lock.
 func (q *serviceQueue) startService(call *queuedCall, now time.Time) {
-	if q.freeAt.Before(now) {
-		q.freeAt = now
+	if q.busyUntil.Before(now) {
+		q.busyUntil = now
 	}
-	q.freeAt = q.freeAt.Add(q.serviceTime)
-	q.serving, q.busy = call, true
-	time.AfterFunc(q.freeAt.Sub(now), q.finishService)
+	q.busyUntil = q.busyUntil.Add(q.serviceTime)
+	q.currentCall, q.busy = call, true
+	time.AfterFunc(q.busyUntil.Sub(now), q.finishService)
 }
 
-// finishService ends the service of the current call, and of all that should have ended by now.
+// finishService completes the current call and any further calls whose service should be over by now.
 func (q *serviceQueue) finishService() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	for !q.freeAt.After(now) {
-		if call := q.serving; call != nil {
+	for !q.busyUntil.After(now) {
+		if call := q.currentCall; call != nil {
 			q.stats.maxWait = max(q.stats.maxWait, now.Sub(call.arrivedAt))
-			call.serve()
+			call.onServed()
 		}
-		q.serving, q.busy = nil, len(q.waiting) > 0
+		q.currentCall, q.busy = nil, len(q.waitingCalls) > 0
 		if !q.busy {
 			return
 		}
-		q.serving = q.waiting[0]
-		q.waiting = q.waiting[1:]
-		q.freeAt = q.freeAt.Add(q.serviceTime)
+		q.currentCall = q.waitingCalls[0]
+		q.waitingCalls = q.waitingCalls[1:]
+		q.busyUntil = q.busyUntil.Add(q.serviceTime)
 	}
-	time.AfterFunc(q.freeAt.Sub(now), q.finishService)
+	time.AfterFunc(q.busyUntil.Sub(now), q.finishService)
 }
 
-// remove takes back a call whose service has not begun; it returns false where it has, or the call is unknown.
+// remove removes a waiting call. It returns false if the call is not waiting, for example because its service has started.
 func (q *serviceQueue) remove(call *queuedCall) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	i := slices.Index(q.waiting, call)
+	i := slices.Index(q.waitingCalls, call)
 	if i < 0 {
 		return false
 	}
-	q.waiting = slices.Delete(q.waiting, i, i+1)
+	q.waitingCalls = slices.Delete(q.waitingCalls, i, i+1)
 	return true
 }
 
-// clear drops all calls unserved. The one in service still takes its time.
+// clear discards all calls without serving them. The current call still uses its service time.
 func (q *serviceQueue) clear() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiting, q.serving = nil, nil
+	q.waitingCalls, q.currentCall = nil, nil
 }
 
-// snapshotStats returns the figures so far.
+// snapshotStats returns the statistics since the start.
 func (q *serviceQueue) snapshotStats() queueStats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
