--- a/internal/standin/backend_service.go
+++ b/internal/standin/backend_service.go
@@ -23,7 +23,9 @@
 	replyWriter       *replyWriter // writer of the connection that the attempt arrived on
 }
 
-func finishesBefore(a, b *backendAttempt) bool { return a.finishVirtualTime < b.finishVirtualTime }
+func finishesBefore(attempt, other *backendAttempt) bool {
+	return attempt.finishVirtualTime < other.finishVirtualTime
+}
 
 // admit starts, queues or rejects an attempt and returns its pending reply. The result is nil if the backend has stopped
 // or crashes because of this attempt.
@@ -36,8 +38,8 @@
 		return nil
 	}
 	b.stats.Attempts++
-	arrivesAfterDrain := !b.drainedAt.IsZero() && arrivedAt.After(b.drainedAt)
-	if arrivesAfterDrain {
+	arrivedAfterDrain := !b.drainedAt.IsZero() && arrivedAt.After(b.drainedAt)
+	if arrivedAfterDrain {
 		b.stats.ArrivedAfterDrain++
 	}
 	if b.arrivalExceedsLimit(now) {
@@ -47,7 +49,7 @@
 	attempt := b.newAttempt(command, replies)
 	slotsFull := b.config.Slots > 0 && b.inService.Len() >= b.config.Slots
 	switch {
-	case arrivesAfterDrain, slotsFull && len(b.queued) >= b.config.MaxQueued:
+	case arrivedAfterDrain, slotsFull && len(b.queued) >= b.config.MaxQueued:
 		b.stats.Rejected++
 		attempt.reply <- []byte(replyRejected)
 	case slotsFull:
@@ -93,7 +95,7 @@
 		}
 		if workLeft > workEpsilonSeconds {
 			b.virtualTime = b.inService.Min().finishVirtualTime
-			b.updatedAt = b.updatedAt.Add(min(now.Sub(b.updatedAt), seconds(workLeft/b.speed)))
+			b.updatedAt = b.updatedAt.Add(min(now.Sub(b.updatedAt), secondsToDuration(workLeft/b.speed)))
 		}
 		b.completeAttempt(b.inService.Pop())
 		if len(b.queued) > 0 {
@@ -119,7 +121,7 @@
 	wait := warmUpUpdateInterval
 	secondsLeft := (b.inService.Min().finishVirtualTime - b.virtualTime) / b.speed
 	if b.warmUpSpeed(now) >= 1 || secondsLeft < warmUpUpdateInterval.Seconds() {
-		wait = seconds(secondsLeft) + 1
+		wait = secondsToDuration(secondsLeft) + 1
 	}
 	b.timer = time.AfterFunc(wait, func() {
 		b.mu.Lock()
@@ -183,7 +185,7 @@
 func (b *Backend) cancelQueued(replies *replyWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.queued = slices.DeleteFunc(b.queued, func(a *backendAttempt) bool { return a.replyWriter == replies })
+	b.queued = slices.DeleteFunc(b.queued, func(attempt *backendAttempt) bool { return attempt.replyWriter == replies })
 }
 
 // crash stops the backend because of overload. The caller holds the lock.
@@ -205,4 +207,6 @@
 	}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -13,11 +13,11 @@
 	maxHeaderLineBytes = 64       // maximum length of the first line of an array or a bulk string
 	maxBulkBytes       = 64 << 10 // maximum length of a bulk string, as the protocol defines it
 	maxCommandElements = 8        // maximum number of array elements in a command that a client sends
-	customerIDLimit    = 1 << 33  // customer IDs are lower
+	customerIDLimit    = 1 << 33  // customer IDs are less than this
 	hexIDDigits        = 16       // number of digits in a customer ID and in a request ID
 )
 
-// errMalformedCommand reports a command that no client sends.
+// errMalformedCommand reports a command that violates the syntax of the protocol.
 var errMalformedCommand = errors.New("malformed command")
 
 // readCommand reads an array of bulk strings. Its error wraps errMalformedCommand if the syntax is wrong, and otherwise
@@ -59,12 +59,12 @@
 func readLengthHeader(reader *bufio.Reader, typeByte byte, maxLength int) (int, error) {
 	var header []byte
 	for len(header) < maxHeaderLineBytes {
-		b, err := reader.ReadByte()
+		char, err := reader.ReadByte()
 		if err != nil {
 			return 0, fmt.Errorf("read length header: %w", err)
 		}
-		header = append(header, b)
-		if b == '\n' {
+		header = append(header, char)
+		if char == '\n' {
 			break
 		}
 	}
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -79,8 +79,9 @@
 	c.connections.handlers.Wait()
 }
 
-// SetState sets the state. Connections that were open or opened while the state was Silent never get another answer.
-// Calls that are queued when the state changes to Silent or Down add nothing.
+// SetState sets the state. Connections that were open or opened while the state was Silent never get another answer. In
+// state Down the open connections are reset, and so are new ones. Calls that are queued when the state changes to Silent
+// or Down add nothing.
 func (c *Counter) SetState(state ServiceState) {
 	c.changeState(state)
 	if state == Up {
@@ -140,7 +141,7 @@
 		return
 	}
 	replies := newReplyWriter(conn, silenced, func(n int) {
-		c.updateStats(func(s *CounterStats) { s.BytesOut += int64(n) })
+		c.updateStats(func(stats *CounterStats) { stats.BytesOut += int64(n) })
 	})
 	defer replies.stop()
 	reader := bufio.NewReaderSize(conn, maxLineBytes)
@@ -204,7 +205,7 @@
 
 // handleLine handles a line and returns its pending reply.
 func (c *Counter) handleLine(line string) pendingReply {
-	c.updateStats(func(s *CounterStats) { s.BytesIn += int64(len(line)) })
+	c.updateStats(func(stats *CounterStats) { stats.BytesIn += int64(len(line)) })
 	text, complete := strings.CutSuffix(line, "\r\n")
 	if complete && text == "ping" {
 		return completedReply(counterReplyPong)
@@ -215,9 +216,9 @@
 	}
 	reply := make(pendingReply, 1)
 	queued := &queuedCall{onServed: func() { reply <- []byte("ok " + formatTotal(c.add(call)) + "\r\n") }}
-	c.updateStats(func(s *CounterStats) { s.Calls++ })
+	c.updateStats(func(stats *CounterStats) { stats.Calls++ })
 	if !c.shardOf(call.name).enqueue(queued) {
-		c.updateStats(func(s *CounterStats) { s.Rejected++ })
+		c.updateStats(func(stats *CounterStats) { stats.Rejected++ })
 		return completedReply(counterReplyBusy)
 	}
 	return reply
--- a/internal/standin/counter_table.go
+++ b/internal/standin/counter_table.go
@@ -24,22 +24,22 @@
 
 // Add adds an increment to a name and returns the new total. A name that is new or has expired starts from 0 and expires
 // after lifetime. The lifetimes of later calls are ignored until then.
-func (t *CounterTable) Add(now time.Time, name string, increment float64, lifetime time.Duration) float64 {
-	entry := t.entries[name]
+func (table *CounterTable) Add(now time.Time, name string, increment float64, lifetime time.Duration) float64 {
+	entry := table.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
-		if len(t.entries) >= t.sweepThreshold {
-			t.removeExpired(now)
+		if len(table.entries) >= table.sweepThreshold {
+			table.removeExpired(now)
 		}
 		entry = &counterEntry{expiresAt: now.Add(lifetime)}
-		t.entries[name] = entry
+		table.entries[name] = entry
 	}
 	entry.total += increment
 	return entry.total
 }
 
 // Total returns the total of a name, or 0 if the name does not exist.
-func (t *CounterTable) Total(now time.Time, name string) float64 {
-	entry := t.entries[name]
+func (table *CounterTable) Total(now time.Time, name string) float64 {
+	entry := table.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
 		return 0
 	}
@@ -47,16 +47,16 @@
 }
 
 // Len removes the expired names and returns the number of names left.
-func (t *CounterTable) Len(now time.Time) int {
-	t.removeExpired(now)
-	return len(t.entries)
+func (table *CounterTable) Len(now time.Time) int {
+	table.removeExpired(now)
+	return len(table.entries)
 }
 
-func (t *CounterTable) removeExpired(now time.Time) {
-	for name, entry := range t.entries {
+func (table *CounterTable) removeExpired(now time.Time) {
+	for name, entry := range table.entries {
 		if !now.Before(entry.expiresAt) {
-			delete(t.entries, name)
+			delete(table.entries, name)
 		}
 	}
-	t.sweepThreshold = max(minSweepSize, 2*len(t.entries))
+	table.sweepThreshold = max(minSweepSize, 2*len(table.entries))
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -15,14 +15,14 @@
 	"lemontack/internal/nettest"
 )
 
-func TestCounterAnswersCallsByTheirForm(t *testing.T) {
+func TestCounterRepliesToValidAndMalformedCalls(t *testing.T) {
 	longestName := strings.Repeat("n", 64)
 	for _, c := range []struct{ call, want string }{
 		{"tally a 2.5 1000", "ok 2.5"},
 		{"tally a -4 1000", "ok -4"},
 		{"tally a 0 1000", "ok 0"},
 		{"tally a 1000000000 1000", "ok 1000000000"},
-		{"tally a 12345678.9 1000", "ok 12345680"}, // seven significant digits
+		{"tally a 12345678.9 1000", "ok 12345680"}, // totals have seven significant digits
 		{"tally a 0.000012345678 1000", "ok 0.00001234568"},
 		{"tally " + longestName + " 1 60001", "ok 1"},
 		{"ping", "pong"},
@@ -46,7 +46,7 @@
 				client := dialClient(t, ln)
 				client.sendLines(t, c.call)
 				if got := <-client.lines; got != c.want {
-					t.Errorf("%q: %q, want %q", c.call, got, c.want)
+					t.Errorf("%q: got %q, want %q", c.call, got, c.want)
 				}
 				synctest.Wait()
 				want := CounterStats{Connections: 1, BytesIn: int64(len(c.call) + 2), BytesOut: int64(len(c.want) + 2)}
@@ -54,14 +54,14 @@
 					want.Names, want.Calls = 1, 1
 				}
 				if stats := counter.Stats(); stats != want {
-					t.Errorf("%q: %+v, want %+v", c.call, stats, want)
+					t.Errorf("%q: got stats %+v, want %+v", c.call, stats, want)
 				}
 			})
 		})
 	}
 }
 
-func TestNameExpiresAfterTheLifetimeOfItsFirstCall(t *testing.T) {
+func TestNameExpiresAfterLifetimeOfFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{})
 		client := dialClient(t, ln)
@@ -78,24 +78,24 @@
 			time.Sleep(c.wait)
 			client.sendLines(t, c.call)
 			if got := <-client.lines; got != c.want {
-				t.Fatalf("%s: %q, want %q", c.call, got, c.want)
+				t.Fatalf("%s: got %q, want %q", c.call, got, c.want)
 			}
 		}
 		if got := counter.Total("a"); got != 2 {
-			t.Fatalf("total %v", got)
+			t.Fatalf("got total %v, want 2", got)
 		}
 		time.Sleep(55*time.Second - time.Millisecond)
 		if got := counter.Stats().Names; got != 1 {
-			t.Fatalf("%d names before 60 s", got)
+			t.Fatalf("before 60 s: got %d names, want 1", got)
 		}
 		time.Sleep(time.Millisecond)
 		if got := counter.Stats().Names; got != 0 || counter.Total("a") != 0 {
-			t.Fatalf("%d names after 60 s, total %v", got, counter.Total("a"))
+			t.Fatalf("after 60 s: got %d names, total %v, want 0, 0", got, counter.Total("a"))
 		}
 	})
 }
 
-// Names that are not called any more take no memory for good.
+// Guards against a memory leak through names that are no longer used.
 func TestExpiredNamesAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(CounterConfig{})
@@ -104,12 +104,12 @@
 			time.Sleep(time.Millisecond)
 		}
 		if n := len(counter.table.entries); n > minSweepSize {
-			t.Fatalf("%d names held", n)
+			t.Fatalf("got %d names in the table, want at most minSweepSize", n)
 		}
 	})
 }
 
-// That holds also where the shard of a later call is free, and for lines that are no calls.
+// The order holds even if the shard of a later call is idle, and for malformed lines.
 func TestCounterAnswersInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ln := startCounter(t, CounterConfig{CallsPerSecond: 2, Shards: 2})
@@ -144,8 +144,8 @@
 	return first, second
 }
 
-// Where all calls are for one name, that share is all there is.
-func TestEachShardServesItsShareOfTheRate(t *testing.T) {
+// Calls for a single name cannot use the capacity of the other shards.
+func TestEachShardServesEqualShareOfCapacity(t *testing.T) {
 	first, second := namesInTwoShards()
 	for _, c := range []struct {
 		names []string
@@ -164,18 +164,18 @@
 					<-client.lines
 				}
 				if elapsed := time.Since(start); elapsed != c.want {
-					t.Errorf("%v: %v, want %v", c.names, elapsed, c.want)
+					t.Errorf("%v: got replies after %v, want %v", c.names, elapsed, c.want)
 				}
 				wantNames := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
 				if stats := counter.Stats(); stats.MaxWait != c.want || stats.Calls != 4 || stats.Names != wantNames {
-					t.Errorf("%v: %+v", c.names, stats)
+					t.Errorf("%v: got stats %+v, want 4 calls, the maximum wait and the number of names of the case", c.names, stats)
 				}
 			})
 		})
 	}
 }
 
-func TestCallsBeyondTheQueueAreRejected(t *testing.T) {
+func TestCallsAreRejectedWhenQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1, MaxQueued: 2})
 		client := dialClient(t, ln)
@@ -187,19 +187,19 @@
 			}
 		}
 		if stats := counter.Stats(); stats.Calls != 5 || stats.Rejected != 2 || stats.MaxQueued != 2 || counter.Total("a") != 3 {
-			t.Fatalf("%+v, total %v", stats, counter.Total("a"))
+			t.Fatalf("got stats %+v, total %v, want 5 calls, 2 rejected, 2 queued, total 3", stats, counter.Total("a"))
 		}
 	})
 }
 
-// Connections that come after the silence work.
-func TestSilentCounterAddsNothingAndStaysSilentOnItsConnections(t *testing.T) {
+// Connections that open after the Silent state get answers.
+func TestSilentCounterAddsNothingAndNeverAnswersItsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{CallsPerSecond: 1})
 		before := dialClient(t, ln)
 		before.sendLines(t, "tally a 1 60000", "tally a 1 60000", "tally a 1 60000")
 		if got := <-before.lines; got != "ok 1" {
-			t.Fatalf("%q", got)
+			t.Fatalf("before state Silent: got %q, want \"ok 1\"", got)
 		}
 		counter.SetState(Silent)
 		during := dialClient(t, ln)
@@ -209,59 +209,59 @@
 		after := dialClient(t, ln)
 		after.sendLines(t, "tally a 1 60000")
 		if got := <-after.lines; got != "ok 2" {
-			t.Fatalf("after the return: %q", got)
+			t.Fatalf("after state Silent: got %q, want \"ok 2\"", got)
 		}
 		before.sendLines(t, "tally a 1 60000")
 		time.Sleep(30 * time.Second)
 		if len(before.lines) > 0 || len(during.lines) > 0 || counter.Total("a") != 2 {
-			t.Fatalf("%d, %d answers of the silence; total %v", len(before.lines), len(during.lines), counter.Total("a"))
+			t.Fatalf("got %d and %d answers on silenced connections, total %v, want 0, 0 and 2", len(before.lines), len(during.lines), counter.Total("a"))
 		}
 		counter.SetState(Down)
 		for _, client := range []*testClient{before, during, after, dialClient(t, ln)} {
 			if got, open := <-client.lines; open {
-				t.Fatalf("while down: %q", got)
+				t.Fatalf("in state Down: got answer %q, want a closed connection", got)
 			}
 		}
 		counter.SetState(Up)
 		after = dialClient(t, ln)
 		after.sendLines(t, "tally a 1 60000")
 		if got := <-after.lines; got != "ok 3" {
-			t.Fatalf("up again: %q", got)
+			t.Fatalf("after state Down: got %q, want \"ok 3\"", got)
 		}
 	})
 }
 
-func TestConnectionsBeyondTheLimitAndIdleOnesAreClosed(t *testing.T) {
+func TestExcessAndIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter, ln := startCounter(t, CounterConfig{MaxConnectionsPerClient: 2, CallsPerSecond: 0.05})
 		first, second := dialClient(t, ln), dialClient(t, ln)
 		synctest.Wait()
 		third := dialClient(t, ln)
 		if got, open := <-third.lines; open {
-			t.Fatalf("the third says %q", got)
+			t.Fatalf("third connection: got %q, want it closed", got)
 		}
 		first.Close()
 		synctest.Wait()
 		fourth := dialClient(t, ln)
 		fourth.sendLines(t, "ping")
 		if got := <-fourth.lines; got != "pong" {
-			t.Fatalf("in place of one that has gone: %q", got)
+			t.Fatalf("connection after one has closed: got %q, want \"pong\"", got)
 		}
 		start := time.Now()
 		second.sendLines(t, "tally a 1 60000") // queued for longer than the idle timeout
 		if _, open := <-fourth.lines; open || time.Since(start) != 10*time.Second {
-			t.Fatalf("the idle one: open %v after %v", open, time.Since(start))
+			t.Fatalf("idle connection: got open %v after %v, want it closed after 10s", open, time.Since(start))
 		}
 		if got := <-second.lines; got != "ok 1" {
-			t.Fatalf("the one that waits: %q", got)
+			t.Fatalf("connection with a queued call: got %q, want \"ok 1\"", got)
 		}
 		if got := counter.Stats().Connections; got != 4 {
-			t.Fatalf("%d connections", got)
+			t.Fatalf("got %d connections, want 4", got)
 		}
 	})
 }
 
-func TestCounterOnLoopback(t *testing.T) {
+func TestCounterServesOverLoopback(t *testing.T) {
 	counter, ln := NewCounter(CounterConfig{CallsPerSecond: 1e5, Shards: 4}), nettest.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- counter.Serve(ln) }()
@@ -276,7 +276,7 @@
 		}
 	}
 	if got := counter.Total("a"); got != clientCount*callsPerClient {
-		t.Errorf("total %v, want %d", got, clientCount*callsPerClient)
+		t.Errorf("got total %v, want %d", got, clientCount*callsPerClient)
 	}
 	counter.Close()
 	if err := <-served; err != nil {
@@ -284,11 +284,11 @@
 	}
 	if conn, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("connected after the end")
+		t.Error("dial after Close: got no error, want an error")
 	}
 }
 
-// sendCalls pipelines calls that add one each, and returns an error unless the totals rise.
+// sendCalls pipelines calls that add one each. It returns an error if a total is not greater than the one before.
 func sendCalls(address string, count int) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -306,7 +306,7 @@
 		}
 		var total float64
 		if _, err := fmt.Sscanf(line, "ok %g\r\n", &total); err != nil || total <= lastTotal {
-			return fmt.Errorf("%q after %v: %v", line, lastTotal, err)
+			return fmt.Errorf("got reply %q after total %v, want a greater total; parse error %v", line, lastTotal, err)
 		}
 		lastTotal = total
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -120,8 +120,9 @@
 }
 
 // SetState sets the state. Calls and watches that were open or arrived while the state was Silent get no output
-// afterwards either; they end when the client disconnects or the state changes to Down. Calls that are queued when the
-// state changes to Silent or Down are not served.
+// afterwards either; they end when the client disconnects or the state changes to Down. In state Down the connections of
+// open calls and watches are closed, and so is the connection of each new call. Calls that are queued when the state
+// changes to Silent or Down are not served.
 func (d *Discovery) SetState(state ServiceState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,11 +174,11 @@
 
 // Stats returns the statistics since the start.
 func (d *Discovery) Stats() DiscoveryStats {
-	queueFigures := d.queue.snapshotStats()
+	callQueueStats := d.queue.snapshotStats()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stats := d.stats
-	stats.MaxWait, stats.MaxQueued = queueFigures.maxWait, queueFigures.maxWaiting
+	stats.MaxWait, stats.MaxQueued = callQueueStats.maxWait, callQueueStats.maxWaiting
 	return stats
 }
 
@@ -238,7 +239,7 @@
 	} else {
 		body, err = json.Marshal(update)
 	}
-	if err != nil { // a NaN or infinite capacity is a programming error of the caller
+	if err != nil { // only if a capacity is NaN or infinite, which is an error of the caller
 		panic(err)
 	}
 	return append(body, '\n')
--- a/internal/standin/discovery_http.go
+++ b/internal/standin/discovery_http.go
@@ -52,7 +52,8 @@
 	return d.callStopSignals
 }
 
-// waitForService queues a call and waits until it has been served. It returns false if the call has ended instead.
+// waitForService queues a call and waits until it has been served. It returns false if the call has ended instead: it was
+// silenced, cancelled, or answered 503 after QueueTimeout. It does not return if the call has to be disconnected.
 func (d *Discovery) waitForService(ctx context.Context, w http.ResponseWriter) bool {
 	served := make(chan struct{})
 	call := &queuedCall{onServed: func() { close(served) }}
@@ -85,21 +86,21 @@
 			if !d.queue.remove(call) { // its service has started, or the queue was cleared
 				continue
 			}
-			d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
+			d.updateStats(func(stats *DiscoveryStats) { stats.Failed++ })
 			http.Error(w, "too many calls", http.StatusServiceUnavailable)
 			return false
 		}
 	}
 }
 
-// abortConnection closes the connection of a call. It does not return.
+// abortConnection counts a failed call or watch and closes its connection. It does not return.
 func (d *Discovery) abortConnection() {
-	d.updateStats(func(s *DiscoveryStats) { s.Failed++ })
+	d.updateStats(func(stats *DiscoveryStats) { stats.Failed++ })
 	panic(http.ErrAbortHandler) // makes net/http close the connection without logging the panic
 }
 
-// handleStopSignals reports whether a call was silenced, in which case it waits until the client has disconnected. It
-// does not return if the call has to be disconnected.
+// handleStopSignals reports whether a call or watch was silenced, in which case it waits until the client has
+// disconnected. It does not return if the call or watch has to be disconnected.
 func (d *Discovery) handleStopSignals(ctx context.Context, signals stopSignals) bool {
 	select {
 	case <-signals.disconnect:
@@ -112,7 +113,8 @@
 	return false
 }
 
-// holdOpen keeps a call open without output until the client disconnects or disconnect is closed.
+// holdOpen keeps a call or watch open without output until the client disconnects. It does not return if disconnect is
+// closed first.
 func (d *Discovery) holdOpen(ctx context.Context, disconnect <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -133,7 +135,7 @@
 // watch writes the changes after a revision until the client disconnects or a signal stops the watch.
 func (d *Discovery) watch(ctx context.Context, w http.ResponseWriter, revision int64) {
 	signals := d.openWatch()
-	defer d.updateStats(func(s *DiscoveryStats) { s.OpenWatches-- })
+	defer d.updateStats(func(stats *DiscoveryStats) { stats.OpenWatches-- })
 
 	heartbeat := time.NewTimer(d.config.HeartbeatInterval)
 	defer heartbeat.Stop()
@@ -158,16 +160,16 @@
 	}
 }
 
-// write writes and flushes a JSON object or a heartbeat. It reports whether the client is still connected.
+// write writes and flushes a JSON object or a heartbeat. It returns false if that failed, since the client has disconnected.
 func (d *Discovery) write(w http.ResponseWriter, body []byte, isObject bool) bool {
 	n, err := w.Write(body)
 	if err == nil {
 		err = http.NewResponseController(w).Flush()
 	}
-	d.updateStats(func(s *DiscoveryStats) {
-		s.Bytes += int64(n)
+	d.updateStats(func(stats *DiscoveryStats) {
+		stats.Bytes += int64(n)
 		if isObject && err == nil {
-			s.Objects++
+			stats.Objects++
 		}
 	})
 	return err == nil
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -17,13 +17,13 @@
 	"lemontack/internal/nettest"
 )
 
-// testDiscovery is a Discovery on pipes, with a client of its own.
+// testDiscovery is a Discovery on a PipeListener together with an HTTP client that connects to it.
 type testDiscovery struct {
 	*Discovery
 	client *http.Client
 }
 
-// startDiscovery serves a list of the backends a and b, as revision 1.
+// startDiscovery serves a list of the backends a and b as the next revision after the initial one.
 func startDiscovery(t *testing.T, config DiscoveryConfig) *testDiscovery {
 	t.Helper()
 	service := NewDiscovery(config)
@@ -34,7 +34,7 @@
 	return &testDiscovery{service, &http.Client{Transport: transport}}
 }
 
-// get sends a call; query is empty for a plain one.
+// get sends a call. An empty query requests the list.
 func (d *testDiscovery) get(ctx context.Context, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://discovery"+registryPath+query, nil)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return d.client.Do(req)
 }
 
-// watch opens a watch and returns its lines; the channel is closed with the watch.
+// watch opens a watch and returns a channel of its lines, which is closed when the watch ends.
 func (d *testDiscovery) watch(t *testing.T, since int64) <-chan string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -63,12 +63,12 @@
 	return lines
 }
 
-// describeObject returns an object's revision, whether it is a snapshot, and its entries.
+// describeObject formats the revision of a JSON object, whether it is a snapshot, and its entries.
 func describeObject(t *testing.T, object string) string {
 	t.Helper()
 	var update endpointUpdate
 	if err := json.Unmarshal([]byte(object), &update); err != nil {
-		t.Fatalf("%q: %v", object, err)
+		t.Fatalf("decode %q: %v", object, err)
 	}
 	description := fmt.Sprint(update.Revision, update.Snapshot)
 	for _, entry := range update.Targets {
@@ -86,9 +86,9 @@
 		{0, 4, "4 false"},
 		{0, 3, "4 false c:SERVING"},
 		{0, 2, "4 false a:DELETED c:SERVING"},
-		{0, 1, "4 false a:DELETED c:SERVING"}, // it was draining before: one entry each, the latest
+		{0, 1, "4 false a:DELETED c:SERVING"}, // only the latest entry of a
 		{0, 0, "4 true b:SERVING c:SERVING"},
-		{0, 5, "4 true b:SERVING c:SERVING"}, // of another incarnation
+		{0, 5, "4 true b:SERVING c:SERVING"}, // a revision of an earlier discovery process
 		{1, 4, "4 false"},
 		{1, 3, "4 false c:SERVING"},
 		{1, 2, "4 true b:SERVING c:SERVING"},
@@ -100,57 +100,57 @@
 				service.ApplyChange(Target{UID: "a", State: "DRAINING"})
 				service.ApplyChange(Target{UID: "a", State: "DELETED"})
 				if revision := service.ApplyChange(Target{UID: "c", State: "SERVING"}); revision != 4 {
-					t.Fatalf("revision %d", revision)
+					t.Fatalf("got revision %d, want 4", revision)
 				}
 				if got := describeObject(t, <-service.watch(t, c.since)); got != c.want {
-					t.Errorf("keep %d, since %d: %s, want %s", c.maxChanges, c.since, got, c.want)
+					t.Errorf("keep %d, since %d: got %s, want %s", c.maxChanges, c.since, got, c.want)
 				}
 			})
 		})
 	}
 }
 
-// A heartbeat is an empty line, every 2 s without a change.
+// A heartbeat is an empty line that is written after every 2 s without a change.
 func TestOpenWatchWritesChangesAndHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{})
 		lines := service.watch(t, 1)
 		if got := describeObject(t, <-lines); got != "1 false" {
-			t.Fatalf("first %s", got)
+			t.Fatalf("first object: got %s, want 1 false", got)
 		}
 		time.Sleep(7 * time.Second)
 		if got := receivedLines(lines); !slices.Equal(got, []string{"", "", ""}) {
-			t.Fatalf("in 7 s: %q", got)
+			t.Fatalf("in 7 s: got %q, want three heartbeats", got)
 		}
 		service.ApplyChange(Target{UID: "b", State: "DRAINING"}, Target{UID: "c", State: "SERVING"})
 		if got := describeObject(t, <-lines); got != "2 false b:DRAINING c:SERVING" {
-			t.Fatalf("change %s", got)
+			t.Fatalf("change: got %s, want 2 false b:DRAINING c:SERVING", got)
 		}
 		service.SetList([]Target{{UID: "d", State: "SERVING"}})
 		if got := describeObject(t, <-lines); got != "3 true d:SERVING" {
-			t.Fatalf("list %s", got)
+			t.Fatalf("list: got %s, want 3 true d:SERVING", got)
 		}
 		synctest.Wait()
 		if stats := service.Stats(); stats.Objects != 3 || stats.Watches != 1 || stats.OpenWatches != 1 {
-			t.Fatalf("%+v", stats)
+			t.Fatalf("got stats %+v, want 3 objects, 1 watch, 1 open watch", stats)
 		}
 	})
 }
 
-func TestRevisionsContinueFromTheInitialOne(t *testing.T) {
+func TestRevisionsContinueFromInitialRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{InitialRevision: 40})
 		lines := service.watch(t, 40)
 		if got := describeObject(t, <-lines); got != "41 true a:SERVING b:SERVING" {
-			t.Fatalf("list %s", got)
+			t.Fatalf("list: got %s, want 41 true a:SERVING b:SERVING", got)
 		}
 		if revision := service.ApplyChange(Target{UID: "c"}); revision != 42 {
-			t.Fatalf("revision %d", revision)
+			t.Fatalf("got revision %d, want 42", revision)
 		}
 	})
 }
 
-func TestPlainCallReturnsASnapshot(t *testing.T) {
+func TestListCallReturnsSnapshot(t *testing.T) {
 	for _, c := range []struct {
 		indent    bool
 		wantLines int
@@ -168,21 +168,21 @@
 					t.Fatal(err)
 				}
 				if got := describeObject(t, string(body)); got != "1 true a:SERVING b:SERVING" {
-					t.Errorf("list %s", got)
+					t.Errorf("list: got %s, want 1 true a:SERVING b:SERVING", got)
 				}
 				if got := strings.Count(string(body), "\n"); got != c.wantLines {
-					t.Errorf("%d lines, want %d", got, c.wantLines)
+					t.Errorf("got %d lines, want %d", got, c.wantLines)
 				}
 				synctest.Wait()
 				if stats := service.Stats(); stats.Calls != 1 || stats.Lists != 1 || stats.Bytes != int64(len(body)) {
-					t.Errorf("%+v", stats)
+					t.Errorf("got stats %+v, want 1 call, 1 list and the bytes of the body", stats)
 				}
 			})
 		})
 	}
 }
 
-func TestMalformedCallsAreRefused(t *testing.T) {
+func TestMalformedCallsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{})
 		for query, want := range map[string]int{"/x": http.StatusNotFound, "?follow=1&since=x": http.StatusBadRequest} {
@@ -192,21 +192,21 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode != want {
-				t.Errorf("%s: %s", query, resp.Status)
+				t.Errorf("%s: got status %s, want 404 for the path and 400 for the revision", query, resp.Status)
 			}
 		}
 	})
 }
 
-// callResult is how and when a call of a test ended.
+// callResult is the result of a call for the list.
 type callResult struct {
-	index   int
-	status  string
-	elapsed time.Duration
+	index   int           // position of the call in the order of sending
+	status  string        // HTTP status, or "no answer" after an error
+	elapsed time.Duration // time since the first call was prepared, truncated to 0.1 s
 }
 
-// callAll sends calls a millisecond apart, each with a timeout of its own, and returns their results as they come.
-func (d *testDiscovery) callAll(t *testing.T, timeouts ...time.Duration) (results []callResult) {
+// sendListCalls sends one call per timeout, a millisecond apart, and returns their results in the order of completion.
+func (d *testDiscovery) sendListCalls(t *testing.T, timeouts ...time.Duration) (results []callResult) {
 	t.Helper()
 	start, finished := time.Now(), make(chan callResult)
 	for i, timeout := range timeouts {
@@ -229,7 +229,7 @@
 	return results
 }
 
-// They are, whatever their clients do meanwhile.
+// The order does not depend on whether clients cancel queued calls.
 func TestQueuedCallsAreServedInOrder(t *testing.T) {
 	const longTimeout, shortTimeout, second = time.Minute, 500 * time.Millisecond, time.Second
 	for name, c := range map[string]struct {
@@ -238,36 +238,38 @@
 		want          []callResult
 		wantMaxQueued int
 	}{
-		"no bound": {DiscoveryConfig{}, []time.Duration{longTimeout, longTimeout},
+		"no limits": {DiscoveryConfig{}, []time.Duration{longTimeout, longTimeout},
 			[]callResult{{0, "200 OK", 0}, {1, "200 OK", 0}}, 0},
 		"in order": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{longTimeout, longTimeout, longTimeout},
 			[]callResult{{0, "200 OK", second}, {1, "200 OK", 2 * second}, {2, "200 OK", 3 * second}}, 2},
-		"cancelled ones take their time": {DiscoveryConfig{CallsPerSecond: 1}, []time.Duration{longTimeout, shortTimeout, shortTimeout, longTimeout},
+		"cancelled calls use capacity": {DiscoveryConfig{CallsPerSecond: 1},
+			[]time.Duration{longTimeout, shortTimeout, shortTimeout, longTimeout},
 			[]callResult{{1, "no answer", shortTimeout}, {2, "no answer", shortTimeout}, {0, "200 OK", second}, {3, "200 OK", 4 * second}}, 3},
-		"cancelled ones leave": {DiscoveryConfig{CallsPerSecond: 1, DropCancelled: true},
+		"cancelled calls are removed": {DiscoveryConfig{CallsPerSecond: 1, DropCancelled: true},
 			[]time.Duration{longTimeout, shortTimeout, shortTimeout, longTimeout},
 			[]callResult{{1, "no answer", shortTimeout}, {2, "no answer", shortTimeout}, {0, "200 OK", second}, {3, "200 OK", 2 * second}}, 3},
 		"timeout": {DiscoveryConfig{CallsPerSecond: 1, QueueTimeout: 2500 * time.Millisecond},
-			[]time.Duration{longTimeout, longTimeout, longTimeout, longTimeout}, // the service of the third one has begun
-			[]callResult{{0, "200 OK", second}, {1, "200 OK", 2 * second}, {3, "503 Service Unavailable", 2500 * time.Millisecond},
+			[]time.Duration{longTimeout, longTimeout, longTimeout, longTimeout}, // the third call is in service at its timeout
+			[]callResult{{0, "200 OK", second}, {1, "200 OK", 2 * second},
+				{3, "503 Service Unavailable", 2500 * time.Millisecond},
 				{2, "200 OK", 3 * second}}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := startDiscovery(t, c.config)
-				if got := service.callAll(t, c.timeouts...); !slices.Equal(got, c.want) {
-					t.Errorf("%v, want %v", got, c.want)
+				if got := service.sendListCalls(t, c.timeouts...); !slices.Equal(got, c.want) {
+					t.Errorf("got results %v, want %v", got, c.want)
 				}
 				if stats := service.Stats(); stats.MaxQueued != c.wantMaxQueued || stats.Calls != len(c.timeouts) {
-					t.Errorf("%+v", stats)
+					t.Errorf("got stats %+v, want the calls and the maximum queue of the case", stats)
 				}
 			})
 		})
 	}
 }
 
-// New calls then get what changed during the silence.
-func TestSilentCallsAndWatchesStaySilentAfterTheReturn(t *testing.T) {
+// New watches get the changes that were made in state Silent.
+func TestSilencedCallsAndWatchesGetNoOutputAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 10})
 		before := service.watch(t, 1)
@@ -275,81 +277,81 @@
 		service.SetState(Silent)
 		service.ApplyChange(Target{UID: "c", State: "SERVING"})
 		during := make(chan callResult, 1)
-		go func() { during <- service.callAll(t, time.Hour)[0] }()
+		go func() { during <- service.sendListCalls(t, time.Hour)[0] }()
 		time.Sleep(10 * time.Second)
 		service.SetState(Up)
 		if got := describeObject(t, <-service.watch(t, 1)); got != "2 false c:SERVING" {
-			t.Fatalf("after the return: %s", got)
+			t.Fatalf("new watch after state Silent: got %s, want 2 false c:SERVING", got)
 		}
 		service.ApplyChange(Target{UID: "d", State: "SERVING"})
 		time.Sleep(time.Minute)
 		if got := receivedLines(before); len(got) > 0 {
-			t.Fatalf("the silent watch says %q", got)
+			t.Fatalf("silenced watch: got %q, want no output", got)
 		}
 		if stats := service.Stats(); stats.OpenWatches != 2 || len(during) > 0 {
-			t.Fatalf("%+v; %d calls of the silence ended", stats, len(during))
+			t.Fatalf("got stats %+v and %d results of silenced calls, want 2 open watches and none", stats, len(during))
 		}
 		service.SetState(Down)
 		if _, open := <-before; open {
-			t.Fatal("the silent watch outlives its discovery")
+			t.Fatal("silenced watch in state Down: got it open, want it closed")
 		}
 		if result := <-during; result.status != "no answer" {
-			t.Fatalf("call of the silence: %+v", result)
+			t.Fatalf("silenced call: got %+v, want no answer", result)
 		}
 	})
 }
 
-// The calls that are queued when a silence begins take no time of the service after it.
-func TestSilenceClearsTheQueue(t *testing.T) {
+// Calls that are queued when the state changes to Silent use no capacity afterwards.
+func TestSilentStateClearsQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{CallsPerSecond: 1})
-		interrupted := make(chan []callResult, 1)
-		go func() { interrupted <- service.callAll(t, time.Hour, time.Hour, time.Hour) }()
+		queuedResults := make(chan []callResult, 1)
+		go func() { queuedResults <- service.sendListCalls(t, time.Hour, time.Hour, time.Hour) }()
 		time.Sleep(500 * time.Millisecond)
 		service.SetState(Silent)
-		time.Sleep(700 * time.Millisecond) // the call in service is over, the others would not be
+		time.Sleep(700 * time.Millisecond) // past the end of the current service, but not of the services of the queued calls
 		service.SetState(Up)
-		if got := service.callAll(t, time.Hour); got[0] != (callResult{0, "200 OK", time.Second}) {
-			t.Fatalf("after the return: %v", got)
+		if got := service.sendListCalls(t, time.Hour); got[0] != (callResult{0, "200 OK", time.Second}) {
+			t.Fatalf("call after state Silent: got %v, want 200 OK after 1s", got)
 		}
 		service.SetState(Down)
-		for _, result := range <-interrupted {
+		for _, result := range <-queuedResults {
 			if result.status != "no answer" {
-				t.Fatalf("%+v", result)
+				t.Fatalf("queued call: got %+v, want no answer", result)
 			}
 		}
 	})
 }
 
-func TestDownDisconnectsAndUpServesAgain(t *testing.T) {
+func TestDownStateDisconnectsAndUpStateServesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{})
 		lines := service.watch(t, 1)
 		<-lines
 		service.SetState(Down)
 		if got, open := <-lines; open {
-			t.Fatalf("the watch says %q", got)
+			t.Fatalf("watch in state Down: got %q, want it closed", got)
 		}
-		if got := service.callAll(t, time.Hour); got[0] != (callResult{0, "no answer", 0}) {
-			t.Fatalf("while down: %v", got)
+		if got := service.sendListCalls(t, time.Hour); got[0] != (callResult{0, "no answer", 0}) {
+			t.Fatalf("call in state Down: got %v, want no answer at once", got)
 		}
 		synctest.Wait()
 		if stats := service.Stats(); stats.Failed != 2 || stats.OpenWatches != 0 || stats.Watches != 1 {
-			t.Fatalf("%+v", stats)
+			t.Fatalf("got stats %+v, want 2 failed, 1 watch, 0 open watches", stats)
 		}
 		service.SetState(Up)
-		if got := service.callAll(t, time.Hour); got[0].status != "200 OK" {
-			t.Fatalf("after: %v", got)
+		if got := service.sendListCalls(t, time.Hour); got[0].status != "200 OK" {
+			t.Fatalf("call after state Down: got %v, want 200 OK", got)
 		}
 	})
 }
 
-// Broken ones end, silenced ones stay open; new ones work either way.
-func TestBrokenAndSilencedWatchesGetNothingMore(t *testing.T) {
+// Disconnected watches close and silenced watches stay open. New watches are not affected.
+func TestDisconnectedAndSilencedWatchesGetNoOutput(t *testing.T) {
 	for name, c := range map[string]struct {
 		stopWatches func(*Discovery)
 		wantOpen    int
-	}{"broken": {(*Discovery).DisconnectWatches, 1}, "silenced": {(*Discovery).SilenceWatches, 2}} {
+	}{"disconnected": {(*Discovery).DisconnectWatches, 1}, "silenced": {(*Discovery).SilenceWatches, 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := startDiscovery(t, DiscoveryConfig{})
@@ -359,24 +361,24 @@
 				service.ApplyChange(Target{UID: "c", State: "SERVING"})
 				newLines := service.watch(t, 1)
 				if got := describeObject(t, <-newLines); got != "2 false c:SERVING" {
-					t.Fatalf("a new watch: %s", got)
+					t.Fatalf("new watch: got %s, want 2 false c:SERVING", got)
 				}
 				time.Sleep(time.Minute)
 				if got := receivedLines(oldLines); len(got) > 0 {
-					t.Fatalf("the old one says %q", got)
+					t.Fatalf("old watch: got %q, want no output", got)
 				}
 				if got := receivedLines(newLines); len(got) < 29 {
-					t.Fatalf("the new one: %d lines in a minute", len(got))
+					t.Fatalf("new watch: got %d lines in a minute, want at least 29", len(got))
 				}
 				if stats := service.Stats(); stats.OpenWatches != c.wantOpen || stats.Failed != 2-c.wantOpen {
-					t.Fatalf("%+v", stats)
+					t.Fatalf("got stats %+v, want the old watch open only if silenced, and failed otherwise", stats)
 				}
 			})
 		})
 	}
 }
 
-func TestWatchOfAGoneClientIsNotOpen(t *testing.T) {
+func TestWatchOfDisconnectedClientIsNotOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := startDiscovery(t, DiscoveryConfig{})
 		for i := range 3 {
@@ -393,14 +395,14 @@
 			resp.Body.Close()
 			synctest.Wait()
 			if stats := service.Stats(); stats.OpenWatches != 0 || stats.Watches != i+1 {
-				t.Fatalf("watch %d: %+v", i, stats)
+				t.Fatalf("watch %d: got stats %+v, want no open watches and all watches counted", i, stats)
 			}
 			service.SetState(Up)
 		}
 	})
 }
 
-func TestDiscoveryOnLoopback(t *testing.T) {
+func TestDiscoveryServesOverLoopback(t *testing.T) {
 	service, ln := NewDiscovery(DiscoveryConfig{CallsPerSecond: 1000}), nettest.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- service.Serve(ln) }()
@@ -413,13 +415,13 @@
 	reader := bufio.NewReader(resp.Body)
 	firstLine, err := reader.ReadString('\n')
 	if err != nil || describeObject(t, firstLine) != "1 true a:" {
-		t.Fatalf("%q, %v", firstLine, err)
+		t.Fatalf("first line: got %q, error %v, want 1 true a:", firstLine, err)
 	}
 	if err := service.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(reader); err == nil {
-		t.Fatalf("the watch ends well with %q", rest)
+		t.Fatalf("watch after Close: got a complete body ending with %q, want a read error", rest)
 	}
 	if err := <-served; err != nil {
 		t.Fatal(err)
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -14,9 +14,9 @@
 const (
 	// Up means that calls are served.
 	Up ServiceState = iota
-	// Silent means that connections are accepted and calls get no answer, as during a network partition. Connections that
-	// were open or opened in this state get no answer afterwards either.
+	// Silent means that connections are accepted and calls get no answer, as during a network partition. Calls that are
+	// open or arrive in this state get no answer afterwards either.
 	Silent
-	// Down simulates a process that has exited: open connections are closed, and new ones are closed without an answer.
+	// Down simulates a process that has exited: calls get no answer, and their connections are closed.
 	Down
 )
--- a/internal/standin/fixtures_test.go
+++ b/internal/standin/fixtures_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 )
 
-// serveOnPipes runs a stand-in on pipes, and ends it with the test.
+// serveOnPipes runs a stand-in on a PipeListener and closes it at the end of the test.
 func serveOnPipes(t *testing.T, serve func(net.Listener) error, closeStandIn func() error) *PipeListener {
 	t.Helper()
 	ln := NewPipeListener()
@@ -42,10 +42,10 @@
 	})
 }
 
-// testClient is a connection of a test, with what it receives as lines.
+// testClient is a client connection that reads the received lines into a channel.
 type testClient struct {
 	net.Conn
-	lines chan string // closed at the end of the connection
+	lines chan string // received lines; closed when the connection closes
 }
 
 func dialClient(t *testing.T, ln *PipeListener) *testClient {
@@ -65,7 +65,7 @@
 	return client
 }
 
-// sendLines writes lines in one call.
+// sendLines sends lines with a single write.
 func (client *testClient) sendLines(t *testing.T, lines ...string) {
 	t.Helper()
 	if _, err := io.WriteString(client, strings.Join(lines, "\r\n")+"\r\n"); err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// receivedLines returns all lines that have come by now.
+// receivedLines returns all lines received so far.
 func receivedLines(lines <-chan string) (received []string) {
 	synctest.Wait()
 	for len(lines) > 0 {
--- a/internal/standin/reply_writer.go
+++ b/internal/standin/reply_writer.go
@@ -35,7 +35,7 @@
 // newReplyWriter starts a writer. Its goroutine returns when silenced is closed, after a failed write, at a pending reply
 // that is nil or closed, or on stop, which waits for it.
 func newReplyWriter(conn net.Conn, silenced <-chan struct{}, onWrite func(int)) *replyWriter {
-	w := &replyWriter{
+	writer := &replyWriter{
 		conn:          conn,
 		queue:         make(chan pendingReply, maxUnansweredCalls),
 		silenced:      silenced,
@@ -43,62 +43,62 @@
 		stopped:       make(chan struct{}),
 		onWrite:       onWrite,
 	}
-	go w.run()
-	return w
+	go writer.run()
+	return writer
 }
 
 // enqueue adds a pending reply after those of earlier calls. A nil reply ends the writing. enqueue blocks while the queue
 // is full.
-func (w *replyWriter) enqueue(reply pendingReply) {
-	w.unansweredCalls.Add(1)
+func (writer *replyWriter) enqueue(reply pendingReply) {
+	writer.unansweredCalls.Add(1)
 	select {
-	case w.queue <- reply:
-	case <-w.silenced:
-	case <-w.stopped:
+	case writer.queue <- reply:
+	case <-writer.silenced:
+	case <-writer.stopped:
 	}
 }
 
 // stop closes the connection and waits for the goroutine to return.
-func (w *replyWriter) stop() {
-	close(w.stopRequested)
-	w.conn.Close()
-	<-w.stopped
+func (writer *replyWriter) stop() {
+	close(writer.stopRequested)
+	writer.conn.Close()
+	<-writer.stopped
 }
 
-func (w *replyWriter) isSilenced() bool {
+func (writer *replyWriter) isSilenced() bool {
 	select {
-	case <-w.silenced:
+	case <-writer.silenced:
 		return true
 	default:
 		return false
 	}
 }
 
-func (w *replyWriter) run() {
-	defer close(w.stopped)
-	for !w.isSilenced() {
-		text, ok := w.nextAnswer()
-		if !ok || w.isSilenced() {
+func (writer *replyWriter) run() {
+	defer close(writer.stopped)
+	for !writer.isSilenced() {
+		text, ok := writer.nextAnswer()
+		if !ok || writer.isSilenced() {
 			return
 		}
-		n, err := w.conn.Write(text)
-		w.unansweredCalls.Add(-1)
-		w.onWrite(n)
+		n, err := writer.conn.Write(text)
+		writer.unansweredCalls.Add(-1)
+		writer.onWrite(n)
 		if err != nil {
-			w.conn.Close()
+			writer.conn.Close()
 			return
 		}
 	}
 }
 
 // nextAnswer waits for the reply to the oldest call. ok is false if no further reply may be written.
-func (w *replyWriter) nextAnswer() (text []byte, ok bool) {
+func (writer *replyWriter) nextAnswer() (text []byte, ok bool) {
 	var reply pendingReply
 	select {
-	case reply = <-w.queue:
-	case <-w.silenced:
+	case reply = <-writer.queue:
+	case <-writer.silenced:
 		return nil, false
-	case <-w.stopRequested:
+	case <-writer.stopRequested:
 		return nil, false
 	}
 	if reply == nil {
@@ -107,12 +107,12 @@
 	select {
 	case text, ok = <-reply:
 		if !ok {
-			w.conn.Close()
+			writer.conn.Close()
 		}
 		return text, ok
-	case <-w.silenced:
+	case <-writer.silenced:
 		return nil, false
-	case <-w.stopRequested:
+	case <-writer.stopRequested:
 		return nil, false
 	}
 }
--- a/internal/standin/service_queue.go
+++ b/internal/standin/service_queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// serviceQueue simulates a service of fixed capacity that serves calls one by one in order of arrival. It sets no timer
-// while it is idle, so that it needs no stopping.
+// serviceQueue simulates a service of fixed capacity that serves calls one by one in order of arrival. No timer runs while
+// the queue is empty, so it does not have to be stopped.
 type serviceQueue struct {
 	serviceTime time.Duration // time per call; zero means that calls are served at once
 	maxWaiting  int           // maximum number of waiting calls; zero means no limit
--- a/internal/standin/warm_up_test.go
+++ b/internal/standin/warm_up_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWarmUpSpeedRisesEvenly(t *testing.T) {
+func TestWarmUpSpeedRisesLinearly(t *testing.T) {
 	cold := WarmUp{MinSpeed: 0.5, Duration: 10 * time.Second}
 	for _, c := range []struct {
 		warmUp WarmUp
@@ -20,7 +20,7 @@
 		{cold, time.Hour, 1},
 	} {
 		if got := c.warmUp.Speed(c.age); got != c.want {
-			t.Errorf("%+v at %v: %v, want %v", c.warmUp, c.age, got, c.want)
+			t.Errorf("%+v at age %v: got speed %v, want %v", c.warmUp, c.age, got, c.want)
 		}
 	}
 }
