--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -347,8 +347,8 @@
 	}
 	first, repeated, otherSeed := drawOutcomes(1), drawOutcomes(1), drawOutcomes(2)
 	if !slices.Equal(first, repeated) || slices.Equal(first, otherSeed) {
-		t.Fatalf("got %v, %v with the same seed and %v with another; want the first two equal and the third different", first, repeated,
-			otherSeed)
+		t.Fatalf("got %v, %v with the same seed and %v with another, want the first two equal and the third different",
+			first, repeated, otherSeed)
 	}
 }
 
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -19,8 +19,8 @@
 // CounterConfig configures a Counter.
 type CounterConfig struct {
 	CallsPerSecond          float64       // capacity of all shards together; zero means no limit
-	Shards                  int           // each serves its names with a queue and an equal share of CallsPerSecond; zero means one
-	MaxQueued               int           // maximum number of calls waiting for a shard; further ones are rejected; zero means no limit
+	Shards                  int           // each serves its own names and has an equal share of CallsPerSecond; zero means one
+	MaxQueued               int           // calls that may wait for a shard; further ones are rejected; zero means no limit
 	MaxConnectionsPerClient int           // per client address; further ones are reset; zero means no limit
 	IdleTimeout             time.Duration // time without a call after which a connection is closed; zero means 10 s
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -168,7 +168,7 @@
 				}
 				wantNames := len(slices.Compact(slices.Sorted(slices.Values(c.names))))
 				if stats := counter.Stats(); stats.MaxWait != c.want || stats.Calls != 4 || stats.Names != wantNames {
-					t.Errorf("%v: got stats %+v, want 4 calls, the maximum wait and the number of names of the case", c.names, stats)
+					t.Errorf("%v: got stats %+v, want 4 calls and the wait and names of the case", c.names, stats)
 				}
 			})
 		})
@@ -214,7 +214,8 @@
 		before.sendLines(t, "tally a 1 60000")
 		time.Sleep(30 * time.Second)
 		if len(before.lines) > 0 || len(during.lines) > 0 || counter.Total("a") != 2 {
-			t.Fatalf("got %d and %d answers on silenced connections, total %v, want 0, 0 and 2", len(before.lines), len(during.lines), counter.Total("a"))
+			t.Fatalf("got %d and %d answers on silenced connections, total %v, want 0, 0 and 2",
+				len(before.lines), len(during.lines), counter.Total("a"))
 		}
 		counter.SetState(Down)
 		for _, client := range []*testClient{before, during, after, dialClient(t, ln)} {
