--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -11,8 +11,8 @@
 	"lemontack/policy"
 )
 
-// checkStart gives the reason why an attempt may not start; brokenRule says whether that is a fault of the policy.
-func TestCheckStartGivesTheReason(t *testing.T) {
+// checkStart returns the reason why an attempt may not start, and violatedInvariant whether that is a fault of the policy.
+func TestCheckStartReturnsReason(t *testing.T) {
 	const window = 4 * time.Second
 	cfg := testConfig("", endpointsAt("127.0.0.1:1", "127.0.0.1:2"))
 	cfg.Settings.MaxAttempts, cfg.Settings.HedgingEnabled = 3, true
@@ -31,15 +31,15 @@
 	ended := func(o policy.Outcome) earlierAttempt { return earlierAttempt{true, o} }
 	inFlight := earlierAttempt{}
 	for name, c := range map[string]struct {
-		class  string
-		change func(r *request, a *attempt)
-		before []earlierAttempt
-		ago    time.Duration // since they started
-		want   error
-		fault  bool
+		class       string
+		change      func(r *request, a *attempt)
+		earlier     []earlierAttempt
+		earlierAge  time.Duration // time since the earlier attempts started
+		want        error
+		isViolation bool
 	}{
 		"first":               {"write", nil, nil, 0, nil, false},
-		"ended":               {"read", func(r *request, _ *attempt) { r.final = true }, nil, 0, errRequestOver, false},
+		"ended":               {"read", func(r *request, _ *attempt) { r.finished = true }, nil, 0, errRequestFinished, false},
 		"client disconnected": {"read", func(r *request, _ *attempt) { r.Request = disconnected }, nil, 0, errClientDisconnected, false},
 		"deadline exceeded":   {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
 		"draining": {"read", func(_ *request, a *attempt) {
@@ -59,23 +59,23 @@
 		t.Run(name, func(t *testing.T) {
 			r := &request{Request: &listener.Request{}}
 			r.Class = c.class
-			for i, b := range c.before {
+			for i, b := range c.earlier {
 				r.attempts = append(r.attempts, &attempt{gateway: g, request: r, number: i, endpoint: g.pool.Endpoint("s0"),
-					startedAt: g.now - c.ago, ended: b.ended, outcome: b.outcome})
+					startedAt: g.now - c.earlierAge, ended: b.ended, outcome: b.outcome})
 			}
 			a := g.newAttempt(r, g.pool.Endpoint("s1"), g.now+time.Minute)
 			if c.change != nil {
 				c.change(r, a)
 			}
 			got := a.checkStart()
-			if _, fault := brokenInvariant(got); !errors.Is(got, c.want) || fault != c.fault {
-				t.Fatalf("%v, a fault: %v; want %v, %v", got, fault, c.want, c.fault)
+			if _, isViolation := violatedInvariant(got); !errors.Is(got, c.want) || isViolation != c.isViolation {
+				t.Fatalf("got %v, violation %v; want %v, %v", got, isViolation, c.want, c.isViolation)
 			}
 		})
 	}
 }
 
-// Without hedging a request has one attempt in flight at a time.
+// Without hedging, a second attempt is denied while the first is in flight.
 func TestParallelAttemptIsDeniedWithoutHedging(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
@@ -84,11 +84,11 @@
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
 	if err := second.checkStart(); !errors.Is(err, errParallelAttempt) {
-		t.Fatal(err)
+		t.Fatalf("got %v, want %v", err, errParallelAttempt)
 	}
 }
 
-// A retry that is denied as a fault of the policy is counted, and the attempt ends as not sent.
+// A retry that would violate an invariant is counted, and its attempt ends as not sent.
 func TestDeniedRetryIsNotSentAndCounted(t *testing.T) {
 	g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
 	r := &request{Request: &listener.Request{}}
@@ -98,9 +98,9 @@
 	second := g.newAttempt(r, g.pool.Endpoint("s0"), g.now+time.Minute)
 	second.number = 0
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
-		t.Fatal("a request that may have been executed is retried")
+		t.Fatalf("ended %v with %v, %d events; want an end as not sent, and no events", second.ended, second.outcome, len(g.events))
 	}
 	if n := g.observe.violations.Value(invariantRetry); n != 1 {
-		t.Fatalf("%d violations counted", n)
+		t.Fatalf("%d violations counted, want 1", n)
 	}
 }
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -2,50 +2,50 @@
 
 import "lemontack/policy"
 
-// Event is what a connection's goroutine tells the pool through Config.Post. The loop gives it to Pool.HandleEvent.
+// Event is a message of a connection's goroutine to the pool, sent by Config.Post. The loop passes it to Pool.HandleEvent.
 type Event interface {
 	apply(pool *Pool)
 }
 
-// Connected tells that a connection is open.
+// Connected reports that a connection has been opened.
 type Connected struct {
 	connection *connection
 }
 
-// ReplyReceived tells that a reply was read.
+// ReplyReceived reports that a reply was read.
 type ReplyReceived struct {
-	connection *connection
-	written    *Attempt // the last one that had been written when the reply came; nil: none
-	reply      Result
+	connection     *connection
+	writtenAttempt *Attempt // latest attempt that was completely written when the reply was read; nil if there was none
+	result         Result
 }
 
-// Disconnected is the last event of a connection.
+// Disconnected reports the end of a connection or a failed dial. It is the last event of a connection.
 type Disconnected struct {
 	connection   *connection
-	wasConnected bool // false: it could not be opened
+	wasConnected bool // false if the connection could not be opened
 }
 
 func (event Connected) apply(pool *Pool) {
 	endpoint := event.connection.endpoint
 	endpoint.dialing--
-	endpoint.lastHeardAt = pool.config.Now()
+	endpoint.lastActivityAt = pool.config.Now()
 	pool.release(event.connection)
 }
 
 func (event ReplyReceived) apply(pool *Pool) {
 	c := event.connection
-	attempt := c.current
-	c.endpoint.lastHeardAt = pool.config.Now()
-	if attempt == nil || event.written != attempt { // nobody asked for it, or its command was not out yet: the order is lost
+	attempt := c.currentAttempt
+	c.endpoint.lastActivityAt = pool.config.Now()
+	if attempt == nil || event.writtenAttempt != attempt { // the reply does not belong to a written command
 		c.netConn.Close()
 		return
 	}
-	c.current = nil
-	attempt.end(event.reply)
+	c.currentAttempt = nil
+	attempt.end(event.result)
 	switch {
-	case attempt.aborted: // it is closed already
-	case event.reply.reusable:
-		pool.releaseLater(c)
+	case attempt.aborted: // Abort has closed the connection
+	case event.result.reusable:
+		pool.releaseAfterReuseDelay(c)
 	default:
 		c.netConn.Close()
 	}
@@ -54,32 +54,33 @@
 func (event Disconnected) apply(pool *Pool) {
 	c := event.connection
 	endpoint := c.endpoint
-	c.down = true
+	c.disconnected = true
 	endpoint.connections--
 	pool.connections--
 	endpoint.removeIdle(c)
 	if event.wasConnected {
-		c.endCurrent()
+		c.endCurrentAttempt()
 	} else {
 		endpoint.dialing--
-		endpoint.failWaiting()
+		endpoint.failOldestWaiting()
 	}
 	pool.dial(endpoint)
-	pool.dialStarved()
-	pool.forgetRemoved(endpoint)
+	pool.dialAfterLimitReached()
+	pool.deleteRemovedIfUnused(endpoint)
 }
 
-// endCurrent ends the attempt that the connection carried when it broke, if any.
-func (c *connection) endCurrent() {
-	attempt := c.current
+// endCurrentAttempt ends the attempt that the connection carried when it disconnected, if any. Only a completely written attempt
+// may have been executed.
+func (c *connection) endCurrentAttempt() {
+	attempt := c.currentAttempt
 	if attempt == nil {
 		return
 	}
-	written := c.written.Load() == attempt
+	fullyWritten := c.writtenAttempt.Load() == attempt
 	switch {
-	case !written && attempt.aborted:
+	case !fullyWritten && attempt.aborted:
 		attempt.endWith(policy.NotSent)
-	case !written:
+	case !fullyWritten:
 		attempt.endWith(policy.ConnectFailed)
 	case attempt.aborted:
 		attempt.endWith(attempt.abortOutcome)
@@ -88,10 +89,10 @@
 	}
 }
 
-// failWaiting ends an attempt for which a dial has failed. Where fewer wait than there are connections to come, one that was
-// released has taken the attempt.
-func (endpoint *Endpoint) failWaiting() {
+// failOldestWaiting ends the attempt that has waited longest, after a failed dial. It does nothing if the remaining dials and the
+// connections awaiting reuse suffice for the waiting attempts: a released connection then has served the attempt of this dial.
+func (endpoint *Endpoint) failOldestWaiting() {
 	if len(endpoint.waiting) > endpoint.dialing+endpoint.awaitingReuse {
-		endpoint.dequeue().endWith(policy.ConnectFailed)
+		endpoint.popWaiting().endWith(policy.ConnectFailed)
 	}
 }
