--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -30,7 +30,7 @@
 func TestRestartedGatewaysAreReadyWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
-		state                        standin.State
+		state                        standin.ServiceState
 		callDuration                 time.Duration // duration of a call; discovery handles calls one at a time
 		gatewayCount, knownEndpoints int
 	}{
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -41,7 +41,7 @@
 		{"discovery silent", fi.discoveryFault(standin.Silent)},
 		{"discovery down", fi.discoveryFault(standin.Down)},
 		{"watches silent", fi.watchFault(func(d *discovery) { d.SilenceWatches() })},
-		{"watches broken", fi.watchFault(func(d *discovery) { d.BreakWatches() })},
+		{"watches broken", fi.watchFault(func(d *discovery) { d.DisconnectWatches() })},
 		{"ingress stalled", fi.stall},
 		{"ingress stalled", fi.stall},
 		{"ingress frozen", fi.freeze},
@@ -120,7 +120,7 @@
 	fi.cluster.setState(i, stateServing)
 }
 
-func (fi *faultInjector) counterFault(s standin.State) func(context.Context, *rand.Rand, time.Duration) {
+func (fi *faultInjector) counterFault(s standin.ServiceState) func(context.Context, *rand.Rand, time.Duration) {
 	return func(ctx context.Context, _ *rand.Rand, duration time.Duration) {
 		fi.cluster.counter.SetState(s)
 		sleep(ctx, duration)
@@ -128,7 +128,7 @@
 	}
 }
 
-func (fi *faultInjector) discoveryFault(s standin.State) func(context.Context, *rand.Rand, time.Duration) {
+func (fi *faultInjector) discoveryFault(s standin.ServiceState) func(context.Context, *rand.Rand, time.Duration) {
 	return func(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 		segment := rng.IntN(segmentCount)
 		fi.cluster.disruptions.recordDiscoveryDisruption(segment)
