--- a/internal/discovery/known.go
+++ b/internal/discovery/known.go
@@ -8,19 +8,20 @@
 	"lemontack/policy"
 )
 
-// DecodeKnownList decodes the list of a configuration as a stream, and returns the part of it that a gateway of these settings
-// caches, with the subset that it was chosen by. Both go into Config.
-func DecodeKnownList(objects *json.Decoder, settings policy.Settings, log *slog.Logger) (EndpointList, *subset.Subset, error) {
+// DecodeKnownList decodes the endpoint list of a configuration file as a stream. It returns the part that a gateway with these
+// settings caches, and the subset that selected it. Both are meant for Config.
+func DecodeKnownList(decoder *json.Decoder, settings policy.Settings, log *slog.Logger) (EndpointList, *subset.Subset, error) {
 	cache := NewCache(settings, log)
-	h, list, err := cache.decode(objects, func() {})
-	if h.Revision != nil {
-		list.Revision = *h.Revision
+	header, list, err := cache.decode(decoder, func() {})
+	if header.Revision != nil {
+		list.Revision = *header.Revision
 	}
 	return list, cache.members.Subset(), err
 }
 
-// SkipKnownList reads past the list of a configuration, and fails where DecodeKnownList does.
-func SkipKnownList(objects *json.Decoder) error {
-	_, err := decodeList(objects, entryHandlers{before: func() {}, take: func(Entry) {}})
+// SkipKnownList decodes the endpoint list of a configuration file and discards it. It returns an error for the same input as
+// DecodeKnownList.
+func SkipKnownList(decoder *json.Decoder) error {
+	_, err := decodeList(decoder, entryHandlers{beforeEntry: func() {}, onEntry: func(Entry) {}})
 	return err
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// errNeedsResync ends a watch after which the whole list has to be read again.
-var errNeedsResync = errors.New("more endpoints can be cached: the list has to be read again")
+// errNeedsResync ends a watch when the subset has been widened, so that the whole list has to be read again.
+var errNeedsResync = errors.New("subset was widened: the whole list has to be read again")
 
-// watch receives changes until the watch breaks or falls silent, or the list has to be read again. It always returns an
-// error.
+// watch receives changes until the call fails or times out, or the whole list has to be read again. It always returns an error.
 func (c *Client) watch(ctx context.Context) error {
 	call, err := c.openWatch(ctx)
 	if err != nil {
@@ -21,12 +20,12 @@
 	}
 	defer call.close()
 	defer call.body.Close()
-	reader := newObjectReader(call.body, call.timeout, c.policy.silenceTimeout)
+	reader := newObjectReader(call.body, call.timeout, c.timings.silenceTimeout)
 	reader.onHeartbeat = reader.extendTimeout
-	for objects := json.NewDecoder(reader); ; {
+	for decoder := json.NewDecoder(reader); ; {
 		reader.extendTimeout()
 		reader.beginObject()
-		if err := c.receive(objects, reader.beginEntry); err != nil {
+		if err := c.receive(decoder, reader.beginEntry); err != nil {
 			return fmt.Errorf("watch: %w", err)
 		}
 		if c.cache.widenIfSparse() {
@@ -35,7 +34,7 @@
 	}
 }
 
-// watchCall is a call for a watch.
+// watchCall is one HTTP call that starts a watch.
 type watchCall struct {
 	cancel  context.CancelFunc
 	timeout *time.Timer // cancels the call unless it is reset in time
@@ -44,31 +43,31 @@
 }
 
 // close ends the call. It does not close the body.
-func (w *watchCall) close() {
-	w.timeout.Stop()
-	w.cancel()
+func (call *watchCall) close() {
+	call.timeout.Stop()
+	call.cancel()
 }
 
-// watchCalls are the calls for one watch that are open at one time: the first one and hedged ones.
+// watchCalls holds the concurrent calls for one watch: the original and the hedged ones.
 type watchCalls struct {
 	client  *Client
 	open    map[*watchCall]struct{}
-	answers chan *watchCall // calls that are answered or have failed
-	over    chan struct{}   // closed when no more answers are received
+	answers chan *watchCall // calls that have been answered or have failed
+	closed  chan struct{}   // closed once answers are no longer received
 }
 
-// openWatch returns the first call for a watch that is answered, the original or a hedged one, and cancels the others. It
-// fails when all calls that are open have failed.
+// openWatch returns the first call that is answered, the original or a hedged one, and cancels the others. It returns an error
+// as soon as every call sent so far has failed.
 func (c *Client) openWatch(ctx context.Context) (*watchCall, error) {
 	calls := &watchCalls{
 		client:  c,
 		open:    map[*watchCall]struct{}{},
 		answers: make(chan *watchCall),
-		over:    make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 	defer calls.close()
-	calls.begin(ctx)
-	for hedge := c.hedgeTimer(); ; {
+	calls.startCall(ctx)
+	for hedgeDue := c.hedgeTimer(); ; {
 		select {
 		case call := <-calls.answers:
 			delete(calls.open, call)
@@ -79,35 +78,35 @@
 			if len(calls.open) == 0 {
 				return nil, call.err
 			}
-		case <-hedge:
-			calls.begin(ctx)
-			hedge = c.hedgeTimer()
+		case <-hedgeDue:
+			calls.startCall(ctx)
+			hedgeDue = c.hedgeTimer()
 		}
 	}
 }
 
-// hedgeTimer returns a channel that fires when a hedged call is due; nil: never.
+// hedgeTimer returns a channel that receives when a hedged call is due. It returns nil if calls are not hedged.
 func (c *Client) hedgeTimer() <-chan time.Time {
-	after := c.policy.hedgeAfter
-	if after <= 0 {
+	delay := c.timings.hedgeDelay
+	if delay <= 0 {
 		return nil
 	}
-	return time.After(after*3/4 + c.jitter(after/4))
+	return time.After(delay*3/4 + c.jitter(delay/4))
 }
 
-// begin starts a call, from the latest revision on.
-func (w *watchCalls) begin(ctx context.Context) {
-	client := w.client
+// startCall sends a call for the changes since the latest revision.
+func (calls *watchCalls) startCall(ctx context.Context) {
+	client := calls.client
 	ctx, cancel := context.WithCancel(ctx)
-	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.policy.answerTimeout, cancel)}
-	w.open[call] = struct{}{}
+	call := &watchCall{cancel: cancel, timeout: time.AfterFunc(client.timings.answerTimeout, cancel)}
+	calls.open[call] = struct{}{}
 	url := fmt.Sprintf("%s?follow=1&since=%d", client.url, client.revision)
-	// Ends with the call's context, or once its answer is received or over is closed; Client.Run awaits it.
-	client.calls.Go(func() {
+	// The request ends with ctx; the goroutine then ends once openWatch receives the call or returns. Client.Run waits for it.
+	client.callGoroutines.Go(func() {
 		call.body, call.err = client.get(ctx, url)
 		select {
-		case w.answers <- call:
-		case <-w.over:
+		case calls.answers <- call:
+		case <-calls.closed:
 			if call.err == nil {
 				call.body.Close()
 			}
@@ -116,9 +115,9 @@
 }
 
 // close cancels the calls that are still open.
-func (w *watchCalls) close() {
-	close(w.over)
-	for call := range w.open {
+func (calls *watchCalls) close() {
+	close(calls.closed)
+	for call := range calls.open {
 		call.close()
 	}
 }
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -10,7 +10,7 @@
 	"lemontack/internal/nettest"
 )
 
-// startEchoServer is a service that gives back what it gets.
+// startEchoServer starts a server that echoes all data and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	return nettest.Serve(t, func(conn net.Conn) { io.Copy(conn, conn) })
@@ -35,52 +35,52 @@
 	t.Helper()
 	io.WriteString(nc, "hello\n")
 	if line, err := bufio.NewReader(nc).ReadString('\n'); line != "hello\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got echo %q, %v, want %q", line, err, "hello\n")
 	}
 }
 
 func wantReset(t *testing.T, nc net.Conn) {
 	t.Helper()
 	if n, err := nc.Read(make([]byte, 1)); err == nil {
-		t.Fatalf("%d bytes where the connection should be broken", n)
+		t.Fatalf("got %d bytes, want a reset connection", n)
 	}
 }
 
-func TestProxyForwardsAlsoWhenThrottled(t *testing.T) {
+func TestProxyForwardsDataAndEndOfStreamAlsoWhenThrottled(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetThrottle(time.Millisecond, 1)
 	wantEcho(t, nc)
 	nc.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(nc); len(rest) > 0 || err != nil {
-		t.Fatalf("%q, %v after the end", rest, err)
+		t.Fatalf("after CloseWrite: got %q, %v, want the end of the stream", rest, err)
 	}
 }
 
-// What was silent is of no use when the network is back; new connections are.
-func TestSilencedConnectionIsResetAndNewOnesWork(t *testing.T) {
+// When forwarding resumes, connections that were silent are reset and new connections work.
+func TestSilencedConnectionIsResetWhenForwardingResumes(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	p.SetMode(Silent)
 	io.WriteString(nc, "lost\n")
-	p.SetMode(Pass)
+	p.SetMode(Forwarding)
 	wantReset(t, nc)
-	again, err := net.Dial("tcp", p.Addr())
+	reconnected, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	wantEcho(t, again)
+	defer reconnected.Close()
+	wantEcho(t, reconnected)
 }
 
 func TestProxyResetsConnectionsAndRefusesNewOnes(t *testing.T) {
 	p, nc := startProxy(t)
 	wantEcho(t, nc)
 	if n := p.ResetConnections(); n != 1 {
-		t.Fatalf("%d connections cut", n)
+		t.Fatalf("got %d connections reset, want 1", n)
 	}
 	wantReset(t, nc)
-	p.SetMode(Refuse)
+	p.SetMode(Refusing)
 	refused, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		return
--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -8,10 +8,11 @@
 	"lemontack/policy"
 )
 
-// failedResponse answers a request that has failed. Responses must not be changed once they are given out.
+// failedResponse is the reply to a request that has failed.
 const failedResponse = "-ERR failed\r\n"
 
-// busyResponse answers a request that is rejected, with the advice to retry after a while; 0: no advice.
+// busyResponse returns the reply to a rejected request. It contains retryAfter in ms, rounded down and at least 1, if retryAfter
+// is positive. The slice must not be modified after it has been passed to Respond.
 func busyResponse(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -19,33 +20,33 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), max(1, retryAfter.Milliseconds()), 10), '\r', '\n')
 }
 
-// policyDriver feeds the policy with events, one after another.
+// policyDriver passes queued events to the policy, one at a time.
 type policyDriver struct {
-	policy  *policy.Gateway
-	queue   []policy.Event  // not handled yet
-	actions []policy.Action // of the event that is being handled; kept for its memory
+	policy        *policy.Gateway
+	pendingEvents []policy.Event  // queued and not yet handled
+	actions       []policy.Action // actions of the event that is being handled; reused to save allocations
 }
 
-// tell queues an event for the policy; flush hands it over.
-func (d *policyDriver) tell(ev policy.Event) { d.queue = append(d.queue, ev) }
+// enqueue queues an event for the policy; run handles it.
+func (d *policyDriver) enqueue(ev policy.Event) { d.pendingEvents = append(d.pendingEvents, ev) }
 
-// run lets the policy handle what is queued; act carries out its actions, which may queue more.
-func (d *policyDriver) run(now time.Duration, act func(policy.Action)) {
-	for i := 0; i < len(d.queue); i++ {
-		d.actions = d.policy.Handle(now, d.queue[i], d.actions[:0])
+// run passes the queued events to the policy and calls execute for each action that it returns. execute may queue further events.
+func (d *policyDriver) run(now time.Duration, execute func(policy.Action)) {
+	for i := 0; i < len(d.pendingEvents); i++ {
+		d.actions = d.policy.Handle(now, d.pendingEvents[i], d.actions[:0])
 		for _, action := range d.actions {
-			act(action)
+			execute(action)
 		}
 	}
-	clear(d.queue)
-	d.queue = d.queue[:0]
+	clear(d.pendingEvents)
+	d.pendingEvents = d.pendingEvents[:0]
 }
 
-// flush lets the policy handle what is queued.
-func (g *Gateway) flush() { g.policyDriver.run(g.now, g.act) }
+// handlePendingEvents passes the queued events to the policy and executes its actions.
+func (g *Gateway) handlePendingEvents() { g.policyDriver.run(g.now, g.executeAction) }
 
-// act carries out an action of the policy.
-func (g *Gateway) act(action policy.Action) {
+// executeAction executes one action of the policy.
+func (g *Gateway) executeAction(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
 		g.send(action)
@@ -56,18 +57,18 @@
 	case policy.Fail:
 		g.fail(action)
 	case policy.SetTimer:
-		g.after(action.Delay, func() { g.tell(policy.TimerFired{}) })
+		g.scheduleAfter(action.Delay, func() { g.enqueue(policy.TimerFired{}) })
 	case policy.IncrementCounter:
 		g.incrementCounter(action)
 	case policy.CheckHealth:
 		g.checkHealth(action.Endpoint)
 	case policy.CloseIdleConnections:
 		g.pool.CloseIdle(action.Endpoint)
-	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list as it stands is the answer
-		g.tell(g.endpointList())
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the gateway watches at all times and replies with its current list
+		g.enqueue(g.endpointList())
 	case policy.Log:
 		g.log.Info(action.Message)
 	default:
-		g.log.Warn("unsupported action", "action", fmt.Sprintf("%T", action))
+		g.log.Warn("unsupported policy action", "action", fmt.Sprintf("%T", action))
 	}
 }
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -7,12 +7,12 @@
 	"lemontack/internal/listener"
 )
 
-// newListener returns the server of the clients' connections that come on ln.
+// newListener returns a server for the client connections that ln accepts.
 func (g *Gateway) newListener(ln net.Listener) *listener.Server {
 	return listener.New(ln, g.listenerConfig())
 }
 
-// listenerConfig returns the configuration of the server of the clients' connections.
+// listenerConfig returns the configuration of the server for client connections.
 func (g *Gateway) listenerConfig() listener.Config {
 	return listener.Config{
 		Classes:        g.classes,
@@ -20,19 +20,20 @@
 		GatewayCount:   g.cfg.Settings.GatewayCount,
 		MaxUnits:       g.maxUnits,
 		MaxConnections: g.cfg.maxClientConnections(),
-		Memory:         g.cfg.memoryPart(),
-		RejectedReply:  g.rejection,
-		Clock:          g.clock,
+		Memory:         g.cfg.memoryShare(),
+		RejectedReply:  g.rejectionReply,
+		Clock:          g.sharedTime,
 		Stalls:         g.stalls,
 		Log:            g.log,
-		LogLimiter:     g.observe.anomalies,
+		LogLimiter:     g.observe.logLimiter,
 		Counters:       g.observe.clients,
 		Handler:        clientEvents{g},
 		Observer:       clientEvents{g},
 	}
 }
 
-// clientEvents passes what the listener reports on to the event loop and to the counters.
+// clientEvents implements listener.Handler and listener.Observer. It posts events of the listener to the event loop and
+// counts them.
 type clientEvents struct{ g *Gateway }
 
 // RequestReceived implements listener.Handler.
@@ -53,8 +54,8 @@
 
 // RequestUnanswered implements listener.Observer.
 func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
-	e.g.observe.violated(invariantFinalAnswer, r, e.g.clock(time.Now()), cause)
+	e.g.observe.reportViolation(invariantFinalAnswer, r, e.g.sharedTime(time.Now()), cause)
 }
 
 // RequestAnsweredTwice implements listener.Observer.
-func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantOneAnswer) }
+func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantSingleAnswer) }
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -1,5 +1,5 @@
-// Package ingress connects the policy with sockets: it turns what comes on them into the policy's events and carries out the
-// policy's actions. It decides nothing itself.
+// Package ingress connects the policy with the network. It converts input from sockets to policy events and executes the
+// policy's actions. Routing and admission decisions are the policy's.
 package ingress
 
 import (
@@ -22,13 +22,13 @@
 )
 
 const (
-	defaultRetryAfter = 250 * time.Millisecond // advice to clients that are rejected here, where the settings allow as much
-	// firstListTimeout is what a start waits for discovery before it serves from the known list.
+	defaultRetryAfter = 250 * time.Millisecond // upper bound of the retry advice in rejectionReply
+	// firstListTimeout is how long a starting gateway waits for discovery's list before it serves from the known list.
 	firstListTimeout = 300 * time.Millisecond
 )
 
-// Gateway is one ingress. Its event loop owns the policy and the table of requests; the parts beside it have goroutines of
-// their own and post events.
+// Gateway is one ingress. Its event loop owns the policy, the request table and the connection pool. The listener, the counter
+// client, the discovery client and the connections have their own goroutines and post events to the loop.
 type Gateway struct {
 	eventLoop
 	policyDriver
@@ -38,52 +38,52 @@
 	observe *observer
 	stalls  *stall.Detector
 
-	// Of the settings; unchanged after New.
-	classes     map[string]policy.Class
-	plans       map[string]bool
-	maxUnits    float64 // of one request
-	maxAttempts int     // of one request
-	rejection   []byte  // the answer to what is not admitted
+	// Values derived from the settings; read-only after New, so safe for concurrent use.
+	classes        map[string]policy.Class
+	plans          map[string]bool
+	maxUnits       float64 // per request
+	maxAttempts    int     // per request
+	rejectionReply []byte  // reply to a request that is not admitted
 
-	// Parts.
+	// Used by the event loop; Run and UpdateAddresses also use counter and discovery.
 	requests  requestTable
 	pool      *upstream.Pool
 	counter   *counterclient.Client
 	discovery *discovery.Client
 
-	gatewaysPerEndpoint float64       // as discovery last told
-	shutdownDeadline    time.Duration // 0: no shutdown has begun
+	gatewaysPerEndpoint float64       // as last reported by discovery
+	shutdownDeadline    time.Duration // zero until a shutdown begins
 
-	listen func() (net.Listener, error) // for clients
-	ready  chan struct{}
-	addr   net.Addr // set before ready is closed
+	openListener func() (net.Listener, error) // opens the client listener; replaced in tests
+	ready        chan struct{}
+	addr         net.Addr // set before ready is closed
 }
 
-// New checks the configuration and returns an ingress that does not run yet.
+// New validates the configuration and returns a gateway that has not started.
 func New(cfg Config, log *slog.Logger) (*Gateway, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	cfg.setDefaults()
-	module, err := policy.New(cfg.Settings, cfg.Seed)
+	policyGateway, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("creating the policy: %w", err)
 	}
 	start := time.Now()
 	g := &Gateway{
-		eventLoop:    newEventLoop(start),
-		policyDriver: policyDriver{policy: module},
-		cfg:          cfg,
-		log:          log,
-		observe:      newObserver(log),
-		stalls:       stall.NewDetector(start),
-		classes:      map[string]policy.Class{},
-		plans:        map[string]bool{},
-		maxUnits:     cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
-		maxAttempts:  max(cfg.Settings.MaxAttempts, 1),
-		rejection:    busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
-		requests:     newRequestTable(cfg.Connections.MaxOpenRequests, cfg.memoryPart()),
-		ready:        make(chan struct{}),
+		eventLoop:      newEventLoop(start),
+		policyDriver:   policyDriver{policy: policyGateway},
+		cfg:            cfg,
+		log:            log,
+		observe:        newObserver(log),
+		stalls:         stall.NewDetector(start),
+		classes:        map[string]policy.Class{},
+		plans:          map[string]bool{},
+		maxUnits:       cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
+		maxAttempts:    max(cfg.Settings.MaxAttempts, 1),
+		rejectionReply: busyResponse(min(defaultRetryAfter, cfg.Settings.MaxRetryAfter)),
+		requests:       newRequestTable(cfg.Connections.MaxOpenRequests, cfg.memoryShare()),
+		ready:          make(chan struct{}),
 	}
 	for _, class := range cfg.Settings.Classes {
 		g.classes[class.Name] = class
@@ -91,28 +91,28 @@
 	for _, plan := range cfg.Settings.Plans {
 		g.plans[plan.Name] = true
 	}
-	g.listen = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
+	g.openListener = func() (net.Listener, error) { return net.Listen("tcp", cfg.Listen) }
 	g.pool = g.newPool()
 	g.counter = g.newCounterClient()
 	g.discovery = g.newDiscoveryClient(g.discoveryConfig())
 	return g, nil
 }
 
-// newPool returns the pool of the connections to endpoints; it runs on the event loop.
+// newPool returns the pool of endpoint connections. All its methods are called on the event loop.
 func (g *Gateway) newPool() *upstream.Pool {
 	return upstream.NewPool(upstream.Config{
 		Now:            func() time.Duration { return g.now },
-		After:          g.after,
+		After:          g.scheduleAfter,
 		Post:           func(ev upstream.Event) { g.post(upstreamEvent{ev}) },
 		Go:             g.spawn,
 		MaxConnections: g.cfg.maxUpstreamConnections(),
 		ConnectTimeout: g.cfg.Connections.ConnectTimeout,
 		IdleTimeout:    g.cfg.Connections.IdleTimeout,
-		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryPart()),
+		ReplyMemory:    resp.NewMemoryBudget(g.cfg.memoryShare()),
 	})
 }
 
-// newCounterClient returns a client of the shared counter that posts the ends of its calls to the event loop.
+// newCounterClient returns a client of the shared counter that posts the results of its calls to the event loop.
 func (g *Gateway) newCounterClient() *counterclient.Client {
 	return counterclient.New(g.cfg.Counter, g.cfg.Settings.CounterTimeout,
 		func(result counterclient.Result) { g.post(counterCallEnded{result}) })
@@ -125,39 +125,39 @@
 		KnownList: g.cfg.KnownEndpoints,
 		Subset:    g.cfg.Subset,
 		Settings:  g.cfg.Settings,
-		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.Index))),
+		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.GatewayIndex))),
 	}
 }
 
-// newDiscoveryClient returns a discovery client that posts its lists to the event loop.
+// newDiscoveryClient returns a discovery client that posts endpoint lists to the event loop.
 func (g *Gateway) newDiscoveryClient(config discovery.Config) *discovery.Client {
 	return discovery.NewClient(config, func(list discovery.EndpointList) { g.post(endpointsUpdated{list}) }, g.log)
 }
 
-// Ready returns a channel that closes when clients are accepted.
+// Ready returns a channel that is closed once the gateway accepts clients.
 func (g *Gateway) Ready() <-chan struct{} { return g.ready }
 
-// Addr returns the address that clients connect to, once Ready has closed.
+// Addr returns the address of the client listener. It must not be called before Ready is closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// UpdateAddresses goes over to discovery and a counter at other addresses. It waits for nothing, may be called at any time, and the last
-// of several calls counts. Clients, endpoints and the policy's state are left as they are.
+// UpdateAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
+// call takes effect. Client connections, endpoint connections and the policy's state are unchanged.
 func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
 	g.discovery.ChangeAddress(discoveryAddress)
 	g.counter.SetAddress(counterAddress)
 }
 
-// Run serves until ctx ends, then answers what it has admitted and returns.
+// Run serves until ctx is cancelled. It then answers the admitted requests and returns.
 func (g *Gateway) Run(ctx context.Context) error {
-	life, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer func() {
 		stop()
-		g.spawned.Wait()
+		g.goroutines.Wait()
 	}()
-	g.ctx = life
+	g.ctx = runCtx
 	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
 	g.applyKnownEndpoints()
-	g.startParts()
+	g.startBackgroundGoroutines()
 	select {
 	case <-g.discovery.Ready():
 	case <-time.After(firstListTimeout):
@@ -171,28 +171,28 @@
 	g.log.Info("serving", "listen", g.cfg.Listen, "gateways", g.cfg.Settings.GatewayCount,
 		"known_endpoints", knownEndpoints, "polls_discovery", g.cfg.Settings.PollEndpoints)
 	<-ctx.Done()
-	g.shutDown(life, clients)
+	g.shutDown(runCtx, clients)
 	return nil
 }
 
-// startParts starts all goroutines but those for clients.
-func (g *Gateway) startParts() {
+// startBackgroundGoroutines starts the event loop, the counter and discovery clients, and the logging of counters.
+func (g *Gateway) startBackgroundGoroutines() {
 	g.spawn(g.loop)
 	g.spawn(g.counter.Run)
 	g.spawn(g.discovery.Run)
-	g.spawn(g.observe.run)
+	g.spawn(g.observe.logCountersPeriodically)
 }
 
-// startListener begins to accept clients.
+// startListener starts accepting clients and closes the ready channel.
 func (g *Gateway) startListener() (*listener.Server, error) {
-	socket, err := g.listen()
+	ln, err := g.openListener()
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	clients := g.newListener(socket)
-	g.spawn(func(context.Context) { clients.Serve() }) // ends when the socket is closed
+	clients := g.newListener(ln)
+	g.spawn(func(context.Context) { clients.Serve() }) // ends when ln is closed
 	g.spawn(clients.SweepIdle)
-	g.addr = socket.Addr()
+	g.addr = ln.Addr()
 	close(g.ready)
 	return clients, nil
 }
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -61,7 +61,7 @@
 		serviceTime: func(rng *rand.Rand) time.Duration {
 			return time.Duration((0.5 + 0.5*rng.ExpFloat64()) * float64(meanServiceTime))
 		},
-		warmUp:   standin.WarmUp{MinSpeed: slowStartMinWeight, Window: slowStartWindow},
+		warmUp:   standin.WarmUp{MinSpeed: slowStartMinWeight, Duration: slowStartWindow},
 		backends: make([]modelledBackend, count),
 	}
 	busySlots := requestRate * meanServiceTime.Seconds() / float64(count)
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -98,7 +98,7 @@
 		return standInReply{}, nil
 	case command.Action == actionChange && server.discovery != nil:
 		appliedAt := time.Now()
-		return standInReply{AppliedAt: appliedAt, Revision: server.discovery.Change(command.Targets...)}, nil
+		return standInReply{AppliedAt: appliedAt, Revision: server.discovery.ApplyChange(command.Targets...)}, nil
 	case command.Action == actionReport || command.Action == actionReportMemory:
 		return server.report(command.Action == actionReportMemory), nil
 	}
--- a/internal/standin/counter_table.go
+++ b/internal/standin/counter_table.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minSweepSize is the number of names that a CounterTable may hold before it looks for expired ones.
+// minSweepSize is the number of names below which a CounterTable does not remove expired names.
 const minSweepSize = 1024
 
-// CounterTable holds the totals of the shared counter, each under its name until it expires. The caller gives the time,
-// which may be that of a simulation and must not go back. It is not safe for concurrent use.
+// CounterTable holds the totals of the shared counter by name until they expire. The caller passes the current time,
+// which may be simulated and must not decrease. A CounterTable is not safe for concurrent use.
 type CounterTable struct {
-	entries map[string]*counterEntry
-	sweepAt int // number of entries at which the expired ones are removed
+	entries        map[string]*counterEntry
+	sweepThreshold int // number of entries at which Add removes the expired ones
 }
 
 type counterEntry struct {
@@ -17,46 +17,46 @@
 	expiresAt time.Time
 }
 
-// NewCounterTable returns a table without names.
+// NewCounterTable returns an empty table.
 func NewCounterTable() *CounterTable {
-	return &CounterTable{entries: map[string]*counterEntry{}, sweepAt: minSweepSize}
+	return &CounterTable{entries: map[string]*counterEntry{}, sweepThreshold: minSweepSize}
 }
 
-// Add adds to a name and returns its total. A name that is new or has expired starts from 0 and lives for lifetime; the
-// lifetime of later calls does not count.
-func (t *CounterTable) Add(now time.Time, name string, delta float64, lifetime time.Duration) float64 {
-	entry := t.entries[name]
+// Add adds an increment to a name and returns the new total. A name that is new or has expired starts from 0 and expires
+// after lifetime. The lifetimes of later calls are ignored until then.
+func (table *CounterTable) Add(now time.Time, name string, increment float64, lifetime time.Duration) float64 {
+	entry := table.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
-		if len(t.entries) >= t.sweepAt {
-			t.removeExpired(now)
+		if len(table.entries) >= table.sweepThreshold {
+			table.removeExpired(now)
 		}
 		entry = &counterEntry{expiresAt: now.Add(lifetime)}
-		t.entries[name] = entry
+		table.entries[name] = entry
 	}
-	entry.total += delta
+	entry.total += increment
 	return entry.total
 }
 
-// Total returns what a name holds; 0 where there is no such name.
-func (t *CounterTable) Total(now time.Time, name string) float64 {
-	entry := t.entries[name]
+// Total returns the total of a name, or 0 if the name does not exist.
+func (table *CounterTable) Total(now time.Time, name string) float64 {
+	entry := table.entries[name]
 	if entry == nil || !now.Before(entry.expiresAt) {
 		return 0
 	}
 	return entry.total
 }
 
-// Len returns the number of names that have not expired.
-func (t *CounterTable) Len(now time.Time) int {
-	t.removeExpired(now)
-	return len(t.entries)
+// Len removes the expired names and returns the number of names left.
+func (table *CounterTable) Len(now time.Time) int {
+	table.removeExpired(now)
+	return len(table.entries)
 }
 
-func (t *CounterTable) removeExpired(now time.Time) {
-	for name, entry := range t.entries {
+func (table *CounterTable) removeExpired(now time.Time) {
+	for name, entry := range table.entries {
 		if !now.Before(entry.expiresAt) {
-			delete(t.entries, name)
+			delete(table.entries, name)
 		}
 	}
-	t.sweepAt = max(minSweepSize, 2*len(t.entries))
+	table.sweepThreshold = max(minSweepSize, 2*len(table.entries))
 }
