--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	compareServiceTime    = 5 * time.Millisecond // of every request, so that the rest of its latency is what was added
+	compareServiceTime    = 5 * time.Millisecond // time of every request at a backend; the rest of its latency is added latency
 	compareDuration       = 8 * time.Second
 	compareIdleDuration   = 4 * time.Second
 	compareWarmUpDuration = 3 * time.Second
-	compareBackendSlots   = 1000 // of each backend: no request is queued
+	compareBackendSlots   = 1000 // slots of each backend, so many that no request is queued
 	compareSweepTitle     = "real and hollow, the same point"
 	compareRatioLabel     = "hollow / real"
 )
 
-// Figures of the comparison alone.
+// Names of figures that only the comparison has.
 const (
 	figureRequestCost = "request: processor"
 	figureIdleCost    = "idle second"
@@ -28,24 +28,24 @@
 	figureMemory      = "memory, each"
 )
 
-// compareJobs measure real ingresses and hollow ones under the same load, and then relate their figures.
+// compareJobs returns points of real and of hollow ingresses under the same load, and a point of their ratios.
 func (r *Run) compareJobs() []job {
 	var realPoint, hollowPoint *Point
-	n := formatNumber(float64(r.Real))
+	n := formatNumber(float64(r.RealIngresses))
 	return []job{
 		{
 			point:    Point{Sweep: compareSweepTitle, Label: n + " real"},
 			duration: 35 * time.Second,
 			measure: func(ctx context.Context, p *Point) error {
 				realPoint = p
-				return r.measureReal(ctx, p)
+				return r.measureRealIngresses(ctx, p)
 			},
 		}, {
 			point:    Point{Sweep: compareSweepTitle, Label: n + " hollow"},
 			duration: 20 * time.Second,
 			measure: func(ctx context.Context, p *Point) error {
 				hollowPoint = p
-				return r.measureHollow(ctx, p)
+				return r.measureHollowIngresses(ctx, p)
 			},
 		}, {
 			point: Point{Sweep: compareSweepTitle, Label: compareRatioLabel},
@@ -57,32 +57,33 @@
 	}
 }
 
-// addRatios adds what part of a real ingress's figures a hollow one shows. A point is nil if it was not begun.
+// addRatios adds the ratios of the hollow figures to the real ones. A point is nil if its measurement was not started.
 func addRatios(p, realPoint, hollowPoint *Point) {
-	if realPoint == nil || hollowPoint == nil || realPoint.Skipped != "" || hollowPoint.Skipped != "" {
-		p.Skipped = "one of the two was not measured"
+	if realPoint == nil || hollowPoint == nil || realPoint.SkipReason != "" || hollowPoint.SkipReason != "" {
+		p.SkipReason = "the real or the hollow point was not measured"
 		return
 	}
-	for _, f := range realPoint.Figures {
-		if g, ok := hollowPoint.find(f.Role, f.Name); ok && g.Unit == f.Unit && f.Value != 0 {
-			p.addUnfitted(f.Role, f.Name, f.Unit, g.Value/f.Value)
+	for _, realFigure := range realPoint.Figures {
+		if hollowFigure, ok := hollowPoint.findFigure(realFigure.Role, realFigure.Name); ok &&
+			hollowFigure.Unit == realFigure.Unit && realFigure.Value != 0 {
+			p.addFigureWithoutFit(realFigure.Role, realFigure.Name, realFigure.Unit, hollowFigure.Value/realFigure.Value)
 		}
 	}
 }
 
 func (r *Run) compareShape() fleetShape {
-	return fleetShape{Ingresses: r.Real, Tenants: liveTenants, Rate: r.Rate}
+	return fleetShape{Ingresses: r.RealIngresses, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
 }
 
-// comparison is what real and hollow ingresses are compared by.
+// comparison holds the results by which real and hollow ingresses are compared.
 type comparison struct {
 	requests, rejected, failed, attempts float64
-	cpuTime                              time.Duration // for the requests
-	idleCPUPerSecond                     float64       // seconds, of each ingress
+	cpuTime                              time.Duration // CPU time of all ingresses under load
+	idleCPUPerSecond                     float64       // seconds of CPU time of each ingress
 	counterCalls                         float64
-	listBytes                            float64 // that discovery sent to each ingress until it was ready
-	memory                               float64 // bytes, of each ingress
-	busiestBackend                       float64 // its attempts, in the mean of all backends
+	listBytes                            float64 // bytes that discovery sent to each ingress until it was ready
+	memory                               float64 // bytes of each ingress
+	busiestToMean                        float64 // attempts at the busiest backend, in multiples of the mean of all backends
 	addedLatency                         func(quantile float64) (ms float64)
 }
 
@@ -97,15 +98,15 @@
 	p.addFigure(roleIngress, "added (p50)", "ms", c.addedLatency(50), samples)
 	p.addFigure(roleIngress, "added (p99)", "ms", c.addedLatency(99), samples)
 	p.addFigure(roleIngress, figureAttempts, "", c.attempts/requests, samples)
-	p.addFigure(roleBackends, "attempts at the busiest, in means", "", c.busiestBackend, uint64(c.attempts))
-	p.addUnfitted(roleIngress, "refused", "%", 100*c.rejected/requests)
-	p.addUnfitted(roleIngress, "failed or not answered", "%", 100*c.failed/requests)
-	p.addUnfitted(roleRun, "requests", "", c.requests)
+	p.addFigure(roleBackends, "attempts at the busiest, in means", "", c.busiestToMean, uint64(c.attempts))
+	p.addFigureWithoutFit(roleIngress, "refused", "%", 100*c.rejected/requests)
+	p.addFigureWithoutFit(roleIngress, "failed or not answered", "%", 100*c.failed/requests)
+	p.addFigureWithoutFit(roleRun, "requests", "", c.requests)
 }
 
-// measureHollow measures hollow ingresses under the load under which the real ones are measured.
-func (r *Run) measureHollow(ctx context.Context, p *Point) error {
-	backends := newBackendModel(liveBackends, r.Rate*float64(r.Real), meanServiceTime, false)
+// measureHollowIngresses measures hollow ingresses under the same load as the real ones.
+func (r *Run) measureHollowIngresses(ctx context.Context, p *Point) error {
+	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
 	backends.slots = compareBackendSlots
 	backends.serviceTime = func(*rand.Rand) time.Duration { return compareServiceTime }
 	f, err := startLiveFleet(ctx, r.monitor, r.compareShape(), backends, r.Seed)
@@ -117,81 +118,81 @@
 	if err != nil {
 		return err
 	}
-	m, err := f.measureIdleAndLoad(ctx, r.Rate, r.scaled(compareIdleDuration), r.scaled(compareWarmUpDuration),
-		r.scaled(compareDuration))
+	measured, err := f.measureIdleAndLoad(ctx, r.RequestRate, r.scaleForQuickRun(compareIdleDuration),
+		r.scaleForQuickRun(compareWarmUpDuration), r.scaleForQuickRun(compareDuration))
 	if err != nil {
 		return err
 	}
-	addedLatency := m.times[metricAddedLatency]
-	ingresses := float64(r.Real)
-	_, busiest := attemptSpread(m.attemptsBefore, backends.attemptCounts())
+	addedLatency := measured.times[metricAddedLatency]
+	ingresses := float64(r.RealIngresses)
+	_, busiestToMean := attemptSpread(measured.attemptsBefore, backends.attemptCounts())
 	r.addComparison(p, comparison{
-		requests:         float64(m.load.tally.Requests),
-		rejected:         float64(m.load.tally.Rejected),
-		failed:           float64(m.load.tally.Failed + m.load.tally.Unanswered),
-		attempts:         float64(m.load.tally.Attempts),
-		cpuTime:          m.load.cpuTime,
-		idleCPUPerSecond: m.idle.cpuTime.Seconds() / m.idle.seconds / ingresses,
-		counterCalls:     m.load.counterCalls,
+		requests:         float64(measured.load.tally.Requests),
+		rejected:         float64(measured.load.tally.Rejected),
+		failed:           float64(measured.load.tally.Failed + measured.load.tally.Unanswered),
+		attempts:         float64(measured.load.tally.Attempts),
+		cpuTime:          measured.load.cpuTime,
+		idleCPUPerSecond: measured.idle.cpuTime.Seconds() / measured.idle.seconds / ingresses,
+		counterCalls:     measured.load.counterCalls,
 		listBytes:        float64(discovery.Discovery.Bytes) / ingresses,
 		memory:           f.memoryPerIngress(),
-		busiestBackend:   busiest,
+		busiestToMean:    busiestToMean,
 		addedLatency:     func(quantile float64) float64 { return quantileMS(addedLatency, quantile) },
 	})
-	p.addNote("memory is heap and stacks; added is from the arrival to the first attempt")
+	p.addNote("memory: heap and stacks; added latency: from the arrival to the first attempt")
 	return nil
 }
 
-// measureReal measures processes of the real ingress.
-func (r *Run) measureReal(ctx context.Context, p *Point) error {
-	f := &realFleet{}
-	defer f.stop()
-	if err := r.startRealFleet(ctx, f); err != nil {
+// measureRealIngresses measures processes of the real ingress.
+func (r *Run) measureRealIngresses(ctx context.Context, p *Point) error {
+	fleet := &realFleet{}
+	defer fleet.stop()
+	if err := r.startRealFleet(ctx, fleet); err != nil {
 		return err
 	}
-	discovery, err := f.discovery.call(standInCommand{Action: actionReport})
+	discovery, err := fleet.discovery.call(standInCommand{Action: actionReport})
 	if err != nil {
 		return err
 	}
-	cpuBefore, err := f.cpuTime()
+	cpuBefore, err := fleet.cpuTime()
 	if err != nil {
 		return err
 	}
-	idle := r.scaled(compareIdleDuration)
+	idle := r.scaleForQuickRun(compareIdleDuration)
 	if err := sleep(ctx, idle); err != nil {
 		return err
 	}
-	cpuAfter, err := f.cpuTime()
+	cpuAfter, err := fleet.cpuTime()
 	if err != nil {
 		return err
 	}
 	c := comparison{
-		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.Real),
-		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.Real),
+		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.RealIngresses),
+		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.RealIngresses),
 	}
-	through, direct, err := r.runRealLoad(ctx, f, p, &c)
+	viaIngresses, direct, err := r.runRealLoad(ctx, fleet, p, &c)
 	if err != nil {
 		return err
 	}
 	c.addedLatency = func(quantile float64) float64 {
-		return quantileMS(through, quantile) - quantileMS(direct, quantile)
+		return quantileMS(viaIngresses, quantile) - quantileMS(direct, quantile)
 	}
 	r.addComparison(p, c)
-	p.addNote("added is what clients see beyond the backend's %v, less what they see of a backend called directly at the"+
-		" same time (p50 %.2f ms, p99 %.2f ms); memory is resident", compareServiceTime,
+	p.addNote("added latency: seen by clients beyond the backend's %v, less that of a backend called directly at the"+
+		" same time (p50 %.2f ms, p99 %.2f ms); memory: resident", compareServiceTime,
 		quantileMS(direct, 50), quantileMS(direct, 99))
 	return nil
 }
 
-// runRealLoad sends requests through all real ingresses, first unmeasured and then measured. Beside the measured ones
-// a further generator calls a backend directly, so that whatever else the machine does meets both. The results are the
-// latencies of both beyond the service time.
-func (r *Run) runRealLoad(ctx context.Context, f *realFleet, p *Point, c *comparison) (through,
+// runRealLoad sends requests through all real ingresses, first without and then with measurement. During the measurement
+// another generator calls a backend directly, so that other load on the machine affects both. The results are the
+// latencies beyond the service time of the requests through ingresses and of the direct ones.
+func (r *Run) runRealLoad(ctx context.Context, fleet *realFleet, p *Point, c *comparison) (viaIngresses,
 	direct *hdrhistogram.Histogram, err error) {
-	directGenerator := newLoadGenerator(f.directAddr, 0)
+	directGenerator := newLoadGenerator(fleet.directAddr, 0)
 	defer directGenerator.close()
 	var generators []*loadGenerator
-	for i, ingress := range f.ingresses {
+	for i, ingress := range fleet.ingresses {
 		generators = append(generators, newLoadGenerator(ingress.addr, i+1))
 		defer generators[i].close()
 	}
@@ -199,44 +200,43 @@
 	for _, g := range generators {
 		g.addedLatency.Reset()
 	}
-	before, err := f.readCounters(generators)
+	before, err := fleet.readCounters(generators)
 	if err != nil {
 		return nil, nil, err
 	}
 	r.runGenerators(ctx, append(generators, directGenerator), compareDuration, 1)
-	after, err := f.readCounters(generators)
+	after, err := fleet.readCounters(generators)
 	if err != nil {
 		return nil, nil, err
 	}
 	if directGenerator.served.Load() == 0 {
 		return nil, nil, errors.Join(ctx.Err(), errNoReplies)
 	}
-	c.setLoad(before, after)
-	p.addUnfitted(roleIngress, "connections to backends for a request", "",
+	c.setLoadResults(before, after)
+	p.addFigureWithoutFit(roleIngress, "connections to backends for a request", "",
 		(after.backendConnections-before.backendConnections)/max(1, c.requests))
-	for _, ingress := range f.ingresses {
-		c.memory += float64(residentMemory(ingress.pid())) / float64(len(f.ingresses))
+	for _, ingress := range fleet.ingresses {
+		c.memory += float64(residentMemory(ingress.pid())) / float64(len(fleet.ingresses))
 	}
 	if after.mismatched > 0 {
-		p.addNote("%v requests were served with what no backend made for them", after.mismatched)
+		p.addNote("%v requests were served with a value that no backend made for them", after.mismatched)
 	}
 	return mergeAddedLatency(p, generators), directGenerator.addedLatency, nil
 }
 
-// runGenerators lets all generators send requests, and returns once all requests have ended. The round makes their
-// random numbers differ from those of other rounds.
+// runGenerators runs all generators, and returns once all requests have ended. Each round draws other random numbers.
 func (r *Run) runGenerators(ctx context.Context, generators []*loadGenerator, d time.Duration, round uint64) {
 	shape := r.compareShape()
-	var running sync.WaitGroup // a goroutine for each generator, which ends with its duration or ctx
+	var running sync.WaitGroup // one goroutine for each generator; it ends after its duration or with ctx
 	for _, g := range generators {
 		rng := rand.New(rand.NewPCG(r.Seed, uint64(g.index)<<8|round))
 		tenants := shape.tenantsOf(max(0, g.index-1))
-		running.Go(func() { g.run(ctx, rng, tenants, r.Rate, r.scaled(d), compareServiceTime) })
+		running.Go(func() { g.run(ctx, rng, tenants, r.RequestRate, r.scaleForQuickRun(d), compareServiceTime) })
 	}
 	running.Wait()
 }
 
-// mergeAddedLatency returns the times of all generators, and adds a note for each that had failures.
+// mergeAddedLatency merges the latencies of all generators, and adds a note for each generator with failures.
 func mergeAddedLatency(p *Point, generators []*loadGenerator) *hdrhistogram.Histogram {
 	merged := newHistogram()
 	for _, g := range generators {
@@ -248,18 +248,18 @@
 	return merged
 }
 
-// setLoad sets what follows from the counters before and after the measured load.
-func (c *comparison) setLoad(before, after realCounters) {
+// setLoadResults sets the results that follow from the counters before and after the measured load.
+func (c *comparison) setLoadResults(before, after realCounters) {
 	c.requests = after.requests - before.requests
 	c.rejected = after.rejected - before.rejected
 	c.failed = after.failed - before.failed
 	c.cpuTime = after.cpuTime - before.cpuTime
 	c.counterCalls = float64(after.counterCalls - before.counterCalls)
-	c.attempts, c.busiestBackend = attemptSpread(before.attempts, after.attempts)
+	c.attempts, c.busiestToMean = attemptSpread(before.attempts, after.attempts)
 }
 
-// attemptSpread returns the number of attempts at all backends between two readings, and that of the busiest backend
-// in multiples of the mean.
+// attemptSpread returns the number of attempts at all backends between two readings, and the number at the busiest
+// backend in multiples of the mean.
 func attemptSpread(before, after []uint64) (sum, busiest float64) {
 	for i := range after {
 		n := float64(after[i] - before[i])
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -11,9 +11,9 @@
 	"lemontack/policy"
 )
 
-// What the hollow ingresses share with a real one, its clients of discovery and of the counter, passes through the types below.
+// The types below wrap the clients of discovery and of the counter, which hollow ingresses share with real ones.
 
-// endpointUpdate is a list of endpoints, or a change of some, on its way to a decision module.
+// endpointUpdate is a complete list of endpoints, or a change of some, on its way to a decision module.
 type endpointUpdate struct{ list discovery.EndpointList }
 
 // newSnapshot returns a complete list of endpoints.
@@ -21,7 +21,7 @@
 	return endpointUpdate{discovery.EndpointList{Revision: revision, Snapshot: true, Entries: listEntries(targets)}}
 }
 
-// newChange returns a change of the listed endpoints alone.
+// newChange returns a change of the given endpoints only.
 func newChange(revision int64, targets ...standin.Target) endpointUpdate {
 	return endpointUpdate{discovery.EndpointList{Revision: revision, Entries: listEntries(targets)}}
 }
@@ -34,30 +34,30 @@
 	return entries
 }
 
-func (u endpointUpdate) revision() int64  { return u.list.Revision }
-func (u endpointUpdate) isSnapshot() bool { return u.list.Snapshot }
-func (u endpointUpdate) size() int        { return len(u.list.Entries) }
+func (update endpointUpdate) revision() int64  { return update.list.Revision }
+func (update endpointUpdate) isSnapshot() bool { return update.list.Snapshot }
+func (update endpointUpdate) size() int        { return len(update.list.Entries) }
 
-// event returns the update as the decision module receives it.
-func (u endpointUpdate) event() policy.EndpointsChanged { return u.list.PolicyEvent() }
+// event returns the update as an event of the decision module.
+func (update endpointUpdate) event() policy.EndpointsChanged { return update.list.PolicyEvent() }
 
-// endpointSubset is what an ingress keeps of discovery's list.
+// endpointSubset is the part of discovery's list that an ingress keeps.
 type endpointSubset struct{ cache *discovery.Cache }
 
 func newEndpointSubset(settings policy.Settings) endpointSubset {
 	return endpointSubset{discovery.NewCache(settings, slog.New(slog.DiscardHandler))}
 }
 
-// apply returns the part of an update that the decision module learns of, which may be empty.
-func (s endpointSubset) apply(u endpointUpdate) endpointUpdate {
-	return endpointUpdate{s.cache.Apply(u.list)}
+// apply returns the part of an update that the decision module receives, which may be empty.
+func (s endpointSubset) apply(update endpointUpdate) endpointUpdate {
+	return endpointUpdate{s.cache.Apply(update.list)}
 }
 
-// clientConfig says what the clients of discovery and of the counter of one ingress connect to.
+// clientConfig configures the clients of discovery and of the counter of one ingress.
 type clientConfig struct {
 	discoveryAddr string
 	counterAddr   string
-	cached        endpointUpdate // the list that the ingress's configuration holds
+	knownList     endpointUpdate // endpoint list in the ingress's configuration
 	settings      policy.Settings
 }
 
@@ -67,9 +67,9 @@
 	counter   *counterclient.Client
 }
 
-// newControlClients prepares both clients; they post an endpointUpdate or a counterResult from goroutines of their own.
+// newControlClients returns both clients. Once run, they post an endpointUpdate or a counterResult from own goroutines.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
-	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.cached.list, Settings: cfg.settings}
+	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.knownList.list, Settings: cfg.settings}
 	return controlClients{
 		discovery: discovery.NewClient(discoveryConfig,
 			func(list discovery.EndpointList) { post(endpointUpdate{list}) }, log),
@@ -78,32 +78,32 @@
 	}
 }
 
-// applyCached returns what the decision module learns of the cached list; it comes before run.
-func (c controlClients) applyCached(cached endpointUpdate) endpointUpdate {
-	return endpointUpdate{c.discovery.ApplyKnownList(cached.list)}
+// applyKnownList returns the part of the known list that the decision module receives. It must be called before run.
+func (clients controlClients) applyKnownList(knownList endpointUpdate) endpointUpdate {
+	return endpointUpdate{clients.discovery.ApplyKnownList(knownList.list)}
 }
 
 // run keeps both clients connected until ctx ends, and returns once their goroutines have ended.
-func (c controlClients) run(ctx context.Context) {
+func (clients controlClients) run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { c.discovery.Run(ctx) }) // ends with ctx
-	running.Go(func() { c.counter.Run(ctx) })   // ends with ctx
+	running.Go(func() { clients.discovery.Run(ctx) }) // ends with ctx
+	running.Go(func() { clients.counter.Run(ctx) })   // ends with ctx
 	running.Wait()
 }
 
 // increment starts a call of the counter.
-func (c controlClients) increment(a policy.IncrementCounter) counterCall {
-	return counterCall{c.counter.Increment(a)}
+func (clients controlClients) increment(a policy.IncrementCounter) counterCall {
+	return counterCall{clients.counter.Increment(a)}
 }
 
-// counterCall is a call of the counter that is in flight.
+// counterCall is a pending call of the counter.
 type counterCall struct{ call *counterclient.Call }
 
-// expire ends the call at its timeout; it returns false where the call has had its reply.
-func (c counterCall) expire() (policy.CounterReply, bool) { return c.call.Expire().Reply() }
+// expire ends the call at its timeout; it returns false if the call already has its reply.
+func (cc counterCall) expire() (policy.CounterReply, bool) { return cc.call.Expire().Reply() }
 
-// counterResult is the end of a call of the counter.
+// counterResult is the result of a call of the counter.
 type counterResult struct{ result counterclient.Result }
 
-// reply is the decision module's event; it returns false where the call has ended at its timeout.
-func (r counterResult) reply() (policy.CounterReply, bool) { return r.result.Reply() }
+// reply returns the event for the decision module, or false if the call already ended at its timeout.
+func (res counterResult) reply() (policy.CounterReply, bool) { return res.result.Reply() }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,88 +8,89 @@
 )
 
 const (
-	minFitPoints     = 3    // there is a line through any two
-	maxDeviation     = 0.2  // of a point from its line, as a share of its value
-	maxSquaredShare  = 1e12 // of a deviation, so that values of almost 0 do not make the mean infinite
-	slopeTableFactor = 1000 // the tables show slopes per so many
+	minFitPoints                = 3    // any two points lie on a line
+	maxRelativeDeviation        = 0.2  // deviation of a point from its line, as a share of the point's value
+	maxSquaredRelativeDeviation = 1e12 // limit that keeps the mean finite for values near 0
+	slopeTableFactor            = 1000 // size units for which the tables show a slope
 )
 
-// Fit is a line through the points of a figure, by least squares.
+// Fit is a line fitted to the points of a figure by least squares.
 type Fit struct {
-	Sweep     string   `json:"sweep"`
-	Role      string   `json:"role"`
-	Figure    string   `json:"figure"`
-	Unit      string   `json:"unit"`
-	Against   string   `json:"against"`
-	Points    int      `json:"points"`
-	Slope     float64  `json:"slope"`
-	Intercept float64  `json:"intercept"`
-	R2        float64  `json:"r2"`
-	Residual  float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
-	Relative  float64  `json:"relative_residual"`      // the same for deviations as shares of the values
-	Outliers  []string `json:"does_not_fit,omitempty"` // points that lie off the line by more than maxDeviation
+	Sweep            string   `json:"sweep"`
+	Role             string   `json:"role"`
+	Figure           string   `json:"figure"`
+	Unit             string   `json:"unit"`
+	SizeUnit         string   `json:"against"`
+	Points           int      `json:"points"`
+	Slope            float64  `json:"slope"`
+	Intercept        float64  `json:"intercept"`
+	R2               float64  `json:"r2"`
+	Residual         float64  `json:"residual"`               // root mean square of the deviations, in the figure's unit
+	RelativeResidual float64  `json:"relative_residual"`      // root mean square of the deviations as shares of the values
+	Outliers         []string `json:"does_not_fit,omitempty"` // points beyond maxRelativeDeviation of the line
 }
 
-// fitLine fits y against x. It returns false where there are too few points or no line.
+// fitLine fits y against x. It returns false if there are too few points or no line exists.
 func fitLine(x, y []float64) (Fit, bool) {
 	if len(x) < minFitPoints {
 		return Fit{}, false
 	}
-	f := Fit{Points: len(x)}
-	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
-	f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope)
-	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) { // all values are the same
-		f.R2 = 1
+	fit := Fit{Points: len(x)}
+	fit.Intercept, fit.Slope = stat.LinearRegression(x, y, nil, false)
+	fit.R2 = stat.RSquared(x, y, nil, fit.Intercept, fit.Slope)
+	if math.IsNaN(fit.R2) || math.IsInf(fit.R2, 0) { // all values are equal
+		fit.R2 = 1
 	}
-	squares, shareSquares := 0.0, 0.0
+	squares, relativeSquares := 0.0, 0.0
 	for i := range x {
-		predicted := f.Intercept + f.Slope*x[i]
-		deviation, share := y[i]-predicted, 0.0
+		predicted := fit.Intercept + fit.Slope*x[i]
+		deviation, relativeDeviation := y[i]-predicted, 0.0
 		if deviation != 0 {
-			share = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
+			relativeDeviation = deviation / max(math.Abs(y[i]), math.SmallestNonzeroFloat64)
 		}
 		squares += deviation * deviation
-		shareSquares += min(share*share, maxSquaredShare)
-		if math.Abs(share) > maxDeviation {
-			f.Outliers = append(f.Outliers, fmt.Sprintf("%s: %.4g, the line says %.4g", formatNumber(x[i]), y[i], predicted))
+		relativeSquares += min(relativeDeviation*relativeDeviation, maxSquaredRelativeDeviation)
+		if math.Abs(relativeDeviation) > maxRelativeDeviation {
+			fit.Outliers = append(fit.Outliers,
+				fmt.Sprintf("%s: %.4g, the line predicts %.4g", formatNumber(x[i]), y[i], predicted))
 		}
 	}
-	f.Residual = math.Sqrt(squares / float64(len(x)))
-	f.Relative = math.Sqrt(shareSquares / float64(len(x)))
-	ok := !math.IsNaN(f.Slope) && !math.IsNaN(f.Intercept) && !math.IsInf(f.Slope, 0)
-	return f, ok
+	fit.Residual = math.Sqrt(squares / float64(len(x)))
+	fit.RelativeResidual = math.Sqrt(relativeSquares / float64(len(x)))
+	ok := !math.IsNaN(fit.Slope) && !math.IsNaN(fit.Intercept) && !math.IsInf(fit.Slope, 0)
+	return fit, ok
 }
 
-// series is the values of a figure by the size of the points.
+// series holds the values of a figure with the sizes of their points.
 type series struct{ sizes, values []float64 }
 
-// fits returns a line for each figure that a sweep has at enough points, in the order in which the figures come first.
-func fits(points []*Point) []Fit {
-	type key struct{ sweep, role, name, unit, against string }
-	var keys []key
-	seriesOf := map[key]*series{}
+// fitFigures returns a line for each figure that a sweep has at enough points, in the order of their first points.
+func fitFigures(points []*Point) []Fit {
+	type figureKey struct{ sweep, role, name, unit, sizeUnit string }
+	var keys []figureKey
+	seriesOf := map[figureKey]*series{}
 	for _, p := range points {
-		for _, f := range p.Figures {
-			if p.Against == "" || f.NoFit {
+		for _, figure := range p.Figures {
+			if p.SizeUnit == "" || figure.ExcludedFromFit {
 				continue
 			}
-			k := key{p.Sweep, f.Role, f.Name, f.Unit, p.Against}
-			s := seriesOf[k]
+			key := figureKey{p.Sweep, figure.Role, figure.Name, figure.Unit, p.SizeUnit}
+			s := seriesOf[key]
 			if s == nil {
 				s = &series{}
-				seriesOf[k] = s
-				keys = append(keys, k)
+				seriesOf[key] = s
+				keys = append(keys, key)
 			}
 			s.sizes = append(s.sizes, p.Size)
-			s.values = append(s.values, f.Value)
+			s.values = append(s.values, figure.Value)
 		}
 	}
 	var list []Fit
-	for _, k := range keys {
-		s := seriesOf[k]
-		if f, ok := fitLine(s.sizes, s.values); ok {
-			f.Sweep, f.Role, f.Figure, f.Unit, f.Against = k.sweep, k.role, k.name, k.unit, k.against
-			list = append(list, f)
+	for _, key := range keys {
+		s := seriesOf[key]
+		if fit, ok := fitLine(s.sizes, s.values); ok {
+			fit.Sweep, fit.Role, fit.Figure, fit.Unit, fit.SizeUnit = key.sweep, key.role, key.name, key.unit, key.sizeUnit
+			list = append(list, fit)
 		}
 	}
 	return list
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	listTimeout         = 8 * time.Second // for a list to arrive
-	maxListSamples      = 5               // fetches of one list
-	maxListSamplingTime = 2 * time.Second // after which no further fetch begins
+	listTimeout         = 8 * time.Second // time limit for a list to arrive
+	maxListSamples      = 5               // fetches of one list at most
+	maxListSamplingTime = 2 * time.Second // after this time no further fetch of the list starts
 )
 
-// listFetch is what a complete endpoint list cost an ingress.
+// listFetch is the cost of a complete endpoint list at an ingress.
 type listFetch struct {
-	endpoints int // that the ingress kept; 0: the list did not arrive
-	duration  time.Duration
-	cpuTime   time.Duration // of this process
-	allocated uint64        // bytes
+	keptEndpoints int // endpoints that the ingress kept; zero means that the list did not arrive
+	duration      time.Duration
+	cpuTime       time.Duration // CPU time of this process
+	allocated     uint64        // bytes
 }
 
 // addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
-// arrive is a finding and no error; the decision module then gets it as a configuration would bring it.
+// arrive is a result and no error; loadEndpoints passes it to the decision module in either case.
 func (r *Run) addListFigures(ctx context.Context, p *Point, shape fleetShape, backends *backendModel) error {
 	settings, err := shape.policySettings(0)
 	if err != nil {
@@ -52,7 +52,7 @@
 		return err
 	}
 	p.addFigure(roleDiscovery, "state", "MB", toMB(float64(after.Memory)), 1)
-	p.addUnfitted(roleIngress, "list taken", "of 1", float64(min(1, len(fetches))))
+	p.addFigureWithoutFit(roleIngress, "list taken", "of 1", float64(min(1, len(fetches))))
 	if len(fetches) == 0 {
 		return nil
 	}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// fetchLists fetches a list several times. Where it does not arrive in time, a note of the point says why.
+// fetchLists fetches a list several times. If it does not arrive in time, a note of the point gives the reason.
 func fetchLists(ctx context.Context, p *Point, config clientConfig) ([]listFetch, error) {
 	var fetches []listFetch
 	end := time.Now().Add(maxListSamplingTime)
@@ -73,11 +73,11 @@
 		fetchCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		fetch, warning := fetchList(fetchCtx, config)
 		cancel()
-		if fetch.endpoints == 0 {
+		if fetch.keptEndpoints == 0 {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			p.addNote("list not taken within %v: %s", listTimeout, warning)
+			p.addNote("list not received within %v: %s", listTimeout, warning)
 			break
 		}
 		fetches = append(fetches, fetch)
@@ -85,24 +85,24 @@
 	return fetches, nil
 }
 
-// addFetchFigures adds the medians of the fetches, of which there is at least one.
+// addFetchFigures adds the medians of the fetches, which must not be empty.
 func addFetchFigures(p *Point, fetches []listFetch) {
 	addMedian := func(name, unit string, value func(listFetch) float64) {
 		var values []float64
-		for _, f := range fetches {
-			values = append(values, value(f))
+		for _, fetch := range fetches {
+			values = append(values, value(fetch))
 		}
 		slices.Sort(values)
 		p.addFigure(roleIngress, "list taken: "+name, unit, values[len(values)/2], uint64(len(fetches)))
 	}
-	addMedian("processor", "ms", func(f listFetch) float64 { return f.cpuTime.Seconds() * 1000 })
-	addMedian("time", "ms", func(f listFetch) float64 { return f.duration.Seconds() * 1000 })
-	addMedian("allocated", "MB", func(f listFetch) float64 { return toMB(float64(f.allocated)) })
-	p.addUnfitted(roleIngress, "list taken: held", "backends", float64(fetches[0].endpoints))
+	addMedian("processor", "ms", func(fetch listFetch) float64 { return fetch.cpuTime.Seconds() * 1000 })
+	addMedian("time", "ms", func(fetch listFetch) float64 { return fetch.duration.Seconds() * 1000 })
+	addMedian("allocated", "MB", func(fetch listFetch) float64 { return toMB(float64(fetch.allocated)) })
+	p.addFigureWithoutFit(roleIngress, "list taken: held", "backends", float64(fetches[0].keptEndpoints))
 }
 
-// fetchList starts the real client and waits for its first complete list. Where ctx ends before that, it returns what
-// the client logged last.
+// fetchList starts the real client and waits for its first complete list. If ctx ends first, the string is the reason:
+// the last line that the client logged.
 func fetchList(ctx context.Context, config clientConfig) (listFetch, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -121,7 +121,7 @@
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	start, cpuBefore := time.Now(), cpuTime(wholeProcess)
+	start, cpuBefore := time.Now(), cpuTime(currentProcess)
 	clientsEnded := make(chan struct{})
 	go func() { // ends with ctx; fetchList waits for it
 		defer close(clientsEnded)
@@ -131,9 +131,9 @@
 	select {
 	case list := <-lists:
 		fetch = listFetch{
-			endpoints: list.size(),
-			duration:  time.Since(start),
-			cpuTime:   cpuTime(wholeProcess) - cpuBefore,
+			keptEndpoints: list.size(),
+			duration:      time.Since(start),
+			cpuTime:       cpuTime(currentProcess) - cpuBefore,
 		}
 		runtime.ReadMemStats(&after)
 		fetch.allocated = after.TotalAlloc - before.TotalAlloc
@@ -144,26 +144,26 @@
 	return fetch, logged.line()
 }
 
-// lastLogLine is a writer that keeps the last line written.
+// lastLogLine is a writer that keeps the last line written. It is safe for concurrent use.
 type lastLogLine struct {
 	mu   sync.Mutex // guards text
 	text string
 }
 
-func (l *lastLogLine) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.text = strings.TrimSpace(string(p))
+func (writer *lastLogLine) Write(p []byte) (int, error) {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	writer.text = strings.TrimSpace(string(p))
 	return len(p), nil
 }
 
-func (l *lastLogLine) line() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text
+func (writer *lastLogLine) line() string {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	return writer.text
 }
 
-// dropTimeAndLevel is for slog.HandlerOptions: a log line in a note of a point needs neither.
+// dropTimeAndLevel is a ReplaceAttr of slog.HandlerOptions: a log line in a note of a point needs no time or level.
 func dropTimeAndLevel(_ []string, attr slog.Attr) slog.Attr {
 	if attr.Key == slog.TimeKey || attr.Key == slog.LevelKey {
 		return slog.Attr{}
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	readyTimeout    = 15 * time.Second // for a real ingress to answer
-	shutdownTimeout = 5 * time.Second  // from SIGTERM on: longer than any deadline of a request
+	readyTimeout    = 15 * time.Second // time limit for a real ingress to answer PING
+	shutdownTimeout = 5 * time.Second  // time to exit after SIGTERM; longer than any deadline of a request
 
-	ingressPackage   = "lemontack/cmd/ingress"
-	configVariable   = "ROUTER_CONFIG" // names the configuration file of an ingress
-	temporaryPattern = "scalerun-"     // of the run's temporary directory
+	ingressPackage = "lemontack/cmd/ingress"
+	configVariable = "ROUTER_CONFIG" // environment variable with the path of an ingress's configuration file
+	tempDirPattern = "scalerun-"     // name pattern of the run's temporary directory
 )
 
 // Limits in the configuration of a real ingress.
@@ -36,30 +36,30 @@
 )
 
 var (
-	errIngressExited = errors.New("the ingress ended")
-	errNoReplies     = errors.New("the backend answers nothing")
+	errIngressExited = errors.New("the ingress exited")
+	errNoReplies     = errors.New("the directly called backend answered no request")
 )
 
-// realFleet is a few processes of the real ingress between stand-ins of all that they talk to. Its zero value can be
-// stopped.
+// realFleet is a few processes of the real ingress, with stand-ins for the services and backends that they connect to.
+// Its zero value can be stopped.
 type realFleet struct {
-	*standIns     // nil before they are started
-	directory     string
-	ingresses     []*realIngress
-	backends      []*standin.Backend
-	targets       []standin.Target // the same as endpoints
-	directBackend *standin.Backend // a further one, in no list
-	directAddr    string
-	serving       sync.WaitGroup // a goroutine for each backend
+	*standIns         // nil before they are started
+	directory         string
+	ingresses         []*realIngress
+	backends          []*standin.Backend
+	targets           []standin.Target // backends as entries of the endpoint list
+	directBackend     *standin.Backend // called directly; not in the endpoint list
+	directAddr        string
+	backendGoroutines sync.WaitGroup // one goroutine for each backend
 }
 
 type realIngress struct {
 	*childProcess
 	addr   string
-	stderr bytes.Buffer // read after its end
+	stderr bytes.Buffer // read only after the process has exited
 }
 
-// ingressConfig is the configuration file of an ingress.
+// ingressConfig is the content of an ingress's configuration file.
 type ingressConfig struct {
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -75,36 +75,36 @@
 	Sockets  int `json:"sockets"`
 }
 
-// startRealFleet starts backends, discovery, the counter and the ingresses, and waits until these answer. Whatever it
-// returns, the owner of f stops that.
-func (r *Run) startRealFleet(ctx context.Context, f *realFleet) error {
+// startRealFleet starts backends, discovery, the counter and the ingresses, and waits until the ingresses answer. The
+// caller must call fleet.stop, also after an error.
+func (r *Run) startRealFleet(ctx context.Context, fleet *realFleet) error {
 	var err error
-	if f.directory, err = os.MkdirTemp("", temporaryPattern); err != nil {
+	if fleet.directory, err = os.MkdirTemp("", tempDirPattern); err != nil {
 		return err
 	}
-	binary := r.Binary
+	binary := r.IngressBinary
 	if binary == "" {
-		if binary, err = buildIngress(ctx, r.monitor, f.directory); err != nil {
+		if binary, err = buildIngress(ctx, r.monitor, fleet.directory); err != nil {
 			return err
 		}
 	}
-	if err := f.startBackends(); err != nil {
+	if err := fleet.startBackends(); err != nil {
 		return err
 	}
-	if f.standIns, err = startStandIns(ctx, r.monitor, r.compareShape()); err != nil {
+	if fleet.standIns, err = startStandIns(ctx, r.monitor, r.compareShape()); err != nil {
 		return err
 	}
-	if err := f.setList(f.targets); err != nil {
+	if err := fleet.setList(fleet.targets); err != nil {
 		return err
 	}
-	for index := range r.Real {
-		ingress, err := r.startRealIngress(ctx, f, binary, index)
+	for index := range r.RealIngresses {
+		ingress, err := r.startRealIngress(ctx, fleet, binary, index)
 		if err != nil {
 			return err
 		}
-		f.ingresses = append(f.ingresses, ingress)
+		fleet.ingresses = append(fleet.ingresses, ingress)
 	}
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		if err := ingress.waitReady(ctx); err != nil {
 			return err
 		}
@@ -123,43 +123,43 @@
 	})
 	if err == nil {
 		<-build.exited
-		err = build.err
+		err = build.exitErr
 	}
 	if err != nil {
 		firstLine, _, _ := strings.Cut(strings.TrimSpace(output.String()), "\n")
-		return "", fmt.Errorf("building the ingress (--binary names one that is built): %w: %s", err, firstLine)
+		return "", fmt.Errorf("building the ingress (--binary takes a built one): %w: %s", err, firstLine)
 	}
 	return path, nil
 }
 
-// startBackends starts the backends of the list and one that is called directly. stop ends their goroutines.
-func (f *realFleet) startBackends() error {
+// startBackends starts the backends of the endpoint list and one that is called directly. stop ends their goroutines.
+func (fleet *realFleet) startBackends() error {
 	for i := range liveBackends {
-		backend, addr, err := f.startBackend(i)
+		backend, addr, err := fleet.startBackend(i)
 		if err != nil {
 			return err
 		}
-		f.backends = append(f.backends, backend)
-		f.targets = append(f.targets, newTarget(i, addr, stateServing))
+		fleet.backends = append(fleet.backends, backend)
+		fleet.targets = append(fleet.targets, newTarget(i, addr, stateServing))
 	}
 	var err error
-	f.directBackend, f.directAddr, err = f.startBackend(liveBackends)
+	fleet.directBackend, fleet.directAddr, err = fleet.startBackend(liveBackends)
 	return err
 }
 
-func (f *realFleet) startBackend(index int) (*standin.Backend, string, error) {
+func (fleet *realFleet) startBackend(index int) (*standin.Backend, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, "", fmt.Errorf("backends: %w", err)
+		return nil, "", fmt.Errorf("starting a backend: %w", err)
 	}
 	backend := standin.NewBackend(standin.BackendConfig{Slots: compareBackendSlots, LoadReports: true, Seed: uint64(index),
 		ServiceTime: func(*rand.Rand) time.Duration { return compareServiceTime }})
-	f.serving.Go(func() { backend.Serve(listener) }) // an error shows in the requests
+	fleet.backendGoroutines.Go(func() { backend.Serve(listener) }) // an error makes requests fail
 	return backend, listener.Addr().String(), nil
 }
 
-// startRealIngress writes a configuration and starts a process with it.
-func (r *Run) startRealIngress(ctx context.Context, f *realFleet, binary string, index int) (*realIngress, error) {
+// startRealIngress writes a configuration file and starts an ingress with it.
+func (r *Run) startRealIngress(ctx context.Context, fleet *realFleet, binary string, index int) (*realIngress, error) {
 	settings, err := r.compareShape().settingsJSON(index)
 	if err != nil {
 		return nil, err
@@ -170,16 +170,16 @@
 	}
 	config, err := json.Marshal(ingressConfig{
 		Listen:    ingress.addr,
-		Discovery: f.discovery.addr,
-		Counter:   f.counter.addr,
+		Discovery: fleet.discovery.addr,
+		Counter:   fleet.counter.addr,
 		Seed:      fmt.Sprintf("%x", r.Seed+uint64(index)),
 		Settings:  settings,
 		Limits:    ingressLimits{Cores: realIngressCores, MemoryMB: realIngressMemoryMB, Sockets: realIngressSockets},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("configuration of the ingress: %w", err)
+		return nil, fmt.Errorf("encoding the configuration of the ingress: %w", err)
 	}
-	path := filepath.Join(f.directory, fmt.Sprintf("ingress-%d.json", index))
+	path := filepath.Join(fleet.directory, fmt.Sprintf("ingress-%d.json", index))
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
@@ -195,7 +195,7 @@
 	return ingress, nil
 }
 
-// unusedAddr returns a loopback address that nobody listens at just now.
+// unusedAddr returns a loopback address with a port that is unused at present.
 func unusedAddr() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,15 +205,15 @@
 	return listener.Addr().String(), nil
 }
 
-// waitReady waits until the ingress answers PING, as a client does.
-func (i *realIngress) waitReady(ctx context.Context) error {
+// waitReady sends PING, like a client, until the ingress answers or readyTimeout is over.
+func (ingress *realIngress) waitReady(ctx context.Context) error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
-		case <-i.exited: // err is nil after exit code 0
-			return fmt.Errorf("%w: %v: %s", errIngressExited, i.err, lastLineOf(i.stderr.String()))
+		case <-ingress.exited: // exitErr is nil after exit code 0
+			return fmt.Errorf("%w: %v: %s", errIngressExited, ingress.exitErr, lastLine(ingress.stderr.String()))
 		default:
 		}
-		if i.answersPing(ctx) {
+		if ingress.respondsToPing(ctx) {
 			return nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -223,76 +223,76 @@
 	return fmt.Errorf("the ingress is %w after %v", errNotReady, readyTimeout)
 }
 
-func (i *realIngress) answersPing(ctx context.Context) bool {
-	client := newLoadGenerator(i.addr, 0)
+func (ingress *realIngress) respondsToPing(ctx context.Context) bool {
+	client := newLoadGenerator(ingress.addr, 0)
 	defer client.close()
 	answer, err := client.call(ctx, []byte("*1\r\n$4\r\nPING\r\n"))
 	return err == nil && answer == reply{replySimple, "PONG"}
 }
 
-func lastLineOf(text string) string {
+func lastLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	return lines[len(lines)-1]
 }
 
-// stop ends the ingresses as an operator does, and then all that they talk to.
-func (f *realFleet) stop() {
-	for _, ingress := range f.ingresses {
-		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has ended
+// stop sends the ingresses SIGTERM, as an operator does, and then stops the stand-ins and backends.
+func (fleet *realFleet) stop() {
+	for _, ingress := range fleet.ingresses {
+		ingress.cmd.Process.Signal(syscall.SIGTERM) // an error means that it has already exited
 	}
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		ingress.waitOrKill(shutdownTimeout)
 	}
-	if f.standIns != nil {
-		f.standIns.stop()
+	if fleet.standIns != nil {
+		fleet.standIns.stop()
 	}
-	for _, backend := range f.backends {
+	for _, backend := range fleet.backends {
 		backend.Close()
 	}
-	if f.directBackend != nil {
-		f.directBackend.Close()
+	if fleet.directBackend != nil {
+		fleet.directBackend.Close()
 	}
-	f.serving.Wait()
-	if f.directory != "" {
-		os.RemoveAll(f.directory) // what remains lies among the system's temporary files
+	fleet.backendGoroutines.Wait()
+	if fleet.directory != "" {
+		os.RemoveAll(fleet.directory) // files left after an error are in the system's temporary directory
 	}
 }
 
-// realCounters is what real ingresses, the clients and the stand-ins have done so far.
+// realCounters holds the totals of real ingresses, load generators and stand-ins so far.
 type realCounters struct {
 	requests, rejected, failed, mismatched float64
-	cpuTime                                time.Duration // of the ingresses
+	cpuTime                                time.Duration // CPU time of all ingresses
 	counterCalls                           int
-	attempts                               []uint64 // at each backend
+	attempts                               []uint64 // attempts at each backend
 	backendConnections                     float64
 }
 
-func (f *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
-	var c realCounters
+func (fleet *realFleet) readCounters(generators []*loadGenerator) (realCounters, error) {
+	var counters realCounters
 	for _, g := range generators {
-		c.requests += float64(g.sent)
-		c.rejected += float64(g.rejected.Load())
-		c.failed += float64(g.failed.Load())
-		c.mismatched += float64(g.mismatched.Load())
+		counters.requests += float64(g.sent)
+		counters.rejected += float64(g.rejected.Load())
+		counters.failed += float64(g.failed.Load())
+		counters.mismatched += float64(g.mismatched.Load())
 	}
-	for _, backend := range f.backends {
+	for _, backend := range fleet.backends {
 		stats := backend.Stats()
-		c.attempts = append(c.attempts, uint64(stats.Attempts))
-		c.backendConnections += float64(stats.Connections)
+		counters.attempts = append(counters.attempts, uint64(stats.Attempts))
+		counters.backendConnections += float64(stats.Connections)
 	}
 	var err error
-	if c.cpuTime, err = f.cpuTime(); err != nil {
-		return c, err
+	if counters.cpuTime, err = fleet.cpuTime(); err != nil {
+		return counters, err
 	}
-	counter, err := f.counter.call(standInCommand{Action: actionReport})
-	c.counterCalls = counter.Counter.Calls
-	return c, err
+	counter, err := fleet.counter.call(standInCommand{Action: actionReport})
+	counters.counterCalls = counter.Counter.Calls
+	return counters, err
 }
 
-// cpuTime returns the processor time of all ingresses so far.
-func (f *realFleet) cpuTime() (time.Duration, error) {
+// cpuTime returns the CPU time of all ingresses so far.
+func (fleet *realFleet) cpuTime() (time.Duration, error) {
 	var sum time.Duration
-	for _, ingress := range f.ingresses {
+	for _, ingress := range fleet.ingresses {
 		d, err := processCPUTime(ingress.pid())
 		if err != nil {
 			return 0, err
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -7,11 +7,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metric says what a histogram of times is about.
+// metric is the kind of time that a histogram holds.
 type metric int
 
 const (
-	// Processor time of the decision module for an event.
+	// Times that the decision module takes to handle an event.
 	metricArrival metric = iota
 	metricAttemptEnd
 	metricCounterReply
@@ -19,33 +19,33 @@
 	metricSnapshot
 	metricTimer
 
-	metricAddedLatency // of a request, from its arrival to its first attempt
-	metricLateness     // of an arrival, behind the clock of its ingress
+	metricAddedLatency // time from the arrival of a request to its first attempt
+	metricLateness     // delay of an arrival behind the clock of its ingress
 
 	metricCount
 )
 
 const (
-	recorderShards    = 8 // so that hundreds of ingresses seldom wait for one another
+	recorderShards    = 8 // locks of a recorder, which reduce contention among hundreds of ingresses
 	maxRecordedTime   = 60 * time.Second
-	significantDigits = 2 // of a histogram: errors of at most 1%
+	significantDigits = 2 // precision of a histogram, for errors of at most 1%
 )
 
 // histograms holds a histogram of times in ns for each metric.
 type histograms [metricCount]*hdrhistogram.Histogram
 
 func newHistograms() histograms {
-	var h histograms
-	for m := range h {
-		h[m] = newHistogram()
+	var hs histograms
+	for m := range hs {
+		hs[m] = newHistogram()
 	}
-	return h
+	return hs
 }
 
-// merge adds what other has recorded; other stays as it is.
-func (h *histograms) merge(other histograms) {
-	for m := range h {
-		h[m].Merge(other[m])
+// merge adds the recorded times of other, which does not change.
+func (hs *histograms) merge(other histograms) {
+	for m := range hs {
+		hs[m].Merge(other[m])
 	}
 }
 
@@ -53,12 +53,12 @@
 	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
-// recordTime adds a time to a histogram of newHistogram; one outside its bounds counts as the nearest bound.
-func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
+// recordTime adds a time to a histogram of newHistogram; a time outside its bounds counts as the nearest bound.
+func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
+	histogram.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
 }
 
-// timeRecorder gathers times of many hollow ingresses. It is safe for concurrent use.
+// timeRecorder collects times of many hollow ingresses. It is safe for concurrent use.
 type timeRecorder struct {
 	shards [recorderShards]struct {
 		mu         sync.Mutex // guards histograms
@@ -66,32 +66,31 @@
 	}
 }
 
-// newTimeRecorder returns a recorder without times.
 func newTimeRecorder() *timeRecorder {
-	r := &timeRecorder{}
-	for i := range r.shards {
-		r.shards[i].histograms = newHistograms()
+	recorder := &timeRecorder{}
+	for i := range recorder.shards {
+		recorder.shards[i].histograms = newHistograms()
 	}
-	return r
+	return recorder
 }
 
-// record adds a time of one ingress.
-func (r *timeRecorder) record(ingress int, m metric, d time.Duration) {
-	shard := &r.shards[ingress%recorderShards]
+// record adds a time of the ingress at an index.
+func (recorder *timeRecorder) record(ingress int, m metric, d time.Duration) {
+	shard := &recorder.shards[ingress%recorderShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	recordTime(shard.histograms[m], d)
 }
 
-// drain returns what was recorded since the last call.
-func (r *timeRecorder) drain() histograms {
+// drain returns the times recorded since the last call.
+func (recorder *timeRecorder) drain() histograms {
 	sum := newHistograms()
-	for i := range r.shards {
-		shard := &r.shards[i]
+	for i := range recorder.shards {
+		shard := &recorder.shards[i]
 		shard.mu.Lock()
 		sum.merge(shard.histograms)
-		for _, h := range shard.histograms {
-			h.Reset()
+		for _, histogram := range shard.histograms {
+			histogram.Reset()
 		}
 		shard.mu.Unlock()
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// microseconds is a time as the settings object holds it.
+// microseconds is a duration in the unit of the settings object.
 type microseconds int64
 
 func toMicroseconds(d time.Duration) microseconds { return microseconds(d.Microseconds()) }
@@ -37,7 +37,7 @@
 type planSettings struct {
 	Name   string  `json:"name"`
 	Price  float64 `json:"price"`
-	Refill float64 `json:"refill"` // units a second
+	Refill float64 `json:"refill"` // units per second
 	Burst  float64 `json:"burst"`  // units
 }
 
@@ -50,7 +50,7 @@
 type permissionSettings struct {
 	ConnectionIdleTimeout microseconds `json:"connIdleUs"`
 	ConnectTimeout        microseconds `json:"connectTimeoutUs"`
-	MaxOpen               int          `json:"maxOpen"` // requests at once
+	MaxOpen               int          `json:"maxOpen"` // concurrent requests
 	MaxAttempts           int          `json:"maxAttempts"`
 	MaxRetryAfter         microseconds `json:"maxRetryAfterUs"`
 	MayCancel             bool         `json:"mayCancel"`
@@ -72,14 +72,14 @@
 }
 
 // settingsJSON returns the settings object of one ingress.
-func (s fleetShape) settingsJSON(index int) ([]byte, error) {
+func (shape fleetShape) settingsJSON(index int) ([]byte, error) {
 	registryMode := "automatic"
-	if s.Polled {
+	if shape.PollsEndpoints {
 		registryMode = "subscribe"
 	}
 	text, err := json.Marshal(ingressSettings{
 		Index:        index,
-		GatewayCount: s.Ingresses,
+		GatewayCount: shape.Ingresses,
 		Zone:         zoneName(index),
 		RegistryMode: registryMode,
 		Classes: []classSettings{
@@ -99,7 +99,7 @@
 				Idempotency:      "non_idempotent",
 			},
 		},
-		Plans: s.planSettings(),
+		Plans: shape.planSettings(),
 		Family: familySettings{
 			CounterTimeout: toMicroseconds(100 * time.Millisecond),
 			MaxUnits:       maxRequestUnits,
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	zones = 9 // of backends and of ingresses
+	zones = 9 // zones of the backends and of the ingresses
 
-	maxRequestUnits = 2   // units that a request asks for: from 1 on, all equally likely
-	meanUnits       = 1.5 // of a request
-	lookupShare     = 0.7 // of the requests; the others are orders
+	maxRequestUnits = 2   // units of a request: from 1 to this number, equally likely
+	meanUnits       = 1.5 // units of a request on average
+	lookupShare     = 0.7 // lookups as a share of the requests; the rest are orders
 
 	quotaMargin  = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
-	minPlanRate  = 0.1 // units a second
+	minPlanRate  = 0.1 // units per second
 	burstSeconds = 20  // burst of a plan, in seconds of its rate
 )
 
@@ -29,43 +29,43 @@
 	orderDeadline  = 2 * time.Second
 )
 
-// Backends that have just started.
+// Slow start of backends.
 const (
 	slowStartMinWeight = 0.2 // share of the full speed at the start
 	slowStartWindow    = 10 * time.Second
-	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of what it serves
+	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of its throughput
 	slowStartSpan      = time.Second
 )
 
-const connectTimeout = 250 * time.Millisecond // for a connection to a backend
+const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
 
-// tenantPlan is a plan that tenants have.
+// tenantPlan is a plan of tenants.
 type tenantPlan struct {
-	name        string
-	share       float64 // of the tenants
-	gatewaySpan int     // ingresses that one tenant comes through; fewer where the fleet is smaller
-	smallBurst  bool    // the burst holds one large request for each ingress, which needs a central token bucket
+	name          string
+	share         float64 // share of the tenants
+	gatewaySpan   int     // ingresses that receive the requests of one tenant; limited by the size of the fleet
+	hasSmallBurst bool    // the burst covers only one large request for each ingress, which requires a central token bucket
 }
 
 var plans = [...]tenantPlan{
 	{name: "solo", share: 0.3, gatewaySpan: 1},
 	{name: "team", share: 0.5, gatewaySpan: 4},
-	{name: "wide", share: 0.2, gatewaySpan: 32, smallBurst: true},
+	{name: "wide", share: 0.2, gatewaySpan: 32, hasSmallBurst: true},
 }
 
-// fleetShape is the fleet as one ingress sees it. The settings of hollow and of real ingresses follow from it alone.
+// fleetShape describes a fleet. The settings of hollow and of real ingresses follow from it alone.
 type fleetShape struct {
-	Ingresses int
-	Tenants   int     // of one ingress, about
-	Rate      float64 // requests a second of one ingress, which the quotas are made for
-	Polled    bool    // ingresses fetch the endpoint list; else it is pushed
+	Ingresses         int
+	TenantsPerIngress int     // approximate number
+	RequestRate       float64 // requests per second of one ingress, for which the quotas are sized
+	PollsEndpoints    bool    // ingresses poll the endpoint list; otherwise it is pushed
 }
 
 func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
 
-// policySettings returns the settings of one ingress as its decision module takes them.
-func (s fleetShape) policySettings(index int) (policy.Settings, error) {
-	text, err := s.settingsJSON(index)
+// policySettings returns the settings of one ingress in the form of its decision module.
+func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
+	text, err := shape.settingsJSON(index)
 	if err != nil {
 		return policy.Settings{}, err
 	}
@@ -76,16 +76,16 @@
 	return *settings, nil
 }
 
-// planSettings returns the plans, with quotas that hold what their tenants ask for.
-func (s fleetShape) planSettings() []planSettings {
+// planSettings returns the plans, with quotas that cover the demand of their tenants.
+func (shape fleetShape) planSettings() []planSettings {
 	var list []planSettings
 	for i, plan := range plans {
-		span := s.gatewaySpan(plan)
-		tenants := s.tenantsPerFirstGateway(plan) * span // of the plan, at one ingress
-		demand := s.Rate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
+		span := shape.gatewaySpan(plan)
+		tenants := shape.tenantsPerFirstGateway(plan) * span // tenants of the plan at one ingress
+		demand := shape.RequestRate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
 		rate := max(minPlanRate, quotaMargin*demand)
 		burst := max(burstSeconds*rate, 3*float64(span)*maxRequestUnits)
-		if plan.smallBurst {
+		if plan.hasSmallBurst {
 			burst = float64(span) * maxRequestUnits
 		}
 		list = append(list, planSettings{Name: plan.name, Price: float64(i + 1), Refill: rate, Burst: burst})
@@ -93,27 +93,29 @@
 	return list
 }
 
-func (s fleetShape) gatewaySpan(plan tenantPlan) int { return min(plan.gatewaySpan, s.Ingresses) }
+func (shape fleetShape) gatewaySpan(plan tenantPlan) int {
+	return min(plan.gatewaySpan, shape.Ingresses)
+}
 
-// tenantsPerFirstGateway returns how many tenants of a plan have the same first gateway.
-func (s fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
-	return max(1, int(float64(s.Tenants)*plan.share/float64(s.gatewaySpan(plan))+0.5))
+// tenantsPerFirstGateway returns the number of tenants of a plan that have the same first gateway.
+func (shape fleetShape) tenantsPerFirstGateway(plan tenantPlan) int {
+	return max(1, int(float64(shape.TenantsPerIngress)*plan.share/float64(shape.gatewaySpan(plan))+0.5))
 }
 
-// tenant is a customer, with the ingresses that it comes through: gatewaySpan of them from firstGateway on.
+// tenant is a customer with the ingresses that receive its requests: gatewaySpan of them, starting at firstGateway.
 type tenant struct {
 	id, plan                  string
 	gatewaySpan, firstGateway int
 }
 
-// tenantsOf returns the tenants that come through one ingress. All ingresses agree on which tenants they share.
-func (s fleetShape) tenantsOf(index int) []tenant {
+// tenantsOf returns the tenants of one ingress. Ingresses that share a tenant return the same entry for it.
+func (shape fleetShape) tenantsOf(index int) []tenant {
 	var list []tenant
 	for planIndex, plan := range plans {
-		span := s.gatewaySpan(plan)
+		span := shape.gatewaySpan(plan)
 		for offset := range span {
-			first := (index - offset + s.Ingresses) % s.Ingresses
-			for number := range s.tenantsPerFirstGateway(plan) {
+			first := (index - offset + shape.Ingresses) % shape.Ingresses
+			for number := range shape.tenantsPerFirstGateway(plan) {
 				id := fmt.Sprintf("%016x", planIndex<<30|first<<16|number)
 				list = append(list, tenant{id, plan.name, span, first})
 			}
@@ -122,15 +124,15 @@
 	return list
 }
 
-// drawRequest draws a request of one of the tenants. All tenants send equally much.
+// drawRequest draws a request of one of the tenants. All tenants send requests at the same rate.
 func drawRequest(rng *rand.Rand, tenants []tenant, now time.Duration) policy.Request {
-	t := tenants[rng.IntN(len(tenants))]
+	selected := tenants[rng.IntN(len(tenants))]
 	request := policy.Request{
 		Class:        orderClass,
-		Plan:         t.plan,
-		Customer:     t.id,
-		GatewaySpan:  t.gatewaySpan,
-		FirstGateway: t.firstGateway,
+		Plan:         selected.plan,
+		Customer:     selected.id,
+		GatewaySpan:  selected.gatewaySpan,
+		FirstGateway: selected.firstGateway,
 		Units:        float64(1 + rng.IntN(maxRequestUnits)),
 		Deadline:     now + orderDeadline,
 	}
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -9,34 +9,35 @@
 	"text/tabwriter"
 )
 
-// tableWriter writes lines whose cells, which tabs separate, it aligns. Flush returns the first error.
+// tableWriter writes lines of cells separated by tabs, and aligns the cells. Flush returns the first error.
 type tableWriter struct{ *tabwriter.Writer }
 
 func (w tableWriter) line(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 
-// Write writes the report as tables for people.
-func (r *Report) Write(out io.Writer) error {
+// Write writes the report as text tables.
+func (report *Report) Write(out io.Writer) error {
 	w := tableWriter{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
-	w.line("scale run: seed %d, %s, %d cores, %s, load before it %s, %s", r.Seed, r.Machine.Go, r.Machine.Cores,
-		formatMegabytes(float64(r.Machine.Memory)), r.Machine.Load, r.Ended)
-	for _, note := range r.Notes {
+	w.line("scale run: seed %d, %s, %d cores, %s, load before the run %s, %s", report.Seed, report.Machine.GoVersion,
+		report.Machine.Cores, formatMegabytes(float64(report.Machine.MemoryBytes)), report.Machine.LoadAverages, report.Status)
+	for _, note := range report.Notes {
 		w.line("- %s", note)
 	}
-	for start := 0; start < len(r.Points); {
+	for start := 0; start < len(report.Points); {
 		end := start
-		for end < len(r.Points) && r.Points[end].Sweep == r.Points[start].Sweep {
+		for end < len(report.Points) && report.Points[end].Sweep == report.Points[start].Sweep {
 			end++
 		}
-		w.writeSweep(r.Points[start:end])
+		w.writeSweep(report.Points[start:end])
 		start = end
 	}
-	if len(r.Fits) > 0 {
-		w.writeFits(r.Fits)
+	if len(report.Fits) > 0 {
+		w.writeFits(report.Fits)
 	}
-	w.line("\nUSED: %s at the most, %d processes, %.0f s of processor time in this one, %.0f s",
-		formatMegabytes(float64(r.Used.PeakMemory)), r.Used.PeakProcesses, r.Used.CPUSeconds, r.Used.WallSeconds)
+	w.line("\nUSED: at most %s and %d processes, %.0f s of CPU time in this process, %.0f s in all",
+		formatMegabytes(float64(report.Usage.PeakMemoryBytes)), report.Usage.PeakProcesses, report.Usage.CPUSeconds,
+		report.Usage.WallSeconds)
 	if err := w.Flush(); err != nil {
-		return fmt.Errorf("table: %w", err)
+		return fmt.Errorf("writing the tables: %w", err)
 	}
 	return nil
 }
@@ -46,14 +47,14 @@
 	w.line("\n%s", strings.ToUpper(points[0].Sweep))
 	var measured []*Point
 	for _, p := range points {
-		if p.Skipped == "" {
+		if p.SkipReason == "" {
 			measured = append(measured, p)
 		}
 	}
 	w.writeFigures(measured)
 	for _, p := range points {
-		if p.Skipped != "" {
-			w.line("%s: skipped, %s", p.Label, p.Skipped)
+		if p.SkipReason != "" {
+			w.line("%s: skipped, %s", p.Label, p.SkipReason)
 		}
 		for _, note := range p.Notes {
 			w.line("%s: %s", p.Label, note)
@@ -62,26 +63,26 @@
 }
 
 func (w tableWriter) writeFigures(points []*Point) {
-	type row struct{ role, name, unit string }
-	var rows []row
+	type figureRow struct{ role, name, unit string }
+	var rows []figureRow
 	header := []string{"role", "figure", "unit"}
 	for _, p := range points {
 		header = append(header, p.Label)
-		for _, f := range p.Figures {
-			if r := (row{f.Role, f.Name, f.Unit}); !slices.Contains(rows, r) {
-				rows = append(rows, r)
+		for _, figure := range p.Figures {
+			if row := (figureRow{figure.Role, figure.Name, figure.Unit}); !slices.Contains(rows, row) {
+				rows = append(rows, row)
 			}
 		}
 	}
 	if len(rows) > 0 {
 		w.line("%s", strings.Join(header, "\t"))
 	}
-	for _, r := range rows {
-		cells := []string{r.role, r.name, r.unit}
+	for _, row := range rows {
+		cells := []string{row.role, row.name, row.unit}
 		for _, p := range points {
 			cell := "-"
-			if f, ok := p.find(r.role, r.name); ok {
-				cell = formatNumber(f.Value)
+			if figure, ok := p.findFigure(row.role, row.name); ok {
+				cell = formatNumber(figure.Value)
 			}
 			cells = append(cells, cell)
 		}
@@ -90,30 +91,31 @@
 }
 
 func (w tableWriter) writeFits(fits []Fit) {
-	w.line("\nSLOPES by least squares; off: points over %.0f%% from the line", 100*maxDeviation)
-	w.line("sweep\trole\tfigure\tunit\tslope per %s\tat 0\tR2\tresidual\trelative\toff", formatNumber(slopeTableFactor))
-	for _, f := range fits {
+	w.line("\nFITS of lines by least squares; outliers are more than %.0f%% off the line", 100*maxRelativeDeviation)
+	w.line("sweep\trole\tfigure\tunit\tslope per %s\tintercept\tR2\tresidual\trelative\toutliers", formatNumber(slopeTableFactor))
+	for _, fit := range fits {
 		outliers := "-"
-		if len(f.Outliers) > 0 {
-			outliers = fmt.Sprintf("%d of %d do not fit a line", len(f.Outliers), f.Points)
+		if len(fit.Outliers) > 0 {
+			outliers = fmt.Sprintf("%d of %d do not fit a line", len(fit.Outliers), fit.Points)
 		}
-		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", f.Sweep, f.Role, f.Figure, f.Unit,
-			formatNumber(slopeTableFactor*f.Slope), formatNumber(f.Intercept), f.R2, formatNumber(f.Residual),
-			100*f.Relative, outliers)
+		w.line("%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%.0f%%\t%s", fit.Sweep, fit.Role, fit.Figure, fit.Unit,
+			formatNumber(slopeTableFactor*fit.Slope), formatNumber(fit.Intercept), fit.R2, formatNumber(fit.Residual),
+			100*fit.RelativeResidual, outliers)
 	}
 }
 
-// formatNumber formats a figure for people: commas between thousands where it is large, three digits where it is not.
+// formatNumber formats a number with commas between thousands if it is large, and otherwise as an integer or with three
+// significant digits.
 func formatNumber(v float64) string {
 	if v < 0 {
 		return "-" + formatNumber(-v)
 	}
 	if v >= 999.5 {
-		s := strconv.FormatFloat(v, 'f', 0, 64)
-		for i := len(s) - 3; i > 0; i -= 3 {
-			s = s[:i] + "," + s[i:]
+		digits := strconv.FormatFloat(v, 'f', 0, 64)
+		for i := len(digits) - 3; i > 0; i -= 3 {
+			digits = digits[:i] + "," + digits[i:]
 		}
-		return s
+		return digits
 	}
 	if v == float64(int(v)) {
 		return strconv.Itoa(int(v))
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -1,36 +1,36 @@
 package scale
 
-// tally counts what a hollow ingress has done. Each request has one end: it is served, rejected, failed or unanswered.
+// tally counts the work of a hollow ingress. Each request has one outcome: served, rejected, failed or unanswered.
 type tally struct {
 	Requests   uint64
 	Served     uint64
 	Rejected   uint64
 	Failed     uint64
-	Unanswered uint64 // the client gave up
+	Unanswered uint64 // the client stopped waiting
 
-	Attempts     uint64 // sent to backends
-	CounterCalls uint64
-	TimerEvents  uint64 // of the decision module
-	Changes      uint64 // of endpoints
-	Snapshots    uint64 // of the endpoint list
+	Attempts        uint64 // attempts sent to backends
+	CounterCalls    uint64
+	TimerEvents     uint64 // timer events of the decision module
+	EndpointChanges uint64 // events with a change of endpoints
+	ListSnapshots   uint64 // events with a complete endpoint list
 
-	Skipped uint64 // arrivals left out since a busy machine was too late for them
+	SkippedArrivals uint64 // arrivals for which a busy machine was too late
 }
 
-func (t tally) minus(u tally) tally {
+func (counts tally) minus(other tally) tally {
 	return tally{
-		Requests:     t.Requests - u.Requests,
-		Served:       t.Served - u.Served,
-		Rejected:     t.Rejected - u.Rejected,
-		Failed:       t.Failed - u.Failed,
-		Unanswered:   t.Unanswered - u.Unanswered,
-		Attempts:     t.Attempts - u.Attempts,
-		CounterCalls: t.CounterCalls - u.CounterCalls,
-		TimerEvents:  t.TimerEvents - u.TimerEvents,
-		Changes:      t.Changes - u.Changes,
-		Snapshots:    t.Snapshots - u.Snapshots,
-		Skipped:      t.Skipped - u.Skipped,
+		Requests:        counts.Requests - other.Requests,
+		Served:          counts.Served - other.Served,
+		Rejected:        counts.Rejected - other.Rejected,
+		Failed:          counts.Failed - other.Failed,
+		Unanswered:      counts.Unanswered - other.Unanswered,
+		Attempts:        counts.Attempts - other.Attempts,
+		CounterCalls:    counts.CounterCalls - other.CounterCalls,
+		TimerEvents:     counts.TimerEvents - other.TimerEvents,
+		EndpointChanges: counts.EndpointChanges - other.EndpointChanges,
+		ListSnapshots:   counts.ListSnapshots - other.ListSnapshots,
+		SkippedArrivals: counts.SkippedArrivals - other.SkippedArrivals,
 	}
 }
 
-func (t tally) plus(u tally) tally { return t.minus(tally{}.minus(u)) }
+func (counts tally) plus(other tally) tally { return counts.minus(tally{}.minus(other)) }
