--- a/cmd/ingress/config.go
+++ b/cmd/ingress/config.go
@@ -133,7 +133,7 @@
 	// A second pass decodes the endpoint list, since the selection of endpoints depends on the settings, which may follow the
 	// list in the file.
 	if err := new(configFile).read(file, func(in *json.Decoder) (err error) {
-		cfg.KnownEndpoints, cfg.Subset, err = discovery.DecodeKnownList(in, *settings, log)
+		cfg.KnownList, cfg.Subset, err = discovery.DecodeKnownList(in, *settings, log)
 		return err
 	}); err != nil {
 		return cfg, processLimits, err
--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -173,9 +173,9 @@
 
 // endpointList returns a snapshot of serving endpoints, in the form that discovery and the configuration file use.
 func endpointList(revision int64, endpoints ...endpoint) *discovery.EndpointList {
-	list := &discovery.EndpointList{Revision: revision, Snapshot: true}
+	list := &discovery.EndpointList{Revision: revision, IsSnapshot: true}
 	for _, e := range endpoints {
-		list.Entries = append(list.Entries, discovery.Entry{UID: e.id, Endpoint: e.addr, State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: e.id, Address: e.addr, State: "SERVING"})
 	}
 	return list
 }
--- a/cmd/ingress/main.go
+++ b/cmd/ingress/main.go
@@ -82,5 +82,5 @@
 		return
 	}
 	log.Info("configuration reloaded", "discovery", cfg.Discovery, "counter", cfg.Counter)
-	gateway.UpdateAddresses(cfg.Discovery, cfg.Counter)
+	gateway.SetAddresses(cfg.Discovery, cfg.Counter)
 }
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -62,7 +62,7 @@
 	if err != nil || !header.isComplete() {
 		return header, EndpointList{}, err
 	}
-	return header, EndpointList{Revision: *header.Revision, Snapshot: header.Snapshot, Entries: collected.entries}, nil
+	return header, EndpointList{Revision: *header.Revision, IsSnapshot: header.IsSnapshot, Entries: collected.entries}, nil
 }
 
 // collect adds an entry to the batch if it is valid and its endpoint is cached or in the subset. If the batch gets too long,
@@ -80,7 +80,7 @@
 // applyDecoded updates the cache with a list or change that decode or collect has filtered, and returns the part to publish.
 // Endpoints that the subset no longer contains are left out. A change also gets a removal for each of them that was cached.
 func (cache *Cache) applyDecoded(list EndpointList) EndpointList {
-	if list.Snapshot {
+	if list.IsSnapshot {
 		cache.members.Reset()
 	}
 	for _, entry := range list.Entries {
@@ -96,7 +96,7 @@
 			return !entry.isRemoved() && !cache.members.IsCached(entry.UID)
 		})
 	}
-	if !list.Snapshot {
+	if !list.IsSnapshot {
 		for _, uid := range evicted {
 			list.Entries = append(list.Entries, Entry{UID: uid, State: stateDeleted})
 		}
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -36,7 +36,7 @@
 	cache := NewCache(oneOfManyGateways(), discardLog)
 	entries := 0
 	header, list, err := cache.decode(json.NewDecoder(streamSnapshot(listed)), func() { entries++ })
-	if err != nil || !header.Snapshot || *header.Revision != 5 || entries != listed {
+	if err != nil || !header.IsSnapshot || *header.Revision != 5 || entries != listed {
 		t.Fatalf("got %d entries, header %+v, error %v; want %d entries of a snapshot of revision 5", entries, header, err, listed)
 	}
 	if n := len(list.Entries); n > maxCacheSize || n < targetCacheSize/2 || cap(list.Entries) > 2*maxCacheSize {
@@ -145,7 +145,7 @@
 	pollsBefore := service.Stats().Lists
 	setListLength(300)
 	for list := range lists {
-		if list.Snapshot && len(list.Entries) == 300 {
+		if list.IsSnapshot && len(list.Entries) == 300 {
 			if list.GatewaysPerEndpoint != 6400 {
 				t.Errorf("got %v gateways per endpoint, want all 6400", list.GatewaysPerEndpoint)
 			}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -32,12 +32,12 @@
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client keeps the endpoint list up to date. ChangeAddress and Ready may be called from any goroutine. The other state belongs
+// Client keeps the endpoint list up to date. SetAddress and Ready may be called from any goroutine. The other state belongs
 // to Run.
 type Client struct {
 	url            string // URL of the list; changes only while synchronize is not running
 	http           *http.Client
-	addresses      mailbox.Latest[string] // addresses passed to ChangeAddress
+	addresses      mailbox.Latest[string] // addresses passed to SetAddress
 	publish        func(EndpointList)
 	timings        callTimings
 	ready          chan struct{} // closed by markReady
@@ -89,15 +89,15 @@
 // before Run.
 func (c *Client) ApplyKnownList(list EndpointList) EndpointList { return c.cache.Apply(list) }
 
-// ChangeAddress makes the client switch to another address of the discovery service. It may be called at any time and never
+// SetAddress makes the client switch to another address of the discovery service. It may be called at any time and never
 // blocks. Of several calls the latest takes effect.
-func (c *Client) ChangeAddress(address string) { c.addresses.Set(address) }
+func (c *Client) SetAddress(address string) { c.addresses.Set(address) }
 
 // Ready returns a channel that is closed once the first poll has succeeded or failed. If the first calls of a fleet are spread
 // over time, it is closed as soon as Run starts, and the gateway uses the known list until the watch returns changes.
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
-// Run polls and watches the endpoint list until ctx ends, and switches to each address passed to ChangeAddress. When it
+// Run polls and watches the endpoint list until ctx ends, and switches to each address passed to SetAddress. When it
 // returns, all goroutines of the client have ended.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
@@ -107,7 +107,7 @@
 	}
 }
 
-// runUntilAddressChange synchronizes with one address until ctx ends or ChangeAddress sets another address.
+// runUntilAddressChange synchronizes with one address until ctx ends or SetAddress sets another address.
 func (c *Client) runUntilAddressChange(ctx context.Context) {
 	syncCtx, stopSync := context.WithCancel(ctx)
 	syncDone := make(chan struct{})
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -82,7 +82,7 @@
 }
 
 func target(i int, state string) standin.Target {
-	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: "127.0.0.1:9", State: state}
+	return standin.Target{UID: fmt.Sprint("s", i), Address: "127.0.0.1:9", State: state}
 }
 
 // outage causes a fault of discovery. It returns the revision that clients have to publish, and the time since which discovery
@@ -194,7 +194,7 @@
 		service.SilenceWatches() // the watches at the old address receive nothing more
 		revision, since := service.ApplyChange(target(0, "DRAINING")), time.Now()
 		for _, client := range group.clients {
-			client.ChangeAddress("127.0.0.1:2")
+			client.SetAddress("127.0.0.1:2")
 		}
 		time.Sleep(3 * addressChangeDeadline)
 		if delay, missing := group.lastPublished(revision, since); missing > 0 || delay > addressChangeDeadline {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -16,7 +16,7 @@
 // listHeader holds the members of a list or change other than its entries.
 type listHeader struct {
 	Revision   *int64
-	Snapshot   bool
+	IsSnapshot bool
 	hasEntries bool // the object has an array of entries, possibly empty
 }
 
@@ -58,7 +58,7 @@
 	case strings.EqualFold(key, "rev"):
 		return decoder.Decode(&h.Revision)
 	case strings.EqualFold(key, "all"):
-		return decoder.Decode(&h.Snapshot)
+		return decoder.Decode(&h.IsSnapshot)
 	case strings.EqualFold(key, "targets"):
 		h.hasEntries, err = decodeEntries(decoder, handlers)
 		return err
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -40,7 +40,7 @@
 		if h.Revision != nil {
 			rev = fmt.Sprint(*h.Revision)
 		}
-		got := fmt.Sprintf("%s %v %v", rev, h.Snapshot, h.hasEntries)
+		got := fmt.Sprintf("%s %v %v", rev, h.IsSnapshot, h.hasEntries)
 		if err != nil {
 			got = "error"
 		}
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -32,7 +32,7 @@
 
 // newEntry returns the i-th entry of a long list in nine zones.
 func newEntry(i int, state string) Entry {
-	return Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", Zone: fmt.Sprint("z", i%9), Group: i / 5, State: state}
+	return Entry{UID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: fmt.Sprint("z", i%9), Group: i / 5, State: state}
 }
 
 // serveDiscovery serves a stand-in on the loopback address until the end of the test, and returns its address.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,9 +13,9 @@
 // EndpointList is a snapshot of discovery's endpoint list, or a change with the changed entries only. Its JSON form is that of
 // the discovery protocol.
 type EndpointList struct {
-	Revision int64   `json:"rev"`
-	Snapshot bool    `json:"all"` // whether this is the whole list; otherwise it is a change
-	Entries  []Entry `json:"targets"`
+	Revision   int64   `json:"rev"`
+	IsSnapshot bool    `json:"all"` // whether this is the whole list; otherwise it is a change
+	Entries    []Entry `json:"targets"`
 
 	// GatewaysPerEndpoint estimates how many gateways share each of the cached endpoints; zero means all gateways.
 	GatewaysPerEndpoint float64 `json:"-"`
@@ -30,7 +30,7 @@
 // Entry is one endpoint of the list.
 type Entry struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"` // address: host and port
+	Address  string  `json:"endpoint"` // host and port
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
@@ -50,7 +50,7 @@
 	if e.UID == "" {
 		return errNoUID
 	}
-	if _, _, err := net.SplitHostPort(e.Endpoint); err != nil && !e.isRemoved() {
+	if _, _, err := net.SplitHostPort(e.Address); err != nil && !e.isRemoved() {
 		return fmt.Errorf("entry %s: %w", e.UID, err)
 	}
 	if e.BootMS < 0 || e.BootMS > math.MaxInt64/int64(time.Millisecond) {
@@ -83,7 +83,7 @@
 // PolicyEvent converts the list to an event of package policy.
 func (l EndpointList) PolicyEvent() policy.EndpointsChanged {
 	event := policy.EndpointsChanged{
-		IsSnapshot:          l.Snapshot,
+		IsSnapshot:          l.IsSnapshot,
 		GatewaysPerEndpoint: l.GatewaysPerEndpoint,
 		Endpoints:           make([]policy.Endpoint, len(l.Entries)),
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -67,7 +67,7 @@
 			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entryCount)
 		}
 	}
-	if e := (Entry{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
+	if e := (Entry{UID: "a", Address: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
 		t.Errorf("unknown state: got %v, want draining", e.State)
 	}
 }
--- a/internal/ingress/attempts_test.go
+++ b/internal/ingress/attempts_test.go
@@ -103,7 +103,7 @@
 	g.pool.Start(a.Attempt)
 	connected := awaitConnected(t, g)
 	change := endpointsAt(endpoint.addr)
-	change.Snapshot, change.Entries[0].State = false, "DRAINING"
+	change.IsSnapshot, change.Entries[0].State = false, "DRAINING"
 	g.updateEndpoints(change)
 	if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.AttemptEnded); !ok || ev.Outcome != policy.NotSent ||
 		len(g.pendingEvents) != 2 {
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -21,7 +21,7 @@
 		MaxUnits:       g.maxUnits,
 		MaxConnections: g.cfg.maxClientConnections(),
 		Memory:         g.cfg.memoryShare(),
-		RejectedReply:  g.rejectionReply,
+		RejectionReply: g.rejectionReply,
 		Clock:          g.sharedTime,
 		Stalls:         g.stalls,
 		Log:            g.log,
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -40,8 +40,8 @@
 	Seed                       uint64
 	Sockets                    int // maximum of open file descriptors
 	Memory                     int // memory for buffers, in bytes; zero selects the default
-	KnownEndpoints             discovery.EndpointList
-	Subset                     *subset.Subset // subset with which KnownEndpoints was decoded; nil selects the widest subset
+	KnownList                  discovery.EndpointList
+	Subset                     *subset.Subset // subset with which KnownList was decoded; nil selects the widest subset
 	Settings                   policy.Settings
 	Connections                wire.ConnectionSettings
 }
--- a/internal/ingress/discoveryfixtures_test.go
+++ b/internal/ingress/discoveryfixtures_test.go
@@ -22,7 +22,7 @@
 			case <-done:
 				return
 			case change := <-changes:
-				if change.Snapshot {
+				if change.IsSnapshot {
 					service.SetList(standinTargets(change))
 				} else {
 					service.ApplyChange(standinTargets(change)...)
@@ -48,9 +48,9 @@
 
 // endpointsAt returns a list of serving endpoints s0, s1 and so on at the given addresses.
 func endpointsAt(addrs ...string) discovery.EndpointList {
-	list := discovery.EndpointList{Revision: 1, Snapshot: true}
+	list := discovery.EndpointList{Revision: 1, IsSnapshot: true}
 	for i, addr := range addrs {
-		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprint("s", i), Address: addr, Zone: "a", State: "SERVING"})
 	}
 	return list
 }
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -11,26 +11,26 @@
 // updateEndpoints applies a snapshot of the endpoint list, or changes to it.
 func (g *Gateway) updateEndpoints(list discovery.EndpointList) {
 	g.gatewaysPerEndpoint = list.GatewaysPerEndpoint
-	if !list.Snapshot && len(list.Entries) == 0 { // the changes concern only endpoints outside this gateway's subset
+	if !list.IsSnapshot && len(list.Entries) == 0 { // the changes concern only endpoints outside this gateway's subset
 		return
 	}
-	event := policy.EndpointsChanged{IsSnapshot: list.Snapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
+	event := policy.EndpointsChanged{IsSnapshot: list.IsSnapshot, GatewaysPerEndpoint: list.GatewaysPerEndpoint}
 	updates := make([]upstream.EndpointUpdate, 0, len(list.Entries))
 	for _, entry := range list.Entries {
 		endpoint := entry.PolicyEndpoint()
 		event.Endpoints = append(event.Endpoints, endpoint)
-		updates = append(updates, upstream.EndpointUpdate{Endpoint: endpoint, Address: entry.Endpoint})
+		updates = append(updates, upstream.EndpointUpdate{Endpoint: endpoint, Address: entry.Address})
 	}
 	g.enqueue(event) // before the AttemptEnded events of attempts that the update ends
-	g.pool.UpdateEndpoints(list.Snapshot, updates)
+	g.pool.UpdateEndpoints(list.IsSnapshot, updates)
 }
 
 // applyKnownEndpoints applies the endpoint list of the configuration. It is the first event that the policy receives.
 func (g *Gateway) applyKnownEndpoints() {
 	g.now = g.sharedTime(time.Now())
-	g.cfg.KnownEndpoints.Snapshot = true
-	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownEndpoints)})
-	g.cfg.KnownEndpoints.Entries = nil // release the memory: the pool now holds the list
+	g.cfg.KnownList.IsSnapshot = true
+	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownList)})
+	g.cfg.KnownList.Entries = nil // release the memory: the pool now holds the list
 }
 
 // endpointList returns the current endpoint list as an event for the policy.
--- a/internal/ingress/endpoints_test.go
+++ b/internal/ingress/endpoints_test.go
@@ -43,7 +43,7 @@
 	service := standin.NewDiscovery(standin.DiscoveryConfig{})
 	list := func(n int, addr string) (targets []standin.Target) {
 		for i := range n {
-			targets = append(targets, standin.Target{UID: fmt.Sprintf("s-%08x", i), Endpoint: addr, Zone: fmt.Sprint("z", i%9),
+			targets = append(targets, standin.Target{UID: fmt.Sprintf("s-%08x", i), Address: addr, Zone: fmt.Sprint("z", i%9),
 				Group: i / 5, State: "SERVING"})
 		}
 		return targets
@@ -81,8 +81,8 @@
 	from, to := startDiscovery(t, endpointsAt(), nil), startDiscovery(t, list, nil)
 	addr, g := startGateway(t, testConfig(from, endpointsAt()))
 	nc, in := nettest.Dial(t, addr)
-	g.UpdateAddresses("127.0.0.1:1", "")
-	g.UpdateAddresses(to, "")
+	g.SetAddresses("127.0.0.1:1", "")
+	g.SetAddresses(to, "")
 	io.WriteString(nc, nettest.Ask(1, nettest.ReadFields)) // waits for an endpoint
 	nettest.WantValue(t, in)
 }
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -16,7 +16,7 @@
 
 // testConfig returns the configuration of a single gateway, with one class of each idempotency.
 func testConfig(discoveryAddr string, known discovery.EndpointList) Config {
-	return Config{Listen: "127.0.0.1:0", Discovery: discoveryAddr, Sockets: 256, KnownEndpoints: known,
+	return Config{Listen: "127.0.0.1:0", Discovery: discoveryAddr, Sockets: 256, KnownList: known,
 		Settings: policy.Settings{GatewayCount: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
 				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.Idempotent},
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -45,7 +45,7 @@
 	maxAttempts    int     // per request
 	rejectionReply []byte  // reply to a request that is not admitted
 
-	// Used by the event loop; Run and UpdateAddresses also use counter and discovery.
+	// Used by the event loop; Run and SetAddresses also use counter and discovery.
 	requests  requestTable
 	pool      *upstream.Pool
 	counter   *counterclient.Client
@@ -122,7 +122,7 @@
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:   g.cfg.Discovery,
-		KnownList: g.cfg.KnownEndpoints,
+		KnownList: g.cfg.KnownList,
 		Subset:    g.cfg.Subset,
 		Settings:  g.cfg.Settings,
 		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.GatewayIndex))),
@@ -140,10 +140,10 @@
 // Addr returns the address of the client listener. It must not be called before Ready is closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// UpdateAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
+// SetAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
 // call takes effect. Client connections, endpoint connections and the policy's state are unchanged.
-func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
-	g.discovery.ChangeAddress(discoveryAddress)
+func (g *Gateway) SetAddresses(discoveryAddress, counterAddress string) {
+	g.discovery.SetAddress(discoveryAddress)
 	g.counter.SetAddress(counterAddress)
 }
 
@@ -155,7 +155,7 @@
 		g.goroutines.Wait()
 	}()
 	g.ctx = runCtx
-	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
+	knownEndpoints := len(g.cfg.KnownList.Entries)
 	g.applyKnownEndpoints()
 	g.startBackgroundGoroutines()
 	select {
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -18,9 +18,9 @@
 
 // longList returns a list of n endpoints.
 func longList(n int) discovery.EndpointList {
-	list := discovery.EndpointList{Revision: 1, Snapshot: true}
+	list := discovery.EndpointList{Revision: 1, IsSnapshot: true}
 	for i := range n {
-		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Endpoint: "127.0.0.1:9", State: "SERVING"})
+		list.Entries = append(list.Entries, discovery.Entry{UID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", State: "SERVING"})
 	}
 	return list
 }
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -81,7 +81,7 @@
 	observer.RequestRead()
 	if c.reader.rejectsRequests || c.reader.mayBeDisconnected || c.hasUnwrittenCommands(MaxPipelined) {
 		observer.RequestRejected(request, "the connection is closing, or has too many open commands")
-		c.answerCommand(c.server.cfg.RejectedReply)
+		c.answerCommand(c.server.cfg.RejectionReply)
 		return true
 	}
 	pending := c.addPendingResponse(request)
--- a/internal/listener/fixtures_test.go
+++ b/internal/listener/fixtures_test.go
@@ -49,7 +49,7 @@
 		MaxUnits:       4,
 		MaxConnections: connections,
 		Memory:         memory,
-		RejectedReply:  []byte("-BUSY\r\n"),
+		RejectionReply: []byte("-BUSY\r\n"),
 		Clock:          func(t time.Time) time.Duration { return epoch + t.Sub(start) },
 		Stalls:         stall.NewDetector(start),
 		Log:            slog.New(slog.DiscardHandler),
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -38,7 +38,7 @@
 type Observer interface {
 	// RequestRead is called for each complete and well-formed request.
 	RequestRead()
-	// RequestRejected is called for a request that the listener answers with Config.RejectedReply.
+	// RequestRejected is called for a request that the listener answers with Config.RejectionReply.
 	RequestRejected(request *Request, reason string)
 	// RequestUnanswered is called for a request that was read and can no longer be answered, because of a fault of the program
 	// or because the listener closed the connection.
@@ -55,7 +55,7 @@
 	MaxUnits       float64                       // maximum number of units of a request
 	MaxConnections int                           // maximum number of open connections
 	Memory         int                           // bytes for incoming commands, and as many for unsent answers
-	RejectedReply  []byte                        // encoded answer to a rejected request
+	RejectionReply []byte                        // encoded answer to a rejected request
 	Clock          func(time.Time) time.Duration // converts to the clock of the times in Request
 	Stalls         *stall.Detector               // nil disables the detection of process stalls
 	Log            *slog.Logger
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -93,7 +93,7 @@
 
 // newTarget returns the endpoint-list entry of backend i, which has been running for long.
 func newTarget(i int, addr, state string) standin.Target {
-	return standin.Target{UID: endpointID(i), Endpoint: addr, Zone: zoneName(i), Model: "m1", Group: i / backendsPerPodGroup,
+	return standin.Target{UID: endpointID(i), Address: addr, Zone: zoneName(i), Model: "m1", Group: i / backendsPerPodGroup,
 		State: state, Capacity: 1}
 }
 
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -18,7 +18,7 @@
 
 // newSnapshot returns a complete list of endpoints.
 func newSnapshot(revision int64, targets []standin.Target) endpointUpdate {
-	return endpointUpdate{discovery.EndpointList{Revision: revision, Snapshot: true, Entries: listEntries(targets)}}
+	return endpointUpdate{discovery.EndpointList{Revision: revision, IsSnapshot: true, Entries: listEntries(targets)}}
 }
 
 // newChange returns a change of the given endpoints only.
@@ -35,7 +35,7 @@
 }
 
 func (update endpointUpdate) revision() int64  { return update.list.Revision }
-func (update endpointUpdate) isSnapshot() bool { return update.list.Snapshot }
+func (update endpointUpdate) isSnapshot() bool { return update.list.IsSnapshot }
 func (update endpointUpdate) size() int        { return len(update.list.Entries) }
 
 // event returns the update as an event of the decision module.
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -133,7 +133,7 @@
 // endpoint returns the entry of a backend in the list of a segment. Each group has two backends. The caller holds cl.mu, unless
 // the cluster is not yet shared.
 func (cl *cluster) endpoint(segment, i int) standin.Target {
-	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: cl.proxies[segment][i].Addr(), Zone: "a", Model: "m", Group: i / 2,
+	return standin.Target{UID: fmt.Sprint("s", i), Address: cl.proxies[segment][i].Addr(), Zone: "a", Model: "m", Group: i / 2,
 		State: cl.states[i], Capacity: 1}
 }
 
--- a/internal/standin/endpoint_history.go
+++ b/internal/standin/endpoint_history.go
@@ -8,7 +8,7 @@
 // Target is one backend in the endpoint list or in a change.
 type Target struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
+	Address  string  `json:"endpoint"`
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
