--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -154,7 +154,7 @@
 	connectIdleClients(t, listen.addr)
 	nettest.Eventually(t, "all available descriptors are in use", func() bool { return countDescriptors() >= exhaustedDescriptors })
 	releaseReplies()
-	for in, i := bufio.NewReader(pendingClient), 0; i < 2*concurrentAttempts; i++ { // afterwards idle, so that the ingress may close it
+	for in, i := bufio.NewReader(pendingClient), 0; i < 2*concurrentAttempts; i++ { // then the client is idle and may be disconnected
 		if line, err := in.ReadString('\n'); err != nil {
 			t.Fatalf("got reply %q, error %v; want a reply", line, err)
 		}
--- a/internal/counterclient/call.go
+++ b/internal/counterclient/call.go
@@ -48,8 +48,8 @@
 	return Result{Call: call, Outcome: policy.TimedOut}
 }
 
-// Reply returns the result as an event for the decision module, or false if it has returned an earlier result of the call: an
-// answer after the timeout is dropped.
+// Reply returns the result as an event for the policy, or false if it has returned an earlier result of the call: an answer after
+// the timeout is dropped.
 func (r Result) Reply() (policy.CounterReply, bool) {
 	if r.Call.hasReplied {
 		return policy.CounterReply{}, false
--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -23,8 +23,8 @@
 }
 
 // New returns a client of the counter at address, which has the form host:port. The timeout is that of a call. The client
-// serves calls while Run runs. It calls reportResult, on a goroutine of Run, with the result of each call that has one;
-// reportResult may block.
+// serves calls while Run runs. It calls reportResult, on a goroutine of Run, with the result of each call that it has tried to
+// write or for which it could not connect; reportResult may block.
 func New(address string, timeout time.Duration, reportResult func(Result)) *Client {
 	client := &Client{}
 	for i := range client.connections {
--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -70,7 +70,8 @@
 			t.Fatalf("got the results after %v, want 10 s at most", took)
 		}
 	}()
-	for _, malformed := range []string{"ok NaN\r\n", "ok +Inf\r\n", "ok 1e99\r\n", "ok x\r\n", "ok\r\n", "ok 12", "\x00\x7f\r\n", strings.Repeat("x", 5000)} {
+	for _, malformed := range []string{"ok NaN\r\n", "ok +Inf\r\n", "ok 1e99\r\n", "ok x\r\n", "ok\r\n", "ok 12",
+		"\x00\x7f\r\n", strings.Repeat("x", 5000)} {
 		var connectionCount atomic.Int32
 		c, results := startConnection(t, func(conn net.Conn, in *bufio.Reader) {
 			n := connectionCount.Add(1)
@@ -91,18 +92,21 @@
 		}
 		for _, want := range []policy.Outcome{policy.Failed, policy.Reset} {
 			if result := <-results; result.Outcome != want {
-				t.Fatalf("answer %.9q: got outcome %v of call %s, want %v", malformed, result.Outcome, result.Call.increment.Name, want)
+				t.Fatalf("answer %.9q: got outcome %v of call %s, want %v", malformed, result.Outcome,
+					result.Call.increment.Name, want)
 			}
 		}
 		c.queue <- newCall("c")
 		if result := <-results; result.Outcome != policy.Succeeded || result.Total != 4 {
-			t.Fatalf("answer %.9q: got outcome %v, total %v of the next call, want success and 4", malformed, result.Outcome, result.Total)
+			t.Fatalf("answer %.9q: got outcome %v, total %v of the next call, want success and 4", malformed,
+				result.Outcome, result.Total)
 		}
 	}
 }
 
 func TestAppendCallWritesProtocolLine(t *testing.T) {
-	if got := string(appendCall(nil, policy.IncrementCounter{Name: "n", Delta: -2.5, TTL: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
+	if got := string(appendCall(nil, policy.IncrementCounter{Name: "n", Delta: -2.5,
+		TTL: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
 		t.Fatalf("got line %q, want the tally line of n", got)
 	}
 }
--- a/internal/counterclient/connection.go
+++ b/internal/counterclient/connection.go
@@ -12,7 +12,7 @@
 // connection serves the calls of its queue, over one TCP connection at a time.
 type connection struct {
 	address        string        // used only by the goroutine of run
-	timeout        time.Duration // of a call
+	timeout        time.Duration // timeout of a call
 	queue          chan *Call
 	addressUpdates mailbox.Latest[string] // only the latest address is kept
 	reportResult   func(Result)
--- a/internal/counterclient/protocol.go
+++ b/internal/counterclient/protocol.go
@@ -8,7 +8,7 @@
 	"lemontack/policy"
 )
 
-// maxTotal is the maximum absolute value of a total; a greater one is an error of the counter.
+// maxTotal is the maximum absolute value of a total; an answer with a greater one is malformed.
 const maxTotal = 1e12
 
 // appendCall appends the protocol line of a call. The time for which the counter keeps the name is in whole milliseconds, at
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -44,11 +44,11 @@
 
 // Apply updates the cache with a decoded list or change, and returns the part to publish.
 func (cache *Cache) Apply(list EndpointList) EndpointList {
-	collected := newEntryBatch()
+	batch := newEntryBatch()
 	for _, entry := range list.Entries {
-		cache.collect(collected, entry)
+		cache.collect(batch, entry)
 	}
-	list.Entries = collected.entries
+	list.Entries = batch.entries
 	return cache.applyDecoded(list)
 }
 
@@ -56,24 +56,24 @@
 // For a list of any length, at most as many entries of uncached endpoints are returned as the cache can hold. It calls
 // beforeEntry before each entry.
 func (cache *Cache) decode(decoder *json.Decoder, beforeEntry func()) (listHeader, EndpointList, error) {
-	collected := newEntryBatch()
-	onEntry := func(entry Entry) { cache.collect(collected, entry) }
+	batch := newEntryBatch()
+	onEntry := func(entry Entry) { cache.collect(batch, entry) }
 	header, err := decodeList(decoder, entryHandlers{beforeEntry: beforeEntry, onEntry: onEntry})
 	if err != nil || !header.isComplete() {
 		return header, EndpointList{}, err
 	}
-	return header, EndpointList{Revision: *header.Revision, IsSnapshot: header.IsSnapshot, Entries: collected.entries}, nil
+	return header, EndpointList{Revision: *header.Revision, IsSnapshot: header.IsSnapshot, Entries: batch.entries}, nil
 }
 
 // collect adds an entry to the batch if it is valid and its endpoint is cached or in the subset. If the batch gets too long,
 // collect narrows the subset and removes the entries that it no longer contains.
-func (cache *Cache) collect(collected *entryBatch, entry Entry) {
+func (cache *Cache) collect(batch *entryBatch, entry Entry) {
 	if !cache.isValid(entry) || !cache.isWanted(entry) {
 		return
 	}
-	collected.add(entry)
-	for cache.members.NarrowIfOverfull(len(collected.entries) - cache.members.Len()) {
-		collected.filter(cache.isWanted)
+	batch.add(entry)
+	for cache.members.NarrowIfOverfull(len(batch.entries) - cache.members.Len()) {
+		batch.filter(cache.isWanted)
 	}
 }
 
--- a/internal/discovery/calltimings.go
+++ b/internal/discovery/calltimings.go
@@ -29,15 +29,15 @@
 const (
 	spreadPerGateway         = 50 * time.Millisecond  // time added to the spread for each gateway, up to pollInterval
 	maxGatewaysWithoutSpread = 8                      // size of a fleet that may call all at once
-	maxAddressChangeSpread   = 500 * time.Millisecond // after an address change, which has a deadline of 4 s
+	maxAddressChangeSpread   = 500 * time.Millisecond // maximum spread after an address change, which has a deadline of 4 s
 	minBackoff               = 100 * time.Millisecond // doubles after each call
 )
 
 // callTimings holds the timeouts and delays of calls to discovery.
 type callTimings struct {
 	startSpread    time.Duration // time over which the first calls of a fleet are spread; zero means no spread
-	answerTimeout  time.Duration // until a call is answered
-	silenceTimeout time.Duration // until a watch receives a heartbeat, a whole object or entriesPerExtension entries
+	answerTimeout  time.Duration // maximum time until a call is answered
+	silenceTimeout time.Duration // maximum time until a watch receives a heartbeat, a whole object or entriesPerExtension entries
 	minBackoff     time.Duration // first pause after a call; it doubles up to maxBackoff
 	maxBackoff     time.Duration
 	hedgeDelay     time.Duration // time without an answer before a hedged call; zero means no hedged calls
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -37,7 +37,7 @@
 type Client struct {
 	url            string // URL of the list; changes only while synchronize is not running
 	http           *http.Client
-	addresses      mailbox.Latest[string] // addresses passed to SetAddress
+	addressUpdates mailbox.Latest[string] // addresses passed to SetAddress
 	publish        func(EndpointList)
 	timings        callTimings
 	ready          chan struct{} // closed by markReady
@@ -65,16 +65,16 @@
 	}
 	settings, hasKnownList := config.Settings, len(config.KnownList.Entries) > 0
 	client := &Client{
-		url:       listURL(config.Address),
-		http:      &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
-		addresses: mailbox.NewLatest[string](),
-		publish:   publish,
-		timings:   newCallTimings(settings.PollEndpoints, settings.GatewayCount, hasKnownList),
-		ready:     make(chan struct{}),
-		log:       log,
-		revision:  config.KnownList.Revision,
-		random:    random,
-		cache:     newCache(config.Subset, settings, log),
+		url:            listURL(config.Address),
+		http:           &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
+		addressUpdates: mailbox.NewLatest[string](),
+		publish:        publish,
+		timings:        newCallTimings(settings.PollEndpoints, settings.GatewayCount, hasKnownList),
+		ready:          make(chan struct{}),
+		log:            log,
+		revision:       config.KnownList.Revision,
+		random:         random,
+		cache:          newCache(config.Subset, settings, log),
 	}
 	client.markReady = sync.OnceFunc(func() { close(client.ready) })
 	return client
@@ -91,7 +91,7 @@
 
 // SetAddress makes the client switch to another address of the discovery service. It may be called at any time and never
 // blocks. Of several calls the latest takes effect.
-func (c *Client) SetAddress(address string) { c.addresses.Set(address) }
+func (c *Client) SetAddress(address string) { c.addressUpdates.Set(address) }
 
 // Ready returns a channel that is closed once the first poll has succeeded or failed. If the first calls of a fleet are spread
 // over time, it is closed as soon as Run starts, and the gateway uses the known list until the watch returns changes.
@@ -118,7 +118,7 @@
 	}()
 	select {
 	case <-ctx.Done():
-	case address := <-c.addresses:
+	case address := <-c.addressUpdates:
 		c.log.Info("discovery address changed", "address", address)
 		stopSync()
 		<-syncDone
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -56,8 +56,8 @@
 	closed  chan struct{}   // closed once answers are no longer received
 }
 
-// openWatch returns the first call that is answered, the original or a hedged one, and cancels the others. It returns an error
-// as soon as every call sent so far has failed.
+// openWatch returns the first call that is answered, the original or a hedged one, and cancels all other calls. It returns an
+// error as soon as every call sent so far has failed.
 func (c *Client) openWatch(ctx context.Context) (*watchCall, error) {
 	calls := &watchCalls{
 		client:  c,
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -63,7 +63,8 @@
 		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.isValid {
 			t.Errorf("%s: got error %v, want valid %v", c.in, err, c.isValid)
 		}
-		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entryCount) {
+		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 &&
+			(len(published) != 1 || len(published[0].Entries) != c.entryCount) {
 			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entryCount)
 		}
 	}
--- a/internal/ingress/actions.go
+++ b/internal/ingress/actions.go
@@ -45,7 +45,6 @@
 // handlePendingEvents passes the queued events to the policy and executes its actions.
 func (g *Gateway) handlePendingEvents() { g.policyDriver.run(g.now, g.executeAction) }
 
-// executeAction executes one action of the policy.
 func (g *Gateway) executeAction(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -28,7 +28,7 @@
 	startedAt time.Duration
 	deadline  time.Duration
 	ended     bool
-	outcome   policy.Outcome // set when ended is
+	outcome   policy.Outcome // set when the attempt has ended
 }
 
 // newAttempt adds an attempt to a request without starting it.
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -12,7 +12,6 @@
 	return listener.New(ln, g.listenerConfig())
 }
 
-// listenerConfig returns the configuration of the server for client connections.
 func (g *Gateway) listenerConfig() listener.Config {
 	return listener.Config{
 		Classes:        g.classes,
@@ -32,30 +31,30 @@
 	}
 }
 
-// clientEvents implements listener.Handler and listener.Observer. It posts events of the listener to the event loop and
-// counts them.
-type clientEvents struct{ g *Gateway }
+// clientEvents implements listener.Handler and listener.Observer. It posts requests and disconnects to the event loop, and
+// passes the calls of the Observer on to the gateway's counters and log.
+type clientEvents struct{ gateway *Gateway }
 
 // RequestReceived implements listener.Handler.
-func (e clientEvents) RequestReceived(r *listener.Request) { e.g.post(requestReceived{r}) }
+func (e clientEvents) RequestReceived(r *listener.Request) { e.gateway.post(requestReceived{r}) }
 
 // ClientDisconnected implements listener.Handler.
 func (e clientEvents) ClientDisconnected(unanswered []*listener.Request) {
-	e.g.post(clientDisconnected{unanswered})
+	e.gateway.post(clientDisconnected{unanswered})
 }
 
 // RequestRead implements listener.Observer.
-func (e clientEvents) RequestRead() { e.g.observe.requests.Add(requestsRead) }
+func (e clientEvents) RequestRead() { e.gateway.observe.requests.Add(requestsRead) }
 
 // RequestRejected implements listener.Observer.
 func (e clientEvents) RequestRejected(r *listener.Request, reason string) {
-	e.g.observe.requestRejected(r, reason)
+	e.gateway.observe.requestRejected(r, reason)
 }
 
 // RequestUnanswered implements listener.Observer.
 func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
-	e.g.observe.reportViolation(invariantFinalAnswer, r, e.g.sharedTime(time.Now()), cause)
+	e.gateway.observe.reportViolation(invariantFinalAnswer, r, e.gateway.sharedTime(time.Now()), cause)
 }
 
 // RequestAnsweredTwice implements listener.Observer.
-func (e clientEvents) RequestAnsweredTwice() { e.g.observe.violations.Add(invariantSingleAnswer) }
+func (e clientEvents) RequestAnsweredTwice() { e.gateway.observe.violations.Add(invariantSingleAnswer) }
--- a/internal/ingress/commands_test.go
+++ b/internal/ingress/commands_test.go
@@ -39,8 +39,8 @@
 	addr := startIngressFor(t, endpoint)
 	long := strings.Repeat("x", resp.MaxValueLength+1)
 	for name, c := range map[string]struct {
-		in     string
-		closed bool
+		in         string
+		wantClosed bool
 	}{
 		"unknown command":            {nettest.Command("HELLO", "3"), false},
 		"no fields":                  {nettest.Command("Q.ASK"), false},
@@ -54,24 +54,26 @@
 		"hexadecimal units":          {nettest.Ask(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
 		"span over all gateways":     {nettest.Ask(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
 		"first gateway out of range": {nettest.Ask(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
-		"long key":                   {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
-		"empty array":                {"*0\r\n", false},
-		"null array":                 {"*-1\r\n", false},
-		"60 MB":                      {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
-		"bad units":                  {nettest.Ask(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
-		"no value":                   {nettest.Ask(1, "c=read,t=p,d"), false},
-		"repeated field":             {nettest.Ask(1, nettest.ReadFields+",d=7"), false},
-		"unknown class":              {nettest.Ask(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
-		"unknown plan":               {nettest.Ask(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
-		"wrong command":              {nettest.Ask(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
-		"no key":                     {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
-		"not an array":               {"PING\r\n", true},
-		"negative bulk":              {"*1\r\n$-5\r\n", true},
-		"null bulk":                  {"*1\r\n$-1\r\n", false},
-		"overflowing bulk":           {"*1\r\n$9223372036854775807\r\n", true},
-		"many elements":              {"*1000000\r\n", true},
-		"oversized":                  {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
-		"endless line":               {"*" + strings.Repeat("1", 4000), true},
+		"long key": {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+			"c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
+		"empty array":    {"*0\r\n", false},
+		"null array":     {"*-1\r\n", false},
+		"60 MB":          {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
+		"bad units":      {nettest.Ask(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
+		"no value":       {nettest.Ask(1, "c=read,t=p,d"), false},
+		"repeated field": {nettest.Ask(1, nettest.ReadFields+",d=7"), false},
+		"unknown class":  {nettest.Ask(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
+		"unknown plan":   {nettest.Ask(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
+		"wrong command":  {nettest.Ask(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
+		"no key": {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+			"c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
+		"not an array":     {"PING\r\n", true},
+		"negative bulk":    {"*1\r\n$-5\r\n", true},
+		"null bulk":        {"*1\r\n$-1\r\n", false},
+		"overflowing bulk": {"*1\r\n$9223372036854775807\r\n", true},
+		"many elements":    {"*1000000\r\n", true},
+		"oversized":        {nettest.Command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
+		"endless line":     {"*" + strings.Repeat("1", 4000), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			nc, in := nettest.Dial(t, addr)
@@ -79,7 +81,7 @@
 			if got := nettest.ReadLine(t, in); !strings.HasPrefix(got, "-ERR ") {
 				t.Fatalf("reply %q, want -ERR", got)
 			}
-			if c.closed {
+			if c.wantClosed {
 				if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 					t.Fatalf("after the error: %q, %v; want the end of the connection", rest, err)
 				}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -18,8 +18,8 @@
 	reservedSockets = 32 // file descriptors for the counter, discovery, the listener and the runtime
 
 	defaultMemory = 256 << 20 // bytes
-	// memoryDivisor divides the memory into the share of each of four uses: commands of open requests, commands being read, answers
-	// that clients have not read, and replies being read.
+	// memoryDivisor divides the memory; the quotient is the limit for each of four uses: commands of open requests, commands
+	// being read, answers that clients have not read, and replies being read. Together they use up to half of the memory.
 	memoryDivisor = 8
 
 	defaultConnectTimeout  = 250 * time.Millisecond
@@ -88,7 +88,7 @@
 	}
 }
 
-// memoryShare returns the memory, in bytes, for each of the uses that memoryDivisor lists.
+// memoryShare returns the limit, in bytes, for each of the four uses of memory; see memoryDivisor.
 func (cfg *Config) memoryShare() int { return cfg.Memory / memoryDivisor }
 
 // maxUpstreamConnections returns the maximum of open connections to endpoints.
--- a/internal/ingress/counter_test.go
+++ b/internal/ingress/counter_test.go
@@ -30,8 +30,8 @@
 // nothing.
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		written bool
-		want    policy.Outcome
+		isWritten bool
+		want      policy.Outcome
 	}{"unwritten": {false, policy.ConnectFailed}, "written": {true, policy.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
 			g := idleGateway(t, testConfig("", endpointsAt("127.0.0.1:1")))
@@ -43,16 +43,17 @@
 				in.ReadString('\n') // sends no reply until the connection is closed
 			})
 			g.counter = counterclient.New(address, time.Minute, func(r counterclient.Result) { g.post(counterCallEnded{r}) })
-			if c.written {
+			if c.isWritten {
 				g.spawn(g.counter.Run)
 			}
 			g.incrementCounter(policy.IncrementCounter{Name: "a", Delta: 1})
-			if c.written {
+			if c.isWritten {
 				<-lines
 			}
 			g.now += g.cfg.Settings.CounterTimeout
-			for do := g.timers.popDue(g.now); do != nil && len(g.pendingEvents) == 0; do = g.timers.popDue(g.now) {
-				do()
+			for callback := g.timers.popDue(g.now); callback != nil &&
+				len(g.pendingEvents) == 0; callback = g.timers.popDue(g.now) {
+				callback()
 			}
 			if ev, ok := g.pendingEvents[len(g.pendingEvents)-1].(policy.CounterReply); !ok || ev.Outcome != c.want || ev.Name != "a" {
 				t.Fatalf("policy events %v, want outcome %v", g.pendingEvents, c.want)
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -86,14 +86,14 @@
 // No attempt of a disconnected client starts, even if other events precede the disconnect in the gateway's queue.
 func TestNoAttemptStartsWhileTheDisconnectIsQueued(t *testing.T) {
 	for name, c := range map[string]struct {
-		known            bool                               // whether the endpoint is known from the start
+		isKnown          bool                               // whether the endpoint is known from the start
 		beforeDisconnect func(g *Gateway) (pending []event) // handles events before the disconnect, returns those still pending
 		pending          func(addr string) []event          // events that precede the disconnect in the queue
 	}{
-		"its command": {known: true},
+		"its command": {isKnown: true},
 		"an endpoint list": {beforeDisconnect: func(g *Gateway) []event { g.handle(<-g.events); return nil },
 			pending: func(addr string) []event { return []event{endpointsUpdated{endpointsAt(addr)}} }},
-		"a connection": {known: true, beforeDisconnect: func(g *Gateway) []event {
+		"a connection": {isKnown: true, beforeDisconnect: func(g *Gateway) []event {
 			g.handle(<-g.events)
 			return []event{<-g.events} // the endpoint connection is established
 		}},
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			endpoint := startEndpoint(t, nil)
 			list := endpointsAt()
-			if c.known {
+			if c.isKnown {
 				list = endpointsAt(endpoint.addr)
 			}
 			cfg := testConfig("", list)
--- a/internal/ingress/endpoints.go
+++ b/internal/ingress/endpoints.go
@@ -25,8 +25,8 @@
 	g.pool.UpdateEndpoints(list.IsSnapshot, updates)
 }
 
-// applyKnownEndpoints applies the endpoint list of the configuration. It is the first event that the policy receives.
-func (g *Gateway) applyKnownEndpoints() {
+// applyKnownList applies the endpoint list of the configuration. It is the first event that the policy receives.
+func (g *Gateway) applyKnownList() {
 	g.now = g.sharedTime(time.Now())
 	g.cfg.KnownList.IsSnapshot = true
 	g.handle(endpointsUpdated{g.discovery.ApplyKnownList(g.cfg.KnownList)})
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -22,7 +22,7 @@
 	now                time.Duration // time of the event being handled, on the shared clock
 	timers             timerQueue
 	events             chan event
-	loopEnded          chan struct{} // closed when the loop has ended and handles no more events
+	loopDone           chan struct{} // closed when the loop has ended and handles no more events
 
 	ctx        context.Context // cancels the goroutines started by spawn; set before the first of them
 	goroutines sync.WaitGroup
@@ -34,7 +34,7 @@
 		startOnSharedClock: time.Duration(start.UnixNano()),
 		timers:             newTimerQueue(),
 		events:             make(chan event, eventQueueLength),
-		loopEnded:          make(chan struct{}),
+		loopDone:           make(chan struct{}),
 	}
 }
 
@@ -48,7 +48,7 @@
 func (l *eventLoop) post(ev event) {
 	select {
 	case l.events <- ev:
-	case <-l.loopEnded:
+	case <-l.loopDone:
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // loop handles events and timers until ctx is cancelled. Its goroutine owns the gateway's state and never waits for a peer.
 func (g *Gateway) loop(ctx context.Context) {
-	defer close(g.loopEnded)
+	defer close(g.loopDone)
 	g.scheduleAfter(idleCheckInterval, g.closeUnusableIdle)
 	wakeUpTimer := time.NewTimer(0)
 	defer wakeUpTimer.Stop()
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -48,7 +48,7 @@
 
 // shutdownEvent begins a shutdown.
 type shutdownEvent struct {
-	deadline time.Duration // for the final answers to all requests, on the shared clock
+	deadline time.Duration // deadline of the final answers to all requests, on the shared clock
 }
 
 func (ev shutdownEvent) apply(g *Gateway) {
--- a/internal/ingress/fixtures_test.go
+++ b/internal/ingress/fixtures_test.go
@@ -19,9 +19,12 @@
 	return Config{Listen: "127.0.0.1:0", Discovery: discoveryAddr, Sockets: 256, KnownList: known,
 		Settings: policy.Settings{GatewayCount: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
-				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.Idempotent},
-				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.NonIdempotent},
-				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Idempotency: policy.IdempotencyKey}},
+				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second,
+					Idempotency: policy.Idempotent},
+				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second,
+					Idempotency: policy.NonIdempotent},
+				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second,
+					Idempotency: policy.IdempotencyKey}},
 			Plans: []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: wire.ConnectionSettings{IdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
@@ -88,10 +91,10 @@
 	g.ctx = ctx
 	t.Cleanup(func() {
 		cancel()
-		close(g.loopEnded)
+		close(g.loopDone)
 		g.goroutines.Wait()
 	})
-	g.applyKnownEndpoints()
+	g.applyKnownList()
 	return g
 }
 
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -51,7 +51,7 @@
 	counter   *counterclient.Client
 	discovery *discovery.Client
 
-	gatewaysPerEndpoint float64       // as last reported by discovery
+	gatewaysPerEndpoint float64       // latest estimate of the discovery client
 	shutdownDeadline    time.Duration // zero until a shutdown begins
 
 	openListener func() (net.Listener, error) // opens the client listener; replaced in tests
@@ -118,7 +118,6 @@
 		func(result counterclient.Result) { g.post(counterCallEnded{result}) })
 }
 
-// discoveryConfig returns the configuration of the discovery client.
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:   g.cfg.Discovery,
@@ -156,7 +155,7 @@
 	}()
 	g.ctx = runCtx
 	knownEndpoints := len(g.cfg.KnownList.Entries)
-	g.applyKnownEndpoints()
+	g.applyKnownList()
 	g.startBackgroundGoroutines()
 	select {
 	case <-g.discovery.Ready():
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -17,7 +17,7 @@
 const (
 	invariantFinalAnswer     invariant = iota // every request that was read receives a final answer
 	invariantSingleAnswer                     // every request receives at most one answer
-	invariantAnswerInTime                     // every answer is given within maxAnswerDelay after the client's deadline
+	invariantAnswerInTime                     // every answer is at most maxAnswerDelay after the client's deadline or a later stall
 	invariantStart                            // no request exceeds its maximum of attempts, or has parallel attempts without hedging
 	invariantRetry                            // a command that may have been executed is retried only if its class allows it
 	invariantClientConnected                  // no write later than maxSendDelayAfterDisconnect after the client disconnected
@@ -54,13 +54,14 @@
 		slog.Duration("timeout", r.GiveUpAt-r.ReadAt))
 }
 
-// checkAnswerTime counts and logs a final answer that is given after the client's deadline.
+// checkAnswerTime counts and logs a final answer that is given after the client's deadline. It reports a violation if the answer
+// is more than maxAnswerDelay late.
 func (g *Gateway) checkAnswerTime(r *request) {
 	dueAt := max(r.GiveUpAt, g.startOnSharedClock+g.stalls.LastStallEnd()) // a stalled process cannot answer
 	if g.now > dueAt+maxAnswerDelay {
 		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" after the deadline")
 	}
-	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // otherwise the deadline had passed before the request was read
+	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // a request with a timeout of zero is not counted
 		g.observe.requests.Add(requestsLate)
 		g.observe.logRequestWarning(r, "answered after the client's deadline", g.now)
 	}
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -38,21 +38,25 @@
 		want        error
 		isViolation bool
 	}{
-		"first":               {"write", nil, nil, 0, nil, false},
-		"ended":               {"read", func(r *request, _ *attempt) { r.finished = true }, nil, 0, errRequestFinished, false},
-		"client disconnected": {"read", func(r *request, _ *attempt) { r.Request = disconnected }, nil, 0, errClientDisconnected, false},
-		"deadline exceeded":   {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
+		"first": {"write", nil, nil, 0, nil, false},
+		"ended": {"read", func(r *request, _ *attempt) { r.finished = true }, nil, 0, errRequestFinished, false},
+		"client disconnected": {"read", func(r *request, _ *attempt) { r.Request = disconnected }, nil, 0,
+			errClientDisconnected, false},
+		"deadline exceeded": {"read", func(_ *request, a *attempt) { a.deadline = g.now }, nil, 0, errNoTimeLeft, false},
 		"draining": {"read", func(_ *request, a *attempt) {
 			a.endpoint = &upstream.Endpoint{Endpoint: policy.Endpoint{State: policy.Draining}}
 		}, nil, 0, errEndpointNotServing, false},
-		"too many":                          {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooManyAttempts, true},
-		"hedge":                             {"read", nil, []earlierAttempt{inFlight}, 0, nil, false},
-		"non-idempotent, in flight":         {"write", nil, []earlierAttempt{inFlight}, 0, errMayBeExecuted, true},
-		"non-idempotent, reset":             {"write", nil, []earlierAttempt{ended(policy.Reset)}, 0, errMayBeExecuted, true},
-		"non-idempotent, not executed":      {"write", nil, []earlierAttempt{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0, nil, false},
-		"keyed":                             {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, time.Second, nil, false},
-		"keyed, window over":                {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window, errDeduplicationWindow, false},
-		"keyed, window nearly over":         {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window - stall.MaxStall, errDeduplicationWindow, false},
+		"too many":                  {"read", func(_ *request, a *attempt) { a.number = 3 }, nil, 0, errTooManyAttempts, true},
+		"hedge":                     {"read", nil, []earlierAttempt{inFlight}, 0, nil, false},
+		"non-idempotent, in flight": {"write", nil, []earlierAttempt{inFlight}, 0, errMayBeExecuted, true},
+		"non-idempotent, reset":     {"write", nil, []earlierAttempt{ended(policy.Reset)}, 0, errMayBeExecuted, true},
+		"non-idempotent, not executed": {"write", nil, []earlierAttempt{ended(policy.Rejected), ended(policy.ConnectFailed)}, 0,
+			nil, false},
+		"keyed": {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, time.Second, nil, false},
+		"keyed, window over": {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window,
+			errDeduplicationWindow, false},
+		"keyed, window nearly over": {"keyed", nil, []earlierAttempt{ended(policy.Reset)}, window - stall.MaxStall,
+			errDeduplicationWindow, false},
 		"keyed, another cell":               {"cell", nil, []earlierAttempt{ended(policy.Reset)}, 0, errMayBeExecuted, true},
 		"keyed, not executed, another cell": {"cell", nil, []earlierAttempt{ended(policy.NotSent)}, 0, nil, false},
 	} {
--- a/internal/ingress/observe.go
+++ b/internal/ingress/observe.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	countersInterval = 10 * time.Second // between two log records of the counters
+	countersInterval = 10 * time.Second // time between two log records of the counters
 
-	// maxLogRecordsPerPeriod bounds the log records on single requests and stalls in each logLimitPeriod, because a fault
-	// may affect all requests.
+	// maxLogRecordsPerPeriod is the maximum number of log records on single requests, stalls and accept errors in each
+	// logLimitPeriod, because a fault may affect all requests.
 	maxLogRecordsPerPeriod = 20
 	logLimitPeriod         = time.Second
 )
@@ -30,7 +30,7 @@
 	attemptOutcomes *telemetry.Counters[policy.Outcome]
 	stalls          atomic.Int64 // number of stalls of the process
 	violations      *telemetry.Counters[invariant]
-	logLimiter      *telemetry.LogLimiter // of warnings and errors on single requests, and of stall warnings
+	logLimiter      *telemetry.LogLimiter // limits warnings and errors on single requests, stalls and accept errors
 }
 
 func newObserver(log *slog.Logger) *observer {
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -42,8 +42,8 @@
 		{"silent, no known list", standin.Silent, 0, 300, 0},
 		{"silent, long known list", standin.Silent, 0, 3, 50_000},
 	} {
-		for _, poll := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, poll %v", c.name, poll), func(t *testing.T) {
+		for _, isPolling := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, poll %v", c.name, isPolling), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					cfg := standin.DiscoveryConfig{}
@@ -53,7 +53,7 @@
 					service := standin.NewDiscovery(cfg)
 					service.SetState(c.state)
 					startedAt := time.Now()
-					gateways, stop := startGateways(t, c.gatewayCount, poll, longList(c.knownEndpoints), service)
+					gateways, stop := startGateways(t, c.gatewayCount, isPolling, longList(c.knownEndpoints), service)
 					defer stop()
 					ready := 0
 					for _, g := range gateways {
@@ -73,7 +73,7 @@
 }
 
 // startGateways runs n gateways that connect to discovery over in-memory pipes. stop ends all of them and waits.
-func startGateways(t *testing.T, n int, poll bool, known discovery.EndpointList, service *standin.Discovery) (
+func startGateways(t *testing.T, n int, isPolling bool, known discovery.EndpointList, service *standin.Discovery) (
 	all []*Gateway, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -83,7 +83,7 @@
 	for i := range n {
 		cfg := testConfig("127.0.0.1:1", known)
 		cfg.Seed = uint64(i)
-		cfg.Settings.GatewayIndex, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, poll
+		cfg.Settings.GatewayIndex, cfg.Settings.GatewayCount, cfg.Settings.PollEndpoints = i, n, isPolling
 		g, err := New(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ingress/requestlog.go
+++ b/internal/ingress/requestlog.go
@@ -14,12 +14,12 @@
 const (
 	requestsRead      requestCounter = iota // complete and well formed
 	requestsExpired                         // deadline passed before admission
-	requestsRejected                        // by the network code: no capacity, shutdown, or a connection that is closing
+	requestsRejected                        // rejected by the network code; see listener.Observer and Gateway.admit
 	requestsDuplicate                       // external ID already in use
 	requestsRejectedByPolicy
-	requestsFailed // by the policy
+	requestsFailed // failed by the policy
 	requestsServed
-	requestsOverdue   // not answered by the policy until their deadline
+	requestsOverdue   // not answered by the policy before the deadline
 	requestsAbandoned // client disconnected before the answer
 	requestsLate      // answered after the client's deadline
 )
@@ -46,7 +46,6 @@
 	}
 }
 
-// attemptStarted logs the start of an attempt.
 func (o *observer) attemptStarted(a *attempt) {
 	if o.debugEnabled {
 		o.log.Debug("attempt started", "request_id", a.request.ExternalIDString(), "attempt", a.number, "endpoint", a.endpoint.ID,
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -7,8 +7,8 @@
 	"lemontack/policy"
 )
 
-// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not
-// answered it. It is a part of the listener's answerMargin, so that the answer can still reach the client.
+// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not answered it. It is
+// shorter than the listener's answerMargin, so that the answer can still reach the client before its timeout.
 const overdueDelay = 8 * time.Millisecond
 
 // request is an admitted request of a client, with its attempts.
@@ -22,7 +22,7 @@
 // requestTable holds the admitted requests that have not finished or that have open attempts.
 type requestTable struct {
 	open             map[policy.RequestID]*request
-	externalIDsInUse map[uint64]bool // external IDs of requests whose deadline has not passed, including finished requests
+	externalIDsInUse map[uint64]bool // external IDs of admitted requests, until overdueDelay after their deadlines
 	lastID           policy.RequestID
 	commandBytes     int // total size of the commands of open requests
 	maxOpen          int
--- a/internal/ingress/timers_test.go
+++ b/internal/ingress/timers_test.go
@@ -15,8 +15,8 @@
 	if at := q.earliest(); at != 10 {
 		t.Fatalf("earliest timer at %d, want 10", at)
 	}
-	for do := q.popDue(30); do != nil; do = q.popDue(30) {
-		do()
+	for callback := q.popDue(30); callback != nil; callback = q.popDue(30) {
+		callback()
 	}
 	if !slices.Equal(called, []int{10, 20, 30}) || q.earliest() != 40 {
 		t.Fatalf("called %v, earliest timer at %d; want [10 20 30], 40", called, q.earliest())
--- a/internal/listener/accept.go
+++ b/internal/listener/accept.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		c := newConn(s, socket)
-		c.reader.openedAt, c.reader.mayHaveQueued = s.acceptDelay.recordAccept(c.reader.openedAt)
+		c.reader.openedAt, c.reader.mayHaveAwaitedAccept = s.acceptDelay.recordAccept(c.reader.openedAt)
 		s.track(c)
 		go c.serve() // ends with the connection; Drain waits for it
 	}
--- a/internal/listener/accept_test.go
+++ b/internal/listener/accept_test.go
@@ -29,8 +29,8 @@
 // After any accept error later connections are accepted, and no connection slot is leaked.
 func TestAcceptContinuesAfterErrors(t *testing.T) {
 	ln := nettest.Listen(t)
-	errs := []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO,
-		syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unknown error")}
+	errs := []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
+		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, errors.New("unknown error")}
 	const slots = 2 // fewer than errs, to detect a leak
 	s, _ := newServer(&failingListener{Listener: ln, errs: errs}, slots, 1<<20)
 	go s.Serve() // ends with the listener
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -9,8 +9,8 @@
 const MaxPipelined = 64
 
 const (
-	// maxUnwrittenCommands is the same limit for commands of any kind, including rejected ones; the connection is closed when
-	// it is exceeded.
+	// maxUnwrittenCommands is the maximum number of commands of any kind, including rejected ones, whose answers have not been
+	// written; the connection is closed when it is exceeded.
 	maxUnwrittenCommands = 512
 	// maxFaults is the number of faults at which a connection is closed.
 	maxFaults = 10
@@ -80,7 +80,8 @@
 	observer := c.server.cfg.Observer
 	observer.RequestRead()
 	if c.reader.rejectsRequests || c.reader.mayBeDisconnected || c.hasUnwrittenCommands(MaxPipelined) {
-		observer.RequestRejected(request, "the connection is closing, or has too many open commands")
+		observer.RequestRejected(request,
+			"the connection is closing, has too many open commands, or its client may have disconnected")
 		c.answerCommand(c.server.cfg.RejectionReply)
 		return true
 	}
--- a/internal/listener/disconnect.go
+++ b/internal/listener/disconnect.go
@@ -10,8 +10,9 @@
 	"lemontack/internal/sockets"
 )
 
-// checkClientConnected reads the available input without blocking, as far as the memory allows. It reports false if it reached
-// the end of the input, and clears mayBeDisconnected if it has read all input without reaching the end.
+// checkClientConnected reads the available input without blocking, as far as the memory allows. It returns false if it reached
+// the end of the input or the connection has failed. It clears mayBeDisconnected if it has read all input without reaching the
+// end.
 func (c *conn) checkClientConnected() (connected bool) {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
--- a/internal/listener/disconnect_test.go
+++ b/internal/listener/disconnect_test.go
@@ -66,19 +66,22 @@
 	for i := range 30 {
 		manyCommands.WriteString(nettest.Ask(10+i, nettest.ReadFields))
 	}
-	longCommand := nettest.Command(commandDo, "00000000b4d65521", "9b1f03aa5c7e2d41", nettest.WriteFields, strings.Repeat("x", resp.MaxValueLength))
+	longCommand := nettest.Command(commandDo, "00000000b4d65521", "9b1f03aa5c7e2d41", nettest.WriteFields,
+		strings.Repeat("x", resp.MaxValueLength))
 	for name, test := range map[string]struct {
 		readInput, unreadInput string // readInput is read before the disconnect, unreadInput after it
 		halfClose              bool
 	}{
-		"one command":                 {"", nettest.Ask(1, nettest.ReadFields), false},
-		"half-close":                  {"", nettest.Ask(1, nettest.ReadFields), true},
-		"many commands":               {"", manyCommands.String(), false},
-		"a long command":              {"", longCommand, false},
-		"behind an invalid command":   {nettest.Command(commandPing), nettest.Command("HELLO") + nettest.Ask(1, nettest.ReadFields), false},
-		"many behind an invalid one":  {nettest.Command(commandPing), nettest.Command("HELLO") + manyCommands.String(), false},
-		"long behind an invalid one":  {nettest.Command(commandPing), nettest.Command("HELLO") + longCommand, false},
-		"flood behind an invalid one": {nettest.Command(commandPing), nettest.Command("HELLO") + strings.Repeat(manyCommands.String(), 40), false},
+		"one command":    {"", nettest.Ask(1, nettest.ReadFields), false},
+		"half-close":     {"", nettest.Ask(1, nettest.ReadFields), true},
+		"many commands":  {"", manyCommands.String(), false},
+		"a long command": {"", longCommand, false},
+		"behind an invalid command": {nettest.Command(commandPing),
+			nettest.Command("HELLO") + nettest.Ask(1, nettest.ReadFields), false},
+		"many behind an invalid one": {nettest.Command(commandPing), nettest.Command("HELLO") + manyCommands.String(), false},
+		"long behind an invalid one": {nettest.Command(commandPing), nettest.Command("HELLO") + longCommand, false},
+		"flood behind an invalid one": {nettest.Command(commandPing),
+			nettest.Command("HELLO") + strings.Repeat(manyCommands.String(), 40), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			serverEnd, clientEnd := nettest.ConnPair(t)
@@ -143,7 +146,7 @@
 type scriptedConn struct {
 	net.Conn // nil, because no other method is called
 	input    *strings.Reader
-	closed   bool
+	isClosed bool
 }
 
 func (script *scriptedConn) Read(b []byte) (int, error) { return script.input.Read(b) }
@@ -155,7 +158,7 @@
 func (script *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 func (script *scriptedConn) Close() error {
-	script.closed = true
+	script.isClosed = true
 	return nil
 }
 
@@ -169,12 +172,14 @@
 		hasOpenRequest bool
 		minTime        time.Duration
 	}{
-		"lost framing":               {"?\r\n" + invalidBytes, 0, true, 0},
-		"lost framing, late":         {"?\r\n" + invalidBytes, maxFaults - 1, true, 0},
-		"a pause":                    {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), maxFaults / 2, true, 0},
+		"lost framing":       {"?\r\n" + invalidBytes, 0, true, 0},
+		"lost framing, late": {"?\r\n" + invalidBytes, maxFaults - 1, true, 0},
+		"a pause": {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300),
+			maxFaults / 2, true, 0},
 		"the last pause":             {nettest.Command("HELLO") + invalidBytes, maxFaults - 1, true, 0},
 		"lost framing, nothing open": {"?\r\n" + invalidBytes, 0, false, time.Second},
-		"a pause, nothing open":      {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300), 4, false, 5 * faultPause},
+		"a pause, nothing open": {nettest.Command("HELLO") + strings.Repeat(nettest.Command(commandPing), 300),
+			4, false, 5 * faultPause},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/listener/drain.go
+++ b/internal/listener/drain.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// drainAcceptQueue lets Serve accept the connections in the accept queue, and waits 2*acceptQueueTimeout at most for its return.
+// drainAcceptQueue lets Serve accept the connections in the accept queue, and waits 2*acceptQueueTimeout at most for Serve to
+// return.
 func (s *Server) drainAcceptQueue() {
 	tcp, ok := s.listener.(*net.TCPListener)
 	if !ok {
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -13,10 +13,10 @@
 const (
 	// maxKeyLength is the maximum length of an idempotency key, in bytes.
 	maxKeyLength = 256
-	// customerNumberLimit is above every customer's number.
+	// customerNumberLimit is one more than the greatest customer number.
 	customerNumberLimit = 1 << 33
-	// answerMargin is the time reserved for an answer to reach the client before its timeout, also on a busy machine. It is
-	// limited to a quarter of the timeout.
+	// answerMargin is the time reserved for an answer to reach the client before its timeout. It is limited to a quarter of the
+	// timeout.
 	answerMargin = 20 * time.Millisecond
 	// maxTimeoutFactor is the maximum timeout of a request, as a multiple of the deadline of its class.
 	maxTimeoutFactor = 2
@@ -44,7 +44,7 @@
 type fields struct {
 	class, plan, key         string
 	timeout                  uint64 // ms
-	timeoutStart, timeoutEnd int    // offsets of its value in the text
+	timeoutStart, timeoutEnd int    // offsets of the value of timeout in the text
 	hasTimeout, hasFirst     bool
 	span, first              uint64
 	units                    float64
@@ -95,8 +95,8 @@
 	return request, nil
 }
 
-// checkFields validates the values against the settings. The decision module takes a customer's plan and gateways from the
-// customer's first request, so invalid values must not reach it.
+// checkFields validates the values against the settings. The policy takes a customer's plan and gateways from the customer's
+// first request, so invalid values must not reach it.
 func (cfg *Config) checkFields(values fields, class policy.Class, command string) error {
 	gateways := uint64(cfg.GatewayCount)
 	switch {
--- a/internal/listener/reader.go
+++ b/internal/listener/reader.go
@@ -32,16 +32,16 @@
 
 // reader is the state of the goroutine that reads a connection; no other goroutine uses it.
 type reader struct {
-	buffer             resp.FrameBuffer
-	openedAt           time.Time // when the connection was accepted, or the earliest time at which it may have arrived
-	mayHaveQueued      bool      // the connection may have waited in the accept queue since openedAt
-	arrivedAt          time.Time // earliest time at which the input read last may have arrived
-	hasRead            bool      // some input has been read
-	hasCommandDeadline bool      // a deadline is set for the rest of a command
-	rejectsRequests    bool      // the connection is closing because of faults: requests are rejected, pauses omitted
-	mayBeDisconnected  bool      // the input may have waited for long, and the client may have disconnected since
-	faultsAtLastPause  int32     // the connection's number of faults at the last pause after a fault
-	bytesSincePause    int       // bytes of discarded or rejected input since the last throttlePause
+	buffer               resp.FrameBuffer
+	openedAt             time.Time // when the connection was accepted, or the earliest time at which it may have arrived
+	mayHaveAwaitedAccept bool      // the connection may have waited in the accept queue since openedAt
+	arrivedAt            time.Time // earliest time at which the input read last may have arrived
+	hasRead              bool      // some input has been read
+	hasCommandDeadline   bool      // a deadline is set for the rest of a command
+	rejectsRequests      bool      // the connection is closing because of faults: requests are rejected, pauses omitted
+	mayBeDisconnected    bool      // the input may have waited for long, and the client may have disconnected since
+	faultsAtLastPause    int32     // the connection's number of faults at the last pause after a fault
+	bytesSincePause      int       // bytes of discarded or rejected input since the last throttlePause
 }
 
 // readCommands processes commands until the connection ends or its framing is lost. It reports whether further input has to be
@@ -146,7 +146,7 @@
 func (c *conn) recordArrival() error {
 	now := time.Now()
 	c.reader.arrivedAt = c.server.cfg.Stalls.EarliestArrival(now)
-	if !c.reader.hasRead && c.reader.mayHaveQueued && c.reader.openedAt.Before(c.reader.arrivedAt) {
+	if !c.reader.hasRead && c.reader.mayHaveAwaitedAccept && c.reader.openedAt.Before(c.reader.arrivedAt) {
 		c.reader.arrivedAt = c.reader.openedAt
 	}
 	mayHaveWaited := !c.reader.hasRead || c.reader.mayBeDisconnected || c.reader.arrivedAt.Before(now)
--- a/internal/listener/reader_test.go
+++ b/internal/listener/reader_test.go
@@ -16,11 +16,11 @@
 // deadlineConn records for each call of SetReadDeadline whether it sets a deadline (true) or clears it.
 type deadlineConn struct {
 	net.Conn
-	set []bool
+	setsDeadline []bool
 }
 
 func (d *deadlineConn) SetReadDeadline(t time.Time) error {
-	d.set = append(d.set, !t.IsZero())
+	d.setsDeadline = append(d.setsDeadline, !t.IsZero())
 	return nil
 }
 
@@ -41,7 +41,7 @@
 	}
 	clientEnd.Close()
 	<-done
-	return fmt.Sprint(socket.set)
+	return fmt.Sprint(socket.setsDeadline)
 }
 
 // Only a command that has been read in part has a deadline, which closes half-open connections; between commands there is none.
@@ -81,7 +81,8 @@
 	hello, answer := nettest.Command("HELLO"), "-ERR unknown command\r\n"
 	go io.WriteString(socket, strings.Repeat(hello, 10_000))
 	output, err := io.ReadAll(in)
-	n, limit := strings.Count(string(output), answer), maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
+	n, limit := strings.Count(string(output), answer),
+		maxFaults+(resp.MaxFrameLength+resp.MaxLineLength+resp.InitialBufferSize)/len(hello)
 	if n < maxFaults || n > limit || len(output) != n*len(answer) {
 		t.Fatalf("got %d errors in %d bytes, error %v; want %d to %d errors and then the end", n, len(output), err, maxFaults, limit)
 	}
--- a/internal/listener/request.go
+++ b/internal/listener/request.go
@@ -7,8 +7,8 @@
 	"lemontack/policy"
 )
 
-// Request is a client's parsed request, with a reference to the connection on which it is answered. Its times are those of
-// Config.Clock.
+// Request is a client's parsed request, with a reference to the connection on which it is answered. Its times are on the clock
+// of Config.Clock.
 type Request struct {
 	policy.Request
 	ExternalID   uint64        // id that the client assigned
@@ -25,7 +25,7 @@
 // Respond sends the final answer to the client. It has to be called exactly once, and never blocks.
 func (request *Request) Respond(answer []byte) { request.response.respond(answer) }
 
-// ClientDisconnected reports whether the client has disconnected, which the handler may not have been notified of yet.
+// ClientDisconnected reports whether the client has disconnected. It may return true before Handler.ClientDisconnected is called.
 func (request *Request) ClientDisconnected() bool {
 	return request.response != nil && request.response.conn.disconnected.Load()
 }
--- a/internal/listener/server.go
+++ b/internal/listener/server.go
@@ -33,12 +33,13 @@
 	ClientDisconnected(unanswered []*Request)
 }
 
-// Observer counts and logs requests before the Handler receives them, and faults in answering them. Like those of Handler its
-// methods are called concurrently.
+// Observer counts and logs requests before the Handler receives them, and faults in answering them. Its methods are called
+// concurrently.
 type Observer interface {
 	// RequestRead is called for each complete and well-formed request.
 	RequestRead()
-	// RequestRejected is called for a request that the listener answers with Config.RejectionReply.
+	// RequestRejected is called for a request that the listener answers with Config.RejectionReply: its connection is closing or
+	// has too many open commands, or its client may have disconnected while the input waited.
 	RequestRejected(request *Request, reason string)
 	// RequestUnanswered is called for a request that was read and can no longer be answered, because of a fault of the program
 	// or because the listener closed the connection.
--- a/internal/listener/telemetry.go
+++ b/internal/listener/telemetry.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// observeEnd counts and logs the end of the connection. It reports requests without an answer to the Observer if the listener
-// aborted the connection, except that of a client that does not read its answers; otherwise the client abandoned them.
+// observeEnd counts and logs the end of the connection. If the listener aborted the connection, it reports the requests without
+// an answer to the Observer, unless the client did not read its answers. In all other cases the client abandoned its requests.
 func (c *conn) observeEnd(unanswered []*Request) {
 	c.mu.Lock()
 	reason, aborted := c.reason, c.aborted
--- a/internal/listener/writer.go
+++ b/internal/listener/writer.go
@@ -93,14 +93,14 @@
 			return
 		case <-c.wake:
 		}
-		answers, count, last := c.takeAnswers(buffer[:0])
+		answers, count, isLast := c.takeAnswers(buffer[:0])
 		if len(answers) > 0 {
 			if err := c.writeAnswers(answers, count); err != nil {
 				c.socket.Close()
 				return
 			}
 		}
-		if last {
+		if isLast {
 			c.closeWriteSide()
 			return
 		}
@@ -113,7 +113,7 @@
 
 // takeAnswers returns the answers to write and their number, and replaces them by an empty buffer. It reports whether they are
 // the last ones. If the end was requested and no response is pending, it proposes the end to the reader.
-func (c *conn) takeAnswers(empty []byte) (answers []byte, count int, last bool) {
+func (c *conn) takeAnswers(empty []byte) (answers []byte, count int, isLast bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answers, c.readyAnswers = c.readyAnswers, empty
@@ -122,11 +122,11 @@
 	case len(c.pendingResponses) > 0 || c.state.isOpen():
 	case c.state == stateFaulted || c.state == stateEnded:
 		c.transition(endDecided)
-		last = true
+		isLast = true
 	default:
 		c.proposeEnd()
 	}
-	return answers, count, last
+	return answers, count, isLast
 }
 
 // writeAnswers writes the answers of count commands.
@@ -140,8 +140,8 @@
 	return err
 }
 
-// closeWriteSide sends a FIN and gives the reader lingerTimeout to receive the client's before it closes the socket: an earlier
-// close could cause a reset, which loses answers.
+// closeWriteSide sends a FIN. The reader then waits up to lingerTimeout for the FIN of the client before the socket is closed,
+// because an earlier close could cause a reset, which loses answers.
 func (c *conn) closeWriteSide() {
 	c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -12,7 +12,7 @@
 	minGatewaysPerEndpoint = 16.0
 	// levelsPerHalving is the number of levels that halve an arc. Arcs one level apart differ by less than a fifth.
 	levelsPerHalving = 4.0
-	// ownZoneLevels is the number of levels that the arc for the own zone is ahead, which makes it four times as long as that
+	// ownZoneLevels is subtracted from the level for the arc of the own zone, which makes that arc four times as long as the arc
 	// for other zones. It applies if requests across zones have a price.
 	ownZoneLevels = 8
 	// widenLevels is the number of levels by which Widen goes down, which makes arcs 1.7 times as long. Since the
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -95,7 +95,7 @@
 		{6399, 6400, 200_000, 2048, 30_000, 2048, 1024},
 		{4711, 6400, 20_000, 1024, 30_000, 1024, 512},
 		{299, 300, 200_000, 1024, 30_000, 30_000, 200_000 * 16 / 300}, // the target is exceeded for enough gateways per endpoint
-		{299, 300, 200_000, 1024, 4096, 4096, 2048},                   // the maximum size takes precedence over enough gateways per endpoint
+		{299, 300, 200_000, 1024, 4096, 4096, 2048},                   // the maximum size takes precedence
 		{7, 10, 200_000, 1024, 4096, 4096, 2048},
 		{7, 10, 200_000, 1, 1, 1, 0},
 	} {
@@ -150,7 +150,8 @@
 			fewest = min(fewest, gatewayCounts[id])
 		}
 		if fewest < min(gateways, minGatewaysPerEndpoint/2) {
-			t.Errorf("%d gateways: got an endpoint with %d, want at least %d", gateways, fewest, min(gateways, minGatewaysPerEndpoint/2))
+			t.Errorf("%d gateways: got an endpoint with %d, want at least %d", gateways, fewest,
+				min(gateways, minGatewaysPerEndpoint/2))
 		}
 		if mean := float64(pairCount) / listLength; meanEstimate < 0.9*mean || meanEstimate > 1.1*mean {
 			t.Errorf("%d gateways: got an estimate of %.1f per endpoint, want about %.1f", gateways, meanEstimate, mean)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,7 +21,7 @@
 	// TimeLimit of the EncodedCommand.
 	BeforeWrite(timeLimit time.Duration)
 	// Ended is called exactly once, when the attempt ends.
-	Ended(reply Result)
+	Ended(result Result)
 }
 
 // EncodedCommand is a command as it is written to the connection.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -89,7 +89,7 @@
 func (c *connection) read(post func(Event)) {
 	buffer := resp.FrameBuffer{Budget: c.replyMemory}
 	defer buffer.Close()
-	deadlineSet := false
+	hasDeadline := false
 	for {
 		frame, err := buffer.Next()
 		if err != nil {
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		deadlineSet = c.updateReplyDeadline(deadlineSet, buffer.HasPartialFrame())
+		hasDeadline = c.updateReplyDeadline(hasDeadline, buffer.HasPartialFrame())
 		if err := buffer.Fill(c.netConn.Read); sockets.IsTransient(err) {
 			time.Sleep(sockets.TransientErrorPause)
 		} else if err != nil {
@@ -113,16 +113,16 @@
 	}
 }
 
-// updateReplyDeadline sets a read deadline of replyReadTimeout when a partial reply has been read, and clears it when none is
-// pending. It reports whether the deadline is set.
-func (c *connection) updateReplyDeadline(deadlineSet, replyPartial bool) bool {
+// updateReplyDeadline sets a read deadline of replyReadTimeout when the first part of a reply has been read, and clears it when
+// the reply is complete. It reports whether the deadline is set.
+func (c *connection) updateReplyDeadline(hasDeadline, hasPartialReply bool) bool {
 	switch {
-	case replyPartial && !deadlineSet:
+	case hasPartialReply && !hasDeadline:
 		c.netConn.SetReadDeadline(time.Now().Add(replyReadTimeout))
-	case deadlineSet && !replyPartial:
+	case hasDeadline && !hasPartialReply:
 		c.netConn.SetReadDeadline(time.Time{})
 	}
-	return replyPartial
+	return hasPartialReply
 }
 
 // lastWrittenAttempt returns the latest completely written attempt. It waits for a write in progress.
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -18,9 +18,9 @@
 
 // UpdateEndpoints applies new and changed entries of the list. If snapshot is true, updates is the whole list, and all other
 // endpoints are removed. Attempts that wait for an endpoint that is no longer serving end with the outcome NotSent.
-func (pool *Pool) UpdateEndpoints(snapshot bool, updates []EndpointUpdate) {
+func (pool *Pool) UpdateEndpoints(isSnapshot bool, updates []EndpointUpdate) {
 	now := pool.config.Now()
-	if snapshot {
+	if isSnapshot {
 		for _, endpoint := range pool.endpoints {
 			endpoint.State = policy.Removed
 			endpoint.updateStoppedAt(now)
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -90,7 +90,8 @@
 }
 
 // failOldestWaiting ends the attempt that has waited longest, after a failed dial. It does nothing if the remaining dials and the
-// connections awaiting reuse suffice for the waiting attempts: a released connection then has served the attempt of this dial.
+// connections awaiting reuse suffice for the waiting attempts, because the attempt of this dial has then been assigned to
+// a released connection.
 func (endpoint *Endpoint) failOldestWaiting() {
 	if len(endpoint.waiting) > endpoint.dialing+endpoint.awaitingReuse {
 		endpoint.popWaiting().endWith(policy.ConnectFailed)
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -96,8 +96,10 @@
 	var running sync.WaitGroup
 	loop := &testLoop{now: time.Hour, events: make(chan Event, 256)}
 	config := Config{
-		Now:   func() time.Duration { return loop.now },
-		After: func(d time.Duration, do func()) { loop.timers = append(loop.timers, testTimer{loop.now + d, do}) },
+		Now: func() time.Duration { return loop.now },
+		After: func(d time.Duration, callback func()) {
+			loop.timers = append(loop.timers, testTimer{loop.now + d, callback})
+		},
 		Post: func(event Event) {
 			select {
 			case loop.events <- event:
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -95,13 +95,13 @@
 // An attempt that was written completely ends as soon as it is aborted. It must not wait for the event of its connection,
 // because a busy event loop might fail the request first.
 func TestAbortedWrittenAttemptEndsAtOnce(t *testing.T) {
-	s := startEndpoint(t, nil)
-	pool, loop := newTestPool(t, nil, s.address)
+	endpoint := startEndpoint(t, nil)
+	pool, loop := newTestPool(t, nil, endpoint.address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.HandleEvent(<-loop.events)
 	nettest.Eventually(t, "the command is written", func() bool {
-		return s.received() > 0 && attempt.connection.writtenAttempt.Load() == attempt
+		return endpoint.received() > 0 && attempt.connection.writtenAttempt.Load() == attempt
 	})
 	pool.Abort(attempt, policy.TimedOut)
 	if !attempt.ended || command.results[0].Outcome != policy.TimedOut {
@@ -112,12 +112,12 @@
 // A removed endpoint is deleted with its last connection, even if another endpoint already has its address. Restarted
 // endpoints have new IDs.
 func TestRemovedEndpointIsDeleted(t *testing.T) {
-	s := startEndpoint(t, func(int) string { return valueReply })
-	pool, loop := newTestPool(t, nil, s.address)
+	endpoint := startEndpoint(t, func(int) string { return valueReply })
+	pool, loop := newTestPool(t, nil, endpoint.address)
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	pool.HandleEvent((<-loop.events).(Connected))
-	updates := endpointUpdates(s.address, s.address)
+	updates := endpointUpdates(endpoint.address, endpoint.address)
 	updates[0].State = policy.Removed
 	pool.UpdateEndpoints(false, updates)
 	if len(pool.endpoints) != 2 {
@@ -205,12 +205,12 @@
 
 // Attempts that wait for a connection end as not sent as soon as their endpoint begins to drain.
 func TestDrainEndsWaitingAttempts(t *testing.T) {
-	s := startEndpoint(t, nil)
-	pool, loop := newTestPool(t, nil, s.address)
+	endpoint := startEndpoint(t, nil)
+	pool, loop := newTestPool(t, nil, endpoint.address)
 	attempt, command := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
-	updates := endpointUpdates(s.address)
+	updates := endpointUpdates(endpoint.address)
 	updates[0].State = policy.Draining
 	pool.UpdateEndpoints(false, updates)
 	if len(command.results) != 1 || command.results[0].Outcome != policy.NotSent {
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -9,7 +9,7 @@
 	"lemontack/policy"
 )
 
-// maxLoadValue is the largest accepted value in a load report. A larger one is treated as a fault of the endpoint.
+// maxLoadValue is the largest valid value in a load report. A report with a larger one is ignored.
 const maxLoadValue = 1e9
 
 // Result is the result of an attempt: the endpoint's reply, or an outcome without a reply.
@@ -83,7 +83,7 @@
 }
 
 // parseLoadReport parses a list such as inflight=7,queue=2. It returns nil if any entry is invalid, because the policy
-// averages the values, and a single NaN or infinity would spoil the average permanently.
+// averages the values, and a single NaN or infinity would make the average unusable permanently.
 func parseLoadReport(text string) policy.LoadReport {
 	report := policy.LoadReport{}
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -22,17 +22,17 @@
 
 // ParseError reports where the input is malformed.
 type ParseError struct {
-	Line    int    // line number, from 1
-	Message string // name of the message; empty if the error is in the lines that start and end a batch
-	Field   string // name of the field; empty if the error is not in a single field
-	Err     error
+	Line        int    // line number, from 1
+	MessageName string // name of the message; empty if the error is in the lines that start and end a batch
+	Field       string // name of the field; empty if the error is not in a single field
+	Err         error
 }
 
 // Error returns the line, the message and the field as far as they are known, and the cause.
 func (e *ParseError) Error() string {
 	text := fmt.Sprintf("line %d: ", e.Line)
-	if e.Message != "" {
-		text += e.Message + ": "
+	if e.MessageName != "" {
+		text += e.MessageName + ": "
 	}
 	if e.Field != "" {
 		text += "field " + e.Field + ": "
--- a/internal/wire/batch_test.go
+++ b/internal/wire/batch_test.go
@@ -13,10 +13,11 @@
 		line  int
 		field string
 	}{
-		"time is not a number":   {"SYNC\twallUs=x\n", "line 1: field wallUs", 1, "wallUs"},
-		"instance is missing":    {"SYNC\twallUs=1\nDROPPED\tcall=1\nYOUR_TURN\n", "line 2: DROPPED: field i: missing", 2, "i"},
-		"id is too large":        {"SYNC\twallUs=1\nDROPPED\ti=1\tcall=99999999999\nYOUR_TURN\n", "field call", 2, "call"},
-		"total is not finite":    {"SYNC\twallUs=1\nCOUNTER_REPLY\ti=1\tcounter=a\tstateCode=done\ttotal=NaN\n", "field total", 2, "total"},
+		"time is not a number": {"SYNC\twallUs=x\n", "line 1: field wallUs", 1, "wallUs"},
+		"instance is missing":  {"SYNC\twallUs=1\nDROPPED\tcall=1\nYOUR_TURN\n", "line 2: DROPPED: field i: missing", 2, "i"},
+		"id is too large":      {"SYNC\twallUs=1\nDROPPED\ti=1\tcall=99999999999\nYOUR_TURN\n", "field call", 2, "call"},
+		"total is not finite": {"SYNC\twallUs=1\nCOUNTER_REPLY\ti=1\tcounter=a\tstateCode=done\ttotal=NaN\n",
+			"field total", 2, "total"},
 		"list is cut off":        {"SYNC\twallUs=1\nMEMBERSHIP\ti=1\tform=full\tmembers=2\nM\tbackend=a\n", "members", 3, ""},
 		"settings are not JSON":  {"SYNC\twallUs=1\nBEGIN\ti=1\tfacts={\n", "field facts", 2, "facts"},
 		"batch is cut off":       {"SYNC\twallUs=1\nTICK_DUE\ti=1\n", "inside a batch", 2, ""},
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -62,11 +62,11 @@
 }
 
 // parseError returns the recorded error, if there is one, as a *ParseError.
-func (p *fieldParser) parseError(line int, message string) error {
+func (p *fieldParser) parseError(line int, messageName string) error {
 	if p.err == nil {
 		return nil
 	}
-	return &ParseError{Line: line, Message: message, Field: p.faultyField, Err: p.err}
+	return &ParseError{Line: line, MessageName: messageName, Field: p.faultyField, Err: p.err}
 }
 
 // require records an error if one of the fields is missing.
