--- a/cmd/ingress/descriptors_test.go
+++ b/cmd/ingress/descriptors_test.go
@@ -18,7 +18,7 @@
 
 const (
 	unusedDescriptors    = 4   // descriptors out of minDescriptors that stay free
-	exhaustedDescriptors = 100 // in use when clients and endpoint connections reach their limits
+	exhaustedDescriptors = 100 // descriptors in use when clients and endpoint connections reach their limits
 	concurrentAttempts   = 48  // one connection each; the ingress opens no more to endpoints
 	idleClients          = 200
 )
--- a/cmd/ingress/fixtures_test.go
+++ b/cmd/ingress/fixtures_test.go
@@ -97,7 +97,7 @@
 	customer int
 	class    string
 	plan     string
-	timeLeft int64 // until the client's deadline, in milliseconds
+	timeLeft int64 // time until the client's deadline, in milliseconds
 }
 
 func (r request) encode() []byte {
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -85,8 +85,8 @@
 	return standin.Target{UID: fmt.Sprint("s", i), Address: "127.0.0.1:9", State: state}
 }
 
-// outage causes a fault of discovery. It returns the revision that clients have to publish, and the time since which discovery
-// has had it and been reachable (or since which the watch has been silent).
+// outage causes a fault of discovery. It returns the revision that clients have to publish, and the time from which the deadline
+// counts: when discovery has the revision and is reachable, or when the watches have fallen silent.
 type outage func(group *clientGroup) (revision int64, since time.Time)
 
 // isShortSilence reports whether open watches are silent for too short a time to be detected during the fault. The deadline
@@ -95,8 +95,8 @@
 	return name == "watches fall silent" || name == "silent for 100ms" || name == "silent for 1.3s"
 }
 
-// unavailableFor puts discovery into a state for the duration d, starting at the given time after the start of all clients.
-// During the outage an endpoint starts draining.
+// unavailableFor puts discovery into a state for the duration d, after the delay start. At the end of the outage an endpoint
+// starts draining.
 func unavailableFor(start time.Duration, state standin.ServiceState, d time.Duration) outage {
 	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -71,7 +71,7 @@
 		g.pool.CancelUnsent(a.Attempt)
 		return
 	}
-	g.observe.attemptStarted(a)
+	g.observer.attemptStarted(a)
 	g.scheduleAt(a.deadline, func() { g.pool.Abort(a.Attempt, policy.TimedOut) })
 	g.pool.Start(a.Attempt)
 }
@@ -109,11 +109,11 @@
 		a.outcome = policy.Failed
 	}
 	latency := g.now - a.startedAt
-	g.observe.attemptEnded(a, latency)
+	g.observer.attemptEnded(a, latency)
 	if a.outcome == policy.Succeeded && !r.finished {
 		g.checkAnswerTime(r)
 		r.finished = true
-		g.observe.requestEnded(r, requestsServed)
+		g.observer.requestEnded(r, requestsServed)
 		r.Respond(redcon.AppendBulk(make([]byte, 0, len(result.Value)+16), result.Value))
 	}
 	r.openAttempts--
--- a/internal/ingress/clients.go
+++ b/internal/ingress/clients.go
@@ -24,8 +24,8 @@
 		Clock:          g.sharedTime,
 		Stalls:         g.stalls,
 		Log:            g.log,
-		LogLimiter:     g.observe.logLimiter,
-		Counters:       g.observe.clients,
+		LogLimiter:     g.observer.logLimiter,
+		Counters:       g.observer.clients,
 		Handler:        clientEvents{g},
 		Observer:       clientEvents{g},
 	}
@@ -44,17 +44,19 @@
 }
 
 // RequestRead implements listener.Observer.
-func (e clientEvents) RequestRead() { e.gateway.observe.requests.Add(requestsRead) }
+func (e clientEvents) RequestRead() { e.gateway.observer.requests.Add(requestsRead) }
 
 // RequestRejected implements listener.Observer.
 func (e clientEvents) RequestRejected(r *listener.Request, reason string) {
-	e.gateway.observe.requestRejected(r, reason)
+	e.gateway.observer.requestRejected(r, reason)
 }
 
 // RequestUnanswered implements listener.Observer.
 func (e clientEvents) RequestUnanswered(r *listener.Request, cause string) {
-	e.gateway.observe.reportViolation(invariantFinalAnswer, r, e.gateway.sharedTime(time.Now()), cause)
+	e.gateway.observer.reportViolation(invariantFinalAnswer, r, e.gateway.sharedTime(time.Now()), cause)
 }
 
 // RequestAnsweredTwice implements listener.Observer.
-func (e clientEvents) RequestAnsweredTwice() { e.gateway.observe.violations.Add(invariantSingleAnswer) }
+func (e clientEvents) RequestAnsweredTwice() {
+	e.gateway.observer.violations.Add(invariantSingleAnswer)
+}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -31,7 +31,7 @@
 // Errors of an invalid configuration.
 var (
 	ErrTooFewSockets    = errors.New("sockets are too few")
-	ErrNoCounterAddress = errors.New("the settings name a shared counter, the configuration has no address of it")
+	ErrNoCounterAddress = errors.New("the settings name a shared counter, but the configuration has no address of it")
 )
 
 // Config is the configuration of an ingress.
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -27,9 +27,9 @@
 	nettest.Await(t, "the attempt is abandoned", abandoned)
 }
 
-// A disconnect is detected while the listener reads no further command: after more commands than may be pipelined, and after an
-// invalid command that loses the framing.
-func TestDisconnectIsNoticedWhileCommandsAreNotRead(t *testing.T) {
+// A disconnect is detected while further input is rejected or discarded: after more commands than may be pipelined, and after
+// invalid input that loses the framing.
+func TestDisconnectIsDetectedWhileInputIsNotServed(t *testing.T) {
 	for name, unread := range map[string]string{
 		"pipelined commands": func() string {
 			var b strings.Builder
@@ -107,15 +107,15 @@
 			cfg := testConfig("", list)
 			cfg.Settings.MayCancel = false
 			g := idleGateway(t, cfg)
-			near, far := nettest.ConnPair(t)
-			done := serveClient(g, near)
-			io.WriteString(far, nettest.Do(1, nettest.WriteFields))
+			serverEnd, clientEnd := nettest.ConnPair(t)
+			done := serveClient(g, serverEnd)
+			io.WriteString(clientEnd, nettest.Do(1, nettest.WriteFields))
 			nettest.Eventually(t, "the request is queued", func() bool { return len(g.events) > 0 })
 			var pending []event
 			if c.beforeDisconnect != nil {
 				pending = c.beforeDisconnect(g)
 			}
-			far.Close()
+			clientEnd.Close()
 			nettest.Await(t, "the connection's end", done)
 			if c.pending != nil {
 				pending = c.pending(endpoint.addr)
--- a/internal/ingress/eventloop.go
+++ b/internal/ingress/eventloop.go
@@ -108,7 +108,7 @@
 	now := time.Now()
 	g.now = g.sharedTime(now)
 	if gap := g.stalls.Heartbeat(now); gap > 0 {
-		g.observe.processStalled(gap)
+		g.observer.processStalled(gap)
 	}
 }
 
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -33,10 +33,10 @@
 	eventLoop
 	policyDriver
 
-	cfg     Config
-	log     *slog.Logger
-	observe *observer
-	stalls  *stall.Detector
+	cfg      Config
+	log      *slog.Logger
+	observer *observer
+	stalls   *stall.Detector
 
 	// Values derived from the settings; read-only after New, so safe for concurrent use.
 	classes        map[string]policy.Class
@@ -55,8 +55,8 @@
 	shutdownDeadline    time.Duration // zero until a shutdown begins
 
 	openListener func() (net.Listener, error) // opens the client listener; replaced in tests
-	ready        chan struct{}
-	addr         net.Addr // set before ready is closed
+	ready        chan struct{}                // closed once the gateway accepts clients
+	addr         net.Addr                     // set before ready is closed
 }
 
 // New validates the configuration and returns a gateway that has not started.
@@ -75,7 +75,7 @@
 		policyDriver:   policyDriver{policy: policyGateway},
 		cfg:            cfg,
 		log:            log,
-		observe:        newObserver(log),
+		observer:       newObserver(log),
 		stalls:         stall.NewDetector(start),
 		classes:        map[string]policy.Class{},
 		plans:          map[string]bool{},
@@ -179,7 +179,7 @@
 	g.spawn(g.loop)
 	g.spawn(g.counter.Run)
 	g.spawn(g.discovery.Run)
-	g.spawn(g.observe.logCountersPeriodically)
+	g.spawn(g.observer.logCountersPeriodically)
 }
 
 // startListener starts accepting clients and closes the ready channel.
--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -59,11 +59,12 @@
 func (g *Gateway) checkAnswerTime(r *request) {
 	dueAt := max(r.GiveUpAt, g.startOnSharedClock+g.stalls.LastStallEnd()) // a stalled process cannot answer
 	if g.now > dueAt+maxAnswerDelay {
-		g.observe.reportViolation(invariantAnswerInTime, r.Request, g.now, "answered "+(g.now-dueAt).String()+" after the deadline")
+		g.observer.reportViolation(invariantAnswerInTime, r.Request, g.now,
+			"answered "+(g.now-dueAt).String()+" after the deadline")
 	}
 	if g.now > r.GiveUpAt && r.GiveUpAt > r.ReadAt { // a request with a timeout of zero is not counted
-		g.observe.requests.Add(requestsLate)
-		g.observe.logRequestWarning(r, "answered after the client's deadline", g.now)
+		g.observer.requests.Add(requestsLate)
+		g.observer.logRequestWarning(r, "answered after the client's deadline", g.now)
 	}
 }
 
@@ -143,7 +144,7 @@
 	}
 	g := a.gateway
 	if violated, isViolation := violatedInvariant(reason); isViolation {
-		g.observe.reportViolation(violated, a.request.Request, g.now, reason.Error())
+		g.observer.reportViolation(violated, a.request.Request, g.now, reason.Error())
 	}
 	if errors.Is(reason, errClientDisconnected) {
 		g.clientDisconnected(a.request)
@@ -160,15 +161,15 @@
 	}
 	now := g.sharedTime(time.Now())
 	if disconnectedAt := r.ClientDisconnectedAt(); disconnectedAt != 0 && now-disconnectedAt > maxSendDelayAfterDisconnect {
-		g.observe.reportViolation(invariantClientConnected, r.Request, now,
+		g.observer.reportViolation(invariantClientConnected, r.Request, now,
 			"the client disconnected "+(now-disconnectedAt).String()+" earlier")
 	}
 	if stoppedAt := a.endpoint.StoppedServingAt(); stoppedAt != 0 && now-stoppedAt > maxSendDelayAfterDrain {
-		g.observe.reportViolation(invariantEndpointServing, r.Request, now,
+		g.observer.reportViolation(invariantEndpointServing, r.Request, now,
 			"the endpoint stopped serving "+(now-stoppedAt).String()+" earlier")
 	}
 	if timeLimit > max(r.GiveUpAt-now, 0)+stall.MaxStall {
-		g.observe.reportViolation(invariantTimeLimit, r.Request, now,
+		g.observer.reportViolation(invariantTimeLimit, r.Request, now,
 			"time limit longer than the client's remaining time: "+timeLimit.String())
 	}
 }
--- a/internal/ingress/invariants_test.go
+++ b/internal/ingress/invariants_test.go
@@ -104,7 +104,7 @@
 	if g.startAttempt(second); !second.ended || second.outcome != policy.NotSent || len(g.events) > 0 {
 		t.Fatalf("ended %v with %v, %d events; want an end as not sent, and no events", second.ended, second.outcome, len(g.events))
 	}
-	if n := g.observe.violations.Value(invariantRetry); n != 1 {
+	if n := g.observer.violations.Value(invariantRetry); n != 1 {
 		t.Fatalf("%d violations counted, want 1", n)
 	}
 }
--- a/internal/ingress/requestfixtures_test.go
+++ b/internal/ingress/requestfixtures_test.go
@@ -28,25 +28,25 @@
 // disconnect closes the client's end and returns once the connection has ended.
 func sendRequest(t *testing.T, g *Gateway, id int) (r *listener.Request, in *bufio.Reader, disconnect func()) {
 	t.Helper()
-	near, far := net.Pipe()
+	serverEnd, clientEnd := net.Pipe()
 	source := requestSource{clientEvents{g}, make(chan *listener.Request, 1)}
 	cfg := g.listenerConfig()
 	cfg.Handler = source
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		listener.New(nil, cfg).ServeConn(near)
+		listener.New(nil, cfg).ServeConn(serverEnd)
 	}()
 	disconnect = func() {
-		far.Close()
+		clientEnd.Close()
 		<-ended
 	}
 	t.Cleanup(disconnect)
-	far.SetDeadline(time.Now().Add(time.Minute))
-	if _, err := io.WriteString(far, nettest.Ask(id, nettest.ReadFields)); err != nil {
+	clientEnd.SetDeadline(time.Now().Add(time.Minute))
+	if _, err := io.WriteString(clientEnd, nettest.Ask(id, nettest.ReadFields)); err != nil {
 		t.Fatal(err)
 	}
-	return <-source.received, bufio.NewReader(far), disconnect
+	return <-source.received, bufio.NewReader(clientEnd), disconnect
 }
 
 // newClientRequest returns a request whose Size is set to size, and the reader of its client.
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -67,12 +67,12 @@
 		return
 	}
 	if !g.requests.hasCapacity(r.Size) || g.shutdownDeadlinePassed() {
-		g.observe.requestRejected(r, "no capacity, or shutting down")
+		g.observer.requestRejected(r, "no capacity, or shutting down")
 		r.Respond(g.rejectionReply)
 		return
 	}
 	if g.requests.externalIDsInUse[r.ExternalID] { // only the first request with an ID is served
-		g.observe.requests.Add(requestsDuplicate)
+		g.observer.requests.Add(requestsDuplicate)
 		r.RejectDuplicate()
 		return
 	}
@@ -81,7 +81,7 @@
 		r.Deadline = min(r.Deadline, g.shutdownDeadline)
 	}
 	if r.Deadline <= g.now {
-		g.observe.requests.Add(requestsExpired)
+		g.observer.requests.Add(requestsExpired)
 	}
 	g.enqueue(policy.Arrival{Request: r.Request})
 	g.scheduleAt(r.Deadline+overdueDelay, func() {
@@ -99,7 +99,7 @@
 // reject executes the policy's Reject action.
 func (g *Gateway) reject(action policy.Reject) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
-		g.observe.requestEnded(r, requestsRejectedByPolicy)
+		g.observer.requestEnded(r, requestsRejectedByPolicy)
 		g.answer(r, busyResponse(action.RetryAfter))
 	}
 }
@@ -107,7 +107,7 @@
 // fail executes the policy's Fail action.
 func (g *Gateway) fail(action policy.Fail) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
-		g.observe.requestEnded(r, requestsFailed)
+		g.observer.requestEnded(r, requestsFailed)
 		g.answer(r, []byte(failedResponse))
 	}
 }
@@ -118,8 +118,8 @@
 	if r.finished {
 		return
 	}
-	g.observe.requests.Add(requestsOverdue)
-	g.observe.logRequestWarning(r, "the policy did not answer the request before its deadline", g.now)
+	g.observer.requests.Add(requestsOverdue)
+	g.observer.logRequestWarning(r, "the policy did not answer the request before its deadline", g.now)
 	response := []byte(failedResponse)
 	if len(r.attempts) == 0 { // the request was never executed
 		response = g.rejectionReply
@@ -134,7 +134,7 @@
 		return
 	}
 	r.finished = true
-	g.observe.requestEnded(r, requestsAbandoned)
+	g.observer.requestEnded(r, requestsAbandoned)
 	g.enqueue(policy.ClientDisconnected{ID: r.ID})
 	g.cancelUnsentAttempts(r)
 	g.requests.removeIfDone(r)
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -38,5 +38,5 @@
 	g.post(shutdownEvent{g.sharedTime(time.Now()) + answerPeriod})
 	time.Sleep(acceptPeriod)
 	clients.Drain(drainCtx)
-	g.observe.logCounters("shut down")
+	g.observer.logCounters("shut down")
 }
--- a/internal/listener/conn_test.go
+++ b/internal/listener/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // Any number of commands on an ended connection is dropped at once: a reader that waits for capacity would block a shutdown.
-func TestEndedConnectionTakesNoCommand(t *testing.T) {
+func TestEndedConnectionAcceptsNoCommand(t *testing.T) {
 	s, _ := newServer(nil, 1, 1<<20)
 	c := newConn(s, nil)
 	c.state = stateEnded
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -9,15 +9,15 @@
 // Assigning an attempt to a connection whose queue is full closes the connection and does not block the event loop.
 func TestConnectionWithFullQueueIsClosedWithoutBlocking(t *testing.T) {
 	pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
-	near, far := net.Pipe()
-	defer far.Close()
+	poolEnd, endpointEnd := net.Pipe()
+	defer endpointEnd.Close()
 	c := newConnection(pool.Endpoint("s0"), nil)
-	c.netConn = near
+	c.netConn = poolEnd
 	for range 2 {
 		attempt, _ := newTestAttempt(pool, "s0")
 		pool.assign(c, attempt)
 	}
-	if _, err := near.Write(nil); err == nil {
+	if _, err := poolEnd.Write(nil); err == nil {
 		t.Fatal("the connection is open, want it closed")
 	}
 }
@@ -29,21 +29,21 @@
 		isWritten bool
 	}{"partial": {3, false}, "complete": {9, true}} {
 		t.Run(name, func(t *testing.T) {
-			near, far := net.Pipe()
+			poolEnd, endpointEnd := net.Pipe()
 			attempt := NewAttempt(&Endpoint{}, &testCommand{})
 			conn := newConnection(attempt.endpoint, nil)
-			conn.netConn = near
+			conn.netConn = poolEnd
 			conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
 			written := make(chan struct{})
 			go func() {
 				defer close(written)
 				conn.write()
 			}()
-			io.ReadFull(far, make([]byte, c.readBytes))
+			io.ReadFull(endpointEnd, make([]byte, c.readBytes))
 			if c.isWritten {
 				close(conn.readerDone)
 			} else {
-				far.Close()
+				endpointEnd.Close()
 			}
 			<-written
 			if got := conn.writtenAttempt.Load(); (got == attempt) != c.isWritten {
@@ -59,10 +59,10 @@
 	for name, received := range map[string]bool{"assigned": false, "received": true} {
 		t.Run(name, func(t *testing.T) {
 			pool, _ := newTestPool(t, nil, startEndpoint(t, nil).address)
-			near, far := net.Pipe()
+			poolEnd, endpointEnd := net.Pipe()
 			endpoint := pool.Endpoint("s0")
 			c := newConnection(endpoint, nil)
-			c.netConn = near
+			c.netConn = poolEnd
 			attempt, _ := newTestAttempt(pool, "s0")
 			pool.assign(c, attempt)
 			if received {
@@ -74,9 +74,9 @@
 					t.Fatalf("%d assignments are queued, want none", len(c.assignments))
 				}
 			}
-			if !attempt.ended || c.currentAttempt != nil || len(endpoint.idle) != 1 {
+			if !attempt.ended || c.currentAttempt != nil || len(endpoint.idleConnections) != 1 {
 				t.Fatalf("ended %v, current attempt %v, %d idle connections; want an ended attempt and an idle connection",
-					attempt.ended, c.currentAttempt, len(endpoint.idle))
+					attempt.ended, c.currentAttempt, len(endpoint.idleConnections))
 			}
 			written := make(chan struct{})
 			go func() {
@@ -86,26 +86,26 @@
 			next, _ := newTestAttempt(pool, "s0")
 			c.assignments <- assignment{next, EncodedCommand{Frame: []byte("next")}}
 			got := make([]byte, 4)
-			if _, err := io.ReadFull(far, got); err != nil || string(got) != "next" {
+			if _, err := io.ReadFull(endpointEnd, got); err != nil || string(got) != "next" {
 				t.Fatalf("written %q, error %v; want %q", got, err, "next")
 			}
 			close(c.readerDone)
 			<-written
-			far.Close()
+			endpointEnd.Close()
 		})
 	}
 }
 
 // A command that is abandoned before its first byte is not written, and its connection is closed.
 func TestAbandonedCommandIsNotWritten(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
+	poolEnd, endpointEnd := net.Pipe()
+	defer endpointEnd.Close()
 	attempt := NewAttempt(&Endpoint{}, &testCommand{abandoned: true})
 	conn := newConnection(attempt.endpoint, nil)
-	conn.netConn = near
+	conn.netConn = poolEnd
 	conn.assignments <- assignment{attempt, EncodedCommand{Frame: []byte("123456789")}}
 	conn.write()
-	if n, err := far.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	if n, err := endpointEnd.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Fatalf("read %d bytes, error %v; want 0 and EOF", n, err)
 	}
 	if conn.writtenAttempt.Load() != nil {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -13,14 +13,14 @@
 type Endpoint struct {
 	policy.Endpoint
 
-	address        string
-	stoppedAt      atomic.Int64  // time.Duration on the loop's clock; zero while the endpoint is serving
-	idle           []*connection // in the order in which they became idle, oldest first
-	waiting        []*Attempt    // in the order of arrival
-	dialing        int           // number of connections being opened
-	awaitingReuse  int           // number of connections that received a reply less than reuseDelay ago
-	connections    int           // number of all connections: dialing, idle, busy and awaiting reuse
-	lastActivityAt time.Duration // time of the last reply or accepted connection, on the loop's clock
+	address            string
+	stoppedAt          atomic.Int64  // time.Duration on the loop's clock; zero while the endpoint is serving
+	idleConnections    []*connection // in the order in which they became idle, oldest first
+	waitingAttempts    []*Attempt    // in the order of arrival
+	dialingCount       int           // number of connections being opened
+	awaitingReuseCount int           // number of connections that received a reply less than reuseDelay ago
+	connectionCount    int           // number of all connections: dialing, idle, busy and awaiting reuse
+	lastActivityAt     time.Duration // time of the last reply or established connection, on the loop's clock
 }
 
 // EndpointUpdate is a new or changed entry of the endpoint list.
@@ -56,43 +56,43 @@
 
 // addWaiting appends an attempt to those that wait for a connection.
 func (endpoint *Endpoint) addWaiting(attempt *Attempt) {
-	endpoint.waiting = append(endpoint.waiting, attempt)
+	endpoint.waitingAttempts = append(endpoint.waitingAttempts, attempt)
 }
 
 // popWaiting removes and returns the attempt that has waited longest. There must be one.
 func (endpoint *Endpoint) popWaiting() *Attempt {
-	attempt := endpoint.waiting[0]
-	endpoint.waiting = endpoint.waiting[1:]
+	attempt := endpoint.waitingAttempts[0]
+	endpoint.waitingAttempts = endpoint.waitingAttempts[1:]
 	return attempt
 }
 
 // removeWaiting removes an attempt from those that wait for a connection, and reports whether it was one of them.
 func (endpoint *Endpoint) removeWaiting(attempt *Attempt) bool {
-	i := slices.Index(endpoint.waiting, attempt)
+	i := slices.Index(endpoint.waitingAttempts, attempt)
 	if i < 0 {
 		return false
 	}
-	endpoint.waiting = slices.Delete(endpoint.waiting, i, i+1)
+	endpoint.waitingAttempts = slices.Delete(endpoint.waitingAttempts, i, i+1)
 	return true
 }
 
 // removeIdle removes a connection from the idle connections if it is one of them.
 func (endpoint *Endpoint) removeIdle(c *connection) {
-	if i := slices.Index(endpoint.idle, c); i >= 0 {
-		endpoint.idle = slices.Delete(endpoint.idle, i, i+1)
+	if i := slices.Index(endpoint.idleConnections, c); i >= 0 {
+		endpoint.idleConnections = slices.Delete(endpoint.idleConnections, i, i+1)
 	}
 }
 
 // closeOldestIdle closes the connection that has been idle longest. There must be one. The pool counts it until its Disconnected
 // event.
 func (endpoint *Endpoint) closeOldestIdle() {
-	endpoint.idle[0].netConn.Close()
-	endpoint.idle = endpoint.idle[1:]
+	endpoint.idleConnections[0].netConn.Close()
+	endpoint.idleConnections = endpoint.idleConnections[1:]
 }
 
 // closeAllIdle closes all idle connections.
 func (endpoint *Endpoint) closeAllIdle() {
-	for len(endpoint.idle) > 0 {
+	for len(endpoint.idleConnections) > 0 {
 		endpoint.closeOldestIdle()
 	}
 }
@@ -100,6 +100,6 @@
 // needsConnection reports whether more attempts wait than connections are about to become available, and the limit of connections
 // per endpoint allows one more.
 func (endpoint *Endpoint) needsConnection() bool {
-	return endpoint.dialing+endpoint.awaitingReuse < len(endpoint.waiting) &&
-		endpoint.connections < maxConnectionsPerEndpoint
+	return endpoint.dialingCount+endpoint.awaitingReuseCount < len(endpoint.waitingAttempts) &&
+		endpoint.connectionCount < maxConnectionsPerEndpoint
 }
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -36,7 +36,7 @@
 	}
 	pool.CloseUnusableIdle()
 	for _, endpoint := range pool.endpoints {
-		for endpoint.State != policy.Serving && len(endpoint.waiting) > 0 {
+		for endpoint.State != policy.Serving && len(endpoint.waitingAttempts) > 0 {
 			endpoint.popWaiting().endWith(policy.NotSent)
 		}
 		pool.deleteRemovedIfUnused(endpoint)
@@ -46,7 +46,7 @@
 // deleteRemovedIfUnused deletes a removed endpoint that has no connection and no waiting attempt. IDs are not reused, so
 // the table would otherwise grow without bound.
 func (pool *Pool) deleteRemovedIfUnused(endpoint *Endpoint) {
-	unused := endpoint.connections == 0 && len(endpoint.waiting) == 0
+	unused := endpoint.connectionCount == 0 && len(endpoint.waitingAttempts) == 0
 	if endpoint.State == policy.Removed && unused && pool.endpoints[endpoint.ID] == endpoint {
 		delete(pool.endpoints, endpoint.ID)
 	}
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -27,7 +27,7 @@
 
 func (event Connected) apply(pool *Pool) {
 	endpoint := event.connection.endpoint
-	endpoint.dialing--
+	endpoint.dialingCount--
 	endpoint.lastActivityAt = pool.config.Now()
 	pool.release(event.connection)
 }
@@ -55,13 +55,13 @@
 	c := event.connection
 	endpoint := c.endpoint
 	c.disconnected = true
-	endpoint.connections--
-	pool.connections--
+	endpoint.connectionCount--
+	pool.connectionCount--
 	endpoint.removeIdle(c)
 	if event.wasConnected {
 		c.endCurrentAttempt()
 	} else {
-		endpoint.dialing--
+		endpoint.dialingCount--
 		endpoint.failOldestWaiting()
 	}
 	pool.dial(endpoint)
@@ -93,7 +93,7 @@
 // connections awaiting reuse suffice for the waiting attempts, because the attempt of this dial has then been assigned to
 // a released connection.
 func (endpoint *Endpoint) failOldestWaiting() {
-	if len(endpoint.waiting) > endpoint.dialing+endpoint.awaitingReuse {
+	if len(endpoint.waitingAttempts) > endpoint.dialingCount+endpoint.awaitingReuseCount {
 		endpoint.popWaiting().endWith(policy.ConnectFailed)
 	}
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -11,7 +11,7 @@
 // CloseUnusableIdle closes the idle connections that are stale, or whose endpoint is not serving or has changed its address.
 func (pool *Pool) CloseUnusableIdle() {
 	for _, endpoint := range pool.endpoints {
-		for len(endpoint.idle) > 0 && pool.isUnusable(endpoint.idle[0]) {
+		for len(endpoint.idleConnections) > 0 && pool.isUnusable(endpoint.idleConnections[0]) {
 			endpoint.closeOldestIdle()
 		}
 	}
@@ -33,10 +33,10 @@
 func (pool *Pool) closeOldestIdle() bool {
 	var oldestIdle *Endpoint
 	for _, endpoint := range pool.endpoints {
-		if len(endpoint.idle) == 0 {
+		if len(endpoint.idleConnections) == 0 {
 			continue
 		}
-		if oldestIdle == nil || endpoint.idle[0].idleSince < oldestIdle.idle[0].idleSince {
+		if oldestIdle == nil || endpoint.idleConnections[0].idleSince < oldestIdle.idleConnections[0].idleSince {
 			oldestIdle = endpoint
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,7 +33,7 @@
 type Pool struct {
 	config                 Config
 	endpoints              map[policy.EndpointID]*Endpoint
-	connections            int  // number of connections to all endpoints
+	connectionCount        int  // number of connections to all endpoints
 	connectionLimitReached bool // a dial was skipped because MaxConnections were open and none was idle
 }
 
@@ -49,9 +49,9 @@
 // attempt waits for one.
 func (pool *Pool) Start(attempt *Attempt) {
 	endpoint := attempt.endpoint
-	for n := len(endpoint.idle); n > 0; n = len(endpoint.idle) {
-		c := endpoint.idle[n-1]
-		endpoint.idle = endpoint.idle[:n-1]
+	for n := len(endpoint.idleConnections); n > 0; n = len(endpoint.idleConnections) {
+		c := endpoint.idleConnections[n-1]
+		endpoint.idleConnections = endpoint.idleConnections[:n-1]
 		if !pool.isStale(c) && c.isOpenWithoutUnreadData() {
 			pool.assign(c, attempt)
 			return
@@ -149,14 +149,14 @@
 // dial opens connections for the waiting attempts, within the limits.
 func (pool *Pool) dial(endpoint *Endpoint) {
 	for endpoint.needsConnection() {
-		if pool.connections >= pool.config.MaxConnections && !pool.closeOldestIdle() {
+		if pool.connectionCount >= pool.config.MaxConnections && !pool.closeOldestIdle() {
 			pool.connectionLimitReached = true
 			return
 		}
 		c := newConnection(endpoint, pool.config.ReplyMemory)
-		endpoint.dialing++
-		endpoint.connections++
-		pool.connections++
+		endpoint.dialingCount++
+		endpoint.connectionCount++
+		pool.connectionCount++
 		pool.config.Go(func(ctx context.Context) { c.run(ctx, pool.config.ConnectTimeout, pool.config.Post) })
 	}
 }
@@ -175,9 +175,9 @@
 
 // releaseAfterReuseDelay releases a connection after reuseDelay, when no duplicate of its reply is expected any more.
 func (pool *Pool) releaseAfterReuseDelay(c *connection) {
-	c.endpoint.awaitingReuse++
+	c.endpoint.awaitingReuseCount++
 	pool.config.After(reuseDelay, func() {
-		c.endpoint.awaitingReuse--
+		c.endpoint.awaitingReuseCount--
 		pool.release(c)
 		pool.dial(c.endpoint)
 	})
@@ -191,7 +191,7 @@
 		c.netConn.Close()
 		return
 	}
-	for len(endpoint.waiting) > 0 {
+	for len(endpoint.waitingAttempts) > 0 {
 		attempt := endpoint.popWaiting()
 		// Since the attempt began to wait, the endpoint may have begun to drain, and the request may have finished.
 		if endpoint.State == policy.Serving && attempt.command.MayStart() {
@@ -201,6 +201,6 @@
 		attempt.endWith(policy.NotSent)
 	}
 	c.idleSince = pool.config.Now()
-	endpoint.idle = append(endpoint.idle, c)
+	endpoint.idleConnections = append(endpoint.idleConnections, c)
 	pool.dialAfterLimitReached()
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -29,17 +29,17 @@
 func TestStaleIdleConnectionIsClosed(t *testing.T) {
 	pool, loop := newTestPool(t, nil, startEndpoint(t, nil).address)
 	endpoint := pool.Endpoint("s0")
-	endpoint.waiting = append(endpoint.waiting, nil)
+	endpoint.waitingAttempts = append(endpoint.waitingAttempts, nil)
 	pool.dial(endpoint)
-	endpoint.waiting = nil
+	endpoint.waitingAttempts = nil
 	pool.HandleEvent((<-loop.events).(Connected))
 	pool.CloseUnusableIdle()
-	if len(endpoint.idle) != 1 {
+	if len(endpoint.idleConnections) != 1 {
 		t.Fatal("a fresh connection was closed")
 	}
 	loop.now += testIdleTimeout - time.Second
 	pool.CloseUnusableIdle()
-	if event := (<-loop.events).(Disconnected); len(endpoint.idle) != 0 || !event.wasConnected {
+	if event := (<-loop.events).(Disconnected); len(endpoint.idleConnections) != 0 || !event.wasConnected {
 		t.Fatal("a stale connection was not closed")
 	}
 }
@@ -87,7 +87,7 @@
 	attempt, _ := newTestAttempt(pool, "s0")
 	pool.Start(attempt)
 	loop.advance(testConnectTimeout)
-	if !attempt.ended || len(attempt.endpoint.waiting) != 0 {
+	if !attempt.ended || len(attempt.endpoint.waitingAttempts) != 0 {
 		t.Fatal("the attempt still waits for a connection")
 	}
 }
@@ -126,8 +126,8 @@
 	pool.HandleEvent(<-loop.events) // the reply
 	loop.advance(reuseDelay)
 	pool.HandleEvent(<-loop.events) // the connection's end
-	if pool.connections != 0 || len(pool.endpoints) != 1 || pool.Endpoint("s1") == nil {
-		t.Fatalf("%d connections, endpoints %v; want none and s1 only", pool.connections, pool.endpoints)
+	if pool.connectionCount != 0 || len(pool.endpoints) != 1 || pool.Endpoint("s1") == nil {
+		t.Fatalf("%d connections, endpoints %v; want none and s1 only", pool.connectionCount, pool.endpoints)
 	}
 }
 
@@ -140,10 +140,10 @@
 	pool.HandleEvent(<-loop.events)
 	reply := Result{Outcome: policy.Succeeded, Value: []byte("x"), reusable: true}
 	pool.HandleEvent(ReplyReceived{attempt.connection, attempt, reply})
-	if loop.advance(10 * time.Millisecond); len(attempt.endpoint.idle) != 0 {
+	if loop.advance(10 * time.Millisecond); len(attempt.endpoint.idleConnections) != 0 {
 		t.Fatal("the connection is idle before reuseDelay has passed")
 	}
-	if loop.advance(reuseDelay); len(attempt.endpoint.idle) != 1 {
+	if loop.advance(reuseDelay); len(attempt.endpoint.idleConnections) != 1 {
 		t.Fatal("the connection is not idle after reuseDelay")
 	}
 }
@@ -160,13 +160,13 @@
 	pool.Start(attempt)
 	connected := (<-loop.events).(Connected)
 	attempt.endpoint.removeWaiting(attempt)
-	if pool.HandleEvent(connected); len(attempt.endpoint.idle) != 1 {
+	if pool.HandleEvent(connected); len(attempt.endpoint.idleConnections) != 1 {
 		t.Fatal("the connection is not idle")
 	}
 	closeConn <- struct{}{}
 	<-closed
 	t.Cleanup(func() { close(closeConn) })
-	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
+	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waitingAttempts) != 1 {
 		t.Fatal("the attempt was assigned to a closed connection")
 	}
 }
@@ -181,7 +181,7 @@
 	attempt.endpoint.removeWaiting(attempt)
 	pool.HandleEvent(connected)
 	loop.now += 250 * time.Millisecond
-	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waiting) != 1 {
+	if pool.Start(attempt); attempt.connection != nil || len(attempt.endpoint.waitingAttempts) != 1 {
 		t.Fatal("the attempt was assigned to a stale connection")
 	}
 }
--- a/internal/wire/adapter_test.go
+++ b/internal/wire/adapter_test.go
@@ -20,7 +20,7 @@
 func TestEmptyBatchesAreAnsweredUntilTheInputEnds(t *testing.T) {
 	out, err := serve(t, "SYNC\twallUs=8\nYOUR_TURN\nSYNC\twallUs=9\nYOUR_TURN\n")
 	if err != nil || out != "NEXT\nNEXT\n" {
-		t.Fatalf("out %q, err %v", out, err)
+		t.Fatalf("got output %q, error %v; want two empty replies", out, err)
 	}
 }
 
@@ -30,20 +30,20 @@
 		"SOMETHING_NEW\ti=3\tx=1\n"+
 		"ARRIVAL\ti=3\tcall=4294967295\tqos=read\tterms=none\tholder=aa\tgiveUpAtUs=3000000\tnew=1\nYOUR_TURN\n")
 	if err != nil || !strings.Contains(out, "TRANSMIT\ti=3\tcall=4294967295\tbackend=10.0.0.1:80\n") {
-		t.Fatalf("out %q, err %v", out, err)
+		t.Fatalf("got output %q, error %v; want a TRANSMIT line for request 4294967295", out, err)
 	}
 }
 
 func TestRestartsInOneBatchAreAnsweredOnce(t *testing.T) {
 	in := "SYNC\twallUs=1\n" + strings.Repeat(beginLine+"DESTROY\ti=3\n", 50) + "DROPPED\ti=3\tcall=1\nYOUR_TURN\n"
 	if out, err := serve(t, in); err != nil || out != "NEXT\n" {
-		t.Fatalf("out %q, err %v", out, err)
+		t.Fatalf("got output %q, error %v; want one empty reply", out, err)
 	}
 }
 
 func TestInvalidSettingsAreReportedAsAFault(t *testing.T) {
 	out, err := serve(t, "SYNC\twallUs=1\nBEGIN\ti=3\tnonce64=1\tfacts={}\nYOUR_TURN\n")
 	if err != nil || !strings.HasPrefix(out, "PANIC\ti=3\ttext=") {
-		t.Fatalf("out %q, err %v", out, err)
+		t.Fatalf("got output %q, error %v; want a PANIC line of instance 3", out, err)
 	}
 }
