--- a/cmd/ingress/incident_test.go
+++ b/cmd/ingress/incident_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Time during which the process is stopped counts against the deadline of a request that arrives meanwhile, so the endpoint
+// Time during which the process is stopped counts against the deadline of a request that arrives in that time, so the endpoint
 // receives a shorter deadline. On a busy machine the process may fail to detect a single stop, but not all of many.
 func TestTimeWhileStoppedCountsAgainstDeadline(t *testing.T) {
 	const timeLeft, stopDuration = 10_000, 300 * time.Millisecond
--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A connection is closed after a malformed answer: its call was counted, the one behind it may have been, and the next call is
+// A connection is closed after a malformed answer: its call was counted, the call after it may have been, and the next call is
 // sent on a new connection at once.
 func TestConnectionIsReplacedAfterMalformedAnswer(t *testing.T) {
 	start := time.Now()
--- a/internal/counterclient/session.go
+++ b/internal/counterclient/session.go
@@ -182,7 +182,7 @@
 }
 
 // readLine reads one answer. Once part of it has been received, the rest has to arrive within lineTimeout, so that the calls
-// behind it do not wait for an answer that never ends.
+// after it do not wait for an answer that never ends.
 func (s *session) readLine(answers *bufio.Reader) ([]byte, error) {
 	if _, err := answers.Peek(1); err != nil {
 		return nil, err
--- a/internal/discovery/calltimings.go
+++ b/internal/discovery/calltimings.go
@@ -5,7 +5,7 @@
 // heartbeatInterval is the interval at which a watch receives an empty line while nothing changes, as the protocol requires.
 const heartbeatInterval = 2 * time.Second
 
-// Timings for lists that a local agent pushes. A change counts as known to the gateway once the agent has it, and from then on
+// Timings for lists that a local agent pushes. A change counts as received by the gateway once the agent has it, and from then on
 // the gateway has one second to stop sending attempts to a draining endpoint. So the timeout of a call and the maximum backoff
 // after it together take less than a second.
 const (
@@ -14,10 +14,10 @@
 	agentMaxBackoff     = 400 * time.Millisecond
 )
 
-// Timings for gateways that poll discovery. A change has to be known within 6 s after discovery became reachable, even after a
-// failed call. A silent watch, a backoff, a failed call and an answer together fit into that time. Discovery queues calls, and
-// a caller that disconnects loses its place in the queue. So an unanswered call stays open while hedged calls are sent: a call
-// that was lost while discovery was down then costs no more than pollInterval.
+// Timings for gateways that poll discovery. A change has to be published within 6 s after discovery has it and is reachable, even
+// after a failed call. A silent watch, a backoff, a failed call and an answer together fit into that time. Discovery queues
+// calls, and a caller that disconnects loses its place in the queue. So an unanswered call stays open while hedged calls are
+// sent: a call that was lost while discovery was down then costs no more than pollInterval.
 const (
 	pollAnswerTimeout  = 4 * time.Second
 	pollSilenceTimeout = heartbeatInterval + time.Second
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,7 +23,7 @@
 // Config configures a Client.
 type Config struct {
 	Address   string         // host and port of the discovery service
-	KnownList EndpointList   // from the configuration file, if it has one; the entries are not retained
+	KnownList EndpointList   // list of the configuration file; empty if it has none; the entries are not retained
 	Subset    *subset.Subset // the subset with which KnownList was decoded; nil means the widest one
 	Settings  policy.Settings
 	Random    *rand.Rand // source of the jitter, used by the client alone; nil means a randomly seeded one
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -21,7 +21,7 @@
 	goroutines     sync.WaitGroup
 	clients        []*Client
 	mu             sync.Mutex
-	firstPublished []map[int64]time.Time // for each client, the time of the first publication by revision
+	firstPublished []map[int64]time.Time // time of the first publication by revision, for each client
 }
 
 // startClients starts n clients at the same time, all with a known list of revision 1.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 	"lemontack/policy"
 )
 
-// After a watch breaks, the next one asks for the changes since the latest revision, so that no change is missed.
+// After a watch has ended, the next one requests the changes since the latest revision, so that no change is missed.
 func TestBrokenWatchResumesFromTheLatestRevision(t *testing.T) {
 	since := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -12,12 +12,12 @@
 // connections in the accept queue for backlogAcceptPeriod after it. Open connections are served until their last answer,
 // and are closed within connectionCloseTimeout after the deadline for answers.
 const (
-	acceptPeriod           = 500 * time.Millisecond // for new connections: clients may not know of the shutdown yet
-	backlogAcceptPeriod    = 50 * time.Millisecond  // after acceptPeriod, for connections in the accept queue
-	sigkillDelay           = 700 * time.Millisecond // SIGKILL follows SIGTERM after this and the longest deadline
-	maxSigkillDeadline     = 3 * time.Second        // upper bound of that deadline
+	acceptPeriod           = 500 * time.Millisecond // time in which new connections are accepted, which clients may still open
+	backlogAcceptPeriod    = 50 * time.Millisecond  // time after acceptPeriod for connections in the accept queue
+	sigkillDelay           = 700 * time.Millisecond // SIGKILL follows SIGTERM after this time plus the longest class deadline
+	maxSigkillDeadline     = 3 * time.Second        // upper bound of the longest deadline in that sum
 	sigkillMargin          = 250 * time.Millisecond // time between the last answer and SIGKILL, in which connections are closed
-	connectionCloseTimeout = 150 * time.Millisecond // for closing connections after the last answer
+	connectionCloseTimeout = 150 * time.Millisecond // time for closing connections after the last answer
 )
 
 // shutdownAnswerPeriod returns the time from SIGTERM within which all requests must be answered.
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -15,7 +15,7 @@
 	faults         atomic.Int32  // number of faults of the client
 	duplicateID    atomic.Uint64 // id of the last request that was rejected as a duplicate
 	disconnected   atomic.Bool   // the reader has ended: answers are dropped, and no attempt may start; set with mu held
-	disconnectedAt atomic.Int64  // when disconnected was set, on Config.Clock; zero before that
+	disconnectedAt atomic.Int64  // time at which disconnected was set, on Config.Clock; zero before that
 	wake           chan struct{} // signals the writer that the state or the answers have changed; capacity 1
 	writerDone     chan struct{} // closed when the writer has ended
 
@@ -25,8 +25,8 @@
 	aborted           bool               // the server closed the socket without waiting for answers
 	commandReceived   bool               // a complete command has been received
 	readDeadline      time.Time          // deadline of the reader, zero for none; in effect unless the writer has set another one
-	lastActivity      time.Time          // when the connection was opened, or last received a command or an answer
-	pendingResponses  []*pendingResponse // in the order of their commands; without those in readyAnswers
+	lastActivity      time.Time          // time at which the connection was opened, or last received a command or an answer
+	pendingResponses  []*pendingResponse // responses in the order of their commands, without those in readyAnswers
 	readyAnswers      []byte             // encoded answers for the writer, in the order of the commands
 	readyCount        int                // number of answers in readyAnswers
 	unwrittenCommands int                // number of commands whose answers have not been written
@@ -117,8 +117,8 @@
 	}
 }
 
-// proposeEnd makes the reader call confirmEnd, which decides whether the connection may end: only the reader knows whether its
-// buffer holds unprocessed commands. c.mu is held.
+// proposeEnd makes the reader call confirmEnd, which decides whether the connection may end: only the reader can check whether
+// its buffer holds unprocessed commands. c.mu is held.
 func (c *conn) proposeEnd() {
 	c.transition(endProposed)
 	c.socket.SetReadDeadline(time.Unix(1, 0)) // in the past, so that a blocked read returns
--- a/internal/listener/reader.go
+++ b/internal/listener/reader.go
@@ -33,7 +33,7 @@
 // reader is the state of the goroutine that reads a connection; no other goroutine uses it.
 type reader struct {
 	buffer               resp.FrameBuffer
-	openedAt             time.Time // when the connection was accepted, or the earliest time at which it may have arrived
+	openedAt             time.Time // time at which the connection was accepted, or the earliest at which it may have arrived
 	mayHaveAwaitedAccept bool      // the connection may have waited in the accept queue since openedAt
 	arrivedAt            time.Time // earliest time at which the input read last may have arrived
 	hasRead              bool      // some input has been read
--- a/internal/listener/request.go
+++ b/internal/listener/request.go
@@ -16,8 +16,8 @@
 	Size         int           // total length of Args, in bytes
 	TimeoutStart int           // offset in the fields of the value of d, the client's timeout in ms
 	TimeoutEnd   int           // offset of its end
-	ReadAt       time.Duration // when its last byte was read, or the earliest time at which it may have arrived
-	GiveUpAt     time.Duration // when its client stops waiting for the answer
+	ReadAt       time.Duration // time at which it was read, or the earliest time at which it may have arrived
+	GiveUpAt     time.Duration // time at which the client stops waiting for the answer
 
 	response *pendingResponse // nil after Release, and for a request without a connection
 }
--- a/internal/subset/members.go
+++ b/internal/subset/members.go
@@ -5,7 +5,7 @@
 type Members struct {
 	subset      *Subset
 	zone        string          // zone of this gateway
-	cached      map[string]bool // by endpoint id; true if the endpoint is in the own zone
+	cached      map[string]bool // whether a cached endpoint is in the own zone, by endpoint id
 	evictionDue bool            // whether the subset has been narrowed since the last eviction
 	needsResync bool            // whether the subset has been widened since the last snapshot
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -15,8 +15,8 @@
 
 	address            string
 	stoppedAt          atomic.Int64  // time.Duration on the loop's clock; zero while the endpoint is serving
-	idleConnections    []*connection // in the order in which they became idle, oldest first
-	waitingAttempts    []*Attempt    // in the order of arrival
+	idleConnections    []*connection // connections in the order in which they became idle
+	waitingAttempts    []*Attempt    // attempts in the order in which they began to wait
 	dialingCount       int           // number of connections being opened
 	awaitingReuseCount int           // number of connections that received a reply less than reuseDelay ago
 	connectionCount    int           // number of all connections: dialing, idle, busy and awaiting reuse
--- a/internal/wire/adapter.go
+++ b/internal/wire/adapter.go
@@ -12,7 +12,7 @@
 // gatewayAdapter runs the gateways of a simulation, each of which receives its own events only. It is not safe for concurrent
 // use.
 type gatewayAdapter struct {
-	gateways map[int]*policy.Gateway // by instance number
+	gateways map[int]*policy.Gateway // gateways by instance number
 }
 
 // Serve runs gateways on the batches that it reads from in, and writes their actions to out, until the input ends.
