--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -123,7 +123,7 @@
 		SlowStartMinWeight:      o.Invariants.ColdFrom,
 		SlowStartWindow:         microseconds(o.Invariants.WarmAfterUs),
 		SlowStartBudgetMultiple: o.Invariants.FallMultiple,
-		SlowStartBudgetSpan:     microseconds(o.Invariants.FallUs),
+		SlowStartBudgetPeriod:   microseconds(o.Invariants.FallUs),
 		DrainGracePeriod:        microseconds(o.Invariants.DrainGraceUs),
 	}
 	if o.Permissions.RetryAfter {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (contract contractObject) plan(settledByReply bool) policy.Plan {
+func (contract contractObject) plan(settledByAnswer bool) policy.Plan {
 	return policy.Plan{
 		Name:             contract.Name,
 		Price:            contract.Price,
@@ -163,7 +163,7 @@
 		CeilingRate:      contract.HardRate,
 		CeilingBurst:     contract.CapDepth,
 		CeilingTolerance: contract.Tolerance,
-		SettledByReply:   settledByReply,
+		SettledByAnswer:  settledByAnswer,
 	}
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -32,7 +32,7 @@
 
 // CallCounter implements quota.Host.
 func (host quotaHost) CallCounter(call quota.Call) {
-	host.gateway.emit(IncrementCounter{Name: call.Name, Delta: call.Add, TTL: call.TTL})
+	host.gateway.emit(IncrementCounter{Name: call.Name, Delta: call.Delta, TTL: call.TTL})
 }
 
 // Saturated implements quota.Host.
--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -87,8 +87,8 @@
 
 // Change is a change of the endpoint list.
 type Change struct {
-	// Snapshot means that Endpoints is the entire list. Otherwise it contains only the changed endpoints.
-	Snapshot bool
+	// IsSnapshot reports whether Endpoints is the entire list, rather than only the changed endpoints.
+	IsSnapshot bool
 	// Endpoints are the endpoints of the list, or the changed ones.
 	Endpoints []model.Endpoint
 	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints; zero means all
@@ -123,7 +123,7 @@
 
 // Apply applies a change of the endpoint list.
 func (b *Balancer) Apply(now time.Duration, change Change) {
-	if change.Snapshot {
+	if change.IsSnapshot {
 		for _, e := range b.serving {
 			e.State = model.Removed // unless the snapshot contains it
 		}
--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -25,7 +25,7 @@
 			MinWeight:      0.2,
 			Window:         10 * time.Second,
 			BudgetMultiple: 4,
-			BudgetSpan:     3 * time.Second,
+			BudgetPeriod:   3 * time.Second,
 		},
 		MaxLatencyObjective: objective,
 		CapacityCacheTTL:    10 * ms,
@@ -35,7 +35,7 @@
 // newBalancer returns a balancer with serving endpoints.
 func newBalancer(config Config, endpoints ...model.Endpoint) *Balancer {
 	b := New(config, rand.New(rand.NewPCG(1, 2)), &latency.OverallMean{})
-	b.Apply(start, Change{Snapshot: true, Endpoints: endpoints})
+	b.Apply(start, Change{IsSnapshot: true, Endpoints: endpoints})
 	return b
 }
 
@@ -70,8 +70,8 @@
 		{"one draining", Change{Endpoints: []model.Endpoint{{ID: "s", State: model.Draining}}}, "[u]"},
 		{"one removed", Change{Endpoints: []model.Endpoint{{ID: "u", State: model.Removed}}}, "[s]"},
 		{"one in an unknown state", Change{Endpoints: []model.Endpoint{{ID: "u", State: 9}}}, "[s]"},
-		{"snapshot without one", Change{Snapshot: true, Endpoints: servingEndpoints("u")}, "[u]"},
-		{"empty snapshot", Change{Snapshot: true}, "[]"},
+		{"snapshot without one", Change{IsSnapshot: true, Endpoints: servingEndpoints("u")}, "[u]"},
+		{"empty snapshot", Change{IsSnapshot: true}, "[]"},
 		{"no change", Change{}, "[s u]"},
 	} {
 		b := newBalancer(testConfig(), servingEndpoints("u", "s")...)
@@ -132,7 +132,7 @@
 		for i := range c.endpoints {
 			list = append(list, servingEndpoints(model.EndpointID(fmt.Sprint("s", i)))...)
 		}
-		b.Apply(start, Change{Snapshot: true, Endpoints: list, GatewaysPerEndpoint: c.gatewaysPerEndpoint})
+		b.Apply(start, Change{IsSnapshot: true, Endpoints: list, GatewaysPerEndpoint: c.gatewaysPerEndpoint})
 		if got := b.InitialAttempts(); got != c.want {
 			t.Errorf("%d endpoints of %v gateways: got %v initial attempts, want %v", c.endpoints,
 				c.gatewaysPerEndpoint, got, c.want)
@@ -225,7 +225,7 @@
 		}
 		startAttempt(b, start, b.ServingEndpoints()[1])
 	}
-	b.Apply(start, Change{Snapshot: true, Endpoints: servingEndpoints("s")})
+	b.Apply(start, Change{IsSnapshot: true, Endpoints: servingEndpoints("s")})
 	if e := b.Pick(start, Query{TriedEndpoints: []*Endpoint{tried}}); e != tried {
 		t.Errorf("got endpoint %v, want the tried one since there is no other", e)
 	}
@@ -248,7 +248,7 @@
 
 func TestSlowStartPacesAttempts(t *testing.T) {
 	b := newBalancer(testConfig())
-	b.Apply(start, Change{Snapshot: true, Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
+	b.Apply(start, Change{IsSnapshot: true, Endpoints: []model.Endpoint{{ID: "s", State: model.Serving, StartedAt: start}}})
 	var last time.Duration
 	attempts := 0
 	for now := start; now < start+3*time.Second; now += ms {
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -14,10 +14,10 @@
 	// start.
 	Window time.Duration
 	// BudgetMultiple is the multiple of an endpoint's capacity that all gateways together may send to it
-	// within BudgetSpan; zero means no limit.
+	// within BudgetPeriod; zero means no limit.
 	BudgetMultiple float64
-	// BudgetSpan is the period to which BudgetMultiple applies.
-	BudgetSpan time.Duration
+	// BudgetPeriod is the period to which BudgetMultiple applies.
+	BudgetPeriod time.Duration
 }
 
 const (
@@ -31,7 +31,7 @@
 	// margin for random variation and for the attempts of other gateways, which this gateway does not
 	// observe.
 	slowStartBudgetShare = 0.6
-	// minBudgetSpanSeconds is the minimum of BudgetSpan, in seconds: the answer rate over a shorter span is
+	// minBudgetSpanSeconds is the minimum of BudgetPeriod, in seconds: the answer rate over a shorter period is
 	// too uncertain.
 	minBudgetSpanSeconds = 1
 )
@@ -101,7 +101,7 @@
 // those in slow start.
 func (b *Balancer) recordAnswer(now time.Duration) {
 	elapsed := (now - b.answerRates.lastAnswerAt).Seconds()
-	span := max(b.config.SlowStart.BudgetSpan.Seconds(), minBudgetSpanSeconds)
+	span := max(b.config.SlowStart.BudgetPeriod.Seconds(), minBudgetSpanSeconds)
 	current := b.servingCapacity(now)
 	decay := math.Exp(-elapsed / span)
 	rates := &b.answerRates
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -101,7 +101,7 @@
 			MinWeight:      g.settings.SlowStartMinWeight,
 			Window:         g.settings.SlowStartWindow,
 			BudgetMultiple: g.settings.SlowStartBudgetMultiple,
-			BudgetSpan:     g.settings.SlowStartBudgetSpan,
+			BudgetPeriod:   g.settings.SlowStartBudgetPeriod,
 		},
 		MaxLatencyObjective: g.maxLatencyObjective,
 		CapacityCacheTTL:    g.tickInterval,
@@ -162,7 +162,7 @@
 	}
 	hadNoEndpoints := len(g.balancer.ServingEndpoints()) == 0
 	g.balancer.Apply(g.now, balancer.Change{
-		Snapshot:            ev.IsSnapshot,
+		IsSnapshot:          ev.IsSnapshot,
 		Endpoints:           ev.Endpoints,
 		GatewaysPerEndpoint: ev.GatewaysPerEndpoint,
 	})
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -16,7 +16,7 @@
 	return Settings{GatewayIndex: 0, GatewayCount: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 50 * ms,
 		SlowStartMinWeight: 0.2, SlowStartWindow: 10 * time.Second,
-		SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: 3 * time.Second,
+		SlowStartBudgetMultiple: 4, SlowStartBudgetPeriod: 3 * time.Second,
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: Idempotent},
 			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second,
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -90,7 +90,7 @@
 	return Settings{GatewayCount: goldenGateways, Zone: "z0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 2 * time.Second,
 		MayCancel: true, HedgingEnabled: true, HasSharedCounter: true, CounterTimeout: 40 * ms,
 		ConnectionIdleTimeout: 5 * time.Second, SlowStartMinWeight: 0.2, SlowStartWindow: 4 * time.Second,
-		SlowStartBudgetMultiple: 2, SlowStartBudgetSpan: time.Second, DrainGracePeriod: time.Second,
+		SlowStartBudgetMultiple: 2, SlowStartBudgetPeriod: time.Second, DrainGracePeriod: time.Second,
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyObjective: 200 * ms, Deadline: 900 * ms, LateWeight: 0.4,
 				Idempotency: Idempotent},
@@ -104,7 +104,7 @@
 				Idempotency: NonIdempotent}},
 		Plans: []Plan{
 			{Name: "rate", Price: 1, Rate: 40, Burst: 30, OverQuotaWeight: 0.2, OverQuotaCost: 0.5},
-			{Name: "paid", Price: 3, Rate: 25, Burst: 60, OverQuotaWeight: 0.5, OverQuotaCost: 0.1, SettledByReply: true},
+			{Name: "paid", Price: 3, Rate: 25, Burst: 60, OverQuotaWeight: 0.5, OverQuotaCost: 0.1, SettledByAnswer: true},
 			{Name: "open", Price: 2, MaxConcurrency: 3, OverQuotaCost: 1.5},
 			{Name: "both", Price: 2, Rate: 30, Burst: 40, MaxConcurrency: 2, OverQuotaWeight: 0.1, OverQuotaCost: 0.8},
 			{Name: "ceiling", Price: 1, Rate: 20, Burst: 25, OverQuotaWeight: 0.6, OverQuotaCost: 0.2, CeilingRate: 30,
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -65,7 +65,7 @@
 	CeilingRate      float64 // units a second that may not be exceeded; zero means no ceiling
 	CeilingBurst     float64 // capacity of the token bucket of the ceiling, in units
 	CeilingTolerance float64 // tolerance of the ceiling in the settings; no decision uses it
-	SettledByReply   bool    // the actual units of a request are known only from its answer
+	SettledByAnswer  bool    // the actual units of a request are known only from its answer
 }
 
 // EndpointID identifies an endpoint. It is opaque.
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -107,16 +107,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			g, call := newCentralCall(t, "thick")
 			const claimedBefore = 1.0 // unit claimed by another gateway just before
-			claimTotal := call.Add + claimedBefore
+			claimTotal := call.Delta + claimedBefore
 			corrections := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: claimTotal}).calls
-			if len(corrections) != 1 || corrections[0].Add <= 0 {
+			if len(corrections) != 1 || corrections[0].Delta <= 0 {
 				t.Fatalf("got calls %v, want one that corrects the total", corrections)
 			}
-			total := claimTotal + corrections[0].Add*(1+test.otherCorrections)
+			total := claimTotal + corrections[0].Delta*(1+test.otherCorrections)
 			reverted := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}).calls
-			if len(reverted) != test.wantReverted || test.wantReverted > 0 && reverted[0].Add != -corrections[0].Add {
+			if len(reverted) != test.wantReverted || test.wantReverted > 0 && reverted[0].Delta != -corrections[0].Delta {
 				t.Errorf("got calls %v after a correction of %v, want %d that reverts it", reverted,
-					corrections[0].Add, test.wantReverted)
+					corrections[0].Delta, test.wantReverted)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 func TestClaimThatFindsTooFewTokensIsReserved(t *testing.T) {
 	for _, clientRetries := range []bool{true, false} {
 		g, call := newCentralCall(t, "thick")
-		got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 25 + g.refilled() + call.Add})
+		got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: 25 + g.refilled() + call.Delta})
 		if len(got.rejections) != 1 || len(got.calls) != 0 || len(got.sent) != 0 {
 			t.Fatalf("got effects %+v, want a rejection and no call", got)
 		}
@@ -140,7 +140,7 @@
 			continue
 		}
 		returned := g.advance(3 * g.manager.config.MaxLatencyObjective).calls
-		if len(returned) != 1 || returned[0].Add != -2 {
+		if len(returned) != 1 || returned[0].Delta != -2 {
 			t.Errorf("no retry: got calls %v, want one that returns the reservation", returned)
 		}
 	}
@@ -166,8 +166,8 @@
 			window := customer.bucket.windowLength
 			g.now += window - (g.now+customer.windowOffset)%window + time.Duration(elapsed*float64(time.Second))
 			call := g.arriveCentral(1, "thick", false).calls[0]
-			calls := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: call.Add}).calls
-			if len(calls) == 0 || calls[0].Name == call.Name || calls[0].Add != 0 {
+			calls := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: call.Delta}).calls
+			if len(calls) == 0 || calls[0].Name == call.Name || calls[0].Delta != 0 {
 				t.Fatalf("got calls %v, want one that reads the previous window's name first", calls)
 			}
 			previousUsage := rate*window.Seconds() + test.deficit
@@ -183,14 +183,14 @@
 // call.
 func TestSettledUnitsAreReportedByTheNextCall(t *testing.T) {
 	g, call := newCentralCall(t, "thick")
-	g.manager.plans["thick"].SettledByReply = true
-	sent := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: g.refilled() + call.Add}).sent
+	g.manager.plans["thick"].SettledByAnswer = true
+	sent := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: g.refilled() + call.Delta}).sent
 	if len(sent) != 1 {
 		t.Fatalf("got sent requests %v, want one", sent)
 	}
 	g.completeRequest(1, 3.5)
 	next := g.arriveCentral(2, "thick", false).calls
-	if len(next) != 1 || next[0].Add != 2+1.5 {
+	if len(next) != 1 || next[0].Delta != 2+1.5 {
 		t.Errorf("got calls %v, want one for 2 units and the 1.5 settled units", next)
 	}
 }
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -9,18 +9,18 @@
 	"lemontack/policy/model"
 )
 
-// Call is a call of the shared counter: it adds to a named number and returns the new total.
+// Call is a call of the shared counter: it adds an amount to a named number and returns the new total.
 type Call struct {
-	Name string
-	Add  float64       // units or permits; 0 only reads the total
-	TTL  time.Duration // time from the first call with the name until the counter deletes the number
+	Name  string
+	Delta float64       // amount to add, in units or permits; it may be 0 or negative
+	TTL   time.Duration // time for which the counter keeps the name, counted from its first call
 }
 
 // Reply is the reply to a Call.
 type Reply struct {
 	Name    string
 	Outcome model.Outcome
-	Total   float64 // total after the add, if the call succeeded
+	Total   float64 // total after the call, if it succeeded
 }
 
 // semaphoreNamePrefix precedes the window in names that count permits. Names that count units do not have
@@ -52,9 +52,9 @@
 	call.sentAt = m.host.Now()
 	c.callsInFlight = append(c.callsInFlight, call)
 	m.host.CallCounter(Call{
-		Name: call.name,
-		Add:  call.claim + call.adjustment,
-		TTL:  min(2*windowLength, maxCounterNameTTL),
+		Name:  call.name,
+		Delta: call.claim + call.adjustment,
+		TTL:   min(2*windowLength, maxCounterNameTTL),
 	})
 }
 
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -84,7 +84,7 @@
 
 // Settle corrects the units of a request to those stated in its answer, if its plan settles units this way.
 func (m *Manager) Settle(charge *Charge, settledUnits float64) {
-	if !charge.plan.SettledByReply || settledUnits <= 0 {
+	if !charge.plan.SettledByAnswer || settledUnits <= 0 {
 		return
 	}
 	c := charge.customer
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -174,7 +174,7 @@
 // sumOfAdds returns the sum of the amounts that calls add.
 func sumOfAdds(calls []Call) (sum float64) {
 	for _, call := range calls {
-		sum += call.Add
+		sum += call.Delta
 	}
 	return sum
 }
--- a/policy/quota/lease_test.go
+++ b/policy/quota/lease_test.go
@@ -81,7 +81,7 @@
 			next := pendingEffects[0]
 			pendingEffects = pendingEffects[1:]
 			for _, call := range next.calls {
-				total += call.Add
+				total += call.Delta
 				reply := Reply{Name: call.Name, Outcome: model.Succeeded, Total: total}
 				if isError = !isError; isError {
 					reply.Outcome, reply.Total = model.Failed, 0
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -37,7 +37,7 @@
 	c.lease.pendingAdd = c.unreportedUnits + leaseTokens
 	c.lease.pendingTokens = leaseTokens
 	c.unreportedUnits = 0
-	m.host.CallCounter(Call{Name: c.bucketName(), Add: c.lease.pendingAdd, TTL: maxCounterNameTTL})
+	m.host.CallCounter(Call{Name: c.bucketName(), Delta: c.lease.pendingAdd, TTL: maxCounterNameTTL})
 }
 
 // handleLeaseReply handles the reply to a call for a lease.
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -31,7 +31,7 @@
 	// CallCounter starts a call of the shared counter. The reply is passed to Manager.HandleReply later;
 	// replies for one name arrive in the order of the calls.
 	CallCounter(call Call)
-	// Saturated reports whether requests within their quotas are waiting, or are about to wait.
+	// Saturated reports whether requests of any customer wait for capacity, or are about to.
 	Saturated() bool
 	// MeanLatency returns the mean latency of answers, at least one tick.
 	MeanLatency() time.Duration
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -86,7 +86,7 @@
 func TestSettledUnitsOfAnAnswerAreReportedByTheNextCall(t *testing.T) {
 	settings := manyGatewaySettings()
 	for i := range settings.Plans {
-		settings.Plans[i].SettledByReply = true
+		settings.Plans[i].SettledByAnswer = true
 	}
 	g := newTestGateway(t, settings, Endpoint{ID: "s", State: Serving})
 	sendRequest := func(id RequestID) []Action {
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -232,7 +232,7 @@
 	prices := []float64{0.9, 1.3, 1.6}
 	for i, rate := range sim.planRates {
 		plan := Plan{Name: fmt.Sprint("plan", i), Price: prices[i%3], Rate: rate,
-			Burst: max(rate*sim.planBurstSeconds[i], 2*maxRequestUnits), OverQuotaCost: params.overQuotaCost, SettledByReply: true}
+			Burst: max(rate*sim.planBurstSeconds[i], 2*maxRequestUnits), OverQuotaCost: params.overQuotaCost, SettledByAnswer: true}
 		if params.limits != limitRate {
 			plan.MaxConcurrency = max(2, int(math.Ceil(2*rate*meanWorkTime.Seconds()/meanRequestUnits)))
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -52,10 +52,10 @@
 	// slow start.
 	SlowStartWindow time.Duration
 	// SlowStartBudgetMultiple limits the attempts that all gateways together send to an endpoint in slow
-	// start within SlowStartBudgetSpan, as a multiple of the endpoint's capacity; 0 means no limit.
+	// start within SlowStartBudgetPeriod, as a multiple of the endpoint's capacity; 0 means no limit.
 	SlowStartBudgetMultiple float64
-	// SlowStartBudgetSpan is the length of the time span in which these attempts are counted.
-	SlowStartBudgetSpan time.Duration
+	// SlowStartBudgetPeriod is the length of the period in which these attempts are counted.
+	SlowStartBudgetPeriod time.Duration
 	// DrainGracePeriod is the time after the gateway receives the notification that an endpoint is draining
 	// or removed, within which the last attempt at the endpoint may start.
 	DrainGracePeriod time.Duration
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -405,7 +405,7 @@
 	}
 }
 
-// budgetSpan describes the attempts at an endpoint in slow start within one SlowStartBudgetSpan.
+// budgetSpan describes the attempts at an endpoint in slow start within one SlowStartBudgetPeriod.
 type budgetSpan struct {
 	endpoint          EndpointID
 	ageAtStart        time.Duration // age of the endpoint at the start of the span
@@ -421,9 +421,9 @@
 	for _, endpoint := range run.startedEndpoints {
 		isOver := false
 		for i, from := range endpoint.sendTimes {
-			to, _ := slices.BinarySearch(endpoint.sendTimes, from+run.settings.SlowStartBudgetSpan)
+			to, _ := slices.BinarySearch(endpoint.sendTimes, from+run.settings.SlowStartBudgetPeriod)
 			allowance := run.settings.SlowStartBudgetMultiple * run.endpointRate * run.slowStartWeight(endpoint, from) *
-				run.settings.SlowStartBudgetSpan.Seconds()
+				run.settings.SlowStartBudgetPeriod.Seconds()
 			budget := allowance + 2*math.Sqrt(allowance) + 2
 			if excess := float64(to-i) - budget; excess > worstExcess {
 				worstExcess, worst = excess, budgetSpan{endpoint.ID, from - endpoint.StartedAt, to - i, budget, allowance}
