--- a/policy/actions.go
+++ b/policy/actions.go
@@ -19,7 +19,7 @@
 }
 
 // Cancel ends an attempt that is no longer needed. The attempt's AttemptEnded event still follows. A gateway
-// sends it only if Settings.MayCancel is set.
+// returns it only if Settings.MayCancel is set.
 type Cancel struct {
 	ID RequestID
 	// Attempt is the number of the attempt, from 0.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,7 @@
 	"lemontack/policy/quota"
 )
 
-// This file connects the gateway to package quota, which decides whether requests are inside their quotas.
+// This file connects the gateway to package quota, which decides whether requests are within their quotas.
 
 // quotaConfig returns the settings that the quota manager needs.
 func (g *Gateway) quotaConfig() quota.Config {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -22,8 +22,8 @@
 	// before it times out.
 	minAttemptDeadlineDivisor = 3
 
-	// maxTriedOnStack is the number of earlier attempts that pickEndpoint lists without a heap allocation.
-	maxTriedOnStack = 8
+	// triedBufferSize is the number of earlier attempts that pickEndpoint lists without a heap allocation.
+	triedBufferSize = 8
 )
 
 // firstMaybeExecuted returns the first attempt that may have been executed, or nil if there is none.
@@ -63,7 +63,7 @@
 // pickEndpoint chooses the endpoint of the request's next attempt, or returns nil if no endpoint may receive
 // it now.
 func (g *Gateway) pickEndpoint(r *request) *balancer.Endpoint {
-	var buffer [maxTriedOnStack]*balancer.Endpoint
+	var buffer [triedBufferSize]*balancer.Endpoint
 	query := balancer.Query{TriedEndpoints: buffer[:0], DeduplicationScope: r.class.DeduplicationScope}
 	for _, a := range r.attempts {
 		query.TriedEndpoints = append(query.TriedEndpoints, a.Endpoint)
@@ -104,8 +104,8 @@
 	return g.now + max(expected, r.class.LatencyObjective/minAttemptDeadlineDivisor)
 }
 
-// markOverdueAttempts releases the limiter's window from attempts that have been in flight for longer than
-// the latency objective, since their endpoints may never answer. The limiter records them as timed out.
+// markOverdueAttempts removes attempts that have been in flight for longer than the latency objective from
+// the limiter's window, since their endpoints may never answer. The limiter records them as timed out.
 func (g *Gateway) markOverdueAttempts(r *request) {
 	for _, a := range r.attempts {
 		if a.ended || a.overdue || g.now-a.StartedAt <= r.class.LatencyObjective {
@@ -201,7 +201,7 @@
 }
 
 // recordLatency records an ended attempt in the latency estimate of the class and in the balancer. Attempts
-// that were cancelled or not sent are ignored: their endpoints had no chance to answer.
+// that were cancelled or not sent are ignored, since their endpoints did not fail.
 func (g *Gateway) recordLatency(
 	class *classState, endpoint *balancer.Endpoint, outcome Outcome, latency time.Duration,
 ) {
--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -75,8 +75,8 @@
 	// restarts.
 	LimiterSamples limiter.EndpointSamples
 
-	lastAttemptAt    time.Duration // start of the last attempt, or the time at which the endpoint was added
-	pacingPauseShare float64       // share of the slow-start pause to wait before the next attempt
+	lastAttemptAt       time.Duration // start of the last attempt, or time at which the endpoint was added
+	pacingIntervalShare float64       // share of the pacing interval to wait before the next attempt
 }
 
 // Attempt is an attempt at an endpoint. The owner of the request embeds it in its own attempt type.
@@ -146,11 +146,11 @@
 	}
 	if e.relativeLatency == 0 || e.StartedAt != listed.StartedAt {
 		*e = Endpoint{
-			inFlight:          e.inFlight,
-			relativeLatency:   b.sampleRelativeLatency(now),
-			relativeLatencyAt: now,
-			lastAttemptAt:     now,
-			pacingPauseShare:  b.rng.Float64(),
+			inFlight:            e.inFlight,
+			relativeLatency:     b.sampleRelativeLatency(now),
+			relativeLatencyAt:   now,
+			lastAttemptAt:       now,
+			pacingIntervalShare: b.rng.Float64(),
 		}
 	}
 	e.Endpoint = listed
@@ -177,7 +177,7 @@
 	attempt.StartedAt = now
 	e.inFlight = append(e.inFlight, attempt)
 	e.lastAttemptAt = now
-	e.pacingPauseShare = 1
+	e.pacingIntervalShare = 1
 }
 
 // AttemptEnded stops counting an attempt as in flight.
--- a/policy/balancer/balancer_test.go
+++ b/policy/balancer/balancer_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Endpoints get ever new ids: the map of endpoints must not grow without bound.
+// Endpoints keep getting new ids: the map of endpoints must not grow without bound.
 func TestRemovedEndpointIsDeletedOnceNothingIsInFlight(t *testing.T) {
 	b := newBalancer(testConfig(), servingEndpoints("s")...)
 	a := startAttempt(b, start, b.ServingEndpoints()[0])
@@ -256,7 +256,7 @@
 		if e == nil {
 			continue
 		}
-		// The assumed rate of a warm endpoint is 4/2 answers a second; the limit is 1.5 x 0.2 to 1.5 x 0.44 of it.
+		// The assumed rate of a warm endpoint is 4/2 answers per second; the limit is 1.5 x 0.2 to 1.5 x 0.44 of it.
 		if pause := now - last; last > 0 && pause < 750*ms {
 			t.Errorf("got an interval of %v between two attempts, want at least 750ms", pause)
 		}
--- a/policy/balancer/outlier.go
+++ b/policy/balancer/outlier.go
@@ -15,7 +15,7 @@
 	failureRelativeLatency = latency.MaxRelative
 	// halfLifeInObjectives is the half-life of a relative latency, in longest latency objectives.
 	halfLifeInObjectives = 8.0
-	// minAnswerRate is the lowest rate from which the half-life is computed, in answers a second. It bounds
+	// minAnswerRate is the lowest rate from which the half-life is computed, in answers per second. It bounds
 	// the half-life.
 	minAnswerRate = 1e-3
 
@@ -26,7 +26,7 @@
 	maxEjectionDoublings = 4
 
 	// overdueMeanMultiple is the number of mean latencies after which an attempt in flight indicates a slow
-	// endpoint: most latencies vary widely around their mean.
+	// endpoint.
 	overdueMeanMultiple = 3
 )
 
@@ -85,7 +85,7 @@
 }
 
 // sampleRelativeLatency returns the initial relative latency of a new endpoint: that of a random serving
-// endpoint. With the mean, the new endpoint would lose to all endpoints that have been fast by chance; with
+// endpoint. With the mean, the new endpoint would rank behind all endpoints that were fast by chance; with
 // the lowest, it would get the requests of all gateways at once.
 func (b *Balancer) sampleRelativeLatency(now time.Duration) float64 {
 	if len(b.serving) == 0 {
--- a/policy/balancer/pick.go
+++ b/policy/balancer/pick.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// MaxCandidates is the number of endpoints examined for a first attempt. It limits the cost of the
-	// choice; the best of a large sample is nearly as good as the best of all endpoints.
+	// MaxCandidates is the maximum size of the sample of endpoints that is examined for a first attempt. It
+	// limits the cost of the choice; the best of a large sample is nearly as good as the best of all
+	// endpoints.
 	MaxCandidates = 256
 
-	// tieBreakSpread is the random part of a score, so that equal endpoints share the requests and the
-	// gateways do not all choose the same endpoint.
+	// tieBreakSpread is the maximum random increase of a score, as a share of it, so that equal endpoints
+	// share the requests and the gateways do not all choose the same endpoint.
 	tieBreakSpread = 0.1
-	// handshakeCostFactor times the price of a handshake is the share by which a handshake raises a score:
-	// with a price of 0.1, it doubles the score.
+	// handshakeCostFactor multiplies the price of a handshake to give the relative increase of the score: a
+	// price of 0.1 doubles the score.
 	handshakeCostFactor = 10.0
 	// crossZoneFactor is the factor on the score of an endpoint in another zone, if cross-zone attempts
 	// have a price.
@@ -46,8 +47,9 @@
 // Pick returns the endpoint with the least expected latency among those that may get the request now, or
 // nil if there is none.
 //
-// For a first attempt, Pick examines an evenly spaced sample of a long list. Further attempts may be
-// limited to the few endpoints of a deduplication scope, so Pick then examines all endpoints.
+// For a first attempt, Pick examines an evenly spaced sample of a long list, and all endpoints only if none
+// of the sample may get the request. Further attempts may be limited to the few endpoints of a deduplication
+// scope, so Pick then always examines all endpoints.
 func (b *Balancer) Pick(now time.Duration, query Query) *Endpoint {
 	step := (len(b.serving) + MaxCandidates - 1) / MaxCandidates
 	if step > 1 && len(query.TriedEndpoints) == 0 {
@@ -94,7 +96,7 @@
 	score *= 1 + tieBreakSpread*b.rng.Float64()
 	isWarm := weight == 1
 	if weight < 1 && b.rng.Float64() >= weight {
-		score *= 1 / weight // chosen only if other endpoints have as many attempts in flight
+		score *= 1 / weight // that of a warm endpoint with 1/weight - 1 attempts in flight
 	} else if !b.hasWarmConnection(now, e) && (isWarm || b.rng.Float64() >= b.capacity.warmConnectionShare) {
 		score *= 1 + handshakeCostFactor*b.config.HandshakePrice
 	}
--- a/policy/balancer/slowstart.go
+++ b/policy/balancer/slowstart.go
@@ -31,9 +31,9 @@
 	// margin for random variation and for the attempts of other gateways, which this gateway does not
 	// observe.
 	slowStartBudgetShare = 0.6
-	// minBudgetSpanSeconds is the minimum of BudgetPeriod, in seconds: the answer rate over a shorter period is
-	// too uncertain.
-	minBudgetSpanSeconds = 1
+	// minBudgetPeriodSeconds is the minimum of BudgetPeriod, in seconds: the answer rate over a shorter
+	// period is too uncertain.
+	minBudgetPeriodSeconds = 1
 )
 
 // capacityCache holds cached sums over the serving endpoints.
@@ -49,11 +49,11 @@
 // answerRates are the rates of successful answers at this gateway, with exponential decay.
 type answerRates struct {
 	lastAnswerAt time.Duration
-	perSecond    float64 // answers a second, with a time constant of one second
+	perSecond    float64 // answers per second, with a time constant of one second
 
-	spanAnswersPerSecond     float64 // answers a second, with the budget span as the time constant
-	spanCapacity             float64 // capacity in warm endpoints, with the budget span as the time constant
-	perSecondPerWarmEndpoint float64 // answers a second of one warm endpoint, at the last answer
+	budgetAnswersPerSecond   float64 // answers per second; the time constant is the budget period
+	budgetCapacity           float64 // capacity in warm endpoints; the time constant is the budget period
+	perSecondPerWarmEndpoint float64 // answers per second of one warm endpoint, at the last answer
 }
 
 // slowStartWeight returns the share of its capacity that an endpoint has at its age. It grows linearly from
@@ -94,20 +94,20 @@
 	}
 }
 
-// recordAnswer counts an answer in the rates. The time constant is the budget span, in which the settings
+// recordAnswer counts an answer in the rates. The time constant is the budget period, in which the settings
 // limit the attempts at an endpoint in slow start: with a shorter one, the rate of a gateway with few
 // requests, computed at each answer, would be too high. The rate is divided by the capacity over the same
 // time, so that after a restart of all endpoints the answers of warm endpoints do not overstate the rate of
 // those in slow start.
 func (b *Balancer) recordAnswer(now time.Duration) {
 	elapsed := (now - b.answerRates.lastAnswerAt).Seconds()
-	span := max(b.config.SlowStart.BudgetPeriod.Seconds(), minBudgetSpanSeconds)
+	period := max(b.config.SlowStart.BudgetPeriod.Seconds(), minBudgetPeriodSeconds)
 	current := b.servingCapacity(now)
-	decay := math.Exp(-elapsed / span)
+	decay := math.Exp(-elapsed / period)
 	rates := &b.answerRates
-	rates.spanCapacity = current + (rates.spanCapacity-current)*decay
-	rates.spanAnswersPerSecond = 1/span + rates.spanAnswersPerSecond*decay
-	rates.perSecondPerWarmEndpoint = rates.spanAnswersPerSecond / rates.spanCapacity
+	rates.budgetCapacity = current + (rates.budgetCapacity-current)*decay
+	rates.budgetAnswersPerSecond = 1/period + rates.budgetAnswersPerSecond*decay
+	rates.perSecondPerWarmEndpoint = rates.budgetAnswersPerSecond / rates.budgetCapacity
 	rates.perSecond = 1 + rates.perSecond*math.Exp(-elapsed)
 	rates.lastAnswerAt = now
 }
@@ -122,5 +122,5 @@
 	rateFactor := min(slowStartRateFactor, slowStartBudgetShare*multiple)
 	rate := rateFactor * weight *
 		max(b.answerRates.perSecondPerWarmEndpoint, initialAttemptsPerEndpoint/b.gatewaysPerEndpoint)
-	return (now - e.lastAttemptAt).Seconds() >= e.pacingPauseShare/rate
+	return (now - e.lastAttemptAt).Seconds() >= e.pacingIntervalShare/rate
 }
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -15,8 +15,8 @@
 	return settings
 }
 
-// After its client has disconnected, a waiting request is neither sent nor answered, whatever it waits for and whichever event
-// follows: a reply of the counter, the end of an attempt, free capacity, or new endpoints.
+// A waiting request is neither sent nor answered after its client has disconnected, not even if a reply of the counter, the end
+// of an attempt, free capacity or new endpoints follow.
 func TestNothingIsSentAfterTheClientDisconnects(t *testing.T) {
 	endpoints := []Endpoint{{ID: "s", State: Serving}, {ID: "u", State: Serving}}
 	attemptEnded := func(o Outcome) AttemptEnded {
@@ -42,11 +42,11 @@
 	}
 	for name, test := range map[string]struct {
 		plan                string
-		rejectedIfConnected bool // by the counter, if the client stays connected
+		rejectedIfConnected bool // the counter rejects the request if the client stays connected
 		gatewaySpan         int
 		prepare             func(g *testGateway)                                    // called before the request arrives
-		enterWait           func(g *testGateway)                                    // called after its arrival, until it waits
-		afterDisconnect     func(g *testGateway, calls []IncrementCounter) []Action // called after the client has disconnected
+		enterWait           func(g *testGateway)                                    // called after the arrival, to make the request wait
+		afterDisconnect     func(g *testGateway, calls []IncrementCounter) []Action // called after the disconnection
 	}{
 		"for the counter, which grants":             {"thin", false, 60, nil, nil, replyToCalls(Succeeded, 1)},
 		"for the counter, which rejects":            {"thin", true, 60, nil, nil, replyToCalls(Succeeded, 1000)},
@@ -69,7 +69,7 @@
 			func(g *testGateway) { g.gateway.classes["read"].latency.Record(20 * ms) }, nil, nil},
 		"for an answer that is a rejection": {"free", false, 2, nil, nil,
 			func(g *testGateway, _ []IncrementCounter) []Action { return g.handle(attemptEnded(Rejected)) }},
-		"for a connection that never comes": {"free", false, 2, nil, nil,
+		"for a connection that fails": {"free", false, 2, nil, nil,
 			func(g *testGateway, _ []IncrementCounter) []Action { return g.handle(attemptEnded(ConnectFailed)) }},
 		"for a retry": {"free", false, 2, nil, func(g *testGateway) {
 			g.gateway.limiter.SetWindow(0) // so that the retry waits
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -23,5 +23,5 @@
 //   - limiter: the AIMD window on attempts in flight
 //   - model: the data types shared by all packages
 //   - queue: the priority queue
-//   - quota: whether a request is inside the quotas of its customer; admission.go connects it
+//   - quota: whether a request is within the quotas of its customer; admission.go connects it
 package policy
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// tick performs the periodic work. It ends requests that can no longer be answered by their deadline before
-// Handle dispatches, so that they receive no capacity that has become free.
+// tick performs the periodic work. Requests that can no longer be answered by their deadline are ended here,
+// before Handle dispatches, so that they receive no capacity that has become free.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{Delay: g.tickInterval})
 	if g.settings.PollEndpoints && !g.watchingEndpoints {
@@ -187,7 +187,7 @@
 
 // tickRequest performs the periodic work of one request. It reports whether the request is over: it has its
 // final answer and no attempt in flight, and has been removed from requestsByID.
-func (g *Gateway) tickRequest(r *request) (over bool) {
+func (g *Gateway) tickRequest(r *request) (isOver bool) {
 	g.markOverdueAttempts(r)
 	g.hedgeIfOverdue(r)
 	if r.queued || !r.dispatched && !r.finished {
--- a/policy/longlist_test.go
+++ b/policy/longlist_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// The share of a gateway is that among the gateways that use its endpoints, not among all gateways.
+// The initial window is the gateway's share among the gateways that use the same endpoints, not among all gateways.
 func TestFirstEndpointsSetTheWindowToTheGatewaysShare(t *testing.T) {
 	settings := testSettings()
 	settings.GatewayCount = 6400
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -57,12 +57,12 @@
 type Plan struct {
 	Name             string
 	Price            float64 // factor on the weight of its customers' requests
-	Rate             float64 // quota in units a second; zero means no rate quota
+	Rate             float64 // quota in units per second; zero means no rate quota
 	Burst            float64 // capacity of the token bucket of the rate, in units
 	MaxConcurrency   int     // attempts in flight at the same time; zero means no concurrency quota
 	OverQuotaWeight  float64 // share of the weight that a request over the quota earns
 	OverQuotaCost    float64 // share of the weight that each request admitted over the quota costs
-	CeilingRate      float64 // units a second that may not be exceeded; zero means no ceiling
+	CeilingRate      float64 // units per second that may not be exceeded; zero means no ceiling
 	CeilingBurst     float64 // capacity of the token bucket of the ceiling, in units
 	CeilingTolerance float64 // tolerance of the ceiling in the settings; no decision uses it
 	SettledByAnswer  bool    // the actual units of a request are known only from its answer
--- a/policy/overquotacost_test.go
+++ b/policy/overquotacost_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// The cost of the over-quota requests that all gateways together admit exceeds that of the reference policy, which decides by
-// the exact state of the quotas with a delay, by at most 0.05 of the offered weight, for any cost of one request. The weight
-// served inside the quotas is at least the given share of what the reference policy serves; the counter has capacity for only
-// two calls per request.
+// The over-quota requests that all gateways together admit cost at most 0.05 of the offered weight more than those of the
+// reference policy (see decideByDelayedState), and the weight served inside the quotas is at least the given share of the
+// reference. The counter has capacity for only two calls per request.
 func TestQuotasHoldOverAllGatewaysAtEveryOverQuotaCost(t *testing.T) {
 	counter := counterCase{callsPerRequest: 2, delay: 2 * ms}
 	slow := counterCase{callsPerRequest: 2, delay: 12 * ms, lossShare: 0.01}
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -10,7 +10,8 @@
 	// overfillTolerance is the excess of the computed level over the burst, as a share of the burst, above
 	// which the total on the counter is corrected.
 	overfillTolerance = 0.5
-	// totalRoundingError is the rounding error of the counter's totals, which have seven digits, in units.
+	// totalRoundingError is the rounding error allowed in the counter's totals, in units. Totals have seven
+	// significant digits.
 	totalRoundingError = 1e-6
 )
 
@@ -164,8 +165,8 @@
 	return granted
 }
 
-// bucketCovers reports whether the bucket held the units of a claim. It corrects the total on the counter
-// if the total is wrong or if a claim that was not covered is not kept as a reservation.
+// bucketCovers reports whether the bucket held the units of a claim. It corrects a wrong total on the
+// counter, and subtracts an uncovered claim from it unless the claim is kept as a reservation.
 func (m *Manager) bucketCovers(call pendingCall, total float64) bool {
 	charge := call.charge
 	c := charge.customer
--- a/policy/quota/bucket_test.go
+++ b/policy/quota/bucket_test.go
@@ -50,10 +50,10 @@
 // The total under a central bucket's name is its whole usage; a gateway that finds it wrong corrects it by
 // a second call.
 func TestTotalOfACentralBucketIsCorrected(t *testing.T) {
-	const add = 2.0
+	const claim = 2.0
 	for _, test := range []struct {
 		name       string
-		usedBefore func(refilled float64) float64 // total before the request's own add
+		usedBefore func(refilled float64) float64 // total before the request's own claim
 		sent       bool
 		correction func(refilled float64) float64
 	}{
@@ -61,17 +61,17 @@
 		{"half full", func(f float64) float64 { return f + 4 }, true, func(float64) float64 { return 0 }},
 		{"overflowed by a little", func(f float64) float64 { return f - 3 }, true, func(float64) float64 { return 0 }},
 		{"overflowed by much", func(f float64) float64 { return f - 6 }, true, func(float64) float64 { return 6 }},
-		{"empty", func(f float64) float64 { return f + 7 }, false, func(float64) float64 { return -add }},
+		{"empty", func(f float64) float64 { return f + 7 }, false, func(float64) float64 { return -claim }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			g, call := newCentralCall(t, "thin")
 			refilled := g.refilled()
-			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: test.usedBefore(refilled) + add})
+			got := g.reply(Reply{Name: call.Name, Outcome: model.Succeeded, Total: test.usedBefore(refilled) + claim})
 			if sent := len(got.sent) == 1; sent != test.sent {
 				t.Errorf("got sent %v, want %v", sent, test.sent)
 			}
 			want := test.correction(refilled)
-			if corrected := sumOfAdds(got.calls); corrected < want-0.01 || corrected > want+0.01 {
+			if corrected := sumOfDeltas(got.calls); corrected < want-0.01 || corrected > want+0.01 {
 				t.Errorf("got a correction by %v, want %v", corrected, want)
 			}
 		})
@@ -171,7 +171,7 @@
 				t.Fatalf("got calls %v, want one that reads the previous window's name first", calls)
 			}
 			previousUsage := rate*window.Seconds() + test.deficit
-			got := sumOfAdds(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
+			got := sumOfDeltas(g.reply(Reply{Name: calls[0].Name, Outcome: model.Succeeded, Total: previousUsage}).calls)
 			if got < test.carried-0.1 || got > test.carried+0.1 {
 				t.Errorf("got deficit %v carried over, want %v", got, test.carried)
 			}
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -34,7 +34,7 @@
 	charge                *Charge // account of the request that makes the claim; nil if the call only adjusts
 	claim                 float64 // units or permits claimed for that request
 	adjustment            float64 // units or permits of earlier requests, or a correction of the total
-	totalBeforeCorrection float64 // of a correction: the total from which it was computed
+	totalBeforeCorrection float64 // total from which a correction was computed
 	readsPreviousWindow   bool    // the call reads the final usage of the previous window
 	sentAt                time.Duration
 }
--- a/policy/quota/customer.go
+++ b/policy/quota/customer.go
@@ -35,7 +35,7 @@
 	bucket           centralBucket
 	permits          semaphore
 	ceiling          ceilingBucket
-	usageWindow      int64   // window in the name on the counter that holds its usage
+	usageWindow      int64   // window in the name under which the counter holds its usage
 	unreportedUnits  float64 // units to be added by the next call
 	callsInFlight    []pendingCall
 	attemptsInFlight int
@@ -85,7 +85,7 @@
 // burstShare returns this gateway's share of the customer's burst, in units.
 func (c *customer) burstShare() float64 { return c.plan.Burst / float64(c.gatewaySpan) }
 
-// rateShare returns this gateway's share of the customer's rate, in units a second.
+// rateShare returns this gateway's share of the customer's rate, in units per second.
 func (c *customer) rateShare() float64 { return c.plan.Rate / float64(c.gatewaySpan) }
 
 // windowAt returns the window that contains a time. It is the same at all gateways of a customer.
@@ -96,8 +96,8 @@
 // checkNextCustomer checks one customer, in turn: it reports permits and units that wait for a call,
 // returns unused tokens, and evicts the customer if it has been idle for long.
 func (m *Manager) checkNextCustomer() {
-	m.nextIdleCheck = (m.nextIdleCheck + 1) % len(m.customerOrder)
-	c := m.customerOrder[m.nextIdleCheck]
+	m.lastCheckedIndex = (m.lastCheckedIndex + 1) % len(m.customerOrder)
+	c := m.customerOrder[m.lastCheckedIndex]
 	if c.permits.unreportedPermits != 0 {
 		m.callCounterForPermits(c, pendingCall{name: m.semaphoreName(c)})
 	}
@@ -107,7 +107,7 @@
 	idle := (m.host.Now() - c.lastRequestAt).Seconds()
 	if c.isEvictable(idle) {
 		delete(m.customers, c.id)
-		m.customerOrder = slices.Delete(m.customerOrder, m.nextIdleCheck, m.nextIdleCheck+1)
+		m.customerOrder = slices.Delete(m.customerOrder, m.lastCheckedIndex, m.lastCheckedIndex+1)
 		return
 	}
 	flushThreshold := unreportedFlushShare * c.plan.Burst / float64(c.gatewaySpan)
--- a/policy/quota/decision.go
+++ b/policy/quota/decision.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// minRefillRate is the lowest rate used to compute the wait for a refill, in units a second.
+// minRefillRate is the lowest rate used to compute the wait for a refill, in units per second.
 const minRefillRate = 0.01
 
 // Verdict is the result of a decision on a request.
@@ -19,7 +19,7 @@
 type Decision struct {
 	Verdict    Verdict
 	OverQuota  bool          // admitted although over the quota, because it gains more than it costs
-	RetryAfter time.Duration // of a rejection: time after which a retry may succeed
+	RetryAfter time.Duration // time after which a retry may succeed, if rejected
 }
 
 var (
@@ -41,8 +41,8 @@
 }
 
 // resolve decides on a request for which it is known whether it is within its rate.
-func (m *Manager) resolve(charge *Charge, isInsideRate bool) Decision {
-	if !isInsideRate {
+func (m *Manager) resolve(charge *Charge, isWithinRate bool) Decision {
+	if !isWithinRate {
 		return m.resolveOverQuota(charge)
 	}
 	if charge.plan.MaxConcurrency > 0 {
@@ -51,8 +51,8 @@
 	return admitted
 }
 
-// resolveOverQuota admits a request over its quota if it gains more than it costs and delays no request
-// that is within its quota.
+// resolveOverQuota admits a request over its quota if it gains more than it costs and no request waits, or
+// is about to wait, for capacity.
 func (m *Manager) resolveOverQuota(charge *Charge) Decision {
 	if charge.plan.OverQuotaWeight <= charge.plan.OverQuotaCost || m.host.Saturated() {
 		return rejected(m.retryAfter(charge))
--- a/policy/quota/estimates.go
+++ b/policy/quota/estimates.go
@@ -3,7 +3,8 @@
 import "lemontack/policy/model"
 
 const (
-	// grantGain is the weight of one reply of the counter in the moving averages of a plan.
+	// grantGain is the weight of one observation in the moving averages of a plan and in
+	// Manager.meanPermitLoss.
 	grantGain = 0.05
 	// customerGrantGain is the weight of one reply about a customer's permits in the moving averages of
 	// that customer.
@@ -38,7 +39,7 @@
 type grantEstimate struct {
 	firstTryGrantShare float64 // share of first tries that were granted
 	retryGrantShare    float64 // share of clients' retries that were granted
-	calledShare        float64 // share of requests that called; the totals lack the rest
+	calledShare        float64 // share of requests that called the counter; totals exclude all others
 }
 
 func newGrantEstimate() *grantEstimate {
@@ -101,8 +102,8 @@
 	return 1 - *c.plan.permitGrants.grantProbability(charge)
 }
 
-// worthAdmitting reports whether admitting a request, given the probability that it is within its quota,
-// gains more than it costs.
+// worthAdmitting reports whether the expected gain of admitting a request is at least its expected cost,
+// given the probability that it is within its quota.
 func worthAdmitting(charge *Charge, probability float64) bool {
 	return probability >= (1-probability)*(charge.plan.OverQuotaCost-charge.plan.OverQuotaWeight)
 }
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -171,8 +171,8 @@
 	return latest
 }
 
-// sumOfAdds returns the sum of the amounts that calls add.
-func sumOfAdds(calls []Call) (sum float64) {
+// sumOfDeltas returns the sum of the amounts that calls add.
+func sumOfDeltas(calls []Call) (sum float64) {
 	for _, call := range calls {
 		sum += call.Delta
 	}
--- a/policy/quota/lease.go
+++ b/policy/quota/lease.go
@@ -21,19 +21,20 @@
 	estimatedTokens     float64       // level of the token bucket in units, without the known leases
 	estimatedAt         time.Duration // time to which estimatedTokens refers
 	refreshedAt         time.Duration // time up to which tokens and demandRate are computed
-	demandRate          float64       // units a second that requests at this gateway need
-	remoteUsageRate     float64       // units a second that the other gateways use
+	demandRate          float64       // units per second that requests at this gateway need
+	remoteUsageRate     float64       // units per second that the other gateways use
 	callInFlight        bool          // a call for a lease waits for its reply
 	counterUnresponsive bool          // the counter does not reply; the lease grows with time instead
-	pendingAdd          float64       // units that the call in flight adds
-	pendingTokens       float64       // units of the new lease, part of pendingAdd
+	pendingDelta        float64       // units that the call in flight adds
+	pendingTokens       float64       // units of the new lease, part of pendingDelta
 	lastTotal           float64       // last total of the name in the current window
 	lastReplyAt         time.Duration // time of the last total; 0 before the first
 	nextCallAt          time.Duration // earliest time of the next call for a lease
 }
 
-// newLease returns the first lease of a customer: its share of the burst, granted without a call. The
-// estimated level lets one more request of any size in before the first total.
+// newLease returns the first lease of a customer: the gateway's share of the burst, granted without a call.
+// The initial estimate of the token bucket is the number of units that the lease lacks for the largest
+// request.
 func (m *Manager) newLease(c *customer) lease {
 	now := m.host.Now()
 	tokens := c.burstShare()
@@ -120,8 +121,8 @@
 	return charge.leaseCharged
 }
 
-// leaseSize returns the units of a full lease: the demand for some time ahead, at least one large request,
-// and at most the gateway's share of the burst.
+// leaseSize returns the units of a full lease: the demand for some time ahead, at least two units and the
+// largest request, and at most the gateway's share of the burst.
 func (m *Manager) leaseSize(c *customer) float64 {
 	return min(max(c.lease.demandRate*leaseDemandSeconds, 2*max(1, m.config.MaxUnits/2)), c.burstShare())
 }
--- a/policy/quota/lease_test.go
+++ b/policy/quota/lease_test.go
@@ -30,7 +30,7 @@
 	c := g.timeOutLeaseCall()
 	g.advance(20 * time.Second)
 	g.manager.renewLease(c)
-	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingAdd + c.lease.lastTotal + 30})
+	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingDelta + c.lease.lastTotal + 30})
 	if tokens := c.availableTokens(g.now) + c.lease.tokens; tokens < 1 {
 		t.Fatalf("got %v tokens after an outage of the counter, want at least 1", tokens)
 	}
@@ -61,7 +61,7 @@
 	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: 1000})
 	c.lease.nextCallAt, c.lease.estimatedTokens, c.lease.tokens = 0, 0, 0
 	g.manager.requestLease(c, 0)
-	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingAdd})
+	g.reply(Reply{Name: c.bucketName(), Outcome: model.Succeeded, Total: c.lease.pendingDelta})
 	if tokens := c.availableTokens(g.now); tokens > 1 {
 		t.Fatalf("got %v tokens after the counter lost its data, want at most 1", tokens)
 	}
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// exhaustedCallInterval is the time between two calls for a customer without tokens.
+	// exhaustedCallInterval is the minimum time between two calls for a lease of less than one unit.
 	exhaustedCallInterval = 250 * time.Millisecond
 	// callsPerCounterTimeout limits the calls for one customer's leases within one counter timeout.
 	callsPerCounterTimeout = 8
 	// maxBackoffDoublings limits the backoff after consecutive failed calls, in doublings of the counter
 	// timeout.
 	maxBackoffDoublings = 4
-	// minReplyIntervalSeconds is the shortest time between two totals used to compute a usage rate, in
-	// seconds.
+	// minReplyIntervalSeconds is the lower limit of the time between two totals in the computation of a
+	// usage rate, in seconds.
 	minReplyIntervalSeconds = 0.01
 	// usageRateDecay is the exponential decay rate of older usage in the remote usage rate, per second.
 	usageRateDecay = 2.0
@@ -34,10 +34,10 @@
 		c.lease.lastTotal = 0
 	}
 	c.lease.callInFlight = true
-	c.lease.pendingAdd = c.unreportedUnits + leaseTokens
+	c.lease.pendingDelta = c.unreportedUnits + leaseTokens
 	c.lease.pendingTokens = leaseTokens
 	c.unreportedUnits = 0
-	m.host.CallCounter(Call{Name: c.bucketName(), Delta: c.lease.pendingAdd, TTL: maxCounterNameTTL})
+	m.host.CallCounter(Call{Name: c.bucketName(), Delta: c.lease.pendingDelta, TTL: maxCounterNameTTL})
 }
 
 // handleLeaseReply handles the reply to a call for a lease.
@@ -57,15 +57,15 @@
 }
 
 // recordTotal updates the estimate of the token bucket from a total. The increase since the last total,
-// apart from this gateway's own add, is usage by other gateways.
+// apart from this gateway's own delta, is usage by other gateways.
 func (c *customer) recordTotal(total float64, now time.Duration) {
-	remoteUsage := total - c.lease.pendingAdd - c.lease.lastTotal
+	remoteUsage := total - c.lease.pendingDelta - c.lease.lastTotal
 	if remoteUsage < -c.plan.Burst {
 		remoteUsage = 0 // the counter has lost its data, so the total shows no usage
 	}
 	if c.lease.lastReplyAt == 0 { // the first total includes all usage since its window began
 		c.lease.estimatedAt = time.Duration(c.usageWindow)*counterWindowLength - c.windowOffset
-		unused := c.plan.Burst - c.lease.lastTotal - c.lease.pendingAdd
+		unused := c.plan.Burst - c.lease.lastTotal - c.lease.pendingDelta
 		c.lease.estimatedTokens = unused + c.lease.pendingTokens - c.unreportedUnits
 	} else {
 		c.recordRemoteUsage(remoteUsage, now)
@@ -98,17 +98,18 @@
 
 // handleLeaseFailure handles the failure of a call for a lease. Until the next total, the lease grows at
 // the gateway's share of the rate, and calls back off exponentially with jitter. An error reply is
-// different: the counter has responded and added the amount, and the next total will include it.
+// different: the counter has responded, and is assumed to have added the delta, which the next total then
+// includes.
 func (m *Manager) handleLeaseFailure(c *customer, outcome model.Outcome) {
 	now := m.host.Now()
 	if outcome == model.Failed {
-		c.lease.lastTotal += c.lease.pendingAdd
+		c.lease.lastTotal += c.lease.pendingDelta
 		c.unreportedUnits -= c.lease.pendingTokens
 		c.lease.nextCallAt = now
 		return
 	}
-	if outcome.NotExecuted() { // otherwise it may have been added, and then counts once as remote usage
-		c.unreportedUnits += c.lease.pendingAdd - c.lease.pendingTokens
+	if outcome.NotExecuted() { // otherwise the units may have been added, and then count as remote usage
+		c.unreportedUnits += c.lease.pendingDelta - c.lease.pendingTokens
 	}
 	m.consecutiveLeaseFailures++
 	if !c.lease.counterUnresponsive {
--- a/policy/quota/manager.go
+++ b/policy/quota/manager.go
@@ -19,7 +19,7 @@
 	CounterTimeout      time.Duration // timeout of a call of the counter
 	MaxRetryAfter       time.Duration // longest retry delay that clients are sent
 	TickInterval        time.Duration // time between two calls of Manager.Tick
-	MinLatencyObjective time.Duration // shortest latency objective of a class, a multiple of TickInterval
+	MinLatencyObjective time.Duration // shortest latency objective, rounded to a multiple of TickInterval
 	MaxLatencyObjective time.Duration // longest latency objective of a class
 	MaxDeadline         time.Duration // longest deadline of a class
 }
@@ -43,14 +43,14 @@
 	host   Host
 	rng    *rand.Rand
 
-	plans         map[string]*planState
-	customers     map[string]*customer
-	customerOrder []*customer // in the order of their first requests
-	nextIdleCheck int         // index in customerOrder of the customer checked last
+	plans            map[string]*planState
+	customers        map[string]*customer
+	customerOrder    []*customer // in the order of their first requests
+	lastCheckedIndex int         // index in customerOrder of the customer checked last
 
 	throttle                 callThrottle
 	consecutiveLeaseFailures int     // failed calls for leases since the last success, without error replies
-	meanPermitLoss           float64 // mean expected loss of a decision without a permit, in weight
+	meanPermitLoss           float64 // mean expected loss of weight by a decision without a call for a permit
 }
 
 // NewManager returns a Manager for the customers of the given plans. It shares rng with its host.
--- a/policy/quota/reservation.go
+++ b/policy/quota/reservation.go
@@ -14,7 +14,7 @@
 }
 
 // refundClaim turns the claimed units of a request that was not sent into a reservation for the next
-// request, up to one large request. The rest goes back to the bucket.
+// request, up to the units of the largest request. The rest goes back to the bucket.
 func (m *Manager) refundClaim(c *customer, units float64) {
 	kept := min(units, max(0, max(1, m.config.MaxUnits)-c.bucket.reservedTokens))
 	c.bucket.reservedTokens += kept
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -22,7 +22,7 @@
 	grantEstimate                   // grants of this customer only
 	samples           int           // number of replies in the estimate
 	window            int64         // window in the current name
-	held              int           // permits that this gateway holds under the current name
+	heldPermits       int           // permits that this gateway holds under the current name
 	unreportedPermits int           // permits to be added by the next call, since a call was not executed
 	exhaustedUntil    time.Duration // time until which no permit is expected to be free
 }
@@ -77,16 +77,16 @@
 // repairSemaphore reverts the permits of a call that was not executed, and corrects the total of a counter
 // that has lost its data.
 func (m *Manager) repairSemaphore(c *customer, call *pendingCall, reply Reply) {
-	isPresentName := call.name == m.semaphoreName(c)
+	isCurrentName := call.name == m.semaphoreName(c)
 	if reply.Outcome.NotExecuted() {
-		if isPresentName {
-			c.permits.held -= int(call.claim + call.adjustment)
+		if isCurrentName {
+			c.permits.heldPermits -= int(call.claim + call.adjustment)
 			c.permits.unreportedPermits += int(call.adjustment)
 		}
 		call.claim = 0
 	}
-	missing := float64(c.permits.held) - reply.Total
-	if reply.Outcome == model.Succeeded && isPresentName && missing > 0 && !c.hasCallInFlight(call.name) {
+	missing := float64(c.permits.heldPermits) - reply.Total
+	if reply.Outcome == model.Succeeded && isCurrentName && missing > 0 && !c.hasCallInFlight(call.name) {
 		m.callCounter(c, pendingCall{name: call.name, adjustment: missing}, m.semaphoreWindowLength())
 	}
 }
@@ -110,9 +110,9 @@
 	case granted:
 		return admitted
 	}
-	answerTime := m.host.MeanLatency()
-	c.permits.exhaustedUntil = m.host.Now() + answerTime/time.Duration(charge.plan.MaxConcurrency)
-	return rejected(answerTime)
+	meanLatency := m.host.MeanLatency()
+	c.permits.exhaustedUntil = m.host.Now() + meanLatency/time.Duration(charge.plan.MaxConcurrency)
+	return rejected(meanLatency)
 }
 
 // releasePermits returns the permits that no attempt of the request needs. A request that may still be sent
@@ -141,7 +141,7 @@
 	if call.name == m.semaphoreName(c) {
 		call.adjustment += float64(c.permits.unreportedPermits)
 		c.permits.unreportedPermits = 0
-		c.permits.held += int(call.claim + call.adjustment)
+		c.permits.heldPermits += int(call.claim + call.adjustment)
 	}
 	m.callCounter(c, call, m.semaphoreWindowLength())
 }
@@ -157,7 +157,7 @@
 	window := c.windowAt(m.host.Now(), m.semaphoreWindowLength())
 	if window != c.permits.window {
 		c.permits.window = window
-		c.permits.held = 0
+		c.permits.heldPermits = 0
 		c.permits.unreportedPermits = 0
 	}
 	return c.semaphoreNameOf(window)
--- a/policy/request.go
+++ b/policy/request.go
@@ -126,8 +126,7 @@
 	}
 }
 
-// reject ends a request with a rejection, which tells the client to retry after retryAfter, limited to
-// Settings.MaxRetryAfter.
+// reject ends a request with a rejection. Its retry delay is retryAfter, limited to Settings.MaxRetryAfter.
 func (g *Gateway) reject(r *request, retryAfter time.Duration) {
 	g.emit(Reject{ID: r.ID, RetryAfter: min(retryAfter, g.settings.MaxRetryAfter)})
 	g.finish(r)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -18,7 +18,7 @@
 const (
 	slowStartStep   = 20 * ms // the tick interval for latency objectives of 1 s
 	timeBeforeStart = 2 * time.Second
-	timeAfterStart  = 5 * time.Second // the start, when the budget is smallest
+	timeAfterStart  = 5 * time.Second // the first part of slow start, when the budget is smallest
 )
 
 // slowStartScenario describes gateways that share endpoints of equal capacity, and the events to which they are exposed.
@@ -181,8 +181,8 @@
 	return event
 }
 
-func (run *slowStartRun) addEndpoint(id EndpointID, started time.Duration) *modelEndpoint {
-	endpoint := &modelEndpoint{Endpoint: Endpoint{ID: id, State: Serving, StartedAt: started},
+func (run *slowStartRun) addEndpoint(id EndpointID, startedAt time.Duration) *modelEndpoint {
+	endpoint := &modelEndpoint{Endpoint: Endpoint{ID: id, State: Serving, StartedAt: startedAt},
 		slots: max(1, int(run.endpointRate/15))}
 	run.endpoints[id] = endpoint
 	return endpoint
@@ -228,7 +228,7 @@
 	run.dueEvents[at] = append(run.dueEvents[at], event)
 }
 
-// send sends an attempt to its endpoint. It counts for the budget whatever its outcome.
+// send sends an attempt to its endpoint. The attempt counts for the budget with any outcome.
 func (run *slowStartRun) send(g *testGateway, action Send) {
 	request, endpoint := run.requests[action.ID], run.endpoints[action.Endpoint]
 	attempt := &slowStartAttempt{gateway: g, requestID: action.ID, number: len(request.attempts), sentAt: run.now}
@@ -405,18 +405,18 @@
 	}
 }
 
-// budgetSpan describes the attempts at an endpoint in slow start within one SlowStartBudgetPeriod.
-type budgetSpan struct {
+// budgetPeriod describes the attempts at an endpoint in slow start within one SlowStartBudgetPeriod.
+type budgetPeriod struct {
 	endpoint          EndpointID
-	ageAtStart        time.Duration // age of the endpoint at the start of the span
+	ageAtStart        time.Duration // age of the endpoint at the start of the period
 	sendCount         int
 	budget, allowance float64 // attempts: the limit that is checked, and N
 }
 
-// worstSpan returns the span that exceeds its budget most, or comes nearest to it, among all spans that begin with an attempt
-// at an endpoint in slow start. N is computed for the weight at the start of the span, which is the minimum within the span.
-// overBudget is the number of endpoints with a span over budget.
-func (run *slowStartRun) worstSpan() (worst budgetSpan, overBudget int) {
+// worstPeriod returns the period that exceeds its budget most, or comes nearest to it, among all periods that begin with an
+// attempt at an endpoint in slow start. N is computed for the weight at the start of the period, which is the minimum within
+// it. overBudget is the number of endpoints with a period over budget.
+func (run *slowStartRun) worstPeriod() (worst budgetPeriod, overBudget int) {
 	worstExcess := math.Inf(-1)
 	for _, endpoint := range run.startedEndpoints {
 		isOver := false
@@ -426,7 +426,7 @@
 				run.settings.SlowStartBudgetPeriod.Seconds()
 			budget := allowance + 2*math.Sqrt(allowance) + 2
 			if excess := float64(to-i) - budget; excess > worstExcess {
-				worstExcess, worst = excess, budgetSpan{endpoint.ID, from - endpoint.StartedAt, to - i, budget, allowance}
+				worstExcess, worst = excess, budgetPeriod{endpoint.ID, from - endpoint.StartedAt, to - i, budget, allowance}
 			}
 			isOver = isOver || float64(to-i) > budget
 		}
@@ -437,10 +437,10 @@
 	return worst, overBudget
 }
 
-// All gateways together send at most N + 2*sqrt(N) + 2 attempts to an endpoint in slow start in each budget span, where N is the
-// number that the settings allow for an endpoint of that age. This holds for 1 to 300 gateways, for even and uneven traffic, and
-// for small and large endpoints, even if few endpoints are warm or the gateways have just restarted.
-func TestSlowStartBudgetHoldsInEachSpanOverAllGateways(t *testing.T) {
+// All gateways together send at most N + 2*sqrt(N) + 2 attempts to an endpoint in slow start in each budget period, where N is
+// the number that the settings allow for an endpoint of that age. This holds for 1 to 300 gateways, for even and uneven traffic,
+// and for small and large endpoints, even if few endpoints are warm or the gateways have just restarted.
+func TestSlowStartBudgetHoldsInEachPeriodOverAllGateways(t *testing.T) {
 	fleets := []slowStartScenario{{gatewayCount: 1, endpointCount: 4, endpointRate: 20},
 		{gatewayCount: 4, endpointCount: 10, endpointRate: 20}, {gatewayCount: 20, endpointCount: 20, endpointRate: 5},
 		{gatewayCount: 30, endpointCount: 4, endpointRate: 20},
@@ -483,7 +483,7 @@
 		scenario.load, scenario.budgetMultiple = cmp.Or(scenario.load, 0.7), cmp.Or(scenario.budgetMultiple, 4)
 		run := newSlowStartRun(t, scenario, 1)
 		run.simulate()
-		if worst, overBudget := run.worstSpan(); overBudget > 0 {
+		if worst, overBudget := run.worstPeriod(); overBudget > 0 {
 			t.Errorf("%v: got %d of %d endpoints over budget, want none; %s got %d attempts from age %v, N is %.1f, the budget %.1f",
 				scenario, overBudget,
 				len(run.startedEndpoints), worst.endpoint, worst.sendCount, worst.ageAtStart, worst.allowance, worst.budget)
