--- a/policy/cluster_test.go
+++ b/policy/cluster_test.go
@@ -80,7 +80,7 @@
 // All gateways together stay within the ceiling: by the grants of the counter, by their shares of the ceiling if the counter
 // does not reply, and after a restart of all gateways.
 func TestCeilingHoldsOverAllGateways(t *testing.T) {
-	for _, n := range []int{1, 3, 20} { // such a customer uses at most half as many gateways as its ceiling burst of 40
+	for _, n := range []int{1, 3, 20} { // a customer with a ceiling uses at most half as many gateways as its burst of 40
 		for _, timesOut := range []bool{false, true} {
 			c := newCluster(t, n, testSettings(), Endpoint{ID: "s", State: Serving}, Endpoint{ID: "u", State: Serving})
 			c.counterTimesOut = timesOut
--- a/policy/quota/doc.go
+++ b/policy/quota/doc.go
@@ -20,8 +20,9 @@
 // each of its gateways. Leases would then stay unused, and each gateway would see too few of the customer's
 // requests to estimate the level. The number on the counter is the usage since the start of the window in
 // its name; the level is the burst plus the units refilled since then, minus that usage. A request claims
-// its units with one add when it arrives. A claim that finds too few tokens is kept as a reservation of the
-// next refill: the client's retry uses it, and it is returned if no retry arrives.
+// its units with one add when it arrives. A claim that finds too few tokens is kept as a reservation if the
+// missing units are refilled by the time of the client's retry: the retry uses it, and it is returned if no
+// retry arrives.
 //
 // With many gateways, the requests exceed the calls that the counter can serve. The share of the requests
 // that call the counter follows its delay by additive increase and multiplicative decrease (AIMD). Other
@@ -31,15 +32,16 @@
 //
 // # Permits
 //
-// The limit on concurrent attempts is a distributed semaphore on the counter: a permit is one add when a
-// request is admitted, and one subtraction when its attempt ends. The name of the semaphore contains a
-// window of a few deadlines, which bounds the time for which the permits of a crashed gateway are held. A
-// total below the number of permits that this gateway holds means that the counter has lost its data;
-// the gateway corrects it. If the counter does not respond, or its calls are needed for other requests, a
-// request is admitted without a permit if the expected gain exceeds the expected cost, within this
-// gateway's share of the limit. For a customer that also has a rate, permits are acquired only while the
-// counter has spare calls, since calls for the rate prevent more over-quota requests than calls for
-// permits.
+// A limit on concurrent attempts that is smaller than the number of the customer's gateways is a
+// distributed semaphore on the counter: a request acquires a permit by adding 1 before it is admitted, and
+// returns it by subtracting 1 when its attempt ends. The name of the semaphore contains a window of a few
+// deadlines, which bounds the time for which the permits of a crashed gateway are held. A total below the
+// number of permits that this gateway holds means that the counter has lost its data; the gateway corrects
+// it. If the counter does not respond, or its calls are needed for other requests, a request is admitted
+// without a permit if the expected gain exceeds the expected cost, within this gateway's share of the
+// limit. For a customer that also has a rate, permits are acquired only while the counter has spare calls,
+// since calls for the rate prevent more over-quota requests than calls for permits. A larger limit is
+// divided among the gateways.
 //
 // # Ceilings
 //
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -131,15 +131,15 @@
 	return state
 }
 
-// policyWeight holds the results of a policy: weights and cost of the requests, and the number of requests and calls.
-type policyWeight struct {
+// policyResults holds the results of a policy: weights and cost of the requests, and the number of requests and calls.
+type policyResults struct {
 	offered, insideQuota, overQuotaCost float64 // overQuotaCost: weight times OverQuotaCost of the admitted over-quota requests
 	rejectedInsideQuota, requests       int
 	calls                               int
 }
 
-func (weight policyWeight) servedShare() float64 { return weight.insideQuota / weight.offered }
-func (weight policyWeight) costShare() float64   { return weight.overQuotaCost / weight.offered }
+func (results policyResults) servedShare() float64 { return results.insideQuota / results.offered }
+func (results policyResults) costShare() float64   { return results.overQuotaCost / results.offered }
 
 // simulationEvent is a scheduled function.
 type simulationEvent struct {
@@ -180,8 +180,8 @@
 	shardBusyUntil [counterShards]time.Duration // time at which each shard of the counter has processed its queued calls
 	requests       map[RequestID]*simulatedRequest
 	lastID         RequestID
-	actual         policyWeight
-	reference      policyWeight
+	actual         policyResults
+	reference      policyResults
 }
 
 // simulatedGateway is a gateway that may be restarted.
@@ -388,11 +388,11 @@
 	sim.schedule(sim.now+workTime, func() { customer.referenceQuota.endAttempt(sim.now, underestimatedUnits) })
 }
 
-func (weight *policyWeight) add(plan Plan, units float64, insideQuota bool) {
+func (results *policyResults) add(plan Plan, units float64, insideQuota bool) {
 	if insideQuota {
-		weight.insideQuota += plan.Price * units
+		results.insideQuota += plan.Price * units
 	} else {
-		weight.overQuotaCost += plan.Price * units * plan.OverQuotaCost
+		results.overQuotaCost += plan.Price * units * plan.OverQuotaCost
 	}
 }
 
@@ -549,7 +549,7 @@
 }
 
 // simulate runs the simulation to its end. It returns the results of the gateways and of the reference policy.
-func (sim *quotaSimulation) simulate() (actual, reference policyWeight) {
+func (sim *quotaSimulation) simulate() (actual, reference policyResults) {
 	end := time.Hour + sim.duration
 	if sim.restartedShare > 0 {
 		sim.schedule(time.Hour+sim.restartAt, func() {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -27,7 +27,7 @@
 	MaxRetryAfter time.Duration
 	// MayCancel allows Cancel actions.
 	MayCancel bool
-	// MayCheckHealth allows CheckHealth actions.
+	// MayCheckHealth allows CheckHealth actions. No decision uses it.
 	MayCheckHealth bool
 	// HedgingEnabled allows two attempts of a request to be in flight at once.
 	HedgingEnabled bool
@@ -57,7 +57,7 @@
 	// SlowStartBudgetPeriod is the length of the period in which these attempts are counted.
 	SlowStartBudgetPeriod time.Duration
 	// DrainGracePeriod is the time after the gateway receives the notification that an endpoint is draining
-	// or removed, within which the last attempt at the endpoint may start.
+	// or removed, within which the last attempt at the endpoint may start. No decision uses it.
 	DrainGracePeriod time.Duration
 }
 
