--- a/policy/admission.go
+++ b/policy/admission.go
@@ -27,18 +27,14 @@
 // quotaHost implements quota.Host for a gateway.
 type quotaHost struct{ gateway *Gateway }
 
-// Now implements quota.Host.
 func (host quotaHost) Now() time.Duration { return host.gateway.now }
 
-// CallCounter implements quota.Host.
 func (host quotaHost) CallCounter(call quota.Call) {
 	host.gateway.emit(IncrementCounter{Name: call.Name, Delta: call.Delta, TTL: call.TTL})
 }
 
-// Saturated implements quota.Host.
 func (host quotaHost) Saturated() bool { return host.gateway.saturated() }
 
-// MeanLatency implements quota.Host.
 func (host quotaHost) MeanLatency() time.Duration { return host.gateway.meanLatency() }
 
 // newCharge creates the charge of a new request, which records its use of quotas, and looks up its plan.
--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -121,7 +121,8 @@
 	return max(1, initialAttemptsPerEndpoint*float64(len(b.serving))/b.gatewaysPerEndpoint)
 }
 
-// Apply applies a change of the endpoint list.
+// Apply applies a change of the endpoint list. A listed endpoint keeps its observations unless it has
+// restarted.
 func (b *Balancer) Apply(now time.Duration, change Change) {
 	if change.IsSnapshot {
 		for _, e := range b.serving {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -6,7 +6,6 @@
 	r.queued = true
 }
 
-// dequeue removes a request from the queue.
 func (g *Gateway) dequeue(r *request) {
 	g.queue.Remove(r)
 	r.queued = false
--- a/policy/limiter/limiter.go
+++ b/policy/limiter/limiter.go
@@ -22,7 +22,7 @@
 	minLateEndpointShare = 0.25
 	// minLateEndpoints is the minimum number of endpoints with late samples: two may be slow by chance.
 	minLateEndpoints = 3
-	// minClassSamples is the number of samples in a round from which on a class has a late share of its
+	// minClassSamples is the number of samples in a round that a class needs to have a late share of its
 	// own.
 	minClassSamples = 4
 	// minRoundSamples is the number of samples that a round needs to end, so that its late share is
@@ -45,7 +45,7 @@
 	// minWindow permits one attempt in ten round trips, so that the gateway still gets samples.
 	minWindow = 0.1
 
-	// limitingWindowShare is the share of the window in flight from which on the window counts as the
+	// limitingWindowShare is the minimum share of the window in flight at which the window counts as the
 	// limit, and may increase.
 	limitingWindowShare = 0.8
 	// nearlyFullShare is the share of the window in flight above which requests are about to wait.
--- a/policy/quota/bucket.go
+++ b/policy/quota/bucket.go
@@ -101,7 +101,6 @@
 	m.callCounterForBucket(c, pendingCall{adjustment: adjustment})
 }
 
-// handleBucketReply handles the reply to a call for a central bucket.
 func (m *Manager) handleBucketReply(c *customer, call pendingCall, reply Reply) Decision {
 	c.restoreAdjustment(call, reply.Outcome)
 	if call.charge != nil {
--- a/policy/quota/callthrottle.go
+++ b/policy/quota/callthrottle.go
@@ -12,7 +12,7 @@
 	// minHealthyCallShare is the share of requests calling the counter below which the counter counts as
 	// unavailable.
 	minHealthyCallShare = 0.3
-	// spareCallShare is the share of requests calling the counter from which on the counter has spare
+	// spareCallShare is the minimum share of requests calling the counter at which the counter has spare
 	// calls.
 	spareCallShare = 0.99
 	// callShareFactorOnFailure is the multiplicative decrease after a failed call, whose work is wasted.
--- a/policy/quota/charge.go
+++ b/policy/quota/charge.go
@@ -31,7 +31,7 @@
 	ceilingGranted         bool // the counter has granted the units within the ceiling
 	dispatched             bool // the first attempt has started
 	mayHaveReachedEndpoint bool // an attempt may have reached an endpoint
-	finished               bool // the request has its final answer
+	finished               bool // the request has its final answer, or its client has disconnected
 }
 
 // NewCharge returns the account of a new request, to be passed to Admit.
@@ -96,8 +96,8 @@
 	}
 }
 
-// Finish records that the request has its final answer, and releases the units and permits that it no
-// longer needs.
+// Finish records that the request has its final answer or its client has disconnected, and releases the
+// units and permits that it no longer needs.
 func (m *Manager) Finish(charge *Charge) {
 	charge.finished = true
 	m.Release(charge)
--- a/policy/quota/concurrency_test.go
+++ b/policy/quota/concurrency_test.go
@@ -7,7 +7,7 @@
 	"lemontack/policy/model"
 )
 
-// The shares of all gateways always sum to the limit, also if the gateways outnumber the attempts and take
+// The shares of all gateways always sum to the limit, even if the gateways outnumber the attempts and take
 // turns.
 func TestConcurrencySharesSumToTheLimit(t *testing.T) {
 	const limit = 3
--- a/policy/quota/doc.go
+++ b/policy/quota/doc.go
@@ -40,8 +40,8 @@
 // it. If the counter does not respond, or its calls are needed for other requests, a request is admitted
 // without a permit if the expected gain exceeds the expected cost, within this gateway's share of the
 // limit. For a customer that also has a rate, permits are acquired only while the counter has spare calls,
-// since calls for the rate prevent more over-quota requests than calls for permits. A larger limit is
-// divided among the gateways.
+// since calls for the rate prevent more over-quota requests than calls for permits. Any other limit
+// is divided among the gateways.
 //
 // # Ceilings
 //
--- a/policy/quota/estimates.go
+++ b/policy/quota/estimates.go
@@ -15,8 +15,8 @@
 	// priorRetryGrantShare is the assumed share of clients' retries that are within their quotas, before
 	// the first reply.
 	priorRetryGrantShare = 0.5
-	// minCustomerSamples is the number of replies from which on a customer's own averages are used instead
-	// of those of its plan.
+	// minCustomerSamples is the number of replies needed to use a customer's own averages instead of those
+	// of its plan.
 	minCustomerSamples = 4
 )
 
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -36,7 +36,6 @@
 	}
 }
 
-// rejection is the rejection of a request.
 type rejection struct {
 	id         model.RequestID
 	retryAfter time.Duration
--- a/policy/quota/leasecalls.go
+++ b/policy/quota/leasecalls.go
@@ -40,7 +40,6 @@
 	m.host.CallCounter(Call{Name: c.bucketName(), Delta: c.lease.pendingDelta, TTL: maxCounterNameTTL})
 }
 
-// handleLeaseReply handles the reply to a call for a lease.
 func (m *Manager) handleLeaseReply(c *customer, reply Reply) {
 	c.lease.callInFlight = false
 	m.refreshLease(c)
--- a/policy/quota/semaphore.go
+++ b/policy/quota/semaphore.go
@@ -65,7 +65,6 @@
 	return rejected(m.host.MeanLatency())
 }
 
-// handleSemaphoreReply handles the reply to a call for a semaphore.
 func (m *Manager) handleSemaphoreReply(c *customer, call pendingCall, reply Reply) Decision {
 	m.repairSemaphore(c, &call, reply)
 	if call.charge == nil {
