--- a/policy/balancer/balancer.go
+++ b/policy/balancer/balancer.go
@@ -75,8 +75,8 @@
 	// restarts.
 	LimiterSamples limiter.EndpointSamples
 
-	lastAttemptAt    time.Duration // start of the last attempt, or the time at which the endpoint was added
-	pacingPauseShare float64       // share of the slow-start pause to wait before the next attempt
+	lastAttemptAt       time.Duration // start of the last attempt, or time at which the endpoint was added
+	pacingIntervalShare float64       // share of the pacing interval to wait before the next attempt
 }
 
 // Attempt is an attempt at an endpoint. The owner of the request embeds it in its own attempt type.
@@ -87,8 +87,8 @@
 
 // Change is a change of the endpoint list.
 type Change struct {
-	// Snapshot means that Endpoints is the entire list. Otherwise it contains only the changed endpoints.
-	Snapshot bool
+	// IsSnapshot reports whether Endpoints is the entire list, rather than only the changed endpoints.
+	IsSnapshot bool
 	// Endpoints are the endpoints of the list, or the changed ones.
 	Endpoints []model.Endpoint
 	// GatewaysPerEndpoint is the mean number of gateways that share one of the endpoints; zero means all
@@ -121,9 +121,10 @@
 	return max(1, initialAttemptsPerEndpoint*float64(len(b.serving))/b.gatewaysPerEndpoint)
 }
 
-// Apply applies a change of the endpoint list.
+// Apply applies a change of the endpoint list. A listed endpoint keeps its observations unless it has
+// restarted.
 func (b *Balancer) Apply(now time.Duration, change Change) {
-	if change.Snapshot {
+	if change.IsSnapshot {
 		for _, e := range b.serving {
 			e.State = model.Removed // unless the snapshot contains it
 		}
@@ -146,11 +147,11 @@
 	}
 	if e.relativeLatency == 0 || e.StartedAt != listed.StartedAt {
 		*e = Endpoint{
-			inFlight:          e.inFlight,
-			relativeLatency:   b.sampleRelativeLatency(now),
-			relativeLatencyAt: now,
-			lastAttemptAt:     now,
-			pacingPauseShare:  b.rng.Float64(),
+			inFlight:            e.inFlight,
+			relativeLatency:     b.sampleRelativeLatency(now),
+			relativeLatencyAt:   now,
+			lastAttemptAt:       now,
+			pacingIntervalShare: b.rng.Float64(),
 		}
 	}
 	e.Endpoint = listed
@@ -177,7 +178,7 @@
 	attempt.StartedAt = now
 	e.inFlight = append(e.inFlight, attempt)
 	e.lastAttemptAt = now
-	e.pacingPauseShare = 1
+	e.pacingIntervalShare = 1
 }
 
 // AttemptEnded stops counting an attempt as in flight.
--- a/policy/quota/calls.go
+++ b/policy/quota/calls.go
@@ -9,18 +9,18 @@
 	"lemontack/policy/model"
 )
 
-// Call is a call of the shared counter: it adds to a named number and returns the new total.
+// Call is a call of the shared counter: it adds an amount to a named number and returns the new total.
 type Call struct {
-	Name string
-	Add  float64       // units or permits; 0 only reads the total
-	TTL  time.Duration // time from the first call with the name until the counter deletes the number
+	Name  string
+	Delta float64       // amount to add, in units or permits; it may be 0 or negative
+	TTL   time.Duration // time for which the counter keeps the name, counted from its first call
 }
 
 // Reply is the reply to a Call.
 type Reply struct {
 	Name    string
 	Outcome model.Outcome
-	Total   float64 // total after the add, if the call succeeded
+	Total   float64 // total after the call, if it succeeded
 }
 
 // semaphoreNamePrefix precedes the window in names that count permits. Names that count units do not have
@@ -34,7 +34,7 @@
 	charge                *Charge // account of the request that makes the claim; nil if the call only adjusts
 	claim                 float64 // units or permits claimed for that request
 	adjustment            float64 // units or permits of earlier requests, or a correction of the total
-	totalBeforeCorrection float64 // of a correction: the total from which it was computed
+	totalBeforeCorrection float64 // total from which a correction was computed
 	readsPreviousWindow   bool    // the call reads the final usage of the previous window
 	sentAt                time.Duration
 }
@@ -52,9 +52,9 @@
 	call.sentAt = m.host.Now()
 	c.callsInFlight = append(c.callsInFlight, call)
 	m.host.CallCounter(Call{
-		Name: call.name,
-		Add:  call.claim + call.adjustment,
-		TTL:  min(2*windowLength, maxCounterNameTTL),
+		Name:  call.name,
+		Delta: call.claim + call.adjustment,
+		TTL:   min(2*windowLength, maxCounterNameTTL),
 	})
 }
 
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -36,7 +36,6 @@
 	}
 }
 
-// rejection is the rejection of a request.
 type rejection struct {
 	id         model.RequestID
 	retryAfter time.Duration
@@ -171,10 +170,10 @@
 	return latest
 }
 
-// sumOfAdds returns the sum of the amounts that calls add.
-func sumOfAdds(calls []Call) (sum float64) {
+// sumOfDeltas returns the sum of the amounts that calls add.
+func sumOfDeltas(calls []Call) (sum float64) {
 	for _, call := range calls {
-		sum += call.Add
+		sum += call.Delta
 	}
 	return sum
 }
