--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -19,13 +19,13 @@
 	"lemontack/internal/scale"
 )
 
-// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
-const runMainVariable = "SCALERUN_TEST_MAIN"
+// runMainEnv is the environment variable that makes the test binary run main instead of the tests.
+const runMainEnv = "SCALERUN_TEST_MAIN"
 
 // TestMain lets the test binary also run as scalerun and as the stand-ins that scalerun starts.
 func TestMain(m *testing.M) {
 	_, role := scale.StandInRole()
-	if _, ok := os.LookupEnv(runMainVariable); ok || role {
+	if _, ok := os.LookupEnv(runMainEnv); ok || role {
 		main()
 		os.Exit(0)
 	}
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), exe, args...)
-	cmd.Env = append(os.Environ(), runMainVariable+"=1")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	cmd.Dir = t.TempDir()
 	return cmd
 }
--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -53,9 +53,9 @@
 	coldAttempts []time.Duration // times of the attempts during warm-up, in order of arrival
 }
 
-// newBackendModel returns a model of count backends. Each has as many slots, at least two, as keep half of them busy
-// under requestRate requests a second with the mean service time. loadIsRemote means that ingresses outside this process
-// send these requests, which then count as in flight too.
+// newBackendModel returns a model of count backends. Each has at least two slots, and so many that requestRate requests a
+// second to all backends keep at most half of the slots busy. loadIsRemote means that ingresses outside this process send
+// these requests, which then count as in flight too.
 func newBackendModel(count int, requestRate float64, meanServiceTime time.Duration, loadIsRemote bool) *backendModel {
 	m := &backendModel{
 		serviceTime: func(rng *rand.Rand) time.Duration {
@@ -91,13 +91,13 @@
 	return target
 }
 
-// newTarget returns the endpoint-list entry of backend i, which has been running for long.
+// newTarget returns the entry of backend i in the endpoint list, without a start time: it is warm.
 func newTarget(i int, addr, state string) standin.Target {
 	return standin.Target{UID: endpointID(i), Endpoint: addr, Zone: zoneName(i), Model: "m1", Group: i / backendsPerPodGroup,
 		State: state, Capacity: 1}
 }
 
-// drainingChange returns the change with an index. At an even index a backend begins to drain, another one each time,
+// drainingChange returns the change of the given index. At an even index a backend begins to drain, another one each time,
 // and at the next index the same backend serves again.
 func (m *backendModel) drainingChange(change int) standin.Target {
 	state := stateDraining
@@ -122,7 +122,7 @@
 
 func (m *backendModel) changeLastZone(state string, apply func(*modelledBackend)) []standin.Target {
 	var changes []standin.Target
-	for i := zones - 1; i < len(m.backends); i += zones {
+	for i := zoneCount - 1; i < len(m.backends); i += zoneCount {
 		apply(&m.backends[i])
 		changes = append(changes, m.target(i, state))
 	}
@@ -187,7 +187,7 @@
 	return counts
 }
 
-// maxColdAttempts returns the largest number of attempts that a cold backend received within slowStartSpan.
+// maxColdAttempts returns the largest number of attempts that a cold backend received within slowStartBudgetSpan.
 func (m *backendModel) maxColdAttempts() int {
 	result := 0
 	for i := range m.backends {
@@ -196,10 +196,10 @@
 	return result
 }
 
-// coldAttemptLimit returns the number of attempts within slowStartSpan that do not overload a backend which has just
+// coldAttemptLimit returns the number of attempts within slowStartBudgetSpan that do not overload a backend which has just
 // started.
 func (m *backendModel) coldAttemptLimit(meanServiceTime time.Duration) float64 {
-	return slowStartMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartSpan.Seconds()
+	return slowStartBudgetMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartBudgetSpan.Seconds()
 }
 
 func (b *modelledBackend) addColdAttempt(at time.Duration) {
@@ -211,7 +211,7 @@
 func (b *modelledBackend) maxColdAttempts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maxWithinWindow(b.coldAttempts, slowStartSpan)
+	return maxWithinWindow(b.coldAttempts, slowStartBudgetSpan)
 }
 
 // poisson draws from a Poisson distribution.
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -72,14 +72,14 @@
 }
 
 func (r *Run) compareShape() fleetShape {
-	return fleetShape{Ingresses: r.RealIngresses, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
+	return fleetShape{Ingresses: r.RealIngresses, TenantsPerIngress: defaultTenantCount, RequestRate: r.RequestRate}
 }
 
 // comparison holds the results by which real and hollow ingresses are compared.
 type comparison struct {
 	requests, rejected, failed, attempts float64
 	cpuTime                              time.Duration // CPU time of all ingresses under load
-	idleCPUPerSecond                     float64       // seconds of CPU time of each ingress
+	idleCPUPerSecond                     float64       // seconds of CPU time of each ingress per second without requests
 	counterCalls                         float64
 	listBytes                            float64 // bytes that discovery sent to each ingress until it was ready
 	memory                               float64 // bytes of each ingress
@@ -106,7 +106,7 @@
 
 // measureHollowIngresses measures hollow ingresses under the same load as the real ones.
 func (r *Run) measureHollowIngresses(ctx context.Context, p *Point) error {
-	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
+	backends := newBackendModel(defaultBackendCount, r.RequestRate*float64(r.RealIngresses), meanServiceTime, false)
 	backends.slots = compareBackendSlots
 	backends.serviceTime = func(*rand.Rand) time.Duration { return compareServiceTime }
 	f, err := startLiveFleet(ctx, r.monitor, r.compareShape(), backends, r.Seed)
@@ -178,7 +178,7 @@
 		return quantileMS(viaIngresses, quantile) - quantileMS(direct, quantile)
 	}
 	r.addComparison(p, c)
-	p.addNote("added latency: seen by clients beyond the backend's %v, less that of a backend called directly at the"+
+	p.addNote("added latency: latency beyond the service time of %v, minus the same of direct calls of a backend at the"+
 		" same time (p50 %.2f ms, p99 %.2f ms); memory: resident", compareServiceTime,
 		quantileMS(direct, 50), quantileMS(direct, 99))
 	return nil
@@ -219,7 +219,7 @@
 		c.memory += float64(residentMemory(ingress.pid())) / float64(len(fleet.ingresses))
 	}
 	if after.mismatched > 0 {
-		p.addNote("%v requests were served with a value that no backend made for them", after.mismatched)
+		p.addNote("%v replies did not have the value of their request", after.mismatched)
 	}
 	return mergeAddedLatency(p, generators), directGenerator.addedLatency, nil
 }
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -13,7 +13,7 @@
 
 // The types below wrap the clients of discovery and of the counter, which hollow ingresses share with real ones.
 
-// endpointUpdate is a complete list of endpoints, or a change of some, on its way to a decision module.
+// endpointUpdate is a complete list of endpoints, or a change of some of them, for a decision module.
 type endpointUpdate struct{ list discovery.EndpointList }
 
 // newSnapshot returns a complete list of endpoints.
@@ -67,7 +67,8 @@
 	counter   *counterclient.Client
 }
 
-// newControlClients returns both clients. Once run, they post an endpointUpdate or a counterResult from own goroutines.
+// newControlClients returns both clients. Once run, they post an endpointUpdate or a counterResult from their own
+// goroutines.
 func newControlClients(cfg clientConfig, post func(clientEvent), log *slog.Logger) controlClients {
 	discoveryConfig := discovery.Config{Address: cfg.discoveryAddr, KnownList: cfg.knownList.list, Settings: cfg.settings}
 	return controlClients{
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -9,7 +9,7 @@
 
 const (
 	minFitPoints                = 3    // any two points lie on a line
-	maxRelativeDeviation        = 0.2  // deviation of a point from its line, as a share of the point's value
+	maxRelativeDeviation        = 0.2  // largest deviation of a point that is not an outlier, as a share of its value
 	maxSquaredRelativeDeviation = 1e12 // limit that keeps the mean finite for values near 0
 	slopeTableFactor            = 1000 // size units for which the tables show a slope
 )
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -261,7 +261,8 @@
 	h.removeIfDone(id, req)
 }
 
-// finishRequest ends a request without a backend's answer and increments the count of that outcome.
+// finishRequest ends a request that no backend has answered, and increments outcomeCount. It does nothing if the request
+// is already finished.
 func (h *hollowIngress) finishRequest(id policy.RequestID, outcomeCount *uint64) {
 	if req := h.requests[id]; req != nil && !req.finished {
 		*outcomeCount++
--- a/internal/scale/list_fetch.go
+++ b/internal/scale/list_fetch.go
@@ -12,7 +12,7 @@
 
 const (
 	listTimeout         = 8 * time.Second // time limit for a list to arrive
-	maxListSamples      = 5               // fetches of one list at most
+	maxListSamples      = 5               // maximum number of fetches of one list
 	maxListSamplingTime = 2 * time.Second // after this time no further fetch of the list starts
 )
 
@@ -24,8 +24,8 @@
 	allocated     uint64        // bytes
 }
 
-// addListFigures fetches the complete list through the real client of discovery, from a stand-in. A list that does not
-// arrive is a result and no error; loadEndpoints passes it to the decision module in either case.
+// addListFigures fetches the complete list from a stand-in through the real client of discovery, and adds the cost. A
+// list that does not arrive is not an error, since the measured ingresses load their endpoints without the client.
 func (r *Run) addListFigures(ctx context.Context, p *Point, shape fleetShape, backends *backendModel) error {
 	settings, err := shape.policySettings(0)
 	if err != nil {
--- a/internal/scale/live_sweeps.go
+++ b/internal/scale/live_sweeps.go
@@ -18,7 +18,7 @@
 	changeRateDuration       = 4 * time.Second        // duration of a point with a rate of changes
 	lastChangeWait           = time.Second            // time for the last changes to reach all ingresses
 	changeRateIngresses      = 100                    // ingresses in points with a rate of changes
-	maxSingleChangeIngresses = 300                    // ingresses at most in points with single changes of polled lists
+	maxSingleChangeIngresses = 300                    // size of the largest fleet in points with single changes of polled lists
 )
 
 // Beyond these limits a fleet is too large for the machine, and its figures would show the machine's overload instead.
@@ -27,7 +27,7 @@
 	maxSkippedShare   = 0.01                 // share of arrivals
 	maxCPUShare       = 0.6                  // share of the machine's CPU time that the ingresses use
 
-	// maxP99Lateness only adds a note: single late arrivals are caused by other programs on the machine.
+	// Beyond maxP99Lateness a point only gets a note, since other programs on the machine can delay single arrivals.
 	maxP99Lateness = 20 * time.Millisecond
 )
 
@@ -39,11 +39,11 @@
 func (r *Run) measureIngresses(ctx context.Context, p *Point, n int) error {
 	if r.machineSaturated {
 		p.SizeUnit = ""
-		p.addNote("not measured: the machine is too small for the fleet before it")
+		p.addNote("not measured: the machine was too small for an earlier fleet")
 		return nil
 	}
-	shape := fleetShape{Ingresses: n, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate}
-	backends := newBackendModel(liveBackends, r.LiveRequestRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, TenantsPerIngress: defaultTenantCount, RequestRate: r.LiveRequestRate}
+	backends := newBackendModel(defaultBackendCount, r.LiveRequestRate*float64(n), meanServiceTime, false)
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
@@ -189,8 +189,8 @@
 	return changes, lateChanges, sleep(ctx, lastChangeWait)
 }
 
-// changeJobs returns, for pushed and for polled lists, points of single changes by the size of the fleet and then points
-// of rising rates of changes.
+// changeJobs returns, for pushed and then for polled lists, a point of each rate of changes. For polled lists, points of
+// single changes by the size of the fleet come first.
 func (r *Run) changeJobs() []job {
 	var jobs []job
 	for _, polled := range []bool{false, true} {
@@ -217,9 +217,9 @@
 // changeJob returns a point of a number of ingresses with changes at an interval.
 func (r *Run) changeJob(sweep, sizeUnit string, size float64, ingresses int, polled bool, interval time.Duration) job {
 	measure := func(ctx context.Context, p *Point) error {
-		shape := fleetShape{Ingresses: ingresses, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate,
+		shape := fleetShape{Ingresses: ingresses, TenantsPerIngress: defaultTenantCount, RequestRate: r.LiveRequestRate,
 			PollsEndpoints: polled}
-		backends := newBackendModel(liveBackends, r.LiveRequestRate*float64(ingresses), meanServiceTime, false)
+		backends := newBackendModel(defaultBackendCount, r.LiveRequestRate*float64(ingresses), meanServiceTime, false)
 		f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 		if err != nil {
 			return err
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -26,7 +26,7 @@
 	GoVersion      string `json:"go"`
 	OS             string `json:"os"`
 	MaxDescriptors uint64 `json:"descriptors"` // limit of each process; zero means not known
-	LoadAverages   string `json:"load"`        // over 1, 5 and 15 minutes before the run: load of other programs
+	LoadAverages   string `json:"load"`        // load of other programs over the 1, 5 and 15 minutes before the run
 }
 
 func describeMachine() (Machine, error) {
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -7,7 +7,7 @@
 
 // Limits of the options.
 const (
-	maxCount           = 1 << 21 // backends or tenants
+	maxCount           = 1 << 21 // largest number of backends or tenants
 	maxIngresses       = 1 << 14
 	maxChangeRate      = 1000 // changes per second
 	maxRequestRate     = 1e5  // requests per second of one ingress
@@ -36,14 +36,14 @@
 	Sweeps           []string  `help:"Sweeps to run: ${enum}." name:"sweep" enum:"${sweeps}" default:"${sweeps}" json:"sweep"`
 	Seed             uint64    `help:"Seed of the random numbers." default:"1" json:"seed"`
 	ReportPath       string    `help:"File for the report." name:"json" default:"scale.json" json:"json"`
-	TimeLimitMinutes float64   `help:"Time limit; points left over are skipped." name:"minutes" default:"9" json:"minutes"`
+	TimeLimitMinutes float64   `help:"Time limit; points without time left are skipped." name:"minutes" default:"9" json:"minutes"`
 	BackendCounts    []int     `help:"Numbers of backends." name:"backends" default:"200,1000,5000,20000,60000,200000" json:"backends"`
 	IngressCounts    []int     `help:"Numbers of live ingresses." name:"ingresses" default:"10,30,100,200,300,500,800" json:"ingresses"`
-	TenantCounts     []int     `help:"Tenants of one ingress." name:"tenants" default:"100,300,1000,3000,10000,30000" json:"tenants"`
-	ChangeRates      []float64 `help:"Changes per second." name:"changes" default:"1,10,50" json:"changes"`
+	TenantCounts     []int     `help:"Tenants per ingress." name:"tenants" default:"100,300,1000,3000,10000,30000" json:"tenants"`
+	ChangeRates      []float64 `help:"Endpoint changes per second." name:"changes" default:"1,10,50" json:"changes"`
 	FleetSize        int       `help:"Size of the fleet of an ingress measured alone." name:"fleet" default:"6400" json:"fleet"`
 	RequestRate      float64   `help:"Requests per second of one ingress." name:"rate" default:"328" json:"rate"`
-	LiveRequestRate  float64   `help:"The same for an ingress of a live fleet." name:"live-rate" default:"100" json:"live_rate"`
+	LiveRequestRate  float64   `help:"Requests per second of a live ingress." name:"live-rate" default:"100" json:"live_rate"`
 	RealIngresses    int       `help:"Real ingresses to compare with hollow ones." name:"real" default:"3" json:"real"`
 	IngressBinary    string    `help:"Built ingress; if not set, the run builds one." name:"binary" type:"existingfile" optional:"" json:"binary"`
 	Quick            bool      `help:"Small sizes and short points for a trial run of about a minute." json:"quick"`
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -24,7 +24,7 @@
 	shutdownTimeout = 5 * time.Second  // time to exit after SIGTERM; longer than any deadline of a request
 
 	ingressPackage = "lemontack/cmd/ingress"
-	configVariable = "ROUTER_CONFIG" // environment variable with the path of an ingress's configuration file
+	configEnv      = "ROUTER_CONFIG" // environment variable with the path of an ingress's configuration file
 	tempDirPattern = "scalerun-"     // name pattern of the run's temporary directory
 )
 
@@ -134,7 +134,7 @@
 
 // startBackends starts the backends of the endpoint list and one that is called directly. stop ends their goroutines.
 func (fleet *realFleet) startBackends() error {
-	for i := range liveBackends {
+	for i := range defaultBackendCount {
 		backend, addr, err := fleet.startBackend(i)
 		if err != nil {
 			return err
@@ -143,7 +143,7 @@
 		fleet.targets = append(fleet.targets, newTarget(i, addr, stateServing))
 	}
 	var err error
-	fleet.directBackend, fleet.directAddr, err = fleet.startBackend(liveBackends)
+	fleet.directBackend, fleet.directAddr, err = fleet.startBackend(defaultBackendCount)
 	return err
 }
 
@@ -185,7 +185,7 @@
 	}
 	ingress.childProcess, err = startChild(ctx, r.monitor, func(ctx context.Context) *exec.Cmd {
 		cmd := exec.CommandContext(ctx, binary)
-		cmd.Env = append(os.Environ(), configVariable+"="+path)
+		cmd.Env = append(os.Environ(), configEnv+"="+path)
 		cmd.Stderr = &ingress.stderr
 		return cmd
 	})
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	recorderShards    = 8 // locks of a recorder, which reduce contention among hundreds of ingresses
+	recorderShards    = 8 // each has its own lock, which reduces contention among hundreds of ingresses
 	maxRecordedTime   = 60 * time.Second
 	significantDigits = 2 // precision of a histogram, for errors of at most 1%
 )
@@ -53,7 +53,7 @@
 	return hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 }
 
-// recordTime adds a time to a histogram of newHistogram; a time outside its bounds counts as the nearest bound.
+// recordTime adds a time to a histogram that newHistogram returned; a time outside its bounds counts as the nearest bound.
 func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
 	histogram.RecordValue(int64(min(max(d, 1), maxRecordedTime))) // fails only for values outside the bounds
 }
--- a/internal/scale/reply.go
+++ b/internal/scale/reply.go
@@ -12,7 +12,7 @@
 // maxReplyElements limits the array that answers a request: a value and the data on its cost.
 const maxReplyElements = 7
 
-// errUnexpectedReply reports a reply that no command has.
+// errUnexpectedReply reports a reply of a type or length that no command returns.
 var errUnexpectedReply = errors.New("unexpected reply")
 
 // replyKind is the type of a reply.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -31,11 +31,11 @@
 // reportNotes explain the figures of every run.
 func reportNotes() []string {
 	return []string{
-		"sweeps of backends and tenants: one ingress at a time on a simulated clock, with a socket only for the list",
+		"sweeps of backends and tenants: one ingress at a time on a simulated clock; only the fetch of a list uses sockets",
 		"other sweeps: hollow ingresses in real time, with the real clients of discovery and of the counter",
 		"discovery and the counter are stand-ins in processes of their own: their CPU time is that of the stand-ins",
-		"where lists are pushed, the stand-in of discovery is also the agent of every ingress",
-		"attempts go to modelled backends, except from the real ingresses, which have sockets on both sides",
+		"where lists are pushed, the stand-in of discovery also serves as the agent of each ingress",
+		"attempts go to modelled backends; only the real ingresses have sockets to clients and to backends",
 	}
 }
 
@@ -46,7 +46,7 @@
 	SizeUnit   string   `json:"against,omitempty"` // unit of Size; empty excludes the point from fits
 	Size       float64  `json:"size"`
 	Seconds    float64  `json:"seconds"`           // duration of the measurement
-	SkipReason string   `json:"skipped,omitempty"` // reason for which the point has no figures
+	SkipReason string   `json:"skipped,omitempty"` // why the point was skipped or failed; empty if it was measured
 	Notes      []string `json:"notes,omitempty"`
 	Figures    []Figure `json:"figures,omitempty"`
 }
@@ -59,7 +59,7 @@
 	Value           float64      `json:"value"`
 	Samples         uint64       `json:"samples,omitempty"`
 	Percentiles     *Percentiles `json:"percentiles,omitempty"`
-	ExcludedFromFit bool         `json:"-"` // true for a figure that describes the run and is not a cost
+	ExcludedFromFit bool         `json:"-"` // whether no line is fitted, for example if the figure is not a cost
 }
 
 // Percentiles are the percentiles of a histogram, in the unit of its figure.
@@ -98,7 +98,7 @@
 	p.Figures = append(p.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, ExcludedFromFit: true})
 }
 
-// excludeFromFit excludes the figures with a name that were added before from fits.
+// excludeFromFit excludes the figures of the given name from fits. Figures that are added later are not affected.
 func (p *Point) excludeFromFit(name string) {
 	for i := range p.Figures {
 		p.Figures[i].ExcludedFromFit = p.Figures[i].ExcludedFromFit || p.Figures[i].Name == name
@@ -152,7 +152,7 @@
 func toKB(bytes float64) float64 { return bytes / (1 << 10) }
 func toMB(bytes float64) float64 { return bytes / (1 << 20) }
 
-// Save writes the report to a file, which is complete or is not written at all.
+// Save writes the report to a file. The file is replaced only after the whole report has been written.
 func (report *Report) Save(path string) error {
 	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -24,7 +24,7 @@
 	realIngressBytes   = 60 << 20
 	tenantBytes        = 700
 	backendBytes       = 700  // bytes in each decision module
-	listEntryBytes     = 2500 // bytes for each backend once: in the model, in discovery and as text between the two
+	listEntryBytes     = 2500 // bytes of each backend in the model, in discovery and in the encoded list together
 )
 
 // Estimates of the descriptors of this process.
@@ -39,7 +39,7 @@
 // ResourceError reports that a run would need more of a resource than it may use.
 type ResourceError struct {
 	Needed string // amount and unit
-	Limit  string
+	Limit  string // clause that states the limit
 }
 
 func (resourceErr *ResourceError) Error() string {
@@ -67,7 +67,7 @@
 // estimateMemory returns the estimated memory of the largest point of a run, in bytes.
 func estimateMemory(o Options) float64 {
 	backends, ingresses, tenants := slices.Max(o.BackendCounts), slices.Max(o.IngressCounts), slices.Max(o.TenantCounts)
-	const ingressBytes = hollowIngressBytes + liveTenants*tenantBytes + liveBackends*backendBytes
+	const ingressBytes = hollowIngressBytes + defaultTenantCount*tenantBytes + defaultBackendCount*backendBytes
 	return max(
 		baseBytes+float64(backends)*(listEntryBytes+2*backendBytes),
 		baseBytes+float64(ingresses)*ingressBytes+float64(o.RealIngresses)*realIngressBytes,
@@ -123,7 +123,7 @@
 	return sum
 }
 
-// run samples until ctx ends or a sample exceeds the limit, in bytes. It then calls stop with an error.
+// run samples until ctx ends. If a sample exceeds the limit, in bytes, run calls stop with an error and returns.
 func (monitor *resourceMonitor) run(ctx context.Context, limit uint64, stop func(error)) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,11 +13,14 @@
 )
 
 const (
-	liveTenants     = 300                   // tenants of each live hollow ingress
-	liveBackends    = 200                   // backends outside their own sweep; fixed, since they add to the cost of a request
-	meanServiceTime = 20 * time.Millisecond // mean time that a backend takes for a request
-	reportReserve   = 5 * time.Second       // part of the time limit that is kept for the report
-	quickDivisor    = 4                     // a quick run divides the time of each point by this
+	defaultTenantCount = 300                   // tenants of each ingress, except in the sweep of tenants
+	meanServiceTime    = 20 * time.Millisecond // mean time that a backend takes for a request
+	reportReserve      = 5 * time.Second       // part of the time limit that is kept for the report
+	quickDivisor       = 4                     // a quick run divides the time of each point by this
+
+	// defaultBackendCount is the number of backends in the sweeps of ingresses, tenants and changes and in the comparison.
+	// It is the same in all of them, since it affects the cost of a request.
+	defaultBackendCount = 200
 )
 
 var (
@@ -57,7 +60,8 @@
 	return jobs
 }
 
-// NewRun checks the options and returns a run, which Measure starts. The run writes its progress line by line.
+// NewRun checks the options and returns a run, which Measure starts. The run writes a line to progress for each point,
+// failure and note.
 func NewRun(o Options, progress io.Writer) (*Run, error) {
 	if o.Quick {
 		o = o.withQuickSizes()
@@ -138,7 +142,7 @@
 
 // startMonitor starts the goroutine of the resource monitor, and returns a function that stops it and waits for it.
 func (r *Run) startMonitor(stopRun func(error)) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background()) // not the run's: child processes exit after that has ended
+	ctx, cancel := context.WithCancel(context.Background()) // not the run's context, since child processes exit after its end
 	ended := make(chan struct{})
 	go func() { // stop ends it and waits for it
 		defer close(ended)
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -64,11 +64,11 @@
 }
 
 type invariantSettings struct {
-	SlowStartMinWeight float64      `json:"coldFrom"`
-	SlowStartWindow    microseconds `json:"warmAfterUs"`
-	SlowStartMultiple  float64      `json:"fallMultiple"`
-	SlowStartSpan      microseconds `json:"fallUs"`
-	DrainGracePeriod   microseconds `json:"drainGraceUs"`
+	SlowStartMinWeight      float64      `json:"coldFrom"`
+	SlowStartWindow         microseconds `json:"warmAfterUs"`
+	SlowStartBudgetMultiple float64      `json:"fallMultiple"`
+	SlowStartBudgetSpan     microseconds `json:"fallUs"`
+	DrainGracePeriod        microseconds `json:"drainGraceUs"`
 }
 
 // settingsJSON returns the settings object of one ingress.
@@ -117,11 +117,11 @@
 		},
 		Prices: priceSettings{CrossZone: 0, Handshake: 0.02},
 		Invariants: invariantSettings{
-			SlowStartMinWeight: slowStartMinWeight,
-			SlowStartWindow:    toMicroseconds(slowStartWindow),
-			SlowStartMultiple:  slowStartMultiple,
-			SlowStartSpan:      toMicroseconds(slowStartSpan),
-			DrainGracePeriod:   toMicroseconds(time.Second),
+			SlowStartMinWeight:      slowStartMinWeight,
+			SlowStartWindow:         toMicroseconds(slowStartWindow),
+			SlowStartBudgetMultiple: slowStartBudgetMultiple,
+			SlowStartBudgetSpan:     toMicroseconds(slowStartBudgetSpan),
+			DrainGracePeriod:        toMicroseconds(time.Second),
 		},
 	})
 	if err != nil {
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	zones = 9 // zones of the backends and of the ingresses
+	zoneCount = 9 // number of zones, to which backends and ingresses are assigned in turn
 
-	maxRequestUnits = 2   // units of a request: from 1 to this number, equally likely
-	meanUnits       = 1.5 // units of a request on average
-	lookupShare     = 0.7 // lookups as a share of the requests; the rest are orders
+	maxRequestUnits = 2   // largest number of units of a request; all numbers from 1 are equally likely
+	meanUnits       = 1.5 // mean number of units of a request
+	lookupShare     = 0.7 // share of the requests that are lookups; the others are orders
 
 	quotaMargin  = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
 	minPlanRate  = 0.1 // units per second
@@ -31,20 +31,21 @@
 
 // Slow start of backends.
 const (
-	slowStartMinWeight = 0.2 // share of the full speed at the start
-	slowStartWindow    = 10 * time.Second
-	slowStartMultiple  = 2.0 // attempts that do not overload a cold backend, in multiples of its throughput
-	slowStartSpan      = time.Second
+	slowStartMinWeight      = 0.2 // speed at the start, as a share of the full speed
+	slowStartWindow         = 10 * time.Second
+	slowStartBudgetMultiple = 2.0 // limit of the attempts at a cold backend, in multiples of its throughput
+	slowStartBudgetSpan     = time.Second
 )
 
 const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
 
 // tenantPlan is a plan of tenants.
 type tenantPlan struct {
-	name          string
-	share         float64 // share of the tenants
-	gatewaySpan   int     // ingresses that receive the requests of one tenant; limited by the size of the fleet
-	hasSmallBurst bool    // the burst covers only one large request for each ingress, which requires a central token bucket
+	name        string
+	share       float64 // share of the tenants
+	gatewaySpan int     // ingresses that receive the requests of one tenant; limited by the size of the fleet
+	// hasSmallBurst limits the burst to one request of maxRequestUnits at each ingress, which requires a central token bucket.
+	hasSmallBurst bool
 }
 
 var plans = [...]tenantPlan{
@@ -58,12 +59,12 @@
 	Ingresses         int
 	TenantsPerIngress int     // approximate number
 	RequestRate       float64 // requests per second of one ingress, for which the quotas are sized
-	PollsEndpoints    bool    // ingresses poll the endpoint list; otherwise it is pushed
+	PollsEndpoints    bool    // whether ingresses poll the endpoint list; otherwise it is pushed
 }
 
-func zoneName(index int) string { return fmt.Sprint("z", index%zones) }
+func zoneName(index int) string { return fmt.Sprint("z", index%zoneCount) }
 
-// policySettings returns the settings of one ingress in the form of its decision module.
+// policySettings returns the settings that the decision module of one ingress receives.
 func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
 	text, err := shape.settingsJSON(index)
 	if err != nil {
--- a/internal/scale/simulated_sweeps.go
+++ b/internal/scale/simulated_sweeps.go
@@ -11,7 +11,7 @@
 // real time, whichever comes first.
 const (
 	warmUpSpan       = 20 * time.Second // simulated time before requests are measured
-	warmUpTimeLimit  = 3 * time.Second
+	warmUpTimeLimit  = 3 * time.Second  // also limits the parts without requests
 	measureSpan      = 60 * time.Second // simulated time of the measured requests
 	measureTimeLimit = 8 * time.Second
 	idleSpan         = 10 * time.Second // simulated time without requests
@@ -19,7 +19,7 @@
 
 	sampledIngresses    = 3  // measured ingresses, spread evenly over the indices of the fleet
 	changesPerIngress   = 50 // endpoint changes at each measured ingress
-	eventsPerClockCheck = 8  // fired timers for each reading of the real clock, which is slow in comparison
+	eventsPerClockCheck = 8  // fired timers between two readings of the real clock, which are slow in comparison
 )
 
 // whileTimeLeft returns a function that returns true until a limit of real time is reached or ctx ends.
@@ -38,7 +38,7 @@
 	tally     tally
 }
 
-// measure advances a hollow ingress like advance and measures it.
+// measure advances the ingress by a span of simulated time, within a limit of real time, and returns the usage.
 func (h *hollowIngress) measure(ctx context.Context, span, limit time.Duration) simulatedUsage {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -76,7 +76,7 @@
 	total.idleTimes.merge(other.idleTimes)
 }
 
-// timeLimitScale returns the part of a limit of real time that one ingress may use.
+// timeLimitScale converts a limit of real time for a point to the limit for one of its ingresses.
 type timeLimitScale func(time.Duration) time.Duration
 
 // warmUp starts requests at a rate, in requests per second, and runs the ingress for long enough to acquire its quota
@@ -107,7 +107,7 @@
 
 // measureBackends measures a sample of the ingresses of the fleet, one after another, in front of n backends.
 func (r *Run) measureBackends(ctx context.Context, p *Point, n int) error {
-	shape := fleetShape{Ingresses: r.FleetSize, TenantsPerIngress: liveTenants, RequestRate: r.RequestRate}
+	shape := fleetShape{Ingresses: r.FleetSize, TenantsPerIngress: defaultTenantCount, RequestRate: r.RequestRate}
 	backends := newBackendModel(n, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
 	if err := r.addListFigures(ctx, p, shape, backends); err != nil {
 		return err
@@ -192,7 +192,7 @@
 // measureTenants measures one ingress of the fleet with about n tenants.
 func (r *Run) measureTenants(ctx context.Context, p *Point, n int) error {
 	shape := fleetShape{Ingresses: r.FleetSize, TenantsPerIngress: n, RequestRate: r.RequestRate}
-	backends := newBackendModel(liveBackends, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
+	backends := newBackendModel(defaultBackendCount, r.RequestRate*float64(r.FleetSize), meanServiceTime, true)
 	h, err := newHollowIngress(shape, r.FleetSize/2, backends, newTimeRecorder(), r.Seed)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	memoryBefore := memoryInUse()
 	h.warmUp(ctx, r.RequestRate, r.scaleForQuickRun)
 	measured := h.measureLoadAndIdle(ctx, 2*measureSpan, r.scaleForQuickRun)
-	h.clearCounterTable() // the table stands for the counter's memory, not the ingress's
+	h.clearCounterTable() // its memory is that of the counter, not of the ingress
 	memory := memoryGrowth(memoryBefore)
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/scale/stand_in_protocol.go
+++ b/internal/scale/stand_in_protocol.go
@@ -13,8 +13,8 @@
 	"lemontack/internal/standin"
 )
 
-// roleEnvVariable is the environment variable that makes a process run a stand-in. Its value is the stand-in's role.
-const roleEnvVariable = "SCALE_ROLE"
+// roleEnv is the environment variable that makes a process run a stand-in. Its value is the stand-in's role.
+const roleEnv = "SCALE_ROLE"
 
 // standInAction is the action of a command to a stand-in's process.
 type standInAction string
@@ -56,7 +56,7 @@
 }
 
 // StandInRole returns the role of the stand-in that this process has to run, or false if it has none.
-func StandInRole() (string, bool) { return os.LookupEnv(roleEnvVariable) }
+func StandInRole() (string, bool) { return os.LookupEnv(roleEnv) }
 
 // RunStandIn runs the stand-in of a role until the input ends. That happens whenever the run that started this process
 // exits, even if it is killed.
@@ -116,7 +116,7 @@
 		server.serveGoroutine.Go(func() { server.discovery.Serve(listener) }) // an error makes the calls of the ingresses fail
 	} else {
 		server.counter = standin.NewCounter(command.Counter)
-		server.serveGoroutine.Go(func() { server.counter.Serve(listener) }) // as above
+		server.serveGoroutine.Go(func() { server.counter.Serve(listener) }) // an error makes the calls of the ingresses fail
 	}
 	return standInReply{Addr: listener.Addr().String()}, nil
 }
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -17,7 +17,7 @@
 const (
 	standInProcesses     = 2               // processes for discovery and the counter, separate so that each can be measured
 	polledCallsPerSecond = 100             // calls per second that discovery serves if lists are polled
-	polledQueueTimeout   = 2 * time.Second // longest wait of such a call in discovery's queue
+	polledQueueTimeout   = 2 * time.Second // longest wait of a call in discovery's queue if lists are polled
 )
 
 // standInProcess is the run's handle of a stand-in's process.
@@ -42,7 +42,7 @@
 	var pipeErr error
 	process.childProcess, err = startChild(ctx, monitor, func(ctx context.Context) *exec.Cmd {
 		cmd := exec.CommandContext(ctx, executable)
-		cmd.Env = append(os.Environ(), roleEnvVariable+"="+role)
+		cmd.Env = append(os.Environ(), roleEnv+"="+role)
 		var inErr, outErr error
 		process.stdin, inErr = cmd.StdinPipe()
 		stdout, outErr = cmd.StdoutPipe()
--- a/internal/scale/tables.go
+++ b/internal/scale/tables.go
@@ -33,7 +33,7 @@
 	if len(report.Fits) > 0 {
 		w.writeFits(report.Fits)
 	}
-	w.line("\nUSED: at most %s and %d processes, %.0f s of CPU time in this process, %.0f s in all",
+	w.line("\nUSED: at most %s and %d processes, %.0f s of CPU time in this process, %.0f s of wall time",
 		formatMegabytes(float64(report.Usage.PeakMemoryBytes)), report.Usage.PeakProcesses, report.Usage.CPUSeconds,
 		report.Usage.WallSeconds)
 	if err := w.Flush(); err != nil {
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -8,13 +8,13 @@
 	Failed     uint64
 	Unanswered uint64 // the client stopped waiting
 
-	Attempts        uint64 // attempts sent to backends
+	Attempts        uint64
 	CounterCalls    uint64
 	TimerEvents     uint64 // timer events of the decision module
 	EndpointChanges uint64 // events with a change of endpoints
 	ListSnapshots   uint64 // events with a complete endpoint list
 
-	SkippedArrivals uint64 // arrivals for which a busy machine was too late
+	SkippedArrivals uint64 // arrivals that were skipped because they were more than maxLateness late
 }
 
 func (counts tally) minus(other tally) tally {
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -15,7 +15,7 @@
 
 func (r *Run) zoneJobs() []job {
 	n := min(zoneSweepIngresses, r.IngressCounts[len(r.IngressCounts)-1])
-	sweep := fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zones, n, zones*backendsPerZone)
+	sweep := fmt.Sprintf("a zone of %d lost and back, %d ingresses, %d backends", zoneCount, n, zoneCount*backendsPerZone)
 	return []job{{
 		point:    Point{Sweep: sweep, Label: "before, lost, back"},
 		duration: 25 * time.Second,
@@ -25,8 +25,8 @@
 
 // measureZoneLoss removes all backends of a zone under load, and then starts them again cold.
 func (r *Run) measureZoneLoss(ctx context.Context, p *Point, n int) error {
-	backends := newBackendModel(zones*backendsPerZone, r.LiveRequestRate*float64(n), meanServiceTime, false)
-	shape := fleetShape{Ingresses: n, TenantsPerIngress: liveTenants, RequestRate: r.LiveRequestRate}
+	backends := newBackendModel(zoneCount*backendsPerZone, r.LiveRequestRate*float64(n), meanServiceTime, false)
+	shape := fleetShape{Ingresses: n, TenantsPerIngress: defaultTenantCount, RequestRate: r.LiveRequestRate}
 	f, err := startLiveFleet(ctx, r.monitor, shape, backends, r.Seed)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 	if err := f.addPropagationFigures(ctx, p, "back", restoration); err != nil {
 		return err
 	}
-	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartSpan)
+	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartBudgetSpan)
 	p.addFigureWithoutFit(roleIngress, name, "", float64(backends.maxColdAttempts()))
 	p.addFigureWithoutFit(roleIngress, "back: what such a one bears when it starts", "",
 		backends.coldAttemptLimit(meanServiceTime))
