--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -70,13 +70,13 @@
 
 func parseArguments() (arguments, error) {
 	var args arguments
-	flag.StringVar(&args.program, "ingress", "bin/ingress", "the ingress's program")
+	flag.StringVar(&args.program, "ingress", "bin/ingress", "path of the ingress program")
 	flag.Uint64Var(&args.firstSeed, "seed", 1, "first seed")
 	flag.Uint64Var(&args.seeds, "seeds", 1, "number of seeds, one after another")
-	flag.IntVar(&args.processes, "processes", 16, fmt.Sprintf("ingresses, %d to %d", minProcesses, maxProcesses))
-	flag.DurationVar(&args.duration, "duration", 20*time.Second, "of load and faults, for each seed")
-	flag.Float64Var(&args.rate, "rate", 40, "requests a second for each ingress")
-	flag.StringVar(&args.dir, "dir", "", "folder for configurations and logs; a new one if empty")
+	flag.IntVar(&args.processes, "processes", 16, fmt.Sprintf("number of ingresses, %d to %d", minProcesses, maxProcesses))
+	flag.DurationVar(&args.duration, "duration", 20*time.Second, "duration of load and faults for each seed")
+	flag.Float64Var(&args.rate, "rate", 40, "requests per second to each ingress")
+	flag.StringVar(&args.dir, "dir", "", "directory for configurations and logs; a temporary one if empty")
 	flag.Parse()
 	if args.processes < minProcesses || args.processes > maxProcesses || flag.NArg() > 0 {
 		return args, fmt.Errorf("%w: got %d processes and %d further arguments, want %d to %d processes and no further arguments",
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -69,8 +69,8 @@
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetMode sets the mode. Connections that were open in mode Silent are reset when the mode becomes Forwarding, since both ends
-// may have given them up.
+// SetMode sets the mode. Connections that were open in mode Silent are reset when the mode becomes Forwarding, since either end
+// may have abandoned them.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,7 +230,8 @@
 	return true
 }
 
-// awaitForwarding waits until the proxy is not silent, and then for the delay. It returns how many of n bytes the next chunk has.
+// awaitForwarding waits until the proxy is not silent, and then for the delay. It returns the length of the next chunk
+// of n bytes.
 func (p *Proxy) awaitForwarding(n int) int {
 	p.mu.Lock()
 	delay, chunkBytes := p.delay, p.chunkBytes
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -50,7 +50,7 @@
 const (
 	maxWorkTime         = 60 * time.Millisecond // maximum delay of the response to a command
 	failingDrawScale    = 0.3                   // factor for the draw in modeFailing; the backend mishandles 40% of the commands
-	drainingRejectShare = 0.8                   // share of commands; the rest is accepted so that the attempts are checked
+	drainingRejectShare = 0.8                   // share of commands that a draining backend rejects; the checker checks the rest
 )
 
 // backend serves commands and reports the attempts to the checker.
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -10,7 +10,7 @@
 	maxDeadlineExtension   = 150 * time.Millisecond // excess of the time left in a command over that of the client
 	maxStall               = 150 * time.Millisecond // longest pause of an ingress that the protocol tolerates
 	measurementError       = 50 * time.Millisecond  // error of times that are measured on sockets
-	closeRaceWindow        = 250 * time.Millisecond // age of a request that may get no reply if its connection is closed
+	closeRaceWindow        = 250 * time.Millisecond // maximum age of a request that may get no reply if its connection is closed
 )
 
 // checker checks the observations against the rules of the protocol. It is safe for concurrent use.
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -35,7 +35,7 @@
 	}{
 		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), reply: ReplyValue}, nil, ""},
 		"never answered":            {request{class: idempotentClass}, nil, NoReply},
-		"excused":                   {request{class: idempotentClass, exemption: "killed"}, nil, ""},
+		"exempt":                    {request{class: idempotentClass, exemption: "killed"}, nil, ""},
 		"client disconnected":       {request{class: idempotentClass, disconnectedAt: after(0)}, nil, ""},
 		"sent during the close":     {request{class: idempotentClass, closedAt: after(20 * time.Millisecond)}, nil, ""},
 		"closed long after sending": {request{class: idempotentClass, closedAt: after(2 * time.Second)}, nil, NoReply},
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -54,7 +54,7 @@
 	GatewayCount int               `json:"replicasOfMe"`
 	RegistryMode string            `json:"registryMode"`
 	Classes      []configClass     `json:"classes"`
-	Contracts    []configPlan      `json:"contracts"`
+	Plans        []configPlan      `json:"contracts"`
 	Counter      configCounter     `json:"familyInfo"`
 	Permissions  configPermissions `json:"permissions"`
 	Invariants   configInvariants  `json:"invariants"`
@@ -87,17 +87,17 @@
 }
 
 type configPermissions struct {
-	ConnectionIdle int64 `json:"connIdleUs"`
-	ConnectTimeout int64 `json:"connectTimeoutUs"`
-	MaxAttempts    int   `json:"maxAttempts"`
-	MayCancel      bool  `json:"mayCancel"`
-	Hedging        bool  `json:"parallelTries"`
-	RetryAfter     bool  `json:"retryAfter"`
-	MaxRetryAfter  int64 `json:"maxRetryAfterUs"`
+	ConnectionIdleTimeout int64 `json:"connIdleUs"`
+	ConnectTimeout        int64 `json:"connectTimeoutUs"`
+	MaxAttempts           int   `json:"maxAttempts"`
+	MayCancel             bool  `json:"mayCancel"`
+	Hedging               bool  `json:"parallelTries"`
+	RetryAfter            bool  `json:"retryAfter"`
+	MaxRetryAfter         int64 `json:"maxRetryAfterUs"`
 }
 
 type configInvariants struct {
-	DrainGrace              int64   `json:"drainGraceUs"`
+	DrainGracePeriod        int64   `json:"drainGraceUs"`
 	SlowStartMinWeight      float64 `json:"coldFrom"`
 	SlowStartWindow         int64   `json:"warmAfterUs"`
 	SlowStartBudgetMultiple int     `json:"fallMultiple"`
@@ -124,12 +124,13 @@
 		Index: index, GatewayCount: gatewayCount, RegistryMode: "automatic",
 		Counter: configCounter{Shared: true, Timeout: (80 * time.Millisecond).Microseconds(), MaxUnits: 4},
 		Permissions: configPermissions{
-			ConnectionIdle: (15 * time.Second).Microseconds(), ConnectTimeout: (250 * time.Millisecond).Microseconds(),
+			ConnectionIdleTimeout: (15 * time.Second).Microseconds(), ConnectTimeout: (250 * time.Millisecond).Microseconds(),
 			MaxAttempts: 4, MayCancel: true, Hedging: true,
 			RetryAfter: true, MaxRetryAfter: (2 * time.Second).Microseconds(),
 		},
 		Invariants: configInvariants{
-			DrainGrace: time.Second.Microseconds(), SlowStartMinWeight: 0.3, SlowStartWindow: (5 * time.Second).Microseconds(),
+			DrainGracePeriod:   time.Second.Microseconds(),
+			SlowStartMinWeight: 0.3, SlowStartWindow: (5 * time.Second).Microseconds(),
 			SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: (3 * time.Second).Microseconds(),
 		},
 	}
@@ -141,7 +142,7 @@
 		})
 	}
 	for i := range planCount {
-		s.Contracts = append(s.Contracts, configPlan{Name: planName(i), Price: 1 + float64(i),
+		s.Plans = append(s.Plans, configPlan{Name: planName(i), Price: 1 + float64(i),
 			Refill: 10 * (i + 1), Burst: 20 * (i + 1), OverQuotaWeight: 0.5, OverQuotaCost: 0.1})
 	}
 	return s
--- a/internal/soak/conn.go
+++ b/internal/soak/conn.go
@@ -13,7 +13,7 @@
 const (
 	replyTimeout     = 10 * time.Second // time to wait for the last replies on a connection
 	chunkBytes       = 30               // length of a chunk of a command that is written slowly
-	retryQueueLength = 64               // rejected requests per connection; further ones are not retried
+	retryQueueLength = 64               // rejected requests that wait for a retry on a connection; further ones are not retried
 	retryTenths      = 7                // tenths of the rejected requests that are retried with their remaining time
 	unknownCommand   = "*1\r\n$5\r\nHELLO\r\n"
 )
@@ -168,7 +168,8 @@
 	return r, commandPending
 }
 
-// queueRetry queues a rejected request for a retry, unless its timeout is zero or the queue is full.
+// queueRetry queues a rejected request for a retry if it is among the retryTenths, its timeout is not zero and the queue is not
+// full.
 func (cc *clientConn) queueRetry(r *request, kind ReplyKind) {
 	if kind != ReplyBusy || r.id%10 >= retryTenths || r.timeout == 0 {
 		return
--- a/internal/soak/injector.go
+++ b/internal/soak/injector.go
@@ -14,10 +14,10 @@
 	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is the name of a kind of fault, as reports have it.
 type FaultKind string
 
-// fault is a fault of one kind.
+// fault is a kind of fault with the function that injects it.
 type fault struct {
 	kind FaultKind
 	// inject starts the fault, waits for duration or until ctx ends, and ends the fault. Faults without a duration ignore it.
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -8,7 +8,7 @@
 
 const (
 	stallCheckInterval = 5 * time.Millisecond
-	minStall           = 10 * time.Millisecond // excess over the check interval; the other tolerances cover shorter stalls
+	minStall           = 10 * time.Millisecond // minimum length of a recorded stall; the other tolerances cover shorter ones
 	stallMargin        = 50 * time.Millisecond // time before and after a measurement in which a stall may affect it
 )
 
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -16,7 +16,7 @@
 
 // BackendConfig configures a Backend.
 type BackendConfig struct {
-	Cores       int                                // shared evenly by the attempts in service; zero means no limit
+	Cores       int                                // number of cores, which attempts in service share evenly; zero means no limit
 	Slots       int                                // maximum number of attempts in service; zero means no limit
 	MaxQueued   int                                // maximum number of attempts that wait for a slot; further ones are rejected
 	ServiceTime func(rng *rand.Rand) time.Duration // draws the time that an attempt takes on a core of its own; nil means zero
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -19,9 +19,9 @@
 // CounterConfig configures a Counter.
 type CounterConfig struct {
 	CallsPerSecond          float64       // capacity of all shards together; zero means no limit
-	Shards                  int           // each serves its own names and has an equal share of CallsPerSecond; zero means one
-	MaxQueued               int           // calls that may wait for a shard; further ones are rejected; zero means no limit
-	MaxConnectionsPerClient int           // per client address; further ones are reset; zero means no limit
+	Shards                  int           // number of shards, which divide the names and CallsPerSecond among them; zero means one
+	MaxQueued               int           // maximum number of waiting calls per shard; others are rejected; zero means no limit
+	MaxConnectionsPerClient int           // maximum number for a client address; further ones are reset; zero means no limit
 	IdleTimeout             time.Duration // time without a call after which a connection is closed; zero means 10 s
 }
 
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -120,10 +120,10 @@
 		client.sendLines(t, busyCall, busyCall, busyCall, "tally "+otherName+" 5 9000", "ping", "?")
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "ok 5", "pong", "error"} {
 			if got := <-client.lines; got != want {
-				t.Fatalf("answer %d: %q, want %q", i, got, want)
+				t.Fatalf("answer %d: got %q, want %q", i, got, want)
 			}
 			if elapsed := time.Since(start); elapsed != time.Duration(min(i+1, 3))*time.Second {
-				t.Fatalf("answer %d after %v", i, elapsed)
+				t.Fatalf("answer %d: got it after %v, want the first three after 1s, 2s and 3s and the rest after 3s", i, elapsed)
 			}
 		}
 	})
@@ -183,7 +183,7 @@
 		client.sendLines(t, call, call, call, call, call)
 		for i, want := range []string{"ok 1", "ok 2", "ok 3", "busy", "busy"} {
 			if got := <-client.lines; got != want {
-				t.Fatalf("answer %d: %q, want %q", i, got, want)
+				t.Fatalf("answer %d: got %q, want %q", i, got, want)
 			}
 		}
 		if stats := counter.Stats(); stats.Calls != 5 || stats.Rejected != 2 || stats.MaxQueued != 2 || counter.Total("a") != 3 {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -21,7 +21,7 @@
 	DropCancelled     bool          // whether queued calls of disconnected clients are removed; otherwise they use capacity
 	HeartbeatInterval time.Duration // time between the empty lines of an open watch; zero means 2 s
 	Indent            bool          // whether JSON objects are indented over several lines
-	MaxChanges        int           // changes kept for watches; a client further behind gets a snapshot; zero means all
+	MaxChanges        int           // maximum number of changes kept; a client further behind gets a snapshot; zero means all
 	InitialRevision   int64         // revision before the first list is set
 }
 
--- a/internal/subsetcompare/fleet.go
+++ b/internal/subsetcompare/fleet.go
@@ -52,7 +52,7 @@
 }
 
 // ReplaceBackends returns a copy of the fleet in which the given share of the backends has new ids in the same zones. The seed
-// determines which backends are replaced; replaced reports it for each backend.
+// determines which backends are replaced; the elements of replaced are true for these.
 func ReplaceBackends(fleet []Backend, share float64, seed uint64) (next []Backend, replaced []bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	next, replaced = slices.Clone(fleet), make([]bool, len(fleet))
--- a/internal/subsetcompare/subsetcompare.go
+++ b/internal/subsetcompare/subsetcompare.go
@@ -57,8 +57,9 @@
 	return r
 }
 
-// Select implements Method. It uses the first level at which the backends on the arcs fit. Reading a list as a stream ends at
-// the same level, since arcs only get shorter and, at each level, the number of backends on them only grows with the list.
+// Select implements Method. It narrows the arcs level by level until the subset is not overfull. An ingress that reads the list
+// as a stream ends at the same level: arcs only get shorter, and at each level the number of backends on them only grows with
+// the list.
 func (ring *Ring) Select(gateway int, out []int32) []int32 {
 	gatewaySubset, zone := ring.scenario.Subset(gateway), ring.scenario.ZoneOf(gateway)
 	start, selectedCount := bits.Reverse64(uint64(gateway)), 0
--- a/internal/subsetcompare/subsetcompare_test.go
+++ b/internal/subsetcompare/subsetcompare_test.go
@@ -111,8 +111,10 @@
 			{10, 200_000, 1024, 200_000, 1}, {6400, 200_000, 2048, 32_768, 4}, {6400, 200_000, 2048, 32_768, 16},
 		}
 	}
-	t.Log("zones are random; loads are multiples of the mean; repl% and join% are the percentages of pairs that move when 1% of " +
-		"the backends are replaced and when a gateway is added")
+	t.Log("zones are random; least, mean and most are sizes of subsets; loads are multiples of the mean: busy and idle are the " +
+		"largest and the smallest load, zone- and uneven the largest load after the loss of a zone and with uneven traffic, own " +
+		"the largest load if gateways send only to their own zone; none% is the percentage of backends without load; repl% and " +
+		"join% are the percentages of pairs that move when 1% of the backends are replaced and when a gateway is added")
 	t.Logf("%-34s %-17s %5s %7s %5s  %5s %5s %6s  %5s %6s  %5s %6s  %6s %6s", "gateways x backends, target to max",
 		"method", "least", "mean", "most", "busy", "idle", "none%", "zone-", "uneven", "own", "none%", "repl%", "join%")
 	for _, s := range sizes {
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -7,7 +7,7 @@
 
 const (
 	listFile         = "KNOWN-RED.txt"
-	maxKnownFailures = 3 // limits the list to exceptions
+	maxKnownFailures = 3 // maximum number of tests in the list
 )
 
 // knownFailure is an entry of the list: a test that fails for a known cause.
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred reads the output of "go test -json" on standard input and prints it as text. It prints failures of the tests
-// that KNOWN-RED.txt lists without an error, and exits with 1 for any other failure.
+// Command knownred reads the output of "go test -json" on standard input and prints it as text. Failures of the tests that
+// KNOWN-RED.txt lists are only printed; any other failure makes it exit with 1.
 package main
 
 import (
