--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -158,8 +158,8 @@
 	if err != nil {
 		return err
 	}
-	idle := r.scaleForQuickRun(compareIdleDuration)
-	if err := sleep(ctx, idle); err != nil {
+	idleTime := r.scaleForQuickRun(compareIdleDuration)
+	if err := sleep(ctx, idleTime); err != nil {
 		return err
 	}
 	cpuAfter, err := fleet.cpuTime()
@@ -167,7 +167,7 @@
 		return err
 	}
 	c := comparison{
-		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idle.Seconds() / float64(r.RealIngresses),
+		idleCPUPerSecond: (cpuAfter - cpuBefore).Seconds() / idleTime.Seconds() / float64(r.RealIngresses),
 		listBytes:        float64(discovery.Discovery.Bytes) / float64(r.RealIngresses),
 	}
 	viaIngresses, direct, err := r.runRealLoad(ctx, fleet, p, &c)
--- a/internal/scale/live_fleet.go
+++ b/internal/scale/live_fleet.go
@@ -213,22 +213,22 @@
 
 // measureIdleAndLoad measures the fleet without requests, and then, after a time to settle, at a rate in requests per
 // second of each ingress.
-func (f *liveFleet) measureIdleAndLoad(ctx context.Context, rate float64, idle, settle,
-	load time.Duration) (idleAndLoad, error) {
+func (f *liveFleet) measureIdleAndLoad(ctx context.Context, rate float64, idleTime, settleTime,
+	loadTime time.Duration) (idleAndLoad, error) {
 	var measured idleAndLoad
 	var err error
-	if measured.idle, err = f.measureFor(ctx, idle); err != nil {
+	if measured.idle, err = f.measureFor(ctx, idleTime); err != nil {
 		return measured, err
 	}
 	if err := f.setRate(ctx, rate); err != nil {
 		return measured, err
 	}
-	if err := sleep(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return measured, err
 	}
 	f.recorder.drain()
 	measured.attemptsBefore = f.backends.attemptCounts()
-	if measured.load, err = f.measureFor(ctx, load); err != nil {
+	if measured.load, err = f.measureFor(ctx, loadTime); err != nil {
 		return measured, err
 	}
 	measured.times = f.recorder.drain()
--- a/internal/scale/load_generator.go
+++ b/internal/scale/load_generator.go
@@ -27,8 +27,10 @@
 // loadGenerator sends randomly drawn requests to one address at their scheduled times, whether or not earlier ones have
 // been answered (open loop). It reuses its connections.
 type loadGenerator struct {
-	addr       string
-	index      int // index of the generator; part of the ids of its requests
+	addr  string
+	index int // index of the generator; part of the ids of its requests
+
+	// Numbers of requests. Only run writes sent, and no other goroutine may read it before run has returned.
 	sent       uint64
 	served     atomic.Uint64
 	rejected   atomic.Uint64
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -31,7 +31,8 @@
 	return []string{backendsSweep, ingressesSweep, tenantsSweep, changesSweep, zoneSweep, compareSweep}
 }
 
-// Options select what a run measures. The tags define the command line; their variable sweeps stands for SweepNames.
+// Options select what a run measures. The tags define the command line; the variable ${sweeps} in them
+// stands for the result of SweepNames.
 type Options struct {
 	Sweeps           []string  `help:"Sweeps to run: ${enum}." name:"sweep" enum:"${sweeps}" default:"${sweeps}" json:"sweep"`
 	Seed             uint64    `help:"Seed of the random numbers." default:"1" json:"seed"`
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	defaultTenantCount = 300                   // tenants of each ingress, except in the sweep of tenants
-	meanServiceTime    = 20 * time.Millisecond // mean time that a backend takes for a request
-	reportReserve      = 5 * time.Second       // part of the time limit that is kept for the report
-	quickDivisor       = 4                     // a quick run divides the time of each point by this
-
+	defaultTenantCount = 300 // tenants of each ingress, except in the sweep of tenants
 	// defaultBackendCount is the number of backends in the sweeps of ingresses, tenants and changes and in the comparison.
 	// It is the same in all of them, since it affects the cost of a request.
 	defaultBackendCount = 200
+	meanServiceTime     = 20 * time.Millisecond // mean time that a backend takes for a request
+	reportReserve       = 5 * time.Second       // part of the time limit that is kept for the report
+	quickDivisor        = 4                     // a quick run divides the time of each point by this
 )
 
 var (
@@ -35,7 +34,7 @@
 	monitor          *resourceMonitor
 	report           *Report
 	deadline         time.Time
-	machineSaturated bool // a live fleet was too large for the machine; the ones after it are not measured
+	machineSaturated bool // whether a fleet of the sweep of ingresses was too large; later ones are then skipped
 }
 
 // job is a point of a sweep that has not been measured yet.
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -16,9 +16,10 @@
 	meanUnits       = 1.5 // mean number of units of a request
 	lookupShare     = 0.7 // share of the requests that are lookups; the others are orders
 
-	quotaMargin  = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
-	minPlanRate  = 0.1 // units per second
-	burstSeconds = 20  // burst of a plan, in seconds of its rate
+	quotaMargin      = 2.0 // rate of a plan, in multiples of the demand of one of its tenants
+	minPlanRate      = 0.1 // units per second
+	burstSeconds     = 20  // burst of a plan, in seconds of its rate
+	minBurstRequests = 3   // smallest burst without hasSmallBurst, in requests of maxRequestUnits for each ingress
 )
 
 // Classes of requests.
@@ -85,7 +86,7 @@
 		tenants := shape.tenantsPerFirstGateway(plan) * span // tenants of the plan at one ingress
 		demand := shape.RequestRate * plan.share * meanUnits * float64(span) / float64(max(1, tenants))
 		rate := max(minPlanRate, quotaMargin*demand)
-		burst := max(burstSeconds*rate, 3*float64(span)*maxRequestUnits)
+		burst := max(burstSeconds*rate, minBurstRequests*float64(span)*maxRequestUnits)
 		if plan.hasSmallBurst {
 			burst = float64(span) * maxRequestUnits
 		}
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -120,7 +120,7 @@
 		if n > 1 {
 			c.violations.recordForRequest(ExecutedTwice, r.ingress, r.id, last.startedAt, "%d attempts reached backends", n)
 		}
-		if r.reply == ReplyBusy {
+		if r.replyKind == ReplyBusy {
 			c.violations.recordForRequest(RejectedAfterExecution, r.ingress, r.id, r.repliedAt,
 				"rejected after %d attempts reached backends", n)
 		}
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -33,7 +33,7 @@
 		attempts []time.Duration // times from the request to the starts of the attempts
 		want     ViolationKind   // empty means none
 	}{
-		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), reply: ReplyValue}, nil, ""},
+		"answered":                  {request{class: idempotentClass, repliedAt: after(timeout), replyKind: ReplyValue}, nil, ""},
 		"never answered":            {request{class: idempotentClass}, nil, NoReply},
 		"exempt":                    {request{class: idempotentClass, exemption: "killed"}, nil, ""},
 		"client disconnected":       {request{class: idempotentClass, disconnectedAt: after(0)}, nil, ""},
@@ -44,7 +44,7 @@
 		"late, after late reply":    {request{class: idempotentClass, repliedAt: after(2 * time.Second), prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
 		"idempotent, twice":         {request{class: idempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ""},
 		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ExecutedTwice},
-		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: after(0), reply: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
+		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: after(0), replyKind: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
 		"keyed, twice in window":    {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
 		"keyed, twice after window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
 	} {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -20,7 +20,7 @@
 	closedAt       time.Time // time of an orderly close by the ingress without a reply; zero means that there was none
 	repliedAt      time.Time // zero means no reply yet
 	prevReplyAt    time.Time // arrival of the previous reply on the connection
-	reply          ReplyKind
+	replyKind      ReplyKind
 	attempts       []attempt
 }
 
@@ -61,7 +61,7 @@
 func (h *history) recordReply(r *request, prevReplyAt time.Time, kind ReplyKind) (at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.repliedAt, r.prevReplyAt, r.reply = time.Now(), prevReplyAt, kind
+	r.repliedAt, r.prevReplyAt, r.replyKind = time.Now(), prevReplyAt, kind
 	h.replies[kind]++
 	return r.repliedAt
 }
--- a/internal/soak/injector.go
+++ b/internal/soak/injector.go
@@ -31,12 +31,12 @@
 	checker   *checker
 	rng       *rand.Rand
 
-	mu       sync.Mutex // guards injected
-	injected map[FaultKind]int
+	mu          sync.Mutex // guards faultCounts
+	faultCounts map[FaultKind]int
 }
 
 func newFaultInjector(cl *cluster, processes []*ingressProcess, c *checker, rng *rand.Rand) *faultInjector {
-	return &faultInjector{cluster: cl, processes: processes, checker: c, rng: rng, injected: map[FaultKind]int{}}
+	return &faultInjector{cluster: cl, processes: processes, checker: c, rng: rng, faultCounts: map[FaultKind]int{}}
 }
 
 // run starts faults, which may overlap, until ctx ends. It returns after all of them have ended.
@@ -57,12 +57,12 @@
 func (fi *faultInjector) count(kind FaultKind) {
 	fi.mu.Lock()
 	defer fi.mu.Unlock()
-	fi.injected[kind]++
+	fi.faultCounts[kind]++
 }
 
 // counts returns how many faults of each kind were injected.
 func (fi *faultInjector) counts() map[FaultKind]int {
 	fi.mu.Lock()
 	defer fi.mu.Unlock()
-	return maps.Clone(fi.injected)
+	return maps.Clone(fi.faultCounts)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -35,11 +35,11 @@
 
 // Report is the result of a run.
 type Report struct {
-	Requests   int // number of requests that clients sent
-	Replies    map[ReplyKind]int
-	Attempts   int // number of attempts that backends received completely and did not reject
-	Faults     map[FaultKind]int
-	Violations []Violation // the first 200, in the order in which they were recorded
+	Requests   int               // number of requests that clients sent
+	Replies    map[ReplyKind]int // number of replies of each kind
+	Attempts   int               // number of attempts that backends received completely and did not reject
+	Faults     map[FaultKind]int // number of injected faults of each kind
+	Violations []Violation       // the first 200, in the order in which they were recorded
 }
 
 // String returns the totals on one line, followed by one line for each violation.
--- a/internal/standin/counter_table_test.go
+++ b/internal/standin/counter_table_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestCounterTableExpiresNamesByPassedTime(t *testing.T) {
+func TestCounterTableExpiresNamesByTheGivenTime(t *testing.T) {
 	table, start := NewCounterTable(), time.Unix(0, 0)
 	for _, c := range []struct {
 		elapsed   time.Duration
