--- a/policy/settings.go
+++ b/policy/settings.go
@@ -27,7 +27,7 @@
 	MaxRetryAfter time.Duration
 	// MayCancel allows Cancel actions.
 	MayCancel bool
-	// MayCheckHealth allows CheckHealth actions.
+	// MayCheckHealth allows CheckHealth actions. No decision uses it.
 	MayCheckHealth bool
 	// HedgingEnabled allows two attempts of a request to be in flight at once.
 	HedgingEnabled bool
@@ -52,12 +52,12 @@
 	// slow start.
 	SlowStartWindow time.Duration
 	// SlowStartBudgetMultiple limits the attempts that all gateways together send to an endpoint in slow
-	// start within SlowStartBudgetSpan, as a multiple of the endpoint's capacity; 0 means no limit.
+	// start within SlowStartBudgetPeriod, as a multiple of the endpoint's capacity; 0 means no limit.
 	SlowStartBudgetMultiple float64
-	// SlowStartBudgetSpan is the length of the time span in which these attempts are counted.
-	SlowStartBudgetSpan time.Duration
+	// SlowStartBudgetPeriod is the length of the period in which these attempts are counted.
+	SlowStartBudgetPeriod time.Duration
 	// DrainGracePeriod is the time after the gateway receives the notification that an endpoint is draining
-	// or removed, within which the last attempt at the endpoint may start.
+	// or removed, within which the last attempt at the endpoint may start. No decision uses it.
 	DrainGracePeriod time.Duration
 }
 
