--- a/internal/discovery/calltimings.go
+++ b/internal/discovery/calltimings.go
@@ -5,7 +5,7 @@
 // heartbeatInterval is the interval at which a watch receives an empty line while nothing changes, as the protocol requires.
 const heartbeatInterval = 2 * time.Second
 
-// Timings for lists that a local agent pushes. A change counts as known to the gateway once the agent has it, and from then on
+// Timings for lists that a local agent pushes. A change counts as received by the gateway once the agent has it, and from then on
 // the gateway has one second to stop sending attempts to a draining endpoint. So the timeout of a call and the maximum backoff
 // after it together take less than a second.
 const (
@@ -14,10 +14,10 @@
 	agentMaxBackoff     = 400 * time.Millisecond
 )
 
-// Timings for gateways that poll discovery. A change has to be known within 6 s after discovery became reachable, even after a
-// failed call. A silent watch, a backoff, a failed call and an answer together fit into that time. Discovery queues calls, and
-// a caller that disconnects loses its place in the queue. So an unanswered call stays open while hedged calls are sent: a call
-// that was lost while discovery was down then costs no more than pollInterval.
+// Timings for gateways that poll discovery. A change has to be published within 6 s after discovery has it and is reachable, even
+// after a failed call. A silent watch, a backoff, a failed call and an answer together fit into that time. Discovery queues
+// calls, and a caller that disconnects loses its place in the queue. So an unanswered call stays open while hedged calls are
+// sent: a call that was lost while discovery was down then costs no more than pollInterval.
 const (
 	pollAnswerTimeout  = 4 * time.Second
 	pollSilenceTimeout = heartbeatInterval + time.Second
@@ -29,15 +29,15 @@
 const (
 	spreadPerGateway         = 50 * time.Millisecond  // time added to the spread for each gateway, up to pollInterval
 	maxGatewaysWithoutSpread = 8                      // size of a fleet that may call all at once
-	maxAddressChangeSpread   = 500 * time.Millisecond // after an address change, which has a deadline of 4 s
+	maxAddressChangeSpread   = 500 * time.Millisecond // maximum spread after an address change, which has a deadline of 4 s
 	minBackoff               = 100 * time.Millisecond // doubles after each call
 )
 
 // callTimings holds the timeouts and delays of calls to discovery.
 type callTimings struct {
 	startSpread    time.Duration // time over which the first calls of a fleet are spread; zero means no spread
-	answerTimeout  time.Duration // until a call is answered
-	silenceTimeout time.Duration // until a watch receives a heartbeat, a whole object or entriesPerExtension entries
+	answerTimeout  time.Duration // maximum time until a call is answered
+	silenceTimeout time.Duration // maximum time until a watch receives a heartbeat, a whole object or entriesPerExtension entries
 	minBackoff     time.Duration // first pause after a call; it doubles up to maxBackoff
 	maxBackoff     time.Duration
 	hedgeDelay     time.Duration // time without an answer before a hedged call; zero means no hedged calls
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -21,7 +21,7 @@
 	goroutines     sync.WaitGroup
 	clients        []*Client
 	mu             sync.Mutex
-	firstPublished []map[int64]time.Time // for each client, the time of the first publication by revision
+	firstPublished []map[int64]time.Time // time of the first publication by revision, for each client
 }
 
 // startClients starts n clients at the same time, all with a known list of revision 1.
@@ -82,11 +82,11 @@
 }
 
 func target(i int, state string) standin.Target {
-	return standin.Target{UID: fmt.Sprint("s", i), Endpoint: "127.0.0.1:9", State: state}
+	return standin.Target{UID: fmt.Sprint("s", i), Address: "127.0.0.1:9", State: state}
 }
 
-// outage causes a fault of discovery. It returns the revision that clients have to publish, and the time since which discovery
-// has had it and been reachable (or since which the watch has been silent).
+// outage causes a fault of discovery. It returns the revision that clients have to publish, and the time from which the deadline
+// counts: when discovery has the revision and is reachable, or when the watches have fallen silent.
 type outage func(group *clientGroup) (revision int64, since time.Time)
 
 // isShortSilence reports whether open watches are silent for too short a time to be detected during the fault. The deadline
@@ -95,8 +95,8 @@
 	return name == "watches fall silent" || name == "silent for 100ms" || name == "silent for 1.3s"
 }
 
-// unavailableFor puts discovery into a state for the duration d, starting at the given time after the start of all clients.
-// During the outage an endpoint starts draining.
+// unavailableFor puts discovery into a state for the duration d, after the delay start. At the end of the outage an endpoint
+// starts draining.
 func unavailableFor(start time.Duration, state standin.ServiceState, d time.Duration) outage {
 	return func(group *clientGroup) (int64, time.Time) {
 		time.Sleep(start)
@@ -194,7 +194,7 @@
 		service.SilenceWatches() // the watches at the old address receive nothing more
 		revision, since := service.ApplyChange(target(0, "DRAINING")), time.Now()
 		for _, client := range group.clients {
-			client.ChangeAddress("127.0.0.1:2")
+			client.SetAddress("127.0.0.1:2")
 		}
 		time.Sleep(3 * addressChangeDeadline)
 		if delay, missing := group.lastPublished(revision, since); missing > 0 || delay > addressChangeDeadline {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 	"lemontack/policy"
 )
 
-// After a watch breaks, the next one asks for the changes since the latest revision, so that no change is missed.
+// After a watch has ended, the next one requests the changes since the latest revision, so that no change is missed.
 func TestBrokenWatchResumesFromTheLatestRevision(t *testing.T) {
 	since := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,11 +63,12 @@
 		if err := client.receive(json.NewDecoder(strings.NewReader(c.in)), func() {}); (err == nil) != c.isValid {
 			t.Errorf("%s: got error %v, want valid %v", c.in, err, c.isValid)
 		}
-		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 && (len(published) != 1 || len(published[0].Entries) != c.entryCount) {
+		if c.entryCount < 0 && len(published) > 0 || c.entryCount >= 0 &&
+			(len(published) != 1 || len(published[0].Entries) != c.entryCount) {
 			t.Errorf("%s: published %v, want %d entries", c.in, published, c.entryCount)
 		}
 	}
-	if e := (Entry{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
+	if e := (Entry{UID: "a", Address: "127.0.0.1:1", State: "ODD"}).PolicyEndpoint(); e.State != policy.Draining {
 		t.Errorf("unknown state: got %v, want draining", e.State)
 	}
 }
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -27,9 +27,9 @@
 	nettest.Await(t, "the attempt is abandoned", abandoned)
 }
 
-// A disconnect is detected while the listener reads no further command: after more commands than may be pipelined, and after an
-// invalid command that loses the framing.
-func TestDisconnectIsNoticedWhileCommandsAreNotRead(t *testing.T) {
+// A disconnect is detected while further input is rejected or discarded: after more commands than may be pipelined, and after
+// invalid input that loses the framing.
+func TestDisconnectIsDetectedWhileInputIsNotServed(t *testing.T) {
 	for name, unread := range map[string]string{
 		"pipelined commands": func() string {
 			var b strings.Builder
@@ -86,14 +86,14 @@
 // No attempt of a disconnected client starts, even if other events precede the disconnect in the gateway's queue.
 func TestNoAttemptStartsWhileTheDisconnectIsQueued(t *testing.T) {
 	for name, c := range map[string]struct {
-		known            bool                               // whether the endpoint is known from the start
+		isKnown          bool                               // whether the endpoint is known from the start
 		beforeDisconnect func(g *Gateway) (pending []event) // handles events before the disconnect, returns those still pending
 		pending          func(addr string) []event          // events that precede the disconnect in the queue
 	}{
-		"its command": {known: true},
+		"its command": {isKnown: true},
 		"an endpoint list": {beforeDisconnect: func(g *Gateway) []event { g.handle(<-g.events); return nil },
 			pending: func(addr string) []event { return []event{endpointsUpdated{endpointsAt(addr)}} }},
-		"a connection": {known: true, beforeDisconnect: func(g *Gateway) []event {
+		"a connection": {isKnown: true, beforeDisconnect: func(g *Gateway) []event {
 			g.handle(<-g.events)
 			return []event{<-g.events} // the endpoint connection is established
 		}},
@@ -101,21 +101,21 @@
 		t.Run(name, func(t *testing.T) {
 			endpoint := startEndpoint(t, nil)
 			list := endpointsAt()
-			if c.known {
+			if c.isKnown {
 				list = endpointsAt(endpoint.addr)
 			}
 			cfg := testConfig("", list)
 			cfg.Settings.MayCancel = false
 			g := idleGateway(t, cfg)
-			near, far := nettest.ConnPair(t)
-			done := serveClient(g, near)
-			io.WriteString(far, nettest.Do(1, nettest.WriteFields))
+			serverEnd, clientEnd := nettest.ConnPair(t)
+			done := serveClient(g, serverEnd)
+			io.WriteString(clientEnd, nettest.Do(1, nettest.WriteFields))
 			nettest.Eventually(t, "the request is queued", func() bool { return len(g.events) > 0 })
 			var pending []event
 			if c.beforeDisconnect != nil {
 				pending = c.beforeDisconnect(g)
 			}
-			far.Close()
+			clientEnd.Close()
 			nettest.Await(t, "the connection's end", done)
 			if c.pending != nil {
 				pending = c.pending(endpoint.addr)
--- a/internal/ingress/gateway.go
+++ b/internal/ingress/gateway.go
@@ -33,10 +33,10 @@
 	eventLoop
 	policyDriver
 
-	cfg     Config
-	log     *slog.Logger
-	observe *observer
-	stalls  *stall.Detector
+	cfg      Config
+	log      *slog.Logger
+	observer *observer
+	stalls   *stall.Detector
 
 	// Values derived from the settings; read-only after New, so safe for concurrent use.
 	classes        map[string]policy.Class
@@ -45,18 +45,18 @@
 	maxAttempts    int     // per request
 	rejectionReply []byte  // reply to a request that is not admitted
 
-	// Used by the event loop; Run and UpdateAddresses also use counter and discovery.
+	// Used by the event loop; Run and SetAddresses also use counter and discovery.
 	requests  requestTable
 	pool      *upstream.Pool
 	counter   *counterclient.Client
 	discovery *discovery.Client
 
-	gatewaysPerEndpoint float64       // as last reported by discovery
+	gatewaysPerEndpoint float64       // latest estimate of the discovery client
 	shutdownDeadline    time.Duration // zero until a shutdown begins
 
 	openListener func() (net.Listener, error) // opens the client listener; replaced in tests
-	ready        chan struct{}
-	addr         net.Addr // set before ready is closed
+	ready        chan struct{}                // closed once the gateway accepts clients
+	addr         net.Addr                     // set before ready is closed
 }
 
 // New validates the configuration and returns a gateway that has not started.
@@ -75,7 +75,7 @@
 		policyDriver:   policyDriver{policy: policyGateway},
 		cfg:            cfg,
 		log:            log,
-		observe:        newObserver(log),
+		observer:       newObserver(log),
 		stalls:         stall.NewDetector(start),
 		classes:        map[string]policy.Class{},
 		plans:          map[string]bool{},
@@ -118,11 +118,10 @@
 		func(result counterclient.Result) { g.post(counterCallEnded{result}) })
 }
 
-// discoveryConfig returns the configuration of the discovery client.
 func (g *Gateway) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Address:   g.cfg.Discovery,
-		KnownList: g.cfg.KnownEndpoints,
+		KnownList: g.cfg.KnownList,
 		Subset:    g.cfg.Subset,
 		Settings:  g.cfg.Settings,
 		Random:    rand.New(rand.NewPCG(g.cfg.Seed, uint64(g.cfg.Settings.GatewayIndex))),
@@ -140,10 +139,10 @@
 // Addr returns the address of the client listener. It must not be called before Ready is closed.
 func (g *Gateway) Addr() net.Addr { return g.addr }
 
-// UpdateAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
+// SetAddresses switches discovery and the counter to new addresses. It does not block and may be called at any time; the last
 // call takes effect. Client connections, endpoint connections and the policy's state are unchanged.
-func (g *Gateway) UpdateAddresses(discoveryAddress, counterAddress string) {
-	g.discovery.ChangeAddress(discoveryAddress)
+func (g *Gateway) SetAddresses(discoveryAddress, counterAddress string) {
+	g.discovery.SetAddress(discoveryAddress)
 	g.counter.SetAddress(counterAddress)
 }
 
@@ -155,8 +154,8 @@
 		g.goroutines.Wait()
 	}()
 	g.ctx = runCtx
-	knownEndpoints := len(g.cfg.KnownEndpoints.Entries)
-	g.applyKnownEndpoints()
+	knownEndpoints := len(g.cfg.KnownList.Entries)
+	g.applyKnownList()
 	g.startBackgroundGoroutines()
 	select {
 	case <-g.discovery.Ready():
@@ -180,7 +179,7 @@
 	g.spawn(g.loop)
 	g.spawn(g.counter.Run)
 	g.spawn(g.discovery.Run)
-	g.spawn(g.observe.logCountersPeriodically)
+	g.spawn(g.observer.logCountersPeriodically)
 }
 
 // startListener starts accepting clients and closes the ready channel.
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -7,8 +7,8 @@
 	"lemontack/policy"
 )
 
-// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not
-// answered it. It is a part of the listener's answerMargin, so that the answer can still reach the client.
+// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not answered it. It is
+// shorter than the listener's answerMargin, so that the answer can still reach the client before its timeout.
 const overdueDelay = 8 * time.Millisecond
 
 // request is an admitted request of a client, with its attempts.
@@ -22,7 +22,7 @@
 // requestTable holds the admitted requests that have not finished or that have open attempts.
 type requestTable struct {
 	open             map[policy.RequestID]*request
-	externalIDsInUse map[uint64]bool // external IDs of requests whose deadline has not passed, including finished requests
+	externalIDsInUse map[uint64]bool // external IDs of admitted requests, until overdueDelay after their deadlines
 	lastID           policy.RequestID
 	commandBytes     int // total size of the commands of open requests
 	maxOpen          int
@@ -67,12 +67,12 @@
 		return
 	}
 	if !g.requests.hasCapacity(r.Size) || g.shutdownDeadlinePassed() {
-		g.observe.requestRejected(r, "no capacity, or shutting down")
+		g.observer.requestRejected(r, "no capacity, or shutting down")
 		r.Respond(g.rejectionReply)
 		return
 	}
 	if g.requests.externalIDsInUse[r.ExternalID] { // only the first request with an ID is served
-		g.observe.requests.Add(requestsDuplicate)
+		g.observer.requests.Add(requestsDuplicate)
 		r.RejectDuplicate()
 		return
 	}
@@ -81,7 +81,7 @@
 		r.Deadline = min(r.Deadline, g.shutdownDeadline)
 	}
 	if r.Deadline <= g.now {
-		g.observe.requests.Add(requestsExpired)
+		g.observer.requests.Add(requestsExpired)
 	}
 	g.enqueue(policy.Arrival{Request: r.Request})
 	g.scheduleAt(r.Deadline+overdueDelay, func() {
@@ -99,7 +99,7 @@
 // reject executes the policy's Reject action.
 func (g *Gateway) reject(action policy.Reject) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
-		g.observe.requestEnded(r, requestsRejectedByPolicy)
+		g.observer.requestEnded(r, requestsRejectedByPolicy)
 		g.answer(r, busyResponse(action.RetryAfter))
 	}
 }
@@ -107,7 +107,7 @@
 // fail executes the policy's Fail action.
 func (g *Gateway) fail(action policy.Fail) {
 	if r := g.requests.open[action.ID]; r != nil && !r.finished {
-		g.observe.requestEnded(r, requestsFailed)
+		g.observer.requestEnded(r, requestsFailed)
 		g.answer(r, []byte(failedResponse))
 	}
 }
@@ -118,8 +118,8 @@
 	if r.finished {
 		return
 	}
-	g.observe.requests.Add(requestsOverdue)
-	g.observe.logRequestWarning(r, "the policy did not answer the request before its deadline", g.now)
+	g.observer.requests.Add(requestsOverdue)
+	g.observer.logRequestWarning(r, "the policy did not answer the request before its deadline", g.now)
 	response := []byte(failedResponse)
 	if len(r.attempts) == 0 { // the request was never executed
 		response = g.rejectionReply
@@ -134,7 +134,7 @@
 		return
 	}
 	r.finished = true
-	g.observe.requestEnded(r, requestsAbandoned)
+	g.observer.requestEnded(r, requestsAbandoned)
 	g.enqueue(policy.ClientDisconnected{ID: r.ID})
 	g.cancelUnsentAttempts(r)
 	g.requests.removeIfDone(r)
--- a/internal/upstream/endpointlist.go
+++ b/internal/upstream/endpointlist.go
@@ -18,9 +18,9 @@
 
 // UpdateEndpoints applies new and changed entries of the list. If snapshot is true, updates is the whole list, and all other
 // endpoints are removed. Attempts that wait for an endpoint that is no longer serving end with the outcome NotSent.
-func (pool *Pool) UpdateEndpoints(snapshot bool, updates []EndpointUpdate) {
+func (pool *Pool) UpdateEndpoints(isSnapshot bool, updates []EndpointUpdate) {
 	now := pool.config.Now()
-	if snapshot {
+	if isSnapshot {
 		for _, endpoint := range pool.endpoints {
 			endpoint.State = policy.Removed
 			endpoint.updateStoppedAt(now)
@@ -36,7 +36,7 @@
 	}
 	pool.CloseUnusableIdle()
 	for _, endpoint := range pool.endpoints {
-		for endpoint.State != policy.Serving && len(endpoint.waiting) > 0 {
+		for endpoint.State != policy.Serving && len(endpoint.waitingAttempts) > 0 {
 			endpoint.popWaiting().endWith(policy.NotSent)
 		}
 		pool.deleteRemovedIfUnused(endpoint)
@@ -46,7 +46,7 @@
 // deleteRemovedIfUnused deletes a removed endpoint that has no connection and no waiting attempt. IDs are not reused, so
 // the table would otherwise grow without bound.
 func (pool *Pool) deleteRemovedIfUnused(endpoint *Endpoint) {
-	unused := endpoint.connections == 0 && len(endpoint.waiting) == 0
+	unused := endpoint.connectionCount == 0 && len(endpoint.waitingAttempts) == 0
 	if endpoint.State == policy.Removed && unused && pool.endpoints[endpoint.ID] == endpoint {
 		delete(pool.endpoints, endpoint.ID)
 	}
