--- a/internal/scale/backend_model.go
+++ b/internal/scale/backend_model.go
@@ -187,7 +187,7 @@
 	return counts
 }
 
-// maxColdAttempts returns the largest number of attempts that a cold backend received within slowStartBudgetSpan.
+// maxColdAttempts returns the largest number of attempts that a cold backend received within slowStartBudgetPeriod.
 func (m *backendModel) maxColdAttempts() int {
 	result := 0
 	for i := range m.backends {
@@ -196,10 +196,10 @@
 	return result
 }
 
-// coldAttemptLimit returns the number of attempts within slowStartBudgetSpan that do not overload a backend which has just
+// coldAttemptLimit returns the number of attempts within slowStartBudgetPeriod that do not overload a backend which has just
 // started.
 func (m *backendModel) coldAttemptLimit(meanServiceTime time.Duration) float64 {
-	return slowStartBudgetMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartBudgetSpan.Seconds()
+	return slowStartBudgetMultiple * slowStartMinWeight * m.slots / meanServiceTime.Seconds() * slowStartBudgetPeriod.Seconds()
 }
 
 func (b *modelledBackend) addColdAttempt(at time.Duration) {
@@ -211,7 +211,7 @@
 func (b *modelledBackend) maxColdAttempts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maxWithinWindow(b.coldAttempts, slowStartBudgetSpan)
+	return maxWithinWindow(b.coldAttempts, slowStartBudgetPeriod)
 }
 
 // poisson draws from a Poisson distribution.
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -67,7 +67,7 @@
 	SlowStartMinWeight      float64      `json:"coldFrom"`
 	SlowStartWindow         microseconds `json:"warmAfterUs"`
 	SlowStartBudgetMultiple float64      `json:"fallMultiple"`
-	SlowStartBudgetSpan     microseconds `json:"fallUs"`
+	SlowStartBudgetPeriod   microseconds `json:"fallUs"`
 	DrainGracePeriod        microseconds `json:"drainGraceUs"`
 }
 
@@ -120,7 +120,7 @@
 			SlowStartMinWeight:      slowStartMinWeight,
 			SlowStartWindow:         toMicroseconds(slowStartWindow),
 			SlowStartBudgetMultiple: slowStartBudgetMultiple,
-			SlowStartBudgetSpan:     toMicroseconds(slowStartBudgetSpan),
+			SlowStartBudgetPeriod:   toMicroseconds(slowStartBudgetPeriod),
 			DrainGracePeriod:        toMicroseconds(time.Second),
 		},
 	})
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -35,7 +35,7 @@
 	slowStartMinWeight      = 0.2 // speed at the start, as a share of the full speed
 	slowStartWindow         = 10 * time.Second
 	slowStartBudgetMultiple = 2.0 // limit of the attempts at a cold backend, in multiples of its throughput
-	slowStartBudgetSpan     = time.Second
+	slowStartBudgetPeriod   = time.Second
 )
 
 const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
--- a/internal/scale/zone_sweep.go
+++ b/internal/scale/zone_sweep.go
@@ -55,7 +55,7 @@
 	if err := f.addPropagationFigures(ctx, p, "back", restoration); err != nil {
 		return err
 	}
-	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartBudgetSpan)
+	name := fmt.Sprintf("back: most attempts at one cold backend within %v", slowStartBudgetPeriod)
 	p.addFigureWithoutFit(roleIngress, name, "", float64(backends.maxColdAttempts()))
 	p.addFigureWithoutFit(roleIngress, "back: what such a one bears when it starts", "",
 		backends.coldAttemptLimit(meanServiceTime))
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -36,9 +36,9 @@
 }
 
 type configLimits struct {
-	Cores       int `json:"cores"`
-	MemoryMB    int `json:"memory_mb"`
-	Descriptors int `json:"sockets"`
+	Cores    int `json:"cores"`
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"`
 }
 
 // configEndpointList is the list of endpoints that an ingress starts with.
@@ -101,7 +101,7 @@
 	SlowStartMinWeight      float64 `json:"coldFrom"`
 	SlowStartWindow         int64   `json:"warmAfterUs"`
 	SlowStartBudgetMultiple int     `json:"fallMultiple"`
-	SlowStartBudgetSpan     int64   `json:"fallUs"`
+	SlowStartBudgetPeriod   int64   `json:"fallUs"`
 }
 
 // config returns the configuration of the process for its current address index and list of endpoints.
@@ -113,7 +113,7 @@
 		Discovery: discovery.addrs[addrIndex],
 		Counter:   p.cluster.counterAddrs[addrIndex],
 		Seed:      fmt.Sprintf("%x", p.options.Seed+uint64(p.index)),
-		Limits:    configLimits{Cores: cpuCores, MemoryMB: memoryMB, Descriptors: maxDescriptors},
+		Limits:    configLimits{Cores: cpuCores, MemoryMB: memoryMB, Sockets: maxDescriptors},
 		Known:     configEndpointList{Complete: true, Endpoints: p.cluster.currentEndpoints(p.segment)},
 		Settings:  newSettings(p.index, p.options.Processes),
 	}
@@ -131,7 +131,7 @@
 		Invariants: configInvariants{
 			DrainGracePeriod:   time.Second.Microseconds(),
 			SlowStartMinWeight: 0.3, SlowStartWindow: (5 * time.Second).Microseconds(),
-			SlowStartBudgetMultiple: 4, SlowStartBudgetSpan: (3 * time.Second).Microseconds(),
+			SlowStartBudgetMultiple: 4, SlowStartBudgetPeriod: (3 * time.Second).Microseconds(),
 		},
 	}
 	for _, c := range classes {
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -70,7 +70,7 @@
 	if err := json.Unmarshal([]byte(object), &update); err != nil {
 		t.Fatalf("decode %q: %v", object, err)
 	}
-	description := fmt.Sprint(update.Revision, update.Snapshot)
+	description := fmt.Sprint(update.Revision, update.IsSnapshot)
 	for _, entry := range update.Targets {
 		description += " " + entry.UID + ":" + entry.State
 	}
--- a/internal/standin/endpoint_history.go
+++ b/internal/standin/endpoint_history.go
@@ -19,9 +19,9 @@
 
 // endpointUpdate is a JSON object of the discovery protocol: a snapshot, or the changes up to a revision.
 type endpointUpdate struct {
-	Revision int64    `json:"rev"`
-	Snapshot bool     `json:"all"`
-	Targets  []Target `json:"targets"`
+	Revision   int64    `json:"rev"`
+	IsSnapshot bool     `json:"all"`
+	Targets    []Target `json:"targets"`
 }
 
 // listChange holds the entries that one revision changed.
@@ -90,7 +90,7 @@
 }
 
 func (h *endpointHistory) snapshot() endpointUpdate {
-	return endpointUpdate{Revision: h.revision, Snapshot: true, Targets: h.targets}
+	return endpointUpdate{Revision: h.revision, IsSnapshot: true, Targets: h.targets}
 }
 
 // hasChangesSince reports whether all changes since a revision are kept.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -22,7 +22,7 @@
 	Zone         string           `json:"myZone"`
 	RegistryMode string           `json:"registryMode"`
 	Classes      []classObject    `json:"classes"`
-	Contracts    []contractObject `json:"contracts"`
+	Plans        []contractObject `json:"contracts"`
 
 	FamilyInfo struct {
 		CostAfter        bool    `json:"costAfter"`
@@ -132,7 +132,7 @@
 	for _, class := range o.Classes {
 		settings.Classes = append(settings.Classes, class.class())
 	}
-	for _, contract := range o.Contracts {
+	for _, contract := range o.Plans {
 		settings.Plans = append(settings.Plans, contract.plan(o.FamilyInfo.CostAfter))
 	}
 	return settings
