--- a/internal/ingress/invariants.go
+++ b/internal/ingress/invariants.go
@@ -47,7 +47,6 @@
 	o.log.Error("invariant violated", "invariant", o.violations.Name(violated), "reason", reason, "request", describe(r, now))
 }
 
-// describe returns the details of a request as a log value.
 func describe(r *listener.Request, now time.Duration) slog.Value {
 	return slog.GroupValue(slog.String("request_id", r.ExternalIDString()), slog.String("client", r.RemoteAddr()),
 		slog.String("class", r.Class), slog.String("customer", r.Customer), slog.Duration("age", now-r.ReadAt),
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -16,7 +16,6 @@
 // readyDeadline is the time within which nine of ten restarted processes must be ready.
 const readyDeadline = 10 * time.Second
 
-// longList returns a list of n endpoints.
 func longList(n int) discovery.EndpointList {
 	list := discovery.EndpointList{Revision: 1, IsSnapshot: true}
 	for i := range n {
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -7,8 +7,10 @@
 	"lemontack/policy"
 )
 
-// overdueDelay is the time after a request's deadline at which the gateway fails it if the policy has not answered it. It is
-// shorter than the listener's answerMargin, so that the answer can still reach the client before its timeout.
+// overdueDelay is the time after a request's deadline at which the gateway ends the request if the policy has not answered it.
+// The listener sets the deadline earlier than the client's timeout by answerMargin, which is longer than overdueDelay, so that
+// the answer can still reach the client in time. It comes too late if the timeout is at most four times overdueDelay, since the
+// margin is limited to a quarter of the timeout.
 const overdueDelay = 8 * time.Millisecond
 
 // request is an admitted request of a client, with its attempts.
--- a/internal/scale/control_clients.go
+++ b/internal/scale/control_clients.go
@@ -13,7 +13,7 @@
 
 // The types below wrap the clients of discovery and of the counter, which hollow ingresses share with real ones.
 
-// endpointUpdate is a complete list of endpoints, or a change of some of them, for a decision module.
+// endpointUpdate is a complete list of endpoints, or a change of some of them, for the policy.
 type endpointUpdate struct{ list discovery.EndpointList }
 
 // newSnapshot returns a complete list of endpoints.
@@ -38,7 +38,6 @@
 func (update endpointUpdate) isSnapshot() bool { return update.list.IsSnapshot }
 func (update endpointUpdate) size() int        { return len(update.list.Entries) }
 
-// event returns the update as an event of the decision module.
 func (update endpointUpdate) event() policy.EndpointsChanged { return update.list.PolicyEvent() }
 
 // endpointSubset is the part of discovery's list that an ingress keeps.
@@ -48,7 +47,7 @@
 	return endpointSubset{discovery.NewCache(settings, slog.New(slog.DiscardHandler))}
 }
 
-// apply returns the part of an update that the decision module receives, which may be empty.
+// apply returns the part of an update that the policy receives, which may be empty.
 func (s endpointSubset) apply(update endpointUpdate) endpointUpdate {
 	return endpointUpdate{s.cache.Apply(update.list)}
 }
@@ -79,7 +78,7 @@
 	}
 }
 
-// applyKnownList returns the part of the known list that the decision module receives. It must be called before run.
+// applyKnownList returns the part of the known list that the policy receives. It must be called before run.
 func (clients controlClients) applyKnownList(knownList endpointUpdate) endpointUpdate {
 	return endpointUpdate{clients.discovery.ApplyKnownList(knownList.list)}
 }
@@ -92,19 +91,17 @@
 	running.Wait()
 }
 
-// increment starts a call of the counter.
+// increment queues a call of the counter and never blocks. The caller has to call expire once the timeout has passed.
 func (clients controlClients) increment(a policy.IncrementCounter) counterCall {
 	return counterCall{clients.counter.Increment(a)}
 }
 
-// counterCall is a pending call of the counter.
 type counterCall struct{ call *counterclient.Call }
 
 // expire ends the call at its timeout; it returns false if the call already has its reply.
 func (cc counterCall) expire() (policy.CounterReply, bool) { return cc.call.Expire().Reply() }
 
-// counterResult is the result of a call of the counter.
 type counterResult struct{ result counterclient.Result }
 
-// reply returns the event for the decision module, or false if the call already ended at its timeout.
+// reply returns the event for the policy, or false if the call already ended at its timeout.
 func (res counterResult) reply() (policy.CounterReply, bool) { return res.result.Reply() }
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,7 +1,7 @@
 // Package scale measures the cost of an ingress, of discovery and of the counter by the size of the fleet.
 //
-// Most ingresses of a run are hollow: hundreds of them run in one process, each with the real decision module, but with
-// randomly drawn requests and modelled backends instead of sockets. There are two kinds of sweeps:
+// Most ingresses of a run are hollow: hundreds of them run in one process, each with the real policy, but with randomly
+// drawn requests and modelled backends instead of sockets. There are two kinds of sweeps:
 //
 //   - On a simulated clock (sweeps of backends and tenants) one ingress at a time handles requests as fast as it can,
 //     and its CPU time and memory are measured.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -15,10 +15,10 @@
 	replyGracePeriod = 8 * time.Millisecond   // time that a client waits beyond the deadline of its request
 )
 
-// hollowIngress is an ingress without sockets to clients and backends: the real decision module with drawn requests and
-// modelled backends. On a simulated clock, which advance moves, its counter is a table in memory; once connected it runs
-// in real time and has real clients of discovery and of the counter. One goroutine owns it; other goroutines may call
-// only post and runInEventLoop.
+// hollowIngress is an ingress without sockets to clients and backends: the real policy with drawn requests and modelled
+// backends. On a simulated clock, which advance moves, its counter is a table in memory; once connected it runs in real
+// time and has real clients of discovery and of the counter. One goroutine owns it; other goroutines may call only post
+// and runInEventLoop.
 type hollowIngress struct {
 	index    int // index in the fleet
 	settings policy.Settings
@@ -37,11 +37,11 @@
 	requests         map[policy.RequestID]*request // requests that are not finished or have attempts in flight
 	lastRequestID    policy.RequestID
 
-	queuedEvents []policy.Event  // events for the decision module
+	queuedEvents []policy.Event  // events for the policy
 	actions      []policy.Action // result of the last event; the slice is reused
-	eventStart   time.Time       // time at which the module received its last event
+	eventStart   time.Time       // time at which the policy received its last event
 
-	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // current list; empty unless the module polls endpoints
+	cachedEndpoints     map[policy.EndpointID]policy.Endpoint // current list; empty unless the policy polls endpoints
 	subset              endpointSubset                        // used on a simulated clock; in real time the client has its own
 	gatewaysPerEndpoint float64                               // value of the last update
 	appliedRevisions    []appliedRevision
@@ -56,7 +56,7 @@
 	at       time.Time
 }
 
-// request is a request that the decision module handles.
+// request is a request that the policy handles.
 type request struct {
 	arrivedAt time.Duration
 	attempts  []attempt
@@ -100,19 +100,19 @@
 	}, nil
 }
 
-// loadEndpoints passes the endpoint list of a configuration to the decision module.
+// loadEndpoints passes the endpoint list of a configuration to the policy.
 func (h *hollowIngress) loadEndpoints(targets []standin.Target) {
 	h.applyUpdate(newSnapshot(0, targets))
 }
 
-// applyUpdate passes the ingress's subset of a list or a change to the decision module.
+// applyUpdate passes the ingress's subset of a list or a change to the policy.
 func (h *hollowIngress) applyUpdate(update endpointUpdate) {
 	if update = h.subset.apply(update); update.isSnapshot() || update.size() > 0 {
 		h.deliverUpdate(update)
 	}
 }
 
-// deliverUpdate passes a list or a change to the decision module unfiltered, and records its revision.
+// deliverUpdate passes a list or a change to the policy unfiltered, and records its revision.
 func (h *hollowIngress) deliverUpdate(update endpointUpdate) {
 	event := update.event()
 	h.gatewaysPerEndpoint = event.GatewaysPerEndpoint
@@ -137,10 +137,10 @@
 	}
 }
 
-// enqueue adds an event for the decision module, which handleQueued delivers.
+// enqueue adds an event for the policy, which handleQueued delivers.
 func (h *hollowIngress) enqueue(event policy.Event) { h.queuedEvents = append(h.queuedEvents, event) }
 
-// handleQueued passes the queued events to the decision module and performs its actions, which may queue more events.
+// handleQueued passes the queued events to the policy and performs its actions, which may queue more events.
 func (h *hollowIngress) handleQueued() {
 	for i := 0; i < len(h.queuedEvents); i++ {
 		event := h.queuedEvents[i]
@@ -195,7 +195,7 @@
 	}
 }
 
-// enqueueCachedEndpoints queues the endpoint list that the module requested. The watch is always open, so that the
+// enqueueCachedEndpoints queues the endpoint list that the policy requested. The watch is always open, so that the
 // cached list is the current one.
 func (h *hollowIngress) enqueueCachedEndpoints() {
 	event := policy.EndpointsChanged{IsSnapshot: true, GatewaysPerEndpoint: h.gatewaysPerEndpoint}
@@ -205,7 +205,7 @@
 	h.enqueue(event)
 }
 
-// generateRequest draws a request with the arrival time due, and queues it for the decision module.
+// generateRequest draws a request with the arrival time due, and queues it for the policy.
 func (h *hollowIngress) generateRequest(due time.Duration) {
 	newRequest := drawRequest(h.rng, h.tenants, due)
 	h.lastRequestID++
@@ -239,7 +239,7 @@
 	h.schedule(latency, timer{kind: attemptEndTimer, requestID: send.ID, attempt: len(req.attempts) - 1, outcome: outcome})
 }
 
-// endAttempt reports the end of an attempt to the decision module. It does nothing if the attempt has already ended.
+// endAttempt reports the end of an attempt to the policy. It does nothing if the attempt has already ended.
 func (h *hollowIngress) endAttempt(id policy.RequestID, index int, outcome policy.AttemptEnded) {
 	req := h.requests[id]
 	if req == nil || index >= len(req.attempts) || req.attempts[index].ended {
--- a/internal/scale/hollow_timers.go
+++ b/internal/scale/hollow_timers.go
@@ -17,7 +17,7 @@
 	arrivalTimer        timerKind = iota // the next request arrives
 	attemptEndTimer                      // an attempt ends at its backend
 	clientTimeoutTimer                   // a client stops waiting
-	policyTimer                          // the decision module set the timer
+	policyTimer                          // the policy set the timer
 	counterTimeoutTimer                  // a call of the counter times out; in real time only
 	counterReplyTimer                    // the simulated counter replies
 )
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -11,7 +11,7 @@
 type metric int
 
 const (
-	// Times that the decision module takes to handle an event.
+	// Times that the policy takes to handle an event.
 	metricArrival metric = iota
 	metricAttemptEnd
 	metricCounterReply
--- a/internal/scale/reply.go
+++ b/internal/scale/reply.go
@@ -15,7 +15,6 @@
 // errUnexpectedReply reports a reply of a type or length that no command returns.
 var errUnexpectedReply = errors.New("unexpected reply")
 
-// replyKind is the type of a reply.
 type replyKind int
 
 const (
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -51,7 +51,8 @@
 	Figures    []Figure `json:"figures,omitempty"`
 }
 
-// Figure is one measured value.
+// Figure is a value of a Point for a role, for example the CPU time of the ingress for one request. Percentiles is nil
+// unless the value was taken from a histogram.
 type Figure struct {
 	Role            string       `json:"role"`
 	Name            string       `json:"name"`
--- a/internal/scale/resources.go
+++ b/internal/scale/resources.go
@@ -23,7 +23,7 @@
 	hollowIngressBytes = 400 << 10
 	realIngressBytes   = 60 << 20
 	tenantBytes        = 700
-	backendBytes       = 700  // bytes in each decision module
+	backendBytes       = 700  // bytes in the policy of each ingress
 	listEntryBytes     = 2500 // bytes of each backend in the model, in discovery and in the encoded list together
 )
 
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -40,7 +40,6 @@
 
 const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
 
-// tenantPlan is a plan of tenants.
 type tenantPlan struct {
 	name        string
 	share       float64 // share of the tenants
@@ -65,7 +64,7 @@
 
 func zoneName(index int) string { return fmt.Sprint("z", index%zoneCount) }
 
-// policySettings returns the settings that the decision module of one ingress receives.
+// policySettings returns the settings that the policy of one ingress receives.
 func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
 	text, err := shape.settingsJSON(index)
 	if err != nil {
--- a/internal/scale/simulated_sweeps.go
+++ b/internal/scale/simulated_sweeps.go
@@ -144,7 +144,7 @@
 	// lease of a tenant.
 	p.excludeFromFit(figureCounterCalls)
 	p.addHistogram(roleIngress, "change handled", "µs", time.Microsecond, changeTimes[metricChange], 50)
-	addModuleIdleFigure(p, total.idle, total.idleTimes)
+	addPolicyIdleFigure(p, total.idle, total.idleTimes)
 	return nil
 }
 
@@ -173,9 +173,9 @@
 	p.addFigureWithoutFit(roleRun, "requests played", "", requests)
 }
 
-// addModuleIdleFigure adds the cost of an idle second, from the handling times of timer events: the resolution of the
+// addPolicyIdleFigure adds the cost of an idle second, from the handling times of timer events: the resolution of the
 // thread's CPU clock is too coarse for such short times.
-func addModuleIdleFigure(p *Point, usage simulatedUsage, times histograms) {
+func addPolicyIdleFigure(p *Point, usage simulatedUsage, times histograms) {
 	eventMS := float64(times[metricTimer].ValueAtQuantile(50)) / 1e6
 	eventsPerSecond := float64(usage.tally.TimerEvents) / max(1e-9, usage.span.Seconds())
 	p.addFigure(roleIngress, "idle second, in the module", "ms", eventMS*eventsPerSecond, usage.tally.TimerEvents)
@@ -211,6 +211,6 @@
 	p.addFigure(roleIngress, "state of the tenants", "MB", toMB(memory), 1)
 	p.addFigureWithoutFit(roleIngress, "state of a tenant", "bytes", memory/float64(len(h.tenants)))
 	r.addRequestFigures(p, measured.load, measured.loadTimes)
-	addModuleIdleFigure(p, measured.idle, measured.idleTimes)
+	addPolicyIdleFigure(p, measured.idle, measured.idleTimes)
 	return nil
 }
--- a/internal/scale/stand_ins.go
+++ b/internal/scale/stand_ins.go
@@ -86,7 +86,6 @@
 	process.waitOrKill(exitTimeout)
 }
 
-// standIns are the processes of discovery and of the counter.
 type standIns struct{ discovery, counter *standInProcess }
 
 func startStandIns(ctx context.Context, monitor *resourceMonitor, shape fleetShape) (*standIns, error) {
--- a/internal/scale/tally.go
+++ b/internal/scale/tally.go
@@ -10,7 +10,7 @@
 
 	Attempts        uint64
 	CounterCalls    uint64
-	TimerEvents     uint64 // timer events of the decision module
+	TimerEvents     uint64 // timer events of the policy
 	EndpointChanges uint64 // events with a change of endpoints
 	ListSnapshots   uint64 // events with a complete endpoint list
 
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -41,12 +41,15 @@
 		"closed long after sending": {request{class: idempotentClass, closedAt: after(2 * time.Second)}, nil, NoReply},
 		"closed after forwarding":   {request{class: idempotentClass, closedAt: after(time.Millisecond)}, []time.Duration{0}, NoReply},
 		"answered late":             {request{class: idempotentClass, repliedAt: after(2 * time.Second)}, nil, LateReply},
-		"late, after late reply":    {request{class: idempotentClass, repliedAt: after(2 * time.Second), prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
-		"idempotent, twice":         {request{class: idempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ""},
-		"non-idempotent, twice":     {request{class: nonIdempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ExecutedTwice},
-		"non-idempotent, rejected":  {request{class: nonIdempotentClass, repliedAt: after(0), replyKind: ReplyBusy}, []time.Duration{0}, RejectedAfterExecution},
-		"keyed, twice in window":    {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
-		"keyed, twice after window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
+		"late, after late reply": {request{class: idempotentClass, repliedAt: after(2 * time.Second),
+			prevReplyAt: after(1900 * time.Millisecond)}, nil, ""},
+		"idempotent, twice":     {request{class: idempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ""},
+		"non-idempotent, twice": {request{class: nonIdempotentClass, repliedAt: after(0)}, []time.Duration{0, 1}, ExecutedTwice},
+		"non-idempotent, rejected": {request{class: nonIdempotentClass, repliedAt: after(0), replyKind: ReplyBusy},
+			[]time.Duration{0}, RejectedAfterExecution},
+		"keyed, twice in window": {request{class: keyedClass, repliedAt: after(0)}, []time.Duration{0, deduplicationWindow}, ""},
+		"keyed, twice after window": {request{class: keyedClass, repliedAt: after(0)},
+			[]time.Duration{0, 2 * deduplicationWindow}, ExecutedTwice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newChecker(true)
--- a/internal/soak/violation.go
+++ b/internal/soak/violation.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// ViolationKind is a kind of violation of the protocol.
+// ViolationKind is a kind of failure of an ingress: a breach of the protocols of clients and endpoints, a crash, or a violated
+// invariant.
 type ViolationKind string
 
 // The kinds of violations.
@@ -40,7 +41,7 @@
 	noIngress     = -1  // value of Violation.Ingress if the ingress is unknown
 )
 
-// Violation is one violation of the protocol.
+// Violation is a failure of an ingress that was detected during a run. Detail describes it in words.
 type Violation struct {
 	Kind      ViolationKind
 	Ingress   int           // index of the process; -1 means unknown
--- a/internal/standin/connections.go
+++ b/internal/standin/connections.go
@@ -79,7 +79,7 @@
 	return set.closed
 }
 
-// resetAll resets all open connections.
+// resetAll resets the open connections. It leaves the listeners open and does not wait for handlers.
 func (set *connectionSet) resetAll() {
 	set.mu.Lock()
 	defer set.mu.Unlock()
--- a/internal/wire/adapter.go
+++ b/internal/wire/adapter.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// appendReply appends the reply to a batch.
+// appendReply handles the messages of a batch in their order, and appends their actions and the line that ends the reply.
 func (adapter *gatewayAdapter) appendReply(buf []byte, batch *Batch) []byte {
 	for _, message := range batch.Messages {
 		buf = adapter.appendActions(buf, batch, message)
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -63,7 +63,7 @@
 	Settings *policy.Settings
 }
 
-// BatchReader reads batches.
+// BatchReader reads batches and counts their lines, so that errors contain line numbers.
 type BatchReader struct {
 	in   *bufio.Reader
 	line int // number of the last line read
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -96,7 +96,6 @@
 	return all
 }
 
-// actionsOf returns the actions of one type.
 func actionsOf[A Action](actions []Action) (out []A) {
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -1,4 +1,4 @@
-// Package model defines the data types shared by the packages of the decision module: request classes,
+// Package model defines the data types shared by package policy and the packages under it: request classes,
 // plans, endpoints and outcomes. It has no state and makes no decisions. Package policy re-exports all of
 // it.
 package model
@@ -41,7 +41,7 @@
 	return false
 }
 
-// Class is a kind of request.
+// Class is a kind of request, with the weight and the time limits of its answers.
 type Class struct {
 	Name                string
 	PriorityWeight      float64       // weight of an answer, before the plan's price
--- a/policy/quota/estimates.go
+++ b/policy/quota/estimates.go
@@ -23,8 +23,8 @@
 // planState is a plan with the moving averages of the counter's replies for its customers.
 type planState struct {
 	model.Plan
-	bucketGrants *grantEstimate // grants of central buckets
-	permitGrants *grantEstimate // grants of permits
+	bucketGrants *grantEstimate // grants of tokens to customers without a ceiling
+	permitGrants *grantEstimate // grants of permits in each customer's first minCustomerSamples replies
 }
 
 func newPlanState(plan model.Plan) *planState {
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -48,7 +48,6 @@
 	rejections []rejection
 }
 
-// openRequest is a request of a testGateway.
 type openRequest struct {
 	id       model.RequestID
 	deadline time.Duration
--- a/policy/quotasimulation_test.go
+++ b/policy/quotasimulation_test.go
@@ -203,7 +203,6 @@
 	firstArrivedAt time.Duration
 }
 
-// simulatedAttempt is an attempt at an endpoint.
 type simulatedAttempt struct {
 	insideQuota, ended bool // insideQuota is set for first attempts only
 	finish             func(Outcome)
--- a/policy/types.go
+++ b/policy/types.go
@@ -10,7 +10,7 @@
 	Idempotency = model.Idempotency
 	// DeduplicationScope specifies which endpoints share the idempotency keys that they have seen.
 	DeduplicationScope = model.DeduplicationScope
-	// Class is a kind of request.
+	// Class is a kind of request, with the weight and the time limits of its answers.
 	Class = model.Class
 	// Plan sets the quotas of each of its customers, over all gateways together.
 	Plan = model.Plan
