--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -35,12 +35,11 @@
 	slowStartMinWeight      = 0.2 // speed at the start, as a share of the full speed
 	slowStartWindow         = 10 * time.Second
 	slowStartBudgetMultiple = 2.0 // limit of the attempts at a cold backend, in multiples of its throughput
-	slowStartBudgetSpan     = time.Second
+	slowStartBudgetPeriod   = time.Second
 )
 
 const connectTimeout = 250 * time.Millisecond // time limit for connections to backends
 
-// tenantPlan is a plan of tenants.
 type tenantPlan struct {
 	name        string
 	share       float64 // share of the tenants
@@ -65,7 +64,7 @@
 
 func zoneName(index int) string { return fmt.Sprint("z", index%zoneCount) }
 
-// policySettings returns the settings that the decision module of one ingress receives.
+// policySettings returns the settings that the policy of one ingress receives.
 func (shape fleetShape) policySettings(index int) (policy.Settings, error) {
 	text, err := shape.settingsJSON(index)
 	if err != nil {
